--- a/crates/control/src/leader/limits.rs
+++ b/crates/control/src/leader/limits.rs
@@ -5,7 +5,7 @@
 
 use corktack_core::identity::ProxyName;
 use corktack_core::limits::{
-    AllowanceGrant, AllowanceReport, CeilingChange, GatewayLife, LedgerAnswer, LimitBounds,
+    AllowanceGrant, AllowanceReport, CeilingChange, GatewayIncarnation, LedgerAnswer, LimitBounds,
     LimitLedger, LimitTerms, TenantUse,
 };
 use corktack_core::position::Term;
@@ -255,8 +255,8 @@
     }
 }
 
-fn lives(state: &ControlState) -> BTreeSet<GatewayLife> {
-    let life = |(gateway, proxy): (&_, &corktack_core::view::ProxyView)| GatewayLife {
+fn lives(state: &ControlState) -> BTreeSet<GatewayIncarnation> {
+    let life = |(gateway, proxy): (&_, &corktack_core::view::ProxyView)| GatewayIncarnation {
         gateway: Clone::clone(gateway),
         incarnation: proxy.incarnation,
     };
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use corktack_core::identity::{GroupName, Incarnation, ProxyName};
-use corktack_core::limits::{AllowanceReport, AllowanceWish};
+use corktack_core::limits::{AllowanceDemand, AllowanceReport};
 use corktack_core::position::Term;
 use corktack_core::registry::{Document, DocumentLimits, ServiceRule, StoredDocument};
 use corktack_core::tenancy::{ApiKey, TenantName, TenantRate, TenantRule};
@@ -72,7 +72,7 @@
 
     async fn report(&mut self, term: Term, needed: u64) {
         self.sequence += 1;
-        let wish = AllowanceWish { tenant: tenant(), held: self.held, needed, wanted: needed };
+        let demand = AllowanceDemand { tenant: tenant(), held: self.held, needed, wanted: needed };
         let report = AllowanceReport {
             gateway: ProxyName::new(self.name).expect("a valid name"),
             incarnation: Incarnation(1),
@@ -81,7 +81,7 @@
             sequence: self.sequence,
             taken: self.taken,
             whole: true,
-            wishes: vec![wish],
+            demands: vec![demand],
         };
         self.proxy.allowances(report).await;
     }
--- a/crates/core/src/gateway/freshness.rs
+++ b/crates/core/src/gateway/freshness.rs
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     /// [`PositionTooOld`] when that moment cannot be told on this gateway's clock; nothing is noted.
-    pub fn note_told(
+    pub fn note_reported(
         &mut self,
         asked_at: Timestamp,
         age: Duration,
--- a/crates/core/src/gateway/member_estimate.rs
+++ b/crates/core/src/gateway/member_estimate.rs
@@ -22,7 +22,7 @@
 
 /// How busy a member is, as a gateway that holds connections to it has told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Time that the holder spent on the statement just run.
     pub spent: Duration,
     /// Mean time of a statement there.
@@ -69,7 +69,7 @@
     }
 
     /// Another gateway ran a statement there in `taken`, the way to it included.
-    pub fn note_told(&mut self, told: &ToldLoad, taken: Duration, now: Timestamp) {
+    pub fn note_reported(&mut self, told: &ReportedLoad, taken: Duration, now: Timestamp) {
         self.way = mixed(self.way, taken.saturating_sub(told.spent), WAY_WEIGHT);
         self.latency = told.latency + self.way;
         self.renewed = Some(now);
@@ -77,7 +77,7 @@
     }
 
     /// A statement of this gateway was served there through another one.
-    pub fn note_served_elsewhere(&mut self, now: Timestamp) {
+    pub fn note_served_remotely(&mut self, now: Timestamp) {
         self.note_outcome(0.0, now);
     }
 
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -24,7 +24,7 @@
     asking_order, holder_count, home_weight, zone_quotas,
 };
 pub use member_choice::{MemberLoad, choose_reader};
-pub use member_estimate::{MemberEstimate, ToldLoad};
+pub use member_estimate::{MemberEstimate, ReportedLoad};
 pub use peers::PeerTable;
 pub use preference::{Preference, ReaderPreferences};
 pub use profile::{ConnectionProfile, SessionProfile, UnknownName};
--- a/crates/core/src/limits/account.rs
+++ b/crates/core/src/limits/account.rs
@@ -2,8 +2,8 @@
 
 use super::bounds::LimitBounds;
 use super::messages::TenantAllowance;
-use super::queue::{AskNumber, AskQueue, Waiting};
-use super::trailing::TrailingCount;
+use super::queue::{AskQueue, OperationRequestNumber, Waiting};
+use super::trailing::SlidingWindowCount;
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -54,7 +54,7 @@
 
 /// Operations that were counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Begun {
+pub struct AdmittedOperations {
     /// How many.
     pub operations: u64,
     /// When, on the clock of the gateway that counted them.
@@ -63,13 +63,13 @@
 
 /// What becomes of operations that are asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum OperationOutcome {
     /// Nothing limits them.
     Unlimited,
     /// So many begin now, perhaps fewer than were asked for.
-    Begun(Begun),
+    Admitted(AdmittedOperations),
     /// They wait; [`super::GatewayLimits::settle`] tells what becomes of them.
-    Waits(AskNumber),
+    Waiting(OperationRequestNumber),
     /// None begins.
     Refused(OverLimit),
 }
@@ -89,9 +89,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Account {
     /// Operations begun.
-    begun: TrailingCount,
+    begun: SlidingWindowCount,
     /// Operations asked for, refused ones included, and when somebody asked or was expected to last.
-    asked: TrailingCount,
+    asked: SlidingWindowCount,
     active_at: Option<Timestamp>,
     allowance: u64,
     /// The limit of all gateways that the allowance was worked out by.
@@ -156,31 +156,41 @@
 
     /// Takes operations that are asked for: they begin, wait in turn, or are refused where none of them
     /// can begin in their time. Where a limit is short, higher classes take the places that become free.
-    pub(super) fn ask(&mut self, now: Timestamp, bounds: &LimitBounds, waiting: Waiting) -> Asked {
+    pub(super) fn ask(
+        &mut self,
+        now: Timestamp,
+        bounds: &LimitBounds,
+        waiting: Waiting,
+    ) -> OperationOutcome {
         self.active_at = Some(now);
         self.asked.add(now, bounds.window, waiting.operations);
         if self.queue.is_empty()
             && let Some(begun) = self.begin(now, bounds, waiting.operations)
         {
-            return Asked::Begun(begun);
+            return OperationOutcome::Admitted(begun);
         }
         self.lacking += waiting.operations;
         let before = self.queue.operations_before(waiting.priority);
         if self.may_begin_in_time(now, bounds, &waiting, before) {
             self.queue.push(waiting);
-            return Asked::Waits(waiting.number);
+            return OperationOutcome::Waiting(waiting.number);
         }
-        Asked::Refused(self.refuse(now, bounds, waiting.operations))
+        OperationOutcome::Refused(self.refuse(now, bounds, waiting.operations))
     }
 
     /// Counts as many operations as may begin now, where any may.
-    fn begin(&mut self, now: Timestamp, bounds: &LimitBounds, operations: u64) -> Option<Begun> {
+    fn begin(
+        &mut self,
+        now: Timestamp,
+        bounds: &LimitBounds,
+        operations: u64,
+    ) -> Option<AdmittedOperations> {
         let operations = self.free(now, bounds).min(operations);
         if operations == 0 {
             return None;
         }
         self.begun.add(now, bounds.window, operations);
-        Some(Begun { operations, marked: now })
+        Some(AdmittedOperations { operations, marked: now })
     }
 
     /// Whether the first of operations that wait may begin in their time, behind so many others: a place
@@ -250,7 +260,7 @@
         &mut self,
         now: Timestamp,
         bounds: &LimitBounds,
-    ) -> Vec<(AskNumber, Result<Begun, OverLimit>)> {
+    ) -> Vec<(OperationRequestNumber, Result<AdmittedOperations, OverLimit>)> {
         let mut settled = Vec::new();
         while let Some(first) = self.queue.first().filter(|first| now < first.until) {
             let Some(begun) = self.begin(now, bounds, first.operations) else { break };
@@ -275,7 +285,7 @@
     }
 
     /// Who asked has gone.
-    pub(super) fn leave(&mut self, number: AskNumber) {
+    pub(super) fn leave(&mut self, number: OperationRequestNumber) {
         self.queue.leave(number);
     }
 
@@ -284,8 +294,8 @@
     }
 
     /// Operations that were counted did not run.
-    pub(super) fn take_back(&mut self, begun: Begun, bounds: &LimitBounds) {
-        self.begun.take_back(begun.marked, bounds.window, begun.operations);
+    pub(super) fn uncount(&mut self, begun: AdmittedOperations, bounds: &LimitBounds) {
+        self.begun.uncount(begun.marked, bounds.window, begun.operations);
     }
 
     /// Operations asked for in the last window.
--- a/crates/core/src/limits/gateway.rs
+++ b/crates/core/src/limits/gateway.rs
@@ -1,9 +1,9 @@
 //! The limits of tenants at one gateway.
 
-use super::account::{Account, Asked, Begun, OverLimit, Told};
+use super::account::{Account, AdmittedOperations, OperationOutcome, OverLimit, Told};
 use super::bounds::LimitBounds;
-use super::messages::{AllowanceGrant, AllowanceReport, AllowanceWish};
-use super::queue::{AskNumber, Waiting};
+use super::messages::{AllowanceDemand, AllowanceGrant, AllowanceReport};
+use super::queue::{OperationRequestNumber, Waiting};
 use crate::identity::{Incarnation, ProxyName};
 use crate::position::Term;
 use crate::tenancy::{TenantDirectory, TenantName, TenantRate};
@@ -13,7 +13,7 @@
 
 /// Operations of one tenant that are asked for together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct OperationRequest {
     /// How many.
     pub operations: u64,
     /// Their priority class; 0 is served first.
@@ -24,11 +24,11 @@
 
 /// Operations that were asked for together, and what became of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct SettledRequest {
     /// Who asked.
-    pub number: AskNumber,
+    pub number: OperationRequestNumber,
     /// As many as begin now, perhaps fewer than were asked for; or none.
-    pub outcome: Result<Begun, OverLimit>,
+    pub outcome: Result<AdmittedOperations, OverLimit>,
 }
 
 /// Operations of all tenants that are limited.
@@ -135,14 +135,15 @@
         &mut self,
         now: Timestamp,
         tenant: &TenantName,
-        Ask { operations, priority, until }: Ask,
-    ) -> Asked {
+        OperationRequest { operations, priority, until }: OperationRequest,
+    ) -> OperationOutcome {
         let bounds = self.bounds;
         self.asks += 1;
-        let waiting = Waiting { number: AskNumber(self.asks), priority, operations, until };
-        let Some(account) = self.account(tenant) else { return Asked::Unlimited };
+        let waiting =
+            Waiting { number: OperationRequestNumber(self.asks), priority, operations, until };
+        let Some(account) = self.account(tenant) else { return OperationOutcome::Unlimited };
         let asked = account.ask(now, &bounds, waiting);
-        if let Asked::Waits(_) = asked {
+        if let OperationOutcome::Waiting(_) = asked {
             self.waiting.insert(tenant.clone());
         }
         asked
@@ -150,13 +151,13 @@
 
     /// Decides what can be decided of operations that wait: after an answer of the leader, once some
     /// did not run, and when [`GatewayLimits::settle_due`] says so.
-    pub fn settle(&mut self, now: Timestamp) -> Vec<Settled> {
+    pub fn settle(&mut self, now: Timestamp) -> Vec<SettledRequest> {
         let mut settled = Vec::new();
         for tenant in std::mem::take(&mut self.waiting) {
             let bounds = self.bounds;
             let Some(account) = self.accounts.get_mut(&tenant) else { continue };
             let outcomes = account.settle(now, &bounds).into_iter();
-            settled.extend(outcomes.map(|(number, outcome)| Settled { number, outcome }));
+            settled.extend(outcomes.map(|(number, outcome)| SettledRequest { number, outcome }));
             if account.has_waiting() {
                 self.waiting.insert(tenant);
             }
@@ -172,17 +173,17 @@
     }
 
     /// Who asked has gone.
-    pub fn leave(&mut self, tenant: &TenantName, number: AskNumber) {
+    pub fn leave(&mut self, tenant: &TenantName, number: OperationRequestNumber) {
         if let Some(account) = self.accounts.get_mut(tenant) {
             account.leave(number);
         }
     }
 
     /// Operations that were counted did not run.
-    pub fn take_back(&mut self, tenant: &TenantName, begun: Begun) {
+    pub fn return_operations(&mut self, tenant: &TenantName, begun: AdmittedOperations) {
         let bounds = self.bounds;
         if let Some(account) = self.accounts.get_mut(tenant) {
-            account.take_back(begun, &bounds);
+            account.uncount(begun, &bounds);
         }
     }
 
@@ -235,12 +236,12 @@
             let bounds = self.bounds;
             self.accounts.retain(|_, account| !account.is_unused(now, &bounds));
         }
-        let wish = |(tenant, account): (&TenantName, &mut Account)| {
+        let demand = |(tenant, account): (&TenantName, &mut Account)| {
             let Told { held, needed, wanted } = account.report(now, &self.bounds, whole)?;
-            Some(AllowanceWish { tenant: tenant.clone(), held, needed, wanted })
+            Some(AllowanceDemand { tenant: tenant.clone(), held, needed, wanted })
         };
-        let wishes: Vec<_> = self.accounts.iter_mut().filter_map(wish).collect();
-        if wishes.is_empty() && !whole {
+        let demands: Vec<_> = self.accounts.iter_mut().filter_map(demand).collect();
+        if demands.is_empty() && !whole {
             return None;
         }
         self.sequence += 1;
@@ -254,7 +255,7 @@
             running: now.saturating_since(self.started),
             taken: self.taken,
             whole,
-            wishes,
+            demands,
         })
     }
 
--- a/crates/core/src/limits/ledger.rs
+++ b/crates/core/src/limits/ledger.rs
@@ -73,7 +73,7 @@
 
 /// One life of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct GatewayLife {
+pub struct GatewayIncarnation {
     /// The gateway.
     pub gateway: ProxyName,
     /// The life.
@@ -94,14 +94,14 @@
     term: Term,
     bounds: LimitBounds,
     /// Lives that may hold what earlier leaders gave and have not reported.
-    awaited: BTreeSet<GatewayLife>,
+    awaited: BTreeSet<GatewayIncarnation>,
     /// By when the lives had ended at the latest that earlier leaders may have given something to and that
     /// cannot report any more, by gateway.
     earlier_ends: BTreeMap<ProxyName, Timestamp>,
     /// Until when what earlier leaders gave may have let operations begin.
     settled_at: Timestamp,
     /// Lives that are over.
-    ended: BTreeSet<GatewayLife>,
+    ended: BTreeSet<GatewayIncarnation>,
     holders: Holders,
     tenants: HashMap<TenantName, TenantLedger>,
     /// Tenants that some gateway lacks operations of.
@@ -121,7 +121,7 @@
         now: Timestamp,
         term: Term,
         bounds: LimitBounds,
-        gateways: BTreeSet<GatewayLife>,
+        gateways: BTreeSet<GatewayIncarnation>,
         ceilings: BTreeMap<TenantName, u64>,
     ) -> Self {
         let bounds = bounds.checked();
@@ -157,7 +157,8 @@
         report: &AllowanceReport,
         terms: &impl LimitTerms,
     ) -> LedgerAnswer {
-        let life = GatewayLife { gateway: report.gateway.clone(), incarnation: report.incarnation };
+        let life =
+            GatewayIncarnation { gateway: report.gateway.clone(), incarnation: report.incarnation };
         let mut answer = AnswerBuilder::default();
         if report.term != self.term || self.ended.contains(&life) {
             return answer.finish();
@@ -177,8 +178,8 @@
             Heard::Whole => (),
         }
         self.book(now, report, &life);
-        for wish in &report.wishes {
-            self.offer(now, &wish.tenant, &report.gateway, terms, &mut answer);
+        for demand in &report.demands {
+            self.offer(now, &demand.tenant, &report.gateway, terms, &mut answer);
         }
         for tenant in self.freed_by(report) {
             self.offer_to_lacking(now, &tenant, terms, &mut answer);
@@ -201,7 +202,7 @@
         if report.whole {
             return self.lacking.iter().cloned().collect();
         }
-        let told = report.wishes.iter().map(|wish| &wish.tenant);
+        let told = report.demands.iter().map(|demand| &demand.tenant);
         told.filter(|tenant| self.lacking.contains(*tenant)).cloned().collect()
     }
 
@@ -269,15 +270,15 @@
     }
 
     /// Another process of a gateway that was known: the one before is over.
-    fn meet(&mut self, now: Timestamp, life: &GatewayLife) {
+    fn meet(&mut self, now: Timestamp, life: &GatewayIncarnation) {
         let known = self.holders.incarnation(&life.gateway);
         if let Some(incarnation) = known.filter(|known| *known != life.incarnation) {
-            self.end(now, &GatewayLife { gateway: life.gateway.clone(), incarnation });
+            self.end(now, &GatewayIncarnation { gateway: life.gateway.clone(), incarnation });
         }
     }
 
     /// A life has been running for some time: those of its gateway before it ended earlier.
-    fn note_running(&mut self, now: Timestamp, life: &GatewayLife, running: Duration) {
+    fn note_running(&mut self, now: Timestamp, life: &GatewayIncarnation, running: Duration) {
         // Before the leader's clock began at the latest, which is late enough.
         let ended_by = now.before(self.bounds.at_least(running)).unwrap_or(Timestamp::ZERO);
         for tenant in self.tenants.values_mut() {
@@ -290,7 +291,7 @@
 
     /// A life is over: another process runs on its machine. What it may have begun counts for one
     /// window more.
-    fn end(&mut self, now: Timestamp, life: &GatewayLife) {
+    fn end(&mut self, now: Timestamp, life: &GatewayIncarnation) {
         self.ended.insert(life.clone());
         self.holders.remove(&life.gateway);
         for tenant in self.tenants.values_mut() {
@@ -299,18 +300,18 @@
     }
 
     /// Takes what a gateway holds into the books.
-    fn book(&mut self, now: Timestamp, report: &AllowanceReport, life: &GatewayLife) {
+    fn book(&mut self, now: Timestamp, report: &AllowanceReport, life: &GatewayIncarnation) {
         let was_awaited = self.awaited.remove(life);
-        for wish in &report.wishes {
-            let inherited = self.inherited.get(&wish.tenant).copied();
+        for demand in &report.demands {
+            let inherited = self.inherited.get(&demand.tenant).copied();
             let tenant = self
                 .tenants
-                .entry(wish.tenant.clone())
+                .entry(demand.tenant.clone())
                 .or_insert_with(|| TenantLedger::new(inherited));
-            tenant.book(&report.gateway, wish, report.taken, was_awaited);
+            tenant.book(&report.gateway, demand, report.taken, was_awaited);
         }
         if report.whole {
-            let told: BTreeSet<_> = report.wishes.iter().map(|wish| &wish.tenant).collect();
+            let told: BTreeSet<_> = report.demands.iter().map(|demand| &demand.tenant).collect();
             let others = self.tenants.iter_mut().filter(|(tenant, _)| !told.contains(tenant));
             others.for_each(|(_, tenant)| tenant.book_nothing(&report.gateway, report.taken));
         }
@@ -320,20 +321,20 @@
     }
 
     /// Follows which lives of gateways there are: one that another has taken the place of is over.
-    pub fn follow_gateways(&mut self, now: Timestamp, gateways: &BTreeSet<GatewayLife>) {
+    pub fn follow_gateways(&mut self, now: Timestamp, gateways: &BTreeSet<GatewayIncarnation>) {
         let successors: HashMap<_, _> =
             gateways.iter().map(|life| (&life.gateway, life.incarnation)).collect();
         let is_replaced = |gateway: &ProxyName, incarnation: Incarnation| {
             successors.get(gateway).is_some_and(|successor| *successor != incarnation)
         };
-        let replaced: Vec<GatewayLife> = self
+        let replaced: Vec<GatewayIncarnation> = self
             .awaited
             .iter()
             .filter(|life| is_replaced(&life.gateway, life.incarnation))
             .cloned()
             .collect();
         let known = self.holders.lives();
-        let ended: Vec<GatewayLife> =
+        let ended: Vec<GatewayIncarnation> =
             known.filter(|life| is_replaced(&life.gateway, life.incarnation)).collect();
         for life in ended {
             self.end(now, &life);
--- a/crates/core/src/limits/ledger/holders.rs
+++ b/crates/core/src/limits/ledger/holders.rs
@@ -1,6 +1,6 @@
 //! The gateways that reported in one leadership.
 
-use super::GatewayLife;
+use super::GatewayIncarnation;
 use super::answer::AnswerBuilder;
 use crate::identity::{Incarnation, ProxyName};
 use crate::limits::messages::{AllowanceGrant, AllowanceReport};
@@ -49,8 +49,8 @@
     }
 
     /// The lives that reported.
-    pub(super) fn lives(&self) -> impl Iterator<Item = GatewayLife> {
-        self.0.iter().map(|(gateway, holder)| GatewayLife {
+    pub(super) fn lives(&self) -> impl Iterator<Item = GatewayIncarnation> {
+        self.0.iter().map(|(gateway, holder)| GatewayIncarnation {
             gateway: gateway.clone(),
             incarnation: holder.incarnation,
         })
@@ -83,12 +83,16 @@
 
     /// Gateways that have been silent for so long; what they hold must be told anew. The numbers of
     /// their grants go on if they come back.
-    pub(super) fn silent_since(&mut self, now: Timestamp, limit: Duration) -> Vec<GatewayLife> {
+    pub(super) fn silent_since(
+        &mut self,
+        now: Timestamp,
+        limit: Duration,
+    ) -> Vec<GatewayIncarnation> {
         let is_silent = |holder: &Holder| now.saturating_since(holder.heard_at) >= limit;
         let silent = self.0.iter_mut().filter(|(_, it)| it.told_whole && is_silent(it));
         let silent = silent.map(|(gateway, holder)| {
             holder.told_whole = false;
-            GatewayLife { gateway: gateway.clone(), incarnation: holder.incarnation }
+            GatewayIncarnation { gateway: gateway.clone(), incarnation: holder.incarnation }
         });
         silent.collect()
     }
--- a/crates/core/src/limits/ledger/tenant.rs
+++ b/crates/core/src/limits/ledger/tenant.rs
@@ -1,8 +1,8 @@
 //! What has been given of one tenant's limit.
 
-use super::GatewayLife;
+use super::GatewayIncarnation;
 use crate::identity::ProxyName;
-use crate::limits::messages::AllowanceWish;
+use crate::limits::messages::AllowanceDemand;
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -132,7 +132,7 @@
 /// What a life may have begun that is over, or whose lease has ended.
 #[derive(Debug)]
 struct Ended {
-    life: GatewayLife,
+    life: GatewayIncarnation,
     operations: u64,
     counts_until: Timestamp,
 }
@@ -154,19 +154,19 @@
     pub(super) fn book(
         &mut self,
         gateway: &ProxyName,
-        wish: &AllowanceWish,
+        demand: &AllowanceDemand,
         taken: u64,
         was_awaited: bool,
     ) {
         self.change(gateway, |booking| {
             booking.answered(taken);
-            booking.held = wish.held;
-            booking.needed = wish.needed;
-            booking.wanted = wish.wanted;
+            booking.held = demand.held;
+            booking.needed = demand.needed;
+            booking.wanted = demand.wanted;
             booking.given = None;
         });
         if was_awaited {
-            self.reported += wish.held;
+            self.reported += demand.held;
         }
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// A life is over, or its lease has ended.
-    pub(super) fn end(&mut self, life: &GatewayLife, counts_until: Timestamp) {
+    pub(super) fn end(&mut self, life: &GatewayIncarnation, counts_until: Timestamp) {
         if let Some(booking) = self.bookings.remove(&life.gateway) {
             self.sums.remove(&booking);
             self.lacking.remove(&life.gateway);
@@ -193,8 +193,12 @@
     }
 
     /// The lives of a gateway before this one ended earlier than was known.
-    pub(super) fn ended_earlier(&mut self, successor: &GatewayLife, counts_until: Timestamp) {
-        let is_before = |life: &GatewayLife| {
+    pub(super) fn ended_earlier(
+        &mut self,
+        successor: &GatewayIncarnation,
+        counts_until: Timestamp,
+    ) {
+        let is_before = |life: &GatewayIncarnation| {
             life.gateway == successor.gateway && life.incarnation != successor.incarnation
         };
         for ended in self.ended.iter_mut().filter(|ended| is_before(&ended.life)) {
--- a/crates/core/src/limits/messages.rs
+++ b/crates/core/src/limits/messages.rs
@@ -8,7 +8,7 @@
 
 /// What a gateway holds of one tenant's limit, and what it could use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AllowanceWish {
+pub struct AllowanceDemand {
     /// The tenant.
     pub tenant: TenantName,
     /// Operations that it may begin in a window: never more until it gets another allowance.
@@ -37,7 +37,7 @@
     /// Whether the gateway holds nothing beside what is told.
     pub whole: bool,
     /// Tenants.
-    pub wishes: Vec<AllowanceWish>,
+    pub demands: Vec<AllowanceDemand>,
 }
 
 /// What a gateway may use of one tenant's limit.
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -40,14 +40,15 @@
 mod queue;
 mod trailing;
 
-pub use account::{Asked, Begun, OverLimit};
+pub use account::{AdmittedOperations, OperationOutcome, OverLimit};
 pub use bounds::LimitBounds;
-pub use gateway::{Ask, GatewayLimits, LimitTotals, Settled};
+pub use gateway::{GatewayLimits, LimitTotals, OperationRequest, SettledRequest};
 pub use ledger::{
-    CeilingChange, GatewayLife, LedgerAnswer, LimitLedger, LimitTerms, TenantUse, default_ceiling,
+    CeilingChange, GatewayIncarnation, LedgerAnswer, LimitLedger, LimitTerms, TenantUse,
+    default_ceiling,
 };
 pub use messages::{
-    AllowanceGrant, AllowanceRecall, AllowanceReport, AllowanceWish, TenantAllowance,
+    AllowanceDemand, AllowanceGrant, AllowanceRecall, AllowanceReport, TenantAllowance,
 };
-pub use queue::AskNumber;
-pub use trailing::TrailingCount;
+pub use queue::OperationRequestNumber;
+pub use trailing::SlidingWindowCount;
--- a/crates/core/src/limits/queue.rs
+++ b/crates/core/src/limits/queue.rs
@@ -8,12 +8,12 @@
 
 /// Names operations that were asked for together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AskNumber(pub(super) u64);
+pub struct OperationRequestNumber(pub(super) u64);
 
 /// Operations that were asked for together and wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Waiting {
-    pub(super) number: AskNumber,
+    pub(super) number: OperationRequestNumber,
     /// Priority class; 0 is served first.
     pub(super) priority: u32,
     pub(super) operations: u64,
@@ -65,7 +65,7 @@
     }
 
     /// Who asked has gone.
-    pub(super) fn leave(&mut self, number: AskNumber) {
+    pub(super) fn leave(&mut self, number: OperationRequestNumber) {
         drop(self.take_out(|waiting, _| waiting.number == number));
     }
 
--- a/crates/core/src/limits/trailing.rs
+++ b/crates/core/src/limits/trailing.rs
@@ -18,12 +18,12 @@
 
 /// How often something happened within the last window; a little more at most, never less.
 #[derive(Clone, Debug, Default)]
-pub struct TrailingCount {
+pub struct SlidingWindowCount {
     slots: VecDeque<Slot>,
     total: u64,
 }
 
-impl TrailingCount {
+impl SlidingWindowCount {
     fn slot_micros(window: Duration) -> u64 {
         (window.as_micros() as u64 / SLOTS_PER_WINDOW).max(1)
     }
@@ -68,7 +68,7 @@
     }
 
     /// What was counted at this time did not happen so often after all.
-    pub fn take_back(&mut self, marked: Timestamp, window: Duration, times: u64) {
+    pub fn uncount(&mut self, marked: Timestamp, window: Duration, times: u64) {
         let number = Self::slot_of(marked, window);
         if let Some(slot) = self.slots.iter_mut().find(|slot| slot.number == number) {
             let taken = times.min(slot.count);
--- a/crates/core/src/scheduling/mod.rs
+++ b/crates/core/src/scheduling/mod.rs
@@ -11,5 +11,5 @@
 mod queue;
 mod service_time;
 
-pub use queue::{Capacity, NoSlotInTime, SlotQueue, SlotRequest, SlotTicket, SlotWish};
+pub use queue::{Capacity, NoSlotInTime, SlotQueue, SlotRequest, SlotTarget, SlotTicket};
 pub use service_time::{ServiceTimes, StatementKind};
--- a/crates/core/src/scheduling/queue.rs
+++ b/crates/core/src/scheduling/queue.rs
@@ -25,7 +25,7 @@
 
 /// Where a statement could be run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SlotWish {
+pub enum SlotTarget {
     /// At this member.
     At(MemberName),
     /// At the primary.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
     /// Where.
-    pub wish: SlotWish,
+    pub wish: SlotTarget,
     /// Priority class; 0 is served first.
     pub priority: u32,
     /// On whose behalf; those without a tenant count as one.
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 struct Waiting<W> {
     ticket: SlotTicket,
-    wish: SlotWish,
+    wish: SlotTarget,
     cost: Duration,
     give_up: Timestamp,
     waker: W,
@@ -80,9 +80,9 @@
 impl<W> Waiting<W> {
     fn may_use(&self, member: &MemberName, is_primary: bool) -> bool {
         match &self.wish {
-            SlotWish::At(wished) => wished == member,
-            SlotWish::Primary => is_primary,
-            SlotWish::AnyBut(refused) => !refused.contains(member),
+            SlotTarget::At(wished) => wished == member,
+            SlotTarget::Primary => is_primary,
+            SlotTarget::AnyBut(refused) => !refused.contains(member),
         }
     }
 }
--- a/crates/core/tests/balancing_load.rs
+++ b/crates/core/tests/balancing_load.rs
@@ -8,7 +8,7 @@
 
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{
-    MemberEstimate, MemberLoad, ReaderPreferences, ToldLoad, choose_reader,
+    MemberEstimate, MemberLoad, ReaderPreferences, ReportedLoad, choose_reader,
 };
 use corktack_core::identity::{MemberName, ProxyName};
 use corktack_core::time::Timestamp;
@@ -267,15 +267,15 @@
         let Read { gateway, member, begun, sent, arrived, .. } = self.reads[number];
         let host = &self.members[member];
         let spent = now - way(gateway, member) / 2 - arrived;
-        let told = ToldLoad {
+        let told = ReportedLoad {
             spent: Duration::from_micros(spent),
             latency: Duration::from_secs_f64(host.latency / 1_000.0),
             waiting: host.waiting.len() as f64 / SLOTS as f64,
         };
         let asking = &mut self.gateways[gateway];
         asking.running[member] -= 1;
-        asking.estimates[member].note_told(&told, Duration::from_micros(now - sent), at(now));
-        asking.estimates[member].note_served_elsewhere(at(now));
+        asking.estimates[member].note_reported(&told, Duration::from_micros(now - sent), at(now));
+        asking.estimates[member].note_served_remotely(at(now));
         self.stretch(begun).late += u64::from(now - begun > OBJECTIVE * 1_000);
     }
 
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -100,7 +100,10 @@
 fn a_position_from_before_the_clock_began_is_not_used() {
     let mut freshness = Freshness::default();
     let age = Duration::from_millis(6_000);
-    assert_eq!(freshness.note_told(at(600), age, position(1, 111)), Err(PositionTooOld { age }));
+    assert_eq!(
+        freshness.note_reported(at(600), age, position(1, 111)),
+        Err(PositionTooOld { age })
+    );
     assert_eq!(freshness.floor(at(700), STALENESS), None);
     assert_eq!(freshness.newest(at(700)), None, "and is not passed on");
 }
@@ -114,7 +117,7 @@
     #[case] floor: Option<Position>,
 ) {
     let mut freshness = Freshness::default();
-    let told = freshness.note_told(at(2_600), Duration::from_millis(2_000), position(1, 111));
+    let told = freshness.note_reported(at(2_600), Duration::from_millis(2_000), position(1, 111));
     assert_eq!(told, Ok(()));
     assert_eq!(freshness.floor(at(began), STALENESS), floor);
 }
@@ -122,7 +125,7 @@
 #[test]
 fn an_old_position_of_another_gateway_changes_nothing_of_what_is_known() {
     let mut freshness = freshness(&[(3_000, position(1, 153))]);
-    let told = freshness.note_told(at(4_000), Duration::from_millis(2_000), position(1, 111));
+    let told = freshness.note_reported(at(4_000), Duration::from_millis(2_000), position(1, 111));
     assert_eq!(told, Ok(()));
     assert_eq!(freshness.floor(at(4_100), STALENESS), Some(position(1, 153)));
     let needed = freshness.needed(at(4_100), STALENESS, own(3_500, position(1, 154)));
@@ -134,13 +137,13 @@
 #[test]
 fn a_position_keeps_its_age_from_gateway_to_gateway() {
     let mut second = Freshness::default();
-    let told = second.note_told(at(5_000), Duration::from_millis(1_500), position(1, 111));
+    let told = second.note_reported(at(5_000), Duration::from_millis(1_500), position(1, 111));
     assert_eq!(told, Ok(()));
     let (age, passed_on) = second.newest(at(5_400)).expect("a position");
     assert_eq!((age, passed_on), (Duration::from_millis(1_900), position(1, 111)));
     let mut third = Freshness::default();
-    assert!(third.note_told(at(1_800), age, passed_on).is_err(), "it started 1.8 s ago");
-    assert_eq!(third.note_told(at(9_000), age, passed_on), Ok(()));
+    assert!(third.note_reported(at(1_800), age, passed_on).is_err(), "it started 1.8 s ago");
+    assert_eq!(third.note_reported(at(9_000), age, passed_on), Ok(()));
     assert_eq!(third.newest(at(9_100)), Some((Duration::from_millis(2_000), position(1, 111))));
 }
 
@@ -150,7 +153,7 @@
 #[case::of_none(6_501, None)]
 fn a_floor_says_what_it_rests_on(#[case] began: u64, #[case] basis: Option<(u64, PositionSource)>) {
     let mut freshness = freshness(&[(3_000, position(1, 153))]);
-    let told = freshness.note_told(at(4_200), Duration::from_millis(200), position(1, 160));
+    let told = freshness.note_reported(at(4_200), Duration::from_millis(200), position(1, 160));
     assert_eq!(told, Ok(()));
     let basis =
         basis.map(|(millis, source)| FloorBasis { age: Duration::from_millis(millis), source });
--- a/crates/core/tests/gateway.rs
+++ b/crates/core/tests/gateway.rs
@@ -3,7 +3,7 @@
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{
     ConnectionProfile, Detour, DetourStep, MemberEstimate, MemberLoad, Preference,
-    ReaderPreferences, SessionProfile, Silence, ToldLoad, choose_reader,
+    ReaderPreferences, ReportedLoad, SessionProfile, Silence, choose_reader,
 };
 use corktack_core::identity::{MemberName, ProxyName, ZoneName};
 use corktack_core::statement::{Access, OwnStatement, PreparedShape};
@@ -259,8 +259,8 @@
     estimate.note_served(millis(124), at(0));
     assert_eq!(estimate.latency(), millis(34));
     assert_eq!(estimate.load(0, 1.0, at(300)).age, millis(300));
-    let told = ToldLoad { spent: millis(20), latency: millis(50), waiting: 1.5 };
-    estimate.note_told(&told, millis(24), at(1_000));
+    let told = ReportedLoad { spent: millis(20), latency: millis(50), waiting: 1.5 };
+    estimate.note_reported(&told, millis(24), at(1_000));
     let load = estimate.load(2, 4.0, at(1_999));
     assert_eq!((load.latency, load.way, load.waiting), (millis(54), millis(4), 1.5));
     assert_eq!(estimate.load(2, 4.0, at(2_000)).waiting, 0.0, "those who waited have gone");
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -2,9 +2,9 @@
 
 use corktack_core::identity::{Incarnation, ProxyName};
 use corktack_core::limits::{
-    AllowanceGrant, AllowanceReport, Ask, Asked, Begun, CeilingChange, GatewayLife, GatewayLimits,
-    LimitBounds, LimitLedger, LimitTerms, OverLimit, Settled, TenantAllowance, TrailingCount,
-    default_ceiling,
+    AdmittedOperations, AllowanceGrant, AllowanceReport, CeilingChange, GatewayIncarnation,
+    GatewayLimits, LimitBounds, LimitLedger, LimitTerms, OperationOutcome, OperationRequest,
+    OverLimit, SettledRequest, SlidingWindowCount, TenantAllowance, default_ceiling,
 };
 use corktack_core::position::Term;
 use corktack_core::tenancy::{ApiKey, TenantDirectory, TenantName, TenantRate, TenantRule};
@@ -58,8 +58,8 @@
     term: Term,
 }
 
-fn life(number: usize, incarnation: u64) -> GatewayLife {
-    GatewayLife { gateway: name(number), incarnation: Incarnation(incarnation) }
+fn life(number: usize, incarnation: u64) -> GatewayIncarnation {
+    GatewayIncarnation { gateway: name(number), incarnation: Incarnation(incarnation) }
 }
 
 fn name(number: usize) -> ProxyName {
@@ -73,16 +73,18 @@
     gateway
 }
 
-fn ask(operations: u64, until: Timestamp) -> Ask {
-    Ask { operations, priority: 1, until }
+fn ask(operations: u64, until: Timestamp) -> OperationRequest {
+    OperationRequest { operations, priority: 1, until }
 }
 
 /// Asks for an operation that does not wait.
-fn try_begin(gateway: &mut GatewayLimits, now: Timestamp) -> Result<Begun, OverLimit> {
+fn try_begin(gateway: &mut GatewayLimits, now: Timestamp) -> Result<AdmittedOperations, OverLimit> {
     match gateway.ask(now, &tenant(), ask(1, now)) {
-        Asked::Begun(begun) => Ok(begun),
-        Asked::Refused(over) => Err(over),
-        Asked::Unlimited | Asked::Waits(_) => panic!("it is limited and does not wait"),
+        OperationOutcome::Admitted(begun) => Ok(begun),
+        OperationOutcome::Refused(over) => Err(over),
+        OperationOutcome::Unlimited | OperationOutcome::Waiting(_) => {
+            panic!("it is limited and does not wait")
+        }
     }
 }
 
@@ -140,7 +142,7 @@
 fn a_tenant_without_a_rate_is_not_limited() {
     let mut gateway = GatewayLimits::new(at(0), name(0), Incarnation(1), bounds());
     gateway.follow(None);
-    assert_eq!(gateway.ask(at(0), &tenant(), ask(1, at(0))), Asked::Unlimited);
+    assert_eq!(gateway.ask(at(0), &tenant(), ask(1, at(0))), OperationOutcome::Unlimited);
 }
 
 #[test]
@@ -209,8 +211,8 @@
     pair.begin(0, at(10_000), 200);
     pair.exchange(0, at(10_000));
     assert_eq!(pair.begin(0, at(10_100), 200), LIMIT);
-    let begun = Begun { operations: 1, marked: at(10_100) };
-    pair.gateways[0].take_back(&tenant(), begun);
+    let begun = AdmittedOperations { operations: 1, marked: at(10_100) };
+    pair.gateways[0].return_operations(&tenant(), begun);
     assert_eq!(pair.begin(0, at(10_200), 5), 1);
 }
 
@@ -377,11 +379,16 @@
     pair.exchange(0, at(10_000));
     assert_eq!(pair.begin(0, at(11_100), 98), 98);
     let gateway = &mut pair.gateways[0];
-    assert!(matches!(gateway.ask(at(15_000), &tenant(), ask(2, at(15_900))), Asked::Begun(_)));
-    let Asked::Waits(first) = gateway.ask(at(15_900), &tenant(), ask(3, at(16_500))) else {
+    assert!(matches!(
+        gateway.ask(at(15_000), &tenant(), ask(2, at(15_900))),
+        OperationOutcome::Admitted(_)
+    ));
+    let OperationOutcome::Waiting(first) = gateway.ask(at(15_900), &tenant(), ask(3, at(16_500)))
+    else {
         panic!("98 places become free within 0.4 s");
     };
-    let Asked::Waits(second) = gateway.ask(at(15_900), &tenant(), ask(4, at(16_500))) else {
+    let OperationOutcome::Waiting(second) = gateway.ask(at(15_900), &tenant(), ask(4, at(16_500)))
+    else {
         panic!("there are places for these as well");
     };
     assert_eq!(gateway.settle(at(15_950)), [], "nothing has become free yet");
@@ -403,9 +410,9 @@
     }
     let gateway = &mut pair.gateways[0];
     let mut wait = |priority, operations| {
-        let ask = Ask { operations, priority, until: at(16_600) };
+        let ask = OperationRequest { operations, priority, until: at(16_600) };
         match gateway.ask(at(16_100), &tenant(), ask) {
-            Asked::Waits(number) => number,
+            OperationOutcome::Waiting(number) => number,
             other => panic!("places become free in time: {other:?}"),
         }
     };
@@ -427,14 +434,20 @@
     assert_eq!(pair.begin(0, at(11_000), LIMIT), LIMIT);
     let gateway = &mut pair.gateways[0];
     // The leader may still allow more: it has not been asked.
-    assert!(matches!(gateway.ask(at(12_000), &tenant(), ask(1, at(12_200))), Asked::Waits(_)));
+    assert!(matches!(
+        gateway.ask(at(12_000), &tenant(), ask(1, at(12_200))),
+        OperationOutcome::Waiting(_)
+    ));
     let report = gateway.report(at(12_010)).expect("it is told that one waits");
     let grant = pair.answer(at(12_020), &report).expect("an answer");
     let gateway = &mut pair.gateways[0];
     gateway.take(at(12_030), &grant);
     let settled = gateway.settle(at(12_030));
-    assert!(matches!(settled[..], [Settled { outcome: Err(_), .. }]), "{settled:?}");
-    assert!(matches!(gateway.ask(at(12_040), &tenant(), ask(1, at(12_300))), Asked::Refused(_)));
+    assert!(matches!(settled[..], [SettledRequest { outcome: Err(_), .. }]), "{settled:?}");
+    assert!(matches!(
+        gateway.ask(at(12_040), &tenant(), ask(1, at(12_300))),
+        OperationOutcome::Refused(_)
+    ));
 }
 
 #[test]
@@ -543,7 +556,7 @@
     /// The count is never below what happened within the window, and forgets what is two slots older.
     #[test]
     fn a_trailing_count_is_never_too_low(gaps in prop::collection::vec(0_u64..900_000, 1..200)) {
-        let mut count = TrailingCount::default();
+        let mut count = SlidingWindowCount::default();
         let (mut now, mut times) = (0, Vec::new());
         for gap in gaps {
             now += gap;
--- a/crates/core/tests/limits_load/world.rs
+++ b/crates/core/tests/limits_load/world.rs
@@ -2,8 +2,9 @@
 
 use corktack_core::identity::{Incarnation, ProxyName};
 use corktack_core::limits::{
-    AllowanceGrant, AllowanceReport, Ask, AskNumber, Asked, CeilingChange, GatewayLife,
-    GatewayLimits, LedgerAnswer, LimitBounds, LimitLedger, LimitTerms, OverLimit, Settled,
+    AllowanceGrant, AllowanceReport, CeilingChange, GatewayIncarnation, GatewayLimits,
+    LedgerAnswer, LimitBounds, LimitLedger, LimitTerms, OperationOutcome, OperationRequest,
+    OperationRequestNumber, OverLimit, SettledRequest,
 };
 use corktack_core::position::Term;
 use corktack_core::tenancy::{ApiKey, TenantDirectory, TenantName, TenantRate, TenantRule};
@@ -122,7 +123,7 @@
     ledger: LimitLedger,
     messages: BTreeMap<(u64, u64), Message>,
     sent: u64,
-    waiting: HashMap<(usize, AskNumber), Caller>,
+    waiting: HashMap<(usize, OperationRequestNumber), Caller>,
     /// Before and after the hot tenant begins.
     served: [Vec<Served>; 2],
     /// When everything is lost, and when all of it starts again.
@@ -134,14 +135,14 @@
     at_first: Served,
 }
 
-fn life(number: usize, incarnation: u64) -> GatewayLife {
-    GatewayLife {
+fn life(number: usize, incarnation: u64) -> GatewayIncarnation {
+    GatewayIncarnation {
         gateway: ProxyName::new(format!("g{number}")).expect("a valid name"),
         incarnation: Incarnation(incarnation),
     }
 }
 
-fn lives(counters: usize, incarnation: u64) -> BTreeSet<GatewayLife> {
+fn lives(counters: usize, incarnation: u64) -> BTreeSet<GatewayIncarnation> {
     (0..counters).map(|number| life(number, incarnation)).collect()
 }
 
@@ -220,7 +221,7 @@
     }
 
     fn start_counter(&self, number: usize, incarnation: u64) -> GatewayLimits {
-        let GatewayLife { gateway, incarnation } = life(number, incarnation);
+        let GatewayIncarnation { gateway, incarnation } = life(number, incarnation);
         let mut limits = GatewayLimits::new(at(self.now), gateway, incarnation, bounds());
         limits.follow(Some(&self.directory));
         limits
@@ -370,7 +371,7 @@
         let counter = self.draws.random_range(0..GATEWAYS) % self.counters.len();
         let now = at(self.now);
         let name = &self.tenants[caller.tenant].0;
-        let ask = Ask { operations: 1, priority: 1, until: at(self.now + WAIT) };
+        let ask = OperationRequest { operations: 1, priority: 1, until: at(self.now + WAIT) };
         let asked = self.counters[counter].ask(now, name, ask);
         if caller.retries == 0 {
             self.note(caller.tenant, |served| served.asked += 1);
@@ -378,9 +379,13 @@
         }
         self.at_first.asked += u64::from(counter == 0);
         match asked {
-            Asked::Begun(_) | Asked::Unlimited => self.begun(counter, caller),
-            Asked::Waits(number) => drop(self.waiting.insert((counter, number), caller)),
-            Asked::Refused(over) => self.refused(caller, over),
+            OperationOutcome::Admitted(_) | OperationOutcome::Unlimited => {
+                self.begun(counter, caller);
+            }
+            OperationOutcome::Waiting(number) => {
+                self.waiting.insert((counter, number), caller);
+            }
+            OperationOutcome::Refused(over) => self.refused(caller, over),
         }
     }
 
@@ -424,7 +429,7 @@
 
     fn settle(&mut self) {
         for counter in 0..self.counters.len() {
-            for Settled { number, outcome } in self.counters[counter].settle(at(self.now)) {
+            for SettledRequest { number, outcome } in self.counters[counter].settle(at(self.now)) {
                 let caller = self.waiting.remove(&(counter, number)).expect("it waited");
                 match outcome {
                     Ok(_) => self.begun(counter, caller),
--- a/crates/core/tests/scheduling_load.rs
+++ b/crates/core/tests/scheduling_load.rs
@@ -8,7 +8,7 @@
 
 use corktack_core::identity::MemberName;
 use corktack_core::scheduling::{
-    Capacity, ServiceTimes, SlotQueue, SlotRequest, SlotWish, StatementKind,
+    Capacity, ServiceTimes, SlotQueue, SlotRequest, SlotTarget, StatementKind,
 };
 use corktack_core::tenancy::TenantName;
 use corktack_core::time::Timestamp;
@@ -107,7 +107,7 @@
     fn wait(&mut self, now: u64, number: usize, arrival: &Arrival) -> bool {
         let tenant = TenantName::new(&format!("t{}", arrival.tenant)).expect("a valid name");
         let request = SlotRequest {
-            wish: SlotWish::At(Self::member()),
+            wish: SlotTarget::At(Self::member()),
             priority: arrival.class as u32,
             tenant: Some(tenant),
             cost: self.times.estimate(kind(arrival)),
--- a/crates/gateway/src/group/acquire.rs
+++ b/crates/gateway/src/group/acquire.rs
@@ -9,7 +9,7 @@
 use crate::wire::Wire;
 use corktack_core::identity::MemberName;
 use corktack_core::registry::RegisteredBackEnd;
-use corktack_core::scheduling::{Capacity, NoSlotInTime, SlotRequest, SlotTicket, SlotWish};
+use corktack_core::scheduling::{Capacity, NoSlotInTime, SlotRequest, SlotTarget, SlotTicket};
 use corktack_core::statement::ErrorCode;
 use corktack_core::tenancy::Principal;
 use std::rc::Rc;
@@ -146,9 +146,9 @@
         let state = self.state.borrow();
         let request = SlotRequest {
             wish: match &wish.target {
-                Target::Primary => SlotWish::Primary,
-                Target::Reader { refused } => SlotWish::AnyBut(refused.clone()),
-                Target::Held(member) => SlotWish::At(member.clone()),
+                Target::Primary => SlotTarget::Primary,
+                Target::Reader { refused } => SlotTarget::AnyBut(refused.clone()),
+                Target::Held(member) => SlotTarget::At(member.clone()),
             },
             priority: wish.kind.priority,
             tenant: wish.principal.and_then(Principal::tenant).cloned(),
--- a/crates/gateway/src/group/choice.rs
+++ b/crates/gateway/src/group/choice.rs
@@ -10,7 +10,7 @@
 use corktack_core::gateway::{DetourStep, Holder, MemberLoad, ReaderPreferences, choose_reader};
 use corktack_core::identity::MemberName;
 use corktack_core::registry::{BackEndRole, Promotion, RegisteredBackEnd};
-use corktack_core::scheduling::{Capacity, ServiceTimes, SlotQueue, SlotWish};
+use corktack_core::scheduling::{Capacity, ServiceTimes, SlotQueue, SlotTarget};
 use corktack_core::tenancy::Principal;
 use corktack_core::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
@@ -249,11 +249,11 @@
     }
 
     /// What serves a statement that waits here.
-    pub(super) fn capacity(&self, wish: &SlotWish) -> Capacity {
+    pub(super) fn capacity(&self, wish: &SlotTarget) -> Capacity {
         let serves = |name: &MemberName| match wish {
-            SlotWish::At(wished) => wished == name,
-            SlotWish::Primary => self.proven_primary.as_ref().is_none_or(|lead| lead == name),
-            SlotWish::AnyBut(refused) => !refused.contains(name),
+            SlotTarget::At(wished) => wished == name,
+            SlotTarget::Primary => self.proven_primary.as_ref().is_none_or(|lead| lead == name),
+            SlotTarget::AnyBut(refused) => !refused.contains(name),
         };
         let members = self.members.iter().filter(|(name, _)| serves(name));
         Capacity { slots: members.map(|(_, member)| member.slots()).sum() }
--- a/crates/gateway/src/group/elsewhere.rs
+++ b/crates/gateway/src/group/elsewhere.rs
@@ -42,9 +42,9 @@
     Lost(LinkError),
 }
 
-/// When a statement was begun, on the steady clock and on the runtime's.
+/// When a request was sent, on the steady clock and on the runtime's.
 #[derive(Clone, Copy)]
-struct Begun {
+struct RequestSent {
     asked_at: Timestamp,
     instant: Instant,
 }
@@ -175,13 +175,13 @@
         deadline: Instant,
     ) -> Asked<(Result<Answer, Unanswered>, Option<ReadPosition>)> {
         let holder = tunnel.holder();
-        let begun = Begun { asked_at: self.now(), instant: Instant::now() };
-        let limit = deadline.saturating_duration_since(begun.instant);
+        let sent = RequestSent { asked_at: self.now(), instant: Instant::now() };
+        let limit = deadline.saturating_duration_since(sent.instant);
         match self.tunnels.run(tunnel, &wish, statement.to_request(), limit).await {
             Ok(ran) => {
                 self.heard(member, holder);
-                self.note_newest(holder, begun.asked_at, ran.newest);
-                self.note_ran_elsewhere(member, statement.kind, &ran, begun);
+                self.note_newest(holder, sent.asked_at, ran.newest);
+                self.note_ran_elsewhere(member, statement.kind, &ran, sent);
                 Asked::Answer((ran.result, ran.position))
             }
             Err(TunnelError::Refused(refusal)) => self.refused(member, holder, refusal),
--- a/crates/gateway/src/group/elsewhere/told.rs
+++ b/crates/gateway/src/group/elsewhere/told.rs
@@ -1,6 +1,6 @@
 //! What other gateways say where they are asked, and what is remembered of it.
 
-use super::{Asked, Begun};
+use super::{Asked, RequestSent};
 use crate::error::AcquireError;
 use crate::group::{Group, Wish};
 use crate::metrics::ElsewhereOutcome;
@@ -118,7 +118,7 @@
         newest: Option<(Duration, Position)>,
     ) {
         let Some((age, position)) = newest else { return };
-        let noted = self.freshness.borrow_mut().note_told(asked_at, age, position);
+        let noted = self.freshness.borrow_mut().note_reported(asked_at, age, position);
         self.metrics.note_told_position(noted.is_ok());
         if let Err(error) = noted {
             log::debug!(
@@ -136,11 +136,11 @@
         member: &MemberName,
         kind: LoneKind,
         ran: &RanElsewhere,
-        begun: Begun,
+        sent: RequestSent,
     ) {
-        let taken = begun.instant.elapsed();
+        let taken = sent.instant.elapsed();
         let (steady, now) = (self.now(), Instant::now());
-        self.with_member(member, |it| it.note_told_load(&ran.load, taken, steady));
+        self.with_member(member, |it| it.note_reported_load(&ran.load, taken, steady));
         let answer = match &ran.result {
             Ok(answer) => answer,
             Err(Unanswered::Refused(failure)) => return self.note_refusal(member, failure.code),
@@ -150,10 +150,10 @@
         };
         match &answer.outcome {
             Ok(_) => {
-                self.with_member(member, |it| it.note_served_elsewhere(steady));
+                self.with_member(member, |it| it.note_served_remotely(steady));
                 match kind {
                     LoneKind::Write => {
-                        self.note_lead(member, begun.asked_at, answer.ready.position);
+                        self.note_lead(member, sent.asked_at, answer.ready.position);
                     }
                     LoneKind::ReadAtPrimary => self.note_primary(member),
                     LoneKind::Read { .. } => (),
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -18,7 +18,8 @@
 use crate::tunnel::Tunnels;
 use corktack_core::gateway::{Holder, HolderChoice};
 use corktack_core::limits::{
-    Ask, AskNumber, Asked, Begun, GatewayLimits, LimitTotals, OverLimit, Settled,
+    AdmittedOperations, GatewayLimits, LimitTotals, OperationOutcome, OperationRequest,
+    OperationRequestNumber, OverLimit, SettledRequest,
 };
 use corktack_core::tenancy::{Principal, TenantDirectory, TenantName};
 use question::Questions;
@@ -50,7 +51,9 @@
     /// What is counted here.
     books: RefCell<GatewayLimits>,
     /// Who is told what becomes of operations that wait here.
-    waiting: RefCell<HashMap<AskNumber, oneshot::Sender<Result<Begun, OverLimit>>>>,
+    waiting: RefCell<
+        HashMap<OperationRequestNumber, oneshot::Sender<Result<AdmittedOperations, OverLimit>>>,
+    >,
     /// Operations that other gateways are asked for.
     questions: RefCell<Questions>,
     /// The other gateways of the zone.
@@ -155,7 +158,7 @@
         &self,
         tenant: &TenantName,
         asked: AskedOperations,
-    ) -> Option<Result<Begun, OverLimit>> {
+    ) -> Option<Result<AdmittedOperations, OverLimit>> {
         self.count_here(tenant, asked).await.transpose()
     }
 
@@ -164,14 +167,14 @@
         &self,
         tenant: &TenantName,
         AskedOperations { operations, priority, until }: AskedOperations,
-    ) -> Result<Option<Begun>, OverLimit> {
-        let ask = Ask { operations, priority, until: self.clock.at(until) };
+    ) -> Result<Option<AdmittedOperations>, OverLimit> {
+        let ask = OperationRequest { operations, priority, until: self.clock.at(until) };
         let asked = self.books.borrow_mut().ask(self.clock.now(), tenant, ask);
         let number = match asked {
-            Asked::Unlimited => return Ok(None),
-            Asked::Begun(begun) => return Ok(Some(begun)),
-            Asked::Waits(number) => number,
-            Asked::Refused(over) => {
+            OperationOutcome::Unlimited => return Ok(None),
+            OperationOutcome::Admitted(begun) => return Ok(Some(begun)),
+            OperationOutcome::Waiting(number) => number,
+            OperationOutcome::Refused(over) => {
                 self.wanted.notify_one();
                 return Err(over);
             }
@@ -189,7 +192,7 @@
     /// Decides what can be decided of the operations that wait here.
     fn settle(&self) {
         let settled = self.books.borrow_mut().settle(self.clock.now());
-        for Settled { number, outcome } in settled {
+        for SettledRequest { number, outcome } in settled {
             if let Some(waiting) = self.waiting.borrow_mut().remove(&number) {
                 // Who has gone has left the queue before.
                 let _ = waiting.send(outcome);
@@ -198,15 +201,15 @@
     }
 
     /// Operations that were counted here did not run.
-    pub(crate) fn take_back(&self, tenant: &TenantName, begun: Begun) {
-        self.books.borrow_mut().take_back(tenant, begun);
+    pub(crate) fn return_operations(&self, tenant: &TenantName, begun: AdmittedOperations) {
+        self.books.borrow_mut().return_operations(tenant, begun);
         self.settle();
     }
 
     /// Operations did not run that this gateway, or the home of the tenant, has counted.
-    fn give_back(&self, tenant: &TenantName, home: Option<Holder>, begun: Begun) {
+    fn give_back(&self, tenant: &TenantName, home: Option<Holder>, begun: AdmittedOperations) {
         match home {
-            None => self.take_back(tenant, begun),
+            None => self.return_operations(tenant, begun),
             Some(home) => self.tunnels.return_operations(home, tenant.clone(), begun),
         }
     }
@@ -216,7 +219,7 @@
 struct WaitingPlace<'l> {
     limits: &'l Limits,
     tenant: &'l TenantName,
-    number: AskNumber,
+    number: OperationRequestNumber,
 }
 
 impl Drop for WaitingPlace<'_> {
--- a/crates/gateway/src/limits/pass.rs
+++ b/crates/gateway/src/limits/pass.rs
@@ -2,7 +2,7 @@
 
 use super::Limits;
 use corktack_core::gateway::Holder;
-use corktack_core::limits::Begun;
+use corktack_core::limits::AdmittedOperations;
 use corktack_core::tenancy::TenantName;
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -15,7 +15,7 @@
     priority: u32,
     /// The gateway that counted it; none for this one.
     home: Option<Holder>,
-    begun: Begun,
+    begun: AdmittedOperations,
 }
 
 /// Leave for one operation to run.
@@ -35,13 +35,13 @@
         tenant: TenantName,
         priority: u32,
         home: Option<Holder>,
-        begun: Begun,
+        begun: AdmittedOperations,
     ) -> Self {
         Self { counted: Some(Counted { limits, tenant, priority, home, begun }) }
     }
 
     /// The operation did not run, at any member.
-    pub(crate) fn take_back(self) {
+    pub(crate) fn return_operations(self) {
         if let Some(Counted { limits, tenant, home, begun, .. }) = self.counted {
             limits.give_back(&tenant, home, begun);
         }
--- a/crates/gateway/src/limits/question.rs
+++ b/crates/gateway/src/limits/question.rs
@@ -7,7 +7,7 @@
 use super::{AskedOperations, Limits};
 use crate::tunnel::{OperationsWish, TunnelError};
 use corktack_core::gateway::Holder;
-use corktack_core::limits::{Begun, OverLimit};
+use corktack_core::limits::{AdmittedOperations, OverLimit};
 use corktack_core::tenancy::TenantName;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
 pub(super) struct CountedElsewhere {
     /// The gateway that counted it; none where this one stood in.
     pub(super) home: Option<Holder>,
-    pub(super) begun: Begun,
+    pub(super) begun: AdmittedOperations,
 }
 
 type Outcome = Result<CountedElsewhere, OverLimit>;
@@ -129,10 +129,10 @@
         self: &Rc<Self>,
         subject: &Subject,
         home: Option<Holder>,
-        begun: Begun,
+        begun: AdmittedOperations,
         askers: Vec<Asker>,
     ) {
-        let one = Begun { operations: 1, ..begun };
+        let one = AdmittedOperations { operations: 1, ..begun };
         let mut left = begun.operations;
         let mut unserved = Vec::new();
         for asker in askers {
@@ -143,7 +143,7 @@
             }
         }
         if left > 0 {
-            self.give_back(&subject.0, home, Begun { operations: left, ..begun });
+            self.give_back(&subject.0, home, AdmittedOperations { operations: left, ..begun });
         }
         if !unserved.is_empty() {
             self.add_askers(subject, unserved);
@@ -166,7 +166,7 @@
         &self,
         tenant: &TenantName,
         asked: AskedOperations,
-    ) -> (Option<Holder>, Result<Begun, OverLimit>) {
+    ) -> (Option<Holder>, Result<AdmittedOperations, OverLimit>) {
         let AskedOperations { operations, priority, until } = asked;
         let mut left = self.homes(tenant);
         while !left.is_empty() {
@@ -191,7 +191,7 @@
         match self.count_here(tenant, asked).await {
             Ok(Some(begun)) => (None, Ok(begun)),
             // The limit was lifted meanwhile.
-            Ok(None) => (None, Ok(Begun { operations, marked: self.clock.now() })),
+            Ok(None) => (None, Ok(AdmittedOperations { operations, marked: self.clock.now() })),
             Err(over) => (None, Err(over)),
         }
     }
--- a/crates/gateway/src/member.rs
+++ b/crates/gateway/src/member.rs
@@ -5,8 +5,8 @@
 use crate::wire::Wire;
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{
-    Detour, FlightLimit, HolderChoice, MemberEstimate, MemberLoad, SessionProfile, Silence,
-    ToldLoad,
+    Detour, FlightLimit, HolderChoice, MemberEstimate, MemberLoad, ReportedLoad, SessionProfile,
+    Silence,
 };
 use corktack_core::registry::{BackEndState, RegisteredBackEnd};
 use corktack_core::tenancy::Principal;
@@ -254,7 +254,7 @@
     }
 
     /// Another gateway ran a statement there in `taken`, the way included.
-    pub(crate) fn note_told_load(
+    pub(crate) fn note_reported_load(
         &mut self,
         report: &MemberLoadReport,
         taken: Duration,
@@ -262,12 +262,12 @@
     ) {
         let MemberLoadReport { spent, latency, waiting_percent } = *report;
         let waiting = f64::from(waiting_percent) / 100.0;
-        self.estimate.note_told(&ToldLoad { spent, latency, waiting }, taken, now);
+        self.estimate.note_reported(&ReportedLoad { spent, latency, waiting }, taken, now);
     }
 
     /// A statement of this gateway was served there through another one.
-    pub(crate) fn note_served_elsewhere(&mut self, now: Timestamp) {
-        self.estimate.note_served_elsewhere(now);
+    pub(crate) fn note_served_remotely(&mut self, now: Timestamp) {
+        self.estimate.note_served_remotely(now);
     }
 
     /// It gave no answer, or failed a read.
--- a/crates/gateway/src/session/alone.rs
+++ b/crates/gateway/src/session/alone.rs
@@ -110,7 +110,7 @@
         let lone = Lone { route, principal, pass: &pass, request, shape, bounds };
         let response = self.run_counted(&lone).await;
         if response.did_not_run() {
-            pass.take_back();
+            pass.return_operations();
         }
         response
     }
--- a/crates/gateway/src/session/opening.rs
+++ b/crates/gateway/src/session/opening.rs
@@ -109,7 +109,7 @@
         let opened = self.open_counted(access, (&route, &principal), bounds, first).await;
         if opened.is_err() {
             // No statement of the caller's was sent.
-            pass.take_back();
+            pass.return_operations();
         }
         opened
     }
--- a/crates/gateway/src/tunnel/client.rs
+++ b/crates/gateway/src/tunnel/client.rs
@@ -8,7 +8,7 @@
 use bytes::BytesMut;
 use corktack_core::gateway::{ConnectionProfile, Holder, ReadBound, ReadPosition};
 use corktack_core::identity::{GroupName, MemberName};
-use corktack_core::limits::{Begun, OverLimit};
+use corktack_core::limits::{AdmittedOperations, OverLimit};
 use corktack_core::position::Position;
 use corktack_core::tenancy::{Principal, TenantName};
 use corktack_protocol::frame::FrameCodec;
@@ -226,11 +226,11 @@
         &mut self,
         tenant: &TenantName,
         OperationsWish { operations, priority, wait }: OperationsWish,
-    ) -> Result<Result<Begun, OverLimit>, TunnelError> {
+    ) -> Result<Result<AdmittedOperations, OverLimit>, TunnelError> {
         let tenant = tenant.clone();
         self.send(TunnelRequest::BeginOperations { tenant, operations, priority, wait }).await?;
         match self.reply(Instant::now() + wait + self.silence_limit, true).await? {
-            TunnelReply::Begun(outcome) => Ok(outcome),
+            TunnelReply::OperationsAdmitted(outcome) => Ok(outcome),
             other => Err(unexpected(other)),
         }
     }
@@ -239,7 +239,7 @@
     pub(super) async fn return_operations(
         &mut self,
         tenant: &TenantName,
-        begun: Begun,
+        begun: AdmittedOperations,
     ) -> Result<(), TunnelError> {
         let tenant = tenant.clone();
         self.send(TunnelRequest::ReturnOperations { tenant, begun }).await?;
--- a/crates/gateway/src/tunnel/pool.rs
+++ b/crates/gateway/src/tunnel/pool.rs
@@ -6,7 +6,7 @@
 use crate::clock::SteadyClock;
 use crate::error::LinkError;
 use corktack_core::gateway::{ConnectionProfile, Holder, HolderChoice, PeerTable};
-use corktack_core::limits::{Begun, OverLimit};
+use corktack_core::limits::{AdmittedOperations, OverLimit};
 use corktack_core::position::Position;
 use corktack_core::tenancy::TenantName;
 use corktack_protocol::tunnel::LoneRequest;
@@ -183,7 +183,7 @@
         mut tunnel: TunnelClient,
         tenant: &TenantName,
         wish: OperationsWish,
-    ) -> Result<Result<Begun, OverLimit>, TunnelError> {
+    ) -> Result<Result<AdmittedOperations, OverLimit>, TunnelError> {
         let begun = tunnel.begin_operations(tenant, wish).await;
         self.ended(tunnel, &begun);
         begun
@@ -195,7 +195,7 @@
         self: &Rc<Self>,
         holder: Holder,
         tenant: TenantName,
-        begun: Begun,
+        begun: AdmittedOperations,
     ) {
         let tunnels = Rc::clone(self);
         actix_rt::spawn(async move {
--- a/crates/gateway/src/tunnel/serve.rs
+++ b/crates/gateway/src/tunnel/serve.rs
@@ -101,7 +101,7 @@
             return begin_operations(shared, frames, &tenant, wish).await;
         }
         TunnelRequest::ReturnOperations { tenant, begun } => {
-            shared.limits.take_back(&tenant, begun);
+            shared.limits.return_operations(&tenant, begun);
             TunnelReply::Returned
         }
         TunnelRequest::Position { group, member, max_age, wait } => {
@@ -134,10 +134,11 @@
     };
     let counted = with_signs(frames, counting).await?;
     let begun = counted.as_ref().and_then(|it| it.as_ref().ok()).copied();
-    let reply = counted.map_or(TunnelReply::Refused(TunnelRefusal::NotHeld), TunnelReply::Begun);
+    let reply = counted
+        .map_or(TunnelReply::Refused(TunnelRefusal::NotHeld), TunnelReply::OperationsAdmitted);
     let sent = frames.send(reply).await.map_err(link_error);
     if let (Err(_), Some(begun)) = (&sent, begun) {
-        shared.limits.take_back(tenant, begun);
+        shared.limits.return_operations(tenant, begun);
     }
     sent
 }
--- a/crates/gateway/tests/sessions/world.rs
+++ b/crates/gateway/tests/sessions/world.rs
@@ -6,7 +6,7 @@
 use corktack_core::gateway::{GatewayPlace, HolderTable, MemberNeeds};
 use corktack_core::identity::{GroupName, Incarnation, MemberName, ProxyName, ZoneName};
 use corktack_core::limits::{
-    AllowanceGrant, AllowanceReport, AllowanceWish, LimitBounds, TenantAllowance,
+    AllowanceDemand, AllowanceGrant, AllowanceReport, LimitBounds, TenantAllowance,
 };
 use corktack_core::position::Term;
 use corktack_core::registry::{
@@ -78,13 +78,13 @@
         self.lead();
         loop {
             let report = self.reports.recv().await.expect("the gateway runs");
-            if let Some(wish) = report.wishes.iter().find(|wish| wish.tenant.as_str() == tenant) {
+            if let Some(wish) = report.demands.iter().find(|wish| wish.tenant.as_str() == tenant) {
                 return self.grant(&report, wish, operations);
             }
         }
     }
 
-    fn grant(&mut self, report: &AllowanceReport, wish: &AllowanceWish, operations: u64) {
+    fn grant(&mut self, report: &AllowanceReport, wish: &AllowanceDemand, operations: u64) {
         self.grants += 1;
         let allowance = TenantAllowance {
             tenant: wish.tenant.clone(),
--- a/crates/protocol/src/tunnel.rs
+++ b/crates/protocol/src/tunnel.rs
@@ -13,7 +13,7 @@
 
 use corktack_core::gateway::{ConnectionProfile, ReadBound, ReadPosition, SessionProfile};
 use corktack_core::identity::{GroupName, MemberName};
-use corktack_core::limits::{Begun, OverLimit};
+use corktack_core::limits::{AdmittedOperations, OverLimit};
 use corktack_core::position::Position;
 use corktack_core::statement::{ErrorCode, PreparedShape, ReadyState};
 use corktack_core::tenancy::{Principal, TenantName};
@@ -107,7 +107,7 @@
         /// The tenant.
         tenant: TenantName,
         /// What was counted.
-        begun: Begun,
+        begun: AdmittedOperations,
     },
 }
 
@@ -266,7 +266,7 @@
         newest: Option<(Duration, Position)>,
     },
     /// How many operations begin, or why none does.
-    Begun(Result<Begun, OverLimit>),
+    OperationsAdmitted(Result<AdmittedOperations, OverLimit>),
     /// What came back is taken.
     Returned,
 }
--- a/crates/sim/src/limits/gateway.rs
+++ b/crates/sim/src/limits/gateway.rs
@@ -3,7 +3,7 @@
 use super::variant::LimitsVariant;
 use corktack_core::identity::{Incarnation, ProxyName};
 use corktack_core::limits::{
-    AllowanceGrant, AllowanceReport, Ask, Asked, GatewayLimits, LimitBounds,
+    AllowanceGrant, AllowanceReport, GatewayLimits, LimitBounds, OperationOutcome, OperationRequest,
 };
 use corktack_core::position::Term;
 use corktack_core::tenancy::{ApiKey, TenantDirectory, TenantName, TenantRate, TenantRule};
@@ -87,8 +87,8 @@
     /// Tries an operation; says whether it begins.
     pub(super) fn try_begin(&mut self, now: u64) -> bool {
         let now = self.clock.at(now);
-        let ask = Ask { operations: 1, priority: 1, until: now };
-        matches!(self.limits.ask(now, &tenant(), ask), Asked::Begun(_))
+        let ask = OperationRequest { operations: 1, priority: 1, until: now };
+        matches!(self.limits.ask(now, &tenant(), ask), OperationOutcome::Admitted(_))
     }
 
     pub(super) fn hear_of_leader(&mut self, now: u64, term: Term) {
--- a/crates/sim/src/limits/leader.rs
+++ b/crates/sim/src/limits/leader.rs
@@ -3,7 +3,8 @@
 use super::gateway::{Clock, tenant};
 use super::variant::LimitsVariant;
 use corktack_core::limits::{
-    AllowanceReport, CeilingChange, GatewayLife, LedgerAnswer, LimitBounds, LimitLedger, LimitTerms,
+    AllowanceReport, CeilingChange, GatewayIncarnation, LedgerAnswer, LimitBounds, LimitLedger,
+    LimitTerms,
 };
 use corktack_core::position::Term;
 use corktack_core::tenancy::{TenantName, TenantRate};
@@ -12,7 +13,7 @@
 /// What the cell has committed.
 #[derive(Clone, Debug)]
 pub(super) struct Committed {
-    pub(super) lives: BTreeSet<GatewayLife>,
+    pub(super) lives: BTreeSet<GatewayIncarnation>,
     pub(super) ceilings: BTreeMap<TenantName, u64>,
     pub(super) rate: TenantRate,
 }
@@ -32,7 +33,7 @@
     }
 
     /// A life takes the place of the one before it on its machine.
-    pub(super) fn register(&mut self, life: &GatewayLife) {
+    pub(super) fn register(&mut self, life: &GatewayIncarnation) {
         self.lives.retain(|it| it.gateway != life.gateway);
         self.lives.insert(life.clone());
     }
@@ -103,7 +104,8 @@
         report: &AllowanceReport,
         variant: LimitsVariant,
     ) -> LedgerAnswer {
-        let life = GatewayLife { gateway: report.gateway.clone(), incarnation: report.incarnation };
+        let life =
+            GatewayIncarnation { gateway: report.gateway.clone(), incarnation: report.incarnation };
         if !self.state.lives.contains(&life) {
             return LedgerAnswer::default();
         }
--- a/crates/sim/src/limits/world.rs
+++ b/crates/sim/src/limits/world.rs
@@ -6,7 +6,7 @@
 use super::variant::LimitsVariant;
 use corktack_core::identity::Incarnation;
 use corktack_core::limits::{
-    AllowanceGrant, AllowanceReport, CeilingChange, GatewayLife, LedgerAnswer, LimitBounds,
+    AllowanceGrant, AllowanceReport, CeilingChange, GatewayIncarnation, LedgerAnswer, LimitBounds,
 };
 use corktack_core::position::Term;
 use corktack_core::tenancy::TenantRate;
@@ -82,7 +82,7 @@
         changes: Vec<CeilingChange>,
     },
     /// A gateway's new life is committed.
-    Register(GatewayLife),
+    Register(GatewayIncarnation),
 }
 
 struct World {
@@ -172,7 +172,7 @@
         }
         let gateway =
             Gateway::start(self.now, number, incarnation, clock, self.bounds, self.committed.rate);
-        let life = GatewayLife { gateway: gateway.name.clone(), incarnation };
+        let life = GatewayIncarnation { gateway: gateway.name.clone(), incarnation };
         self.send_surely(Message::Register(life));
         gateway
     }
@@ -368,7 +368,7 @@
         }
     }
 
-    fn register(&mut self, life: &GatewayLife) {
+    fn register(&mut self, life: &GatewayIncarnation) {
         // A registration of a life that is over comes too late.
         let lives = self.gateways.iter();
         if lives.filter(|it| it.name == life.gateway).any(|it| it.incarnation == life.incarnation) {
