--- a/crates/core/src/limits/bounds.rs
+++ b/crates/core/src/limits/bounds.rs
@@ -1,20 +1,26 @@
-//! What a tenant's rate means in one window.
+//! What a tenant's rate means in one window, and how long allowances and counts last.
+//!
+//! One place for the spans that gateways and the leader must agree on. Owns their defaults. Relies on
+//! the deployment for the window and its room.
 
 use crate::tenancy::TenantRate;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Window where the deployment names none.
+/// Window where the deployment names none: that of the users' deployment with tenants.
 const DEFAULT_WINDOW: Duration = Duration::from_secs(5);
-/// Shortest window that is counted exactly enough.
+/// Shortest window that is counted exactly enough: it is kept in fiftieths, 10 ms here. Chosen, not
+/// measured.
 const SHORTEST_WINDOW: Duration = Duration::from_millis(500);
 
 /// How long an allowance may be used after its gateway asked for it. Regions lose each other for
 /// minutes (the aim): a gateway that is cut off serves on for as long. What one that is gone for good
-/// held is kept from others meanwhile, which matters only near the limit.
+/// held is kept from others meanwhile, which matters only near the limit. Chosen from that aim, not measured:
+/// a shorter life ends service where regions stay apart, a longer one holds back longer.
 const ALLOWANCE_LIFE: Duration = Duration::from_secs(300);
 /// Part by which the leader counts spans longer on its own clock than gateways do: far more than quartz
-/// clocks differ.
+/// clocks differ (simulated at 0.5 %). A higher part holds back longer what processes that are gone may have
+/// begun.
 const CLOCK_SLACK: f64 = 0.02;
 
 /// By what the limits of tenants are kept, the same on all machines of a deployment.
@@ -53,9 +59,9 @@
         self.window.mul_f64(1.0 + CLOCK_SLACK)
     }
 
-    /// The part of a span told by a gateway that has surely passed on the leader's clock.
-    pub(super) fn at_least(&self, told: Duration) -> Duration {
-        told.mul_f64(1.0 - CLOCK_SLACK)
+    /// The part of a span reported by a gateway that has surely passed on the leader's clock.
+    pub(super) fn at_least(&self, reported: Duration) -> Duration {
+        reported.mul_f64(1.0 - CLOCK_SLACK)
     }
 
     /// After how long without a report an allowance has surely ended, on the leader's clock.
--- a/crates/core/src/limits/gateway.rs
+++ b/crates/core/src/limits/gateway.rs
@@ -1,9 +1,15 @@
 //! The limits of tenants at one gateway.
+//!
+//! Admits the operations of all tenants that are limited, and exchanges reports and grants with the
+//! leader. Owns the tenants' accounts, the leader's term and the numbers of reports and grants. Relies on
+//! its caller for the clock, for the rates in force and for carrying messages.
 
-use super::account::{Account, AdmittedOperations, OperationOutcome, OverLimit, Told};
+use super::account::{
+    Account, AdmittedOperations, OperationOutcome, OperationRequestNumber, OverLimit,
+    ReportedDemand, WaitingRequest,
+};
 use super::bounds::LimitBounds;
 use super::messages::{AllowanceDemand, AllowanceGrant, AllowanceReport};
-use super::queue::{OperationRequestNumber, Waiting};
 use crate::identity::{Incarnation, ProxyName};
 use crate::position::Term;
 use crate::tenancy::{TenantDirectory, TenantName, TenantRate};
@@ -11,6 +17,14 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
+/// Part of the life of an allowance after which everything held is reported again, which renews it: 30 s of
+/// 300 s. Chosen, not measured: a lower part costs the leader more reports; a higher one leaves less time
+/// to serve on where a gateway is cut off just before it renews.
+const RENEWAL_PART: f64 = 0.1;
+/// Reports whose time is remembered: an answer to an older one is not used. Chosen, not measured: with fewer,
+/// answers that were late in a herd of reports are lost; each costs sixteen bytes.
+const REPORTS_REMEMBERED: u64 = 64;
+
 /// Operations of one tenant that are asked for together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OperationRequest {
@@ -25,7 +39,7 @@
 /// Operations that were asked for together, and what became of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettledRequest {
-    /// Who asked.
+    /// The number that it was given.
     pub number: OperationRequestNumber,
     /// As many as begin now, perhaps fewer than were asked for; or none.
     pub outcome: Result<AdmittedOperations, OverLimit>,
@@ -45,7 +59,7 @@
 pub struct GatewayLimits {
     gateway: ProxyName,
     incarnation: Incarnation,
-    /// When this life of the gateway began.
+    /// When this incarnation of the gateway began.
     started: Timestamp,
     bounds: LimitBounds,
     /// Term of the leader that allowances are taken from.
@@ -58,16 +72,12 @@
     whole_due: Timestamp,
     accounts: HashMap<TenantName, Account>,
     limits: HashMap<TenantName, u64>,
-    asks: u64,
+    /// Number of the newest request.
+    requests: u64,
     /// Tenants that operations wait for.
     waiting: BTreeSet<TenantName>,
 }
 
-/// Part of the life of an allowance after which everything held is reported again, which renews it.
-const RENEWAL_PART: f64 = 0.1;
-/// Reports whose time is remembered: an answer to an older one is not used.
-const REPORTS_REMEMBERED: u64 = 64;
-
 impl GatewayLimits {
     /// The limits of a gateway that starts now.
     #[must_use]
@@ -89,7 +99,7 @@
             whole_due: Timestamp::ZERO,
             accounts: HashMap::new(),
             limits: HashMap::new(),
-            asks: 0,
+            requests: 0,
             waiting: BTreeSet::new(),
         }
     }
@@ -138,15 +148,15 @@
         OperationRequest { operations, priority, until }: OperationRequest,
     ) -> OperationOutcome {
         let bounds = self.bounds;
-        self.asks += 1;
-        let waiting =
-            Waiting { number: OperationRequestNumber(self.asks), priority, operations, until };
+        self.requests += 1;
+        let number = OperationRequestNumber(self.requests);
+        let request = WaitingRequest { number, priority, operations, until };
         let Some(account) = self.account(tenant) else { return OperationOutcome::Unlimited };
-        let asked = account.ask(now, &bounds, waiting);
-        if let OperationOutcome::Waiting(_) = asked {
+        let outcome = account.request(now, &bounds, request);
+        if let OperationOutcome::Waiting(_) = outcome {
             self.waiting.insert(tenant.clone());
         }
-        asked
+        outcome
     }
 
     /// Decides what can be decided of operations that wait: after an answer of the leader, once some
@@ -172,18 +182,18 @@
         accounts.filter_map(|account| account.settle_due(now, &self.bounds)).min()
     }
 
-    /// Who asked has gone.
+    /// Drops a request that waits: who made it has gone.
     pub fn leave(&mut self, tenant: &TenantName, number: OperationRequestNumber) {
         if let Some(account) = self.accounts.get_mut(tenant) {
-            account.leave(number);
+            account.withdraw(number);
         }
     }
 
     /// Operations that were counted did not run.
-    pub fn return_operations(&mut self, tenant: &TenantName, begun: AdmittedOperations) {
+    pub fn return_operations(&mut self, tenant: &TenantName, admitted: AdmittedOperations) {
         let bounds = self.bounds;
         if let Some(account) = self.accounts.get_mut(tenant) {
-            account.uncount(begun, &bounds);
+            account.uncount(admitted, &bounds);
         }
     }
 
@@ -204,14 +214,14 @@
         Some(account)
     }
 
-    /// Whether an operation waits for what the leader may allow at once.
+    /// Whether the leader should be sent a report at once.
     #[must_use]
     pub fn is_urgent(&self, now: Timestamp) -> bool {
         self.accounts.values().any(|account| account.is_urgent(now))
     }
 
-    /// A control replica tells that a leader has been elected. One that tells the same again has just
-    /// been connected to: what was said to it through another may be lost.
+    /// A control replica says that a leader has been elected. One that says the same again has just
+    /// been connected to: what was sent through another may be lost.
     pub fn follow_leader(&mut self, now: Timestamp, term: Term) {
         if self.term.is_some_and(|known| known > term) {
             return;
@@ -237,7 +247,8 @@
             self.accounts.retain(|_, account| !account.is_unused(now, &bounds));
         }
         let demand = |(tenant, account): (&TenantName, &mut Account)| {
-            let Told { held, needed, wanted } = account.report(now, &self.bounds, whole)?;
+            let ReportedDemand { held, needed, wanted } =
+                account.report(now, &self.bounds, whole)?;
             Some(AllowanceDemand { tenant: tenant.clone(), held, needed, wanted })
         };
         let demands: Vec<_> = self.accounts.iter_mut().filter_map(demand).collect();
@@ -265,12 +276,12 @@
         if !is_ours || self.term != Some(grant.term) || grant.number <= self.taken {
             return;
         }
-        let Some(asked_at) = self.reports.get(&grant.answers).copied() else { return };
+        let Some(reported_at) = self.reports.get(&grant.answers).copied() else { return };
         self.taken = grant.number;
         if grant.wants_whole {
             self.whole_due = now;
         }
-        let ends = asked_at + self.bounds.allowance_life;
+        let ends = reported_at + self.bounds.allowance_life;
         for allowance in &grant.allowances {
             if let Some(account) = self.account(&allowance.tenant) {
                 account.take(now, allowance, ends);
--- a/crates/core/src/limits/ledger/answer.rs
+++ b/crates/core/src/limits/ledger/answer.rs
@@ -6,7 +6,7 @@
 use crate::tenancy::TenantName;
 use std::collections::BTreeMap;
 
-/// Grants, one for each gateway that hears something, and ceilings that would allow more.
+/// Grants, one for each gateway that is sent something, and ceilings that would allow more.
 #[derive(Debug, Default)]
 pub(super) struct AnswerBuilder {
     pub(super) grants: BTreeMap<ProxyName, AllowanceGrant>,
--- a/crates/core/src/limits/messages.rs
+++ b/crates/core/src/limits/messages.rs
@@ -1,4 +1,7 @@
 //! What gateways and the leader say to each other about limits.
+//!
+//! The forms of reports and grants. They travel between processes: order and number of fields stay.
+//! What each side does with them is in [`super::gateway`] and [`super::ledger`].
 
 use crate::identity::{Incarnation, ProxyName};
 use crate::position::Term;
@@ -24,17 +27,17 @@
 pub struct AllowanceReport {
     /// The gateway.
     pub gateway: ProxyName,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Term of the leader that this is for; the gateway takes allowances of no other from now on.
     pub term: Term,
-    /// Rises with each report of this life.
+    /// Rises with each report of this incarnation.
     pub sequence: u64,
-    /// How long this life had been running: the one before it ended earlier.
+    /// How long this incarnation had been running: the one before it ended earlier.
     pub running: Duration,
     /// Number of the newest grant of this term that the gateway has taken.
     pub taken: u64,
-    /// Whether the gateway holds nothing beside what is told.
+    /// Whether the gateway holds nothing beside what is reported here.
     pub whole: bool,
     /// Tenants.
     pub demands: Vec<AllowanceDemand>,
@@ -71,7 +74,7 @@
 pub struct AllowanceGrant {
     /// The gateway.
     pub gateway: ProxyName,
-    /// The life that it is for.
+    /// The incarnation that it is for.
     pub incarnation: Incarnation,
     /// Term of the leader.
     pub term: Term,
@@ -80,7 +83,7 @@
     /// Sequence of the newest report that it goes by: the life of the allowances counts from when that
     /// was made.
     pub answers: u64,
-    /// Whether the leader wants to be told everything that the gateway holds first.
+    /// Whether the leader wants a report of everything that the gateway holds first.
     pub wants_whole: bool,
     /// Allowances, each in place of the one before.
     pub allowances: Vec<TenantAllowance>,
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -1,5 +1,9 @@
 //! How many operations a tenant may begin, over all gateways together.
 //!
+//! Limits of tenants that hold over the whole fleet. Owns what each gateway may begin (`account`,
+//! `gateway`) and what the leader has given (`ledger`); only ceilings are in the log. Relies on control
+//! for the leader, for the rates in force, and for which incarnations of gateways there are.
+//!
 //! A tenant's rate and burst make its *window limit* `L`: the operations that may begin in any span of
 //! one window ([`LimitBounds::window_limit`]). The leader of the control cell gives gateways
 //! *allowances*: a gateway with the allowance `a` begins at most `a` operations in any window. An
@@ -37,10 +41,9 @@
 mod gateway;
 mod ledger;
 mod messages;
-mod queue;
-mod trailing;
+mod sliding_window;
 
-pub use account::{AdmittedOperations, OperationOutcome, OverLimit};
+pub use account::{AdmittedOperations, OperationOutcome, OperationRequestNumber, OverLimit};
 pub use bounds::LimitBounds;
 pub use gateway::{GatewayLimits, LimitTotals, OperationRequest, SettledRequest};
 pub use ledger::{
@@ -50,5 +53,4 @@
 pub use messages::{
     AllowanceDemand, AllowanceGrant, AllowanceRecall, AllowanceReport, TenantAllowance,
 };
-pub use queue::OperationRequestNumber;
-pub use trailing::SlidingWindowCount;
+pub use sliding_window::SlidingWindowCount;
--- a/crates/core/src/limits/trailing.rs
+++ b/crates/core/src/limits/sliding_window.rs
@@ -1,10 +1,14 @@
 //! Counts what happened within the last window.
+//!
+//! The count that a limit is kept by, which may be too high for a moment and never too low. Owns the
+//! counts of the window's slots. Relies on its caller for the clock and the window's length.
 
 use crate::time::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Slots that a window is counted in.
+/// Slots that a window is counted in. More slots count more exactly (two slots too long at most) and cost
+/// sixteen bytes each for a busy tenant. Chosen, not measured.
 const SLOTS_PER_WINDOW: u64 = 50;
 /// Slots that count after the one in which something happened: a window, and one more for a clock that
 /// runs up to a fiftieth too fast. So the count is never too low, and too high by two slots in fifty.
@@ -49,7 +53,7 @@
         self.total
     }
 
-    /// The count as it was when it was looked at last.
+    /// The count as it was when it was asked for or changed last.
     #[must_use]
     pub const fn total(&self) -> u64 {
         self.total
