--- a/crates/core/tests/limits_load/main.rs
+++ b/crates/core/tests/limits_load/main.rs
@@ -46,7 +46,7 @@
     let (soon, ever) = (returned.begun_within(400), returned.begun_within(u64::MAX));
     assert!(soon > 0.36, "{soon:.3} begin within 0.4 s");
     assert!(ever > 0.46, "{ever:.3} begin at all");
-    let latest = returned.told.iter().max();
+    let latest = returned.retry_after.iter().max();
     assert!(latest <= Some(&10_000), "told to come back after {latest:?} ms");
 }
 
