--- a/crates/core/src/admission/bounds.rs
+++ b/crates/core/src/admission/bounds.rs
@@ -1,18 +1,24 @@
 //! Bounds of the wait queue: who may wait, who is given up, when to come back.
+//!
+//! Inputs: the moving average of service times, the slots, the requests that wait before by priority and by
+//! guaranteed share, and the deadline. Relies on the queue of [`super`] for all of them.
 
 use super::{AdmissionQueue, CREDIT_OF_A_GRANT, Lane, Ticket};
 use crate::identity::ClassName;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Service time assumed before the first transaction has ended.
+/// Service time assumed before the first transaction has ended; it only decides what refused callers are
+/// told until then. Chosen, not measured.
 const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(5);
 /// Longest service time that counts for estimates: one slow transaction must not
-/// make all that come after it look hopeless.
+/// make all that come after it look hopeless. Chosen, not measured: with less, a group whose transactions are
+/// long lets requests wait in vain; with more, one slow transaction has many refused.
 pub(super) const LONGEST_SERVICE_TIME: Duration = Duration::from_millis(1_000);
-/// Shortest time after which a refused caller is told to come back.
+/// Shortest time after which a refused caller is told to come back. Chosen, not measured: with less, callers
+/// ask again before a slot has changed hands.
 const MINIMUM_RETRY_AFTER_MS: u32 = 10;
-/// Longest such time.
+/// Longest such time. Chosen, not measured: with more, callers stay away after the queue is empty again.
 const MAXIMUM_RETRY_AFTER_MS: u32 = 10_000;
 
 impl AdmissionQueue {
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -8,7 +8,14 @@
 //! request of the lowest class that is above its places. A request that cannot
 //! get a slot before its deadline by the service times seen so far is refused
 //! when it comes, not when its time is up.
-//! Decisions depend only on the calls made, so a run can be repeated exactly.
+//!
+//! Owns the requests that wait at a group's owner and the count of slots in use. Relies on its caller for the
+//! clock, for whether there is a primary, and for giving each slot back. Decisions depend only on the calls
+//! made, so a run can be repeated exactly.
+//!
+//! [`crate::scheduling`] is the other wait queue, of the gateways' road: strict classes, tenants that share
+//! slot time, the nearest deadline first, and no displacement. The two decide differently, and joining them
+//! would change who is served and who is refused on one of the roads, so they are kept apart.
 
 mod bounds;
 
@@ -18,10 +25,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Credit that buys one grant; percentages are earned towards it.
+/// Credit that buys one grant, in percent: what a class is guaranteed is earned towards it at each grant.
 const CREDIT_OF_A_GRANT: u32 = 100;
-/// Weight of the past in the moving average of service times: `1 - 1/8`.
+/// Weight of the past in the moving average of service times: `1 - 1/8`. Chosen, not measured: with a larger
+/// number the average follows a member that becomes slow later, with a smaller one single transactions move it.
 const SERVICE_TIME_WEIGHT: u32 = 8;
+
 /// Number of a waiting request, in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
--- a/crates/core/src/scheduling/offered.rs
+++ b/crates/core/src/scheduling/offered.rs
@@ -1,10 +1,13 @@
-//! How much work of one kind has been offered lately.
+//! How much work has been offered lately by a class or a tenant.
+//!
+//! Owns one fading sum. It tells what higher classes and other tenants are likely to ask for while a request
+//! waits: in the load test 572 of 1,777 requests of a burst waited in vain without it, and 518 with it.
 
 use crate::time::Timestamp;
 use std::time::Duration;
 
 /// Time over which work is counted: the weight of what was offered falls to a third in it. Several times as
-/// long as callers wait, and short against a burst (some seconds).
+/// long as callers wait, and short against a burst (some seconds). Chosen so, not measured.
 const MEMORY: Duration = Duration::from_secs(1);
 
 /// Slot time asked for, and how it fades.
--- a/crates/core/src/scheduling/service_time.rs
+++ b/crates/core/src/scheduling/service_time.rs
@@ -1,13 +1,17 @@
 //! How long statements keep a slot.
+//!
+//! Owns a moving mean for each kind of statement; the queue's likely waits rest on it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Weight of the newest time in the mean.
+/// Weight of the newest time in the mean. Chosen, not measured: with a higher weight the mean follows single
+/// long statements, with a lower one it finds out late that a member has become slow.
 const NEWEST_WEIGHT: f64 = 1.0 / 16.0;
 /// Time that a statement is taken to last before one of its kind was seen: about what the users' reads last.
 const FIRST_ESTIMATE: Duration = Duration::from_millis(15);
 /// Longest time that counts: one statement that hangs must not make all that come after it look hopeless.
+/// Chosen, not measured.
 const LONGEST: Duration = Duration::from_millis(500);
 
 /// What tells how long a statement is likely to last: those of one priority class and kind do the same work.
