--- a/crates/core/src/consensus/accessors.rs
+++ b/crates/core/src/consensus/accessors.rs
@@ -1,4 +1,4 @@
-//! What a shell may ask of a replica.
+//! What a shell may read of a replica: its role, its leader, its cell, and the health of the others.
 
 use super::CellConfig;
 use super::Role;
@@ -6,9 +6,18 @@
 use super::replica::{Replica, RoleState};
 use crate::identity::ReplicaId;
 use crate::position::Term;
-use crate::registry::CellMemberHealth;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// What the leader knows of another replica.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CellMemberHealth {
+    /// Time since it last answered.
+    pub silent_for: Duration,
+    /// Whether it holds nearly everything that is committed.
+    pub caught_up: bool,
+}
 
 impl Replica {
     pub(super) fn is_leader(&self) -> bool {
@@ -97,7 +106,7 @@
     pub fn member_health(&self, now: Timestamp) -> BTreeMap<ReplicaId, CellMemberHealth> {
         let RoleState::Leader(leader) = &self.role else { return BTreeMap::new() };
         let health = |(id, progress): (&ReplicaId, &Progress)| {
-            let silent_for = now.saturating_since(progress.last_heard);
+            let silent_for = now.saturating_since(progress.last_answer);
             (*id, CellMemberHealth { silent_for, caught_up: self.is_caught_up(now, *id) })
         };
         leader.progress.iter().map(health).collect()
--- a/crates/core/src/consensus/election.rs
+++ b/crates/core/src/consensus/election.rs
@@ -1,60 +1,22 @@
 //! Elections: terms, pre-votes, votes and timeouts.
+//!
+//! Decides whose term counts, when this replica asks for votes and whom it votes for. Owns the answers while it
+//! asks ([`super::votes`]). Relies on the hard state being synced before any vote leaves.
 
 use super::leader::Leader;
 use super::message::{LogEnd, Message, MessageBody};
 use super::replica::{Replica, RoleState};
+use super::votes::{Tally, Votes};
 use super::{CellConfig, Entry, Payload, voter_ids};
 use crate::identity::ReplicaId;
 use crate::position::Term;
 use crate::time::Timestamp;
-use std::collections::BTreeMap;
 
 /// No cell gets here by elections; a message that names a higher term is not one of ours.
 const TERM_LIMIT: Term = Term(1 << 62);
 
-/// Answers to a request for votes or pre-votes.
-#[derive(Debug, Default)]
-pub(super) struct Votes {
-    answers: BTreeMap<ReplicaId, bool>,
-}
-
-/// How a request for votes stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Tally {
-    Open,
-    Won,
-    Lost,
-}
-
-impl Votes {
-    fn has_answer_of(&self, from: ReplicaId) -> bool {
-        self.answers.contains_key(&from)
-    }
-
-    fn record(&mut self, from: ReplicaId, granted: bool) {
-        self.answers.entry(from).or_insert(granted);
-    }
-
-    /// Counts the answers of voters only: a learner's or a stranger's is worth nothing.
-    fn tally(&self, cell: &CellConfig) -> Tally {
-        let voters = voter_ids(cell);
-        let count = |wanted: bool| {
-            let of_voters = self.answers.iter().filter(|(id, _)| voters.contains(id));
-            of_voters.filter(|(_, granted)| **granted == wanted).count()
-        };
-        let quorum = voters.len() / 2 + 1;
-        if count(true) >= quorum {
-            Tally::Won
-        } else if count(false) > voters.len().saturating_sub(quorum) {
-            Tally::Lost
-        } else {
-            Tally::Open
-        }
-    }
-}
-
 impl Replica {
-    /// Compares the message's term with ours; returns whether to look at the message.
+    /// Compares the message's term with ours; returns whether to handle the message.
     pub(super) fn admit_term(
         &mut self,
         now: Timestamp,
@@ -99,7 +61,7 @@
             return false;
         }
         if term > self.hard_state.term {
-            if !transfer && self.hears_leader(now) {
+            if !transfer && self.has_recent_leader(now) {
                 return false;
             }
             self.become_follower(now, term, None);
@@ -136,7 +98,7 @@
     }
 
     /// Whether a leader of the current term is known to be alive.
-    fn hears_leader(&self, now: Timestamp) -> bool {
+    fn has_recent_leader(&self, now: Timestamp) -> bool {
         let recent =
             |contact: Timestamp| now.saturating_since(contact) < self.settings.election_timeout;
         // A leader that lost its majority steps down by itself, so it may hold on until then.
@@ -198,7 +160,7 @@
         }
     }
 
-    /// Sends the question of an election under way to a voter that may not have heard it.
+    /// Sends the question of an election under way to a voter that may not have received it.
     pub(super) fn ask_again(&mut self, voter: ReplicaId) {
         if !voter_ids(self.log.cell()).contains(&voter) || voter == self.settings.id {
             return;
@@ -208,7 +170,7 @@
             RoleState::PreCandidate(votes) if !votes.has_answer_of(voter) => {
                 (Term(self.hard_state.term.0 + 1), MessageBody::PreVoteRequest(log_end))
             }
-            // Whether a leader asked for the election matters only while that leader is heard.
+            // Whether a leader asked for the election matters only while messages of that leader come.
             RoleState::Candidate(votes) if !votes.has_answer_of(voter) => {
                 (self.hard_state.term, MessageBody::VoteRequest { log_end, transfer: false })
             }
@@ -250,7 +212,7 @@
         term: Term,
         log_end: LogEnd,
     ) {
-        if term > self.hard_state.term && self.hears_leader(now) {
+        if term > self.hard_state.term && self.has_recent_leader(now) {
             return;
         }
         if term > self.hard_state.term && self.log.is_covered_by(log_end) {
--- a/crates/core/src/consensus/follower.rs
+++ b/crates/core/src/consensus/follower.rs
@@ -1,25 +1,13 @@
 //! The follower's side of replication: appends, heartbeats and snapshots from the leader.
+//!
+//! Keeps the log as the leader's, never changing what is committed. Relies on [`super::election`] to let through
+//! only messages of the current term's leader.
 
+use super::incoming_snapshot::IncomingSnapshot;
 use super::message::{AppendOutcome, AppendRequest, LogEnd, MessageBody, SnapshotChunk};
 use super::replica::Replica;
 use super::{Entry, Snapshot};
 use crate::identity::ReplicaId;
-use crate::position::Term;
-
-/// A snapshot of which pieces are missing.
-#[derive(Debug)]
-pub(super) struct IncomingSnapshot {
-    /// Term of the leader that sends it: replicas may encode the same state differently.
-    leader_term: Term,
-    last: LogEnd,
-    data: Vec<u8>,
-}
-
-impl IncomingSnapshot {
-    fn is_of(&self, leader_term: Term, last: LogEnd) -> bool {
-        self.leader_term == leader_term && self.last == last
-    }
-}
 
 /// Whether the entries follow `previous` without a gap and with terms that never decrease.
 fn well_formed(request: &AppendRequest) -> bool {
--- a/crates/core/src/consensus/leader.rs
+++ b/crates/core/src/consensus/leader.rs
@@ -1,9 +1,10 @@
-//! What only a leader keeps: progress of the others, proposals and reads under way.
+//! What only a leader keeps: progress of the others, proposals, reads and a hand-over under way.
+//!
+//! Owns that state for one leadership, and what a majority has reached. Relies on the log for the cell in force.
 
 use super::log::Log;
+use super::pending_reads::LeaderReads;
 use super::progress::Progress;
-use super::read_index::LeaderReads;
-use super::transfer::Transfer;
 use super::{RequestId, voter_ids};
 use crate::identity::ReplicaId;
 use crate::time::Timestamp;
@@ -24,6 +25,20 @@
     pub(super) transfer: Option<Transfer>,
 }
 
+/// A hand-over under way. Proposals are refused meanwhile, so the target can catch up.
+#[derive(Debug)]
+pub(super) struct Transfer {
+    pub(super) target: ReplicaId,
+    deadline: Timestamp,
+    pub(super) asked: bool,
+}
+
+impl Transfer {
+    pub(super) const fn new(target: ReplicaId, deadline: Timestamp) -> Self {
+        Self { target, deadline, asked: false }
+    }
+}
+
 impl Leader {
     /// State of a leader whose first entry will stand at `first_index`.
     pub(super) fn new(log: &Log, own: ReplicaId, first_index: u64, now: Timestamp) -> Self {
@@ -71,14 +86,26 @@
     }
 
     /// Whether a majority of the voters answered within `timeout`.
-    pub(super) fn hears_quorum(
+    pub(super) fn has_recent_quorum(
         &self,
         log: &Log,
         own: ReplicaId,
         now: Timestamp,
         timeout: Duration,
     ) -> bool {
-        self.quorum_value(log, own, now, |progress| progress.last_heard)
-            .is_some_and(|heard| now.saturating_since(heard) <= timeout)
+        self.quorum_value(log, own, now, |progress| progress.last_answer)
+            .is_some_and(|answered| now.saturating_since(answered) <= timeout)
+    }
+
+    /// Gives up a hand-over that took too long.
+    pub(super) fn expire_transfer(&mut self, now: Timestamp) {
+        self.transfer.take_if(|transfer| now >= transfer.deadline);
+    }
+
+    /// When the leader next has something to do.
+    pub(super) fn next_deadline(&self) -> Timestamp {
+        let transfer = self.transfer.as_ref().map(|transfer| transfer.deadline);
+        let others = [transfer, self.reads.round_due()].into_iter().flatten();
+        others.fold(self.next_heartbeat, Timestamp::min)
     }
 }
--- a/crates/core/src/consensus/log.rs
+++ b/crates/core/src/consensus/log.rs
@@ -1,4 +1,6 @@
 //! The replicated log in memory: entries after a snapshot, and the cells they set.
+//!
+//! Owns the entries and the cell in force at each index. Relies on its replica to keep what is committed.
 
 use super::message::LogEnd;
 use super::{CellConfig, ConsensusError, Entry, Payload, Snapshot};
@@ -7,9 +9,9 @@
 use std::sync::Arc;
 
 /// Entries kept in memory below a snapshot, so that a follower that is a little
-/// behind needs no snapshot.
+/// behind needs no snapshot. Chosen, not measured: with more, each replica keeps more memory.
 const COMPACTION_TAIL_ENTRIES: usize = 1_024;
-/// Bytes of those entries at most.
+/// Bytes of those entries at most. Chosen, not measured.
 const COMPACTION_TAIL_BYTES: usize = 1024 * 1024;
 /// Bytes counted for an entry beside its payload.
 const ENTRY_OVERHEAD_BYTES: usize = 24;
--- a/crates/core/src/consensus/membership.rs
+++ b/crates/core/src/consensus/membership.rs
@@ -4,13 +4,16 @@
 //! voter share a member of every pair of majorities, so no two leaders can be
 //! elected side by side; that holds only while at most one change is
 //! uncommitted, and only after the leader committed an entry of its own term.
+//!
+//! Owns the rules for a change; the cell in force is in the log.
 
 use super::replica::{Replica, RoleState};
 use super::{CellChange, CellConfig, CellMember, Payload, Rejection, RequestId};
 use crate::identity::ReplicaId;
 use crate::time::Timestamp;
 
-/// Entries a learner may lack of the committed log to count as caught up.
+/// Entries a learner may lack of the committed log to count as caught up. Chosen, not measured: with more, a
+/// voter that has just been promoted may hold up what is committed next.
 const PROMOTION_LAG_LIMIT: u64 = 64;
 
 /// The cell after a change, or none when the change makes no sense.
--- a/crates/core/src/consensus/message.rs
+++ b/crates/core/src/consensus/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the replicas of a cell.
+//! Messages between the replicas of a cell. They travel: order and number of variants and fields stay.
 
 use super::{CellConfig, Entry, Rejection};
 use crate::position::Term;
--- a/crates/core/src/consensus/mod.rs
+++ b/crates/core/src/consensus/mod.rs
@@ -4,22 +4,29 @@
 //! the [`Action`]s it returns **in order**: a [`Action::Persist`] must be synced
 //! to disk before any later [`Action::Send`] of the same batch leaves, because
 //! votes and acknowledgements promise what they say to survive a crash.
+//!
+//! Owns terms, votes, the log and the cell's members. Relies on the shell for the disk, for sending (messages may
+//! be lost, repeated and reordered) and for the clock, which need not agree with others'.
 
 mod accessors;
 mod election;
 mod error;
 mod follower;
+mod incoming_snapshot;
 mod leader;
 mod log;
 mod membership;
 pub mod message;
+mod pending_reads;
 mod progress;
 mod read_index;
 mod recovery;
 mod replica;
 mod replication;
 mod transfer;
+mod votes;
 
+pub use accessors::CellMemberHealth;
 pub use error::ConsensusError;
 pub use message::Message;
 pub use replica::Replica;
--- a/crates/core/src/consensus/progress.rs
+++ b/crates/core/src/consensus/progress.rs
@@ -1,4 +1,7 @@
 //! What the leader knows of one follower's log.
+//!
+//! Owns where the follower's log ends, how it is sent to (probe, replicate, snapshot) and what is under way.
+//! What is sent is put together in [`super::replication`].
 
 use super::Snapshot;
 use crate::time::Timestamp;
@@ -6,9 +9,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Appends with entries that may be under way to one follower.
+/// Appends with entries that may be under way to one follower. Chosen, not measured: a bound on memory and on
+/// what is sent in vain; with fewer, a follower a region away limits how fast entries are committed.
 const APPEND_WINDOW: usize = 32;
-/// Pieces of a snapshot that may be under way to one follower.
+/// Pieces of a snapshot that may be under way to one follower. Chosen, not measured: with more, a snapshot
+/// delays appends to others on a narrow link.
 const SNAPSHOT_WINDOW: u64 = 4;
 
 /// A snapshot on its way to a follower.
@@ -66,7 +71,7 @@
 /// How the leader sends to a follower.
 #[derive(Debug)]
 pub(super) enum ProgressState {
-    /// Looks for the place where the logs meet, one append at a time.
+    /// Finds the place where the logs meet, one append at a time.
     Probe {
         /// Whether an append is under way.
         waiting: bool,
@@ -89,7 +94,7 @@
     pub(super) next_index: u64,
     pub(super) state: ProgressState,
     /// When it last answered in this term.
-    pub(super) last_heard: Timestamp,
+    pub(super) last_answer: Timestamp,
     /// Highest heartbeat round it answered.
     pub(super) round: u64,
     /// Highest committed index sent to it.
@@ -102,7 +107,7 @@
             match_index: 0,
             next_index,
             state: ProgressState::Probe { waiting: false },
-            last_heard: now,
+            last_answer: now,
             round: 0,
             sent_commit: 0,
         }
@@ -217,7 +222,7 @@
 
     /// Whether the follower answered in the last `timeout`.
     pub(super) fn answered_within(&self, timeout: Duration, now: Timestamp) -> bool {
-        now.saturating_since(self.last_heard) <= timeout
+        now.saturating_since(self.last_answer) <= timeout
     }
 
     /// Whether the follower receives new entries as they come.
--- a/crates/core/src/consensus/recovery.rs
+++ b/crates/core/src/consensus/recovery.rs
@@ -1,4 +1,4 @@
-//! What a replica starts from: settings, disk and first cell.
+//! What a replica starts from: settings, disk and first cell. Refuses what this replica cannot have written.
 
 use super::log::Log;
 use super::{CellConfig, ConsensusError, ConsensusSettings, Entry, HardState, Payload};
--- a/crates/core/src/consensus/replica.rs
+++ b/crates/core/src/consensus/replica.rs
@@ -1,12 +1,15 @@
 //! One replica of a cell: its state, its entry point and its changes of role.
+//!
+//! Owns everything that a replica keeps in memory. The events are handled in the modules that build on it:
+//! elections, replication (leader and follower), reads, changes of the cell, hand-overs of the lead.
 
-use super::election::Votes;
-use super::follower::IncomingSnapshot;
+use super::incoming_snapshot::IncomingSnapshot;
 use super::leader::Leader;
 use super::log::Log;
 use super::message::{Message, MessageBody};
-use super::read_index::ForwardedReads;
+use super::pending_reads::ForwardedReads;
 use super::recovery::{append_first_cell, check_settings, recovered_hard_state};
+use super::votes::Votes;
 use super::{
     Action, CellConfig, ConsensusError, ConsensusSettings, Event, HardState, PersistedState,
     Rejection, RequestId, Role, Snapshot,
@@ -44,7 +47,7 @@
     synced_index: u64,
     pub(super) role: RoleState,
     pub(super) leader: Option<ReplicaId>,
-    /// When the leader of the current term was last heard.
+    /// When a message of the current term's leader came last.
     pub(super) leader_contact: Option<Timestamp>,
     pub(super) election_deadline: Timestamp,
     /// Whether a leader was known since the start.
@@ -89,7 +92,7 @@
             hard_state.commit = log.last_index();
         }
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed ^ settings.id.0.rotate_left(32));
-        // The time keeps batches of an earlier life with the same seed apart.
+        // The time keeps batches of an earlier incarnation with the same seed apart.
         let first_batch = random.random::<u64>().wrapping_add(now.as_micros());
         let mut replica = Self {
             applied: log.snapshot_index(),
--- a/crates/core/src/consensus/replication.rs
+++ b/crates/core/src/consensus/replication.rs
@@ -155,7 +155,7 @@
     pub(super) fn leader_tick(&mut self, now: Timestamp) {
         let timeout = self.settings.election_timeout;
         let RoleState::Leader(leader) = &mut self.role else { return };
-        if !leader.hears_quorum(&self.log, self.settings.id, now, timeout) {
+        if !leader.has_recent_quorum(&self.log, self.settings.id, now, timeout) {
             // Others may have a leader of a higher term; this one must not keep callers.
             self.become_follower(now, self.hard_state.term, None);
             return;
@@ -201,10 +201,10 @@
     }
 
     /// Notes that a follower answered in this term.
-    fn heard(&mut self, now: Timestamp, from: ReplicaId) -> Option<(&mut Progress, &Log)> {
+    fn note_answer(&mut self, now: Timestamp, from: ReplicaId) -> Option<(&mut Progress, &Log)> {
         let RoleState::Leader(leader) = &mut self.role else { return None };
         let progress = leader.progress.get_mut(&from)?;
-        progress.last_heard = now;
+        progress.last_answer = now;
         Some((progress, &self.log))
     }
 
@@ -214,7 +214,7 @@
         from: ReplicaId,
         outcome: AppendOutcome,
     ) {
-        let Some((progress, log)) = self.heard(now, from) else { return };
+        let Some((progress, log)) = self.note_answer(now, from) else { return };
         match outcome {
             AppendOutcome::Accepted { match_index } if match_index <= log.last_index() => {
                 progress.accepted(match_index);
@@ -237,7 +237,7 @@
         from: ReplicaId,
         round: u64,
     ) {
-        let Some((progress, log)) = self.heard(now, from) else { return };
+        let Some((progress, log)) = self.note_answer(now, from) else { return };
         let check_place = progress.heartbeat_answered(round, log.last_index());
         if check_place {
             self.each_follower(Some(from), |sender, progress| sender.send_place_check(progress));
@@ -252,7 +252,7 @@
         index: u64,
         received: u64,
     ) {
-        if let Some((progress, _)) = self.heard(now, from) {
+        if let Some((progress, _)) = self.note_answer(now, from) {
             progress.snapshot_received(index, received);
         }
     }
--- a/crates/core/src/consensus/transfer.rs
+++ b/crates/core/src/consensus/transfer.rs
@@ -1,51 +1,32 @@
 //! Handing leadership to another voter.
+//!
+//! Chooses the voter that holds most of the log and asks it for an election once it holds all. Owns nothing: a
+//! hand-over under way is part of the leader's state.
 
-use super::leader::Leader;
+use super::leader::Transfer;
 use super::message::MessageBody;
 use super::replica::{Replica, RoleState};
 use super::voter_ids;
 use crate::identity::ReplicaId;
 use crate::time::Timestamp;
 
-/// A hand-over under way. Proposals are refused meanwhile, so the target can catch up.
-#[derive(Debug)]
-pub(super) struct Transfer {
-    pub(super) target: ReplicaId,
-    deadline: Timestamp,
-    asked: bool,
-}
-
-impl Leader {
-    /// Gives up a hand-over that took too long.
-    pub(super) fn expire_transfer(&mut self, now: Timestamp) {
-        self.transfer.take_if(|transfer| now >= transfer.deadline);
-    }
-
-    /// When the leader next has something to do.
-    pub(super) fn next_deadline(&self) -> Timestamp {
-        let transfer = self.transfer.as_ref().map(|transfer| transfer.deadline);
-        let others = [transfer, self.reads.round_due()].into_iter().flatten();
-        others.fold(self.next_heartbeat, Timestamp::min)
-    }
-}
-
 impl Replica {
     pub(super) fn handle_transfer(&mut self, now: Timestamp) {
         let deadline = now + self.settings.election_timeout;
         let Some(target) = self.best_voter() else { return };
         let Some(leader) = self.leader_state() else { return };
         if leader.transfer.is_none() {
-            leader.transfer = Some(Transfer { target, deadline, asked: false });
+            leader.transfer = Some(Transfer::new(target, deadline));
             self.continue_transfer(target);
         }
     }
 
-    /// The other voter that holds most of the log, the one heard last among equals.
+    /// The other voter that holds most of the log, the one that answered last among equals.
     fn best_voter(&self) -> Option<ReplicaId> {
         let RoleState::Leader(leader) = &self.role else { return None };
         let voters = voter_ids(self.log.cell());
         let others = leader.progress.iter().filter(|(id, _)| voters.contains(id));
-        let best = others.max_by_key(|(_, progress)| (progress.match_index, progress.last_heard));
+        let best = others.max_by_key(|(_, progress)| (progress.match_index, progress.last_answer));
         best.map(|(id, _)| *id)
     }
 
--- a/crates/core/src/registry/cell_repair.rs
+++ b/crates/core/src/registry/cell_repair.rs
@@ -3,8 +3,11 @@
 //! One change at a time, and only changes that leave a majority which answers. A voter that is
 //! silent goes only when a caught-up learner stands ready in its place: without one, removing it
 //! would shrink what the cell can lose next.
+//!
+//! Owns nothing but its settings. Relies on the leader for what it knows of the others, and on the log to take one
+//! change at a time.
 
-use crate::consensus::{CellChange, CellConfig, CellMember};
+use crate::consensus::{CellChange, CellConfig, CellMember, CellMemberHealth};
 use crate::identity::ReplicaId;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,15 +22,6 @@
     pub replace_after: Duration,
 }
 
-/// What the leader knows of another replica.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CellMemberHealth {
-    /// Time since it last answered.
-    pub silent_for: Duration,
-    /// Whether it holds nearly everything that is committed.
-    pub caught_up: bool,
-}
-
 /// Decides the next change of a cell.
 #[derive(Clone, Copy, Debug)]
 pub struct CellRepair {
@@ -47,7 +41,7 @@
         cell.voters.len() >= self.settings.voters
     }
 
-    /// What a replica that asks to join needs: itself as a learner, after an earlier life at the
+    /// What a replica that asks to join needs: itself as a learner, after an earlier incarnation at the
     /// same address, whose disk is gone, has left.
     #[must_use]
     pub fn admit(&self, cell: &CellConfig, joiner: &CellMember) -> Option<CellChange> {
--- /dev/null
+++ b/crates/core/tests/consensus/network/actions.rs
@@ -0,0 +1,101 @@
+//! Performs what replicas want done, with the checks of each action.
+
+use super::disk::decode_state;
+use super::{Answer, Network};
+use corktack_core::consensus::{Action, Entry, Event, HardState, Message, Payload, Role, Snapshot};
+use rand::Rng;
+use std::time::Duration;
+
+impl Network {
+    /// Feeds one event and performs the actions; with faults, only the first of them.
+    pub fn handle(&mut self, id: u64, event: Event<Message>) {
+        let now = self.now;
+        let Some(replica) = self.node(id).replica.as_mut() else { return };
+        for action in replica.handle(now, event) {
+            if self.faults.crash > 0.0 && self.random.random_bool(self.faults.crash) {
+                self.crash(id);
+                return;
+            }
+            self.perform(id, action);
+        }
+    }
+
+    fn perform(&mut self, id: u64, action: Action<Message>) {
+        match action {
+            Action::Persist { hard_state, entries } => self.persist(id, hard_state, entries),
+            Action::InstallSnapshot(snapshot) => self.install(id, snapshot),
+            Action::Send { to, message } => self.send(id, to.0, message),
+            Action::Apply(entries) => self.apply(id, entries),
+            Action::Committed { request, index } => {
+                self.answers.insert(request, Answer::Committed(index));
+            }
+            Action::ReadReady { request, index } => {
+                let needed = self.reads[&request];
+                assert!(index >= needed, "stale read: {index} after {needed} was applied");
+                self.answers.insert(request, Answer::Read(index));
+            }
+            Action::Rejected { request, rejection } => {
+                self.answers.insert(request, Answer::Rejected(rejection));
+            }
+            Action::RoleChanged { role: Role::Leader, term, .. } => {
+                let disk = &self.nodes[&id].disk;
+                self.oracle.leader_elected(term, id, &disk.entries, disk.snapshot_index());
+            }
+            Action::RoleChanged { .. } => {}
+        }
+    }
+
+    fn persist(&mut self, id: u64, hard_state: Option<HardState>, entries: Vec<Entry>) {
+        let disk = &mut self.node(id).disk;
+        if let Some(hard_state) = hard_state {
+            assert!(hard_state.term >= disk.hard_state.term, "the term went back");
+            disk.hard_state = hard_state;
+        }
+        if let Some(first) = entries.first() {
+            disk.entries.split_off(&first.index);
+        }
+        disk.entries.extend(entries.into_iter().map(|entry| (entry.index, entry)));
+    }
+
+    fn install(&mut self, id: u64, snapshot: Snapshot) {
+        let state = decode_state(&snapshot);
+        let expected: Vec<_> =
+            self.oracle.committed_up_to(snapshot.index).filter_map(command).collect();
+        assert_eq!(state, expected, "the snapshot holds another state");
+        let node = self.node(id);
+        node.disk.entries.clear();
+        node.disk.snapshot = Some(snapshot);
+        node.state = state;
+    }
+
+    fn apply(&mut self, id: u64, entries: Vec<Entry>) {
+        for entry in entries {
+            self.oracle.applied(id, &entry);
+            let disk = &self.nodes[&id].disk;
+            assert_eq!(disk.entries.get(&entry.index), Some(&entry), "applied before synced");
+            self.node(id).state.extend(command(&entry));
+        }
+    }
+
+    fn send(&mut self, from: u64, to: u64, message: Message) {
+        self.nodes[&from].disk.check_promise(&message, to);
+        let copies = 1 + usize::from(self.random.random_bool(self.faults.duplication));
+        for _ in 0..copies {
+            if self.random.random_bool(self.faults.loss) {
+                continue;
+            }
+            let longest = self.faults.longest_delay.as_micros() as u64;
+            let delay = Duration::from_micros(self.random.random_range(500..=longest));
+            self.next_number += 1;
+            let place = (self.now + delay, self.next_number);
+            self.in_flight.insert(place, (from, to, message.clone()));
+        }
+    }
+}
+
+fn command(entry: &Entry) -> Option<(u64, Vec<u8>)> {
+    match &entry.payload {
+        Payload::Command(command) => Some((entry.index, command.clone())),
+        Payload::Empty | Payload::Cell(_) => None,
+    }
+}
--- a/crates/core/tests/consensus/network.rs
+++ b/crates/core/tests/consensus/network/mod.rs
@@ -1,14 +1,18 @@
 //! Replicas, their disks and the links between them, all in memory.
 
-use super::oracle::{Oracle, check_log_matching};
-use corktack_core::consensus::message::{AppendOutcome, MessageBody};
+mod actions;
+mod disk;
+
+use crate::oracle::{Oracle, check_log_matching};
+use corktack_core::consensus::message::MessageBody;
 use corktack_core::consensus::{
-    Action, CellChange, CellConfig, CellMember, ConsensusSettings, Entry, Event, HardState,
-    Message, Payload, PersistedState, Rejection, Replica, RequestId, Role, Snapshot,
+    Action, CellChange, CellConfig, CellMember, ConsensusSettings, Event, Message, Rejection,
+    Replica, RequestId, Role, Snapshot,
 };
 use corktack_core::identity::ReplicaId;
 use corktack_core::time::Timestamp;
-use rand::{Rng, SeedableRng};
+use disk::{Disk, decode_state, encode_state};
+use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -33,51 +37,6 @@
         Self { loss: 0.0, duplication: 0.0, longest_delay: Duration::from_millis(2), crash: 0.0 };
 }
 
-#[derive(Clone, Default)]
-pub struct Disk {
-    pub hard_state: HardState,
-    pub snapshot: Option<Snapshot>,
-    pub entries: BTreeMap<u64, Entry>,
-}
-
-impl Disk {
-    fn load(&self) -> PersistedState {
-        PersistedState {
-            hard_state: self.hard_state,
-            snapshot: self.snapshot.clone(),
-            entries: self.entries.values().cloned().collect(),
-        }
-    }
-
-    /// A vote and an acknowledgement are on disk before they leave.
-    fn check_promise(&self, message: &Message, to: u64) {
-        assert!(self.hard_state.term >= message.term || is_question(message), "{message:?}");
-        match &message.body {
-            MessageBody::VoteResponse { granted: true } => {
-                assert_eq!(self.hard_state.vote, Some(ReplicaId(to)), "vote sent before synced");
-            }
-            MessageBody::VoteRequest { .. } => {
-                assert!(self.hard_state.vote.is_some(), "own vote sent before synced");
-            }
-            MessageBody::AppendResponse(AppendOutcome::Accepted { match_index }) => {
-                let last = self.entries.last_key_value().map_or(0, |(index, _)| *index);
-                let synced = last.max(self.snapshot_index());
-                assert!(synced >= *match_index, "acknowledged before synced: {message:?}");
-            }
-            _ => {}
-        }
-    }
-
-    pub fn snapshot_index(&self) -> u64 {
-        self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index)
-    }
-}
-
-/// Messages whose term is one that is asked about, not one that was entered.
-fn is_question(message: &Message) -> bool {
-    matches!(message.body, MessageBody::PreVoteRequest(_) | MessageBody::PreVoteResponse { .. })
-}
-
 pub struct Node {
     pub replica: Option<Replica>,
     pub disk: Disk,
@@ -301,91 +260,6 @@
         actions.iter().filter(|action| matches!(action, Action::Send { .. })).count()
     }
 
-    /// Feeds one event and performs the actions; with faults, only the first of them.
-    pub fn handle(&mut self, id: u64, event: Event<Message>) {
-        let now = self.now;
-        let Some(replica) = self.node(id).replica.as_mut() else { return };
-        for action in replica.handle(now, event) {
-            if self.faults.crash > 0.0 && self.random.random_bool(self.faults.crash) {
-                self.crash(id);
-                return;
-            }
-            self.perform(id, action);
-        }
-    }
-
-    fn perform(&mut self, id: u64, action: Action<Message>) {
-        match action {
-            Action::Persist { hard_state, entries } => self.persist(id, hard_state, entries),
-            Action::InstallSnapshot(snapshot) => self.install(id, snapshot),
-            Action::Send { to, message } => self.send(id, to.0, message),
-            Action::Apply(entries) => self.apply(id, entries),
-            Action::Committed { request, index } => {
-                self.answers.insert(request, Answer::Committed(index));
-            }
-            Action::ReadReady { request, index } => {
-                let needed = self.reads[&request];
-                assert!(index >= needed, "stale read: {index} after {needed} was applied");
-                self.answers.insert(request, Answer::Read(index));
-            }
-            Action::Rejected { request, rejection } => {
-                self.answers.insert(request, Answer::Rejected(rejection));
-            }
-            Action::RoleChanged { role: Role::Leader, term, .. } => {
-                let disk = &self.nodes[&id].disk;
-                self.oracle.leader_elected(term, id, &disk.entries, disk.snapshot_index());
-            }
-            Action::RoleChanged { .. } => {}
-        }
-    }
-
-    fn persist(&mut self, id: u64, hard_state: Option<HardState>, entries: Vec<Entry>) {
-        let disk = &mut self.node(id).disk;
-        if let Some(hard_state) = hard_state {
-            assert!(hard_state.term >= disk.hard_state.term, "the term went back");
-            disk.hard_state = hard_state;
-        }
-        if let Some(first) = entries.first() {
-            disk.entries.split_off(&first.index);
-        }
-        disk.entries.extend(entries.into_iter().map(|entry| (entry.index, entry)));
-    }
-
-    fn install(&mut self, id: u64, snapshot: Snapshot) {
-        let state = decode_state(&snapshot);
-        let expected: Vec<_> =
-            self.oracle.committed_up_to(snapshot.index).filter_map(command).collect();
-        assert_eq!(state, expected, "the snapshot holds another state");
-        let node = self.node(id);
-        node.disk.entries.clear();
-        node.disk.snapshot = Some(snapshot);
-        node.state = state;
-    }
-
-    fn apply(&mut self, id: u64, entries: Vec<Entry>) {
-        for entry in entries {
-            self.oracle.applied(id, &entry);
-            let disk = &self.nodes[&id].disk;
-            assert_eq!(disk.entries.get(&entry.index), Some(&entry), "applied before synced");
-            self.node(id).state.extend(command(&entry));
-        }
-    }
-
-    fn send(&mut self, from: u64, to: u64, message: Message) {
-        self.nodes[&from].disk.check_promise(&message, to);
-        let copies = 1 + usize::from(self.random.random_bool(self.faults.duplication));
-        for _ in 0..copies {
-            if self.random.random_bool(self.faults.loss) {
-                continue;
-            }
-            let longest = self.faults.longest_delay.as_micros() as u64;
-            let delay = Duration::from_micros(self.random.random_range(500..=longest));
-            self.next_number += 1;
-            let place = (self.now + delay, self.next_number);
-            self.in_flight.insert(place, (from, to, message.clone()));
-        }
-    }
-
     /// Delivers the next message or runs the next timer.
     fn step(&mut self, until: Timestamp) -> bool {
         let message = self.in_flight.first_key_value().map(|((at, _), _)| *at);
@@ -454,18 +328,3 @@
         self.check_logs();
     }
 }
-
-fn command(entry: &Entry) -> Option<(u64, Vec<u8>)> {
-    match &entry.payload {
-        Payload::Command(command) => Some((entry.index, command.clone())),
-        Payload::Empty | Payload::Cell(_) => None,
-    }
-}
-
-fn encode_state(state: &[(u64, Vec<u8>)]) -> Vec<u8> {
-    serde_json::to_vec(state).expect("encodable state")
-}
-
-fn decode_state(snapshot: &Snapshot) -> Vec<(u64, Vec<u8>)> {
-    serde_json::from_slice(&snapshot.data).expect("state of a snapshot")
-}
--- a/crates/core/tests/consensus/snapshots.rs
+++ b/crates/core/tests/consensus/snapshots.rs
@@ -14,12 +14,18 @@
     network.run_for(SETTLE);
 }
 
-#[test]
-fn a_follower_behind_the_compacted_log_gets_a_snapshot_in_chunks() {
-    let mut network = Network::start(3, 31);
+/// A cell of three with its leader, and a follower that is cut off.
+fn with_one_cut_off(seed: u64) -> (Network, u64, u64) {
+    let mut network = Network::start(3, seed);
     let leader = network.expect_leader();
     let behind = (1..=3).find(|id| *id != leader).expect("follower");
     network.isolate(&[behind]);
+    (network, leader, behind)
+}
+
+#[test]
+fn a_follower_behind_the_compacted_log_gets_a_snapshot_in_chunks() {
+    let (mut network, leader, behind) = with_one_cut_off(31);
     commit_many(&mut network, MANY);
     network.compact(leader);
     network.heal();
@@ -31,10 +37,7 @@
 
 #[test]
 fn a_follower_a_little_behind_needs_no_snapshot() {
-    let mut network = Network::start(3, 32);
-    let leader = network.expect_leader();
-    let behind = (1..=3).find(|id| *id != leader).expect("follower");
-    network.isolate(&[behind]);
+    let (mut network, leader, _) = with_one_cut_off(32);
     commit_many(&mut network, 100);
     network.compact(leader);
     network.heal();
@@ -44,10 +47,7 @@
 
 #[test]
 fn a_snapshot_survives_lost_pieces_and_a_restart_of_its_receiver() {
-    let mut network = Network::start(3, 33);
-    let leader = network.expect_leader();
-    let behind = (1..=3).find(|id| *id != leader).expect("follower");
-    network.isolate(&[behind]);
+    let (mut network, leader, behind) = with_one_cut_off(33);
     commit_many(&mut network, MANY);
     network.compact(leader);
     network.heal();
