--- a/crates/core/src/classify/cache.rs
+++ b/crates/core/src/classify/cache.rs
@@ -1,10 +1,12 @@
 //! Bounded cache of profiles by text.
+//!
+//! Owns recent texts with what they may do, so that a statement that comes again is not read again.
 
 use super::StatementProfile;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Longest text that is kept.
+/// Longest text that is kept, in bytes. Chosen, not measured: a bound on memory; longer texts are read each time.
 const CACHED_TEXT_LIMIT: usize = 4 * 1024;
 
 /// Keeps the profiles of recent texts in two generations: when the young
--- a/crates/core/src/classify/functions.rs
+++ b/crates/core/src/classify/functions.rs
@@ -1,4 +1,6 @@
 //! Functions that only read, and words of the grammar that stand before a parenthesis.
+//!
+//! Lists only; [`super::read`] goes by them.
 
 /// Immutable and stable functions of the standard catalogue in common use.
 pub(super) const READ_FUNCTIONS: &[&str] = &[
--- a/crates/core/src/classify/local.rs
+++ b/crates/core/src/classify/local.rs
@@ -1,4 +1,6 @@
 //! Statements that the edge answers without a server connection.
+//!
+//! Owns which settings a session may make and what they mean. Relies on [`super::statements`] for the words of a text.
 
 use super::refused::Unsupported;
 use super::statements::{Words, is_one_of, word};
--- a/crates/core/src/classify/mod.rs
+++ b/crates/core/src/classify/mod.rs
@@ -4,6 +4,8 @@
 //! [`Classification::Read`]; a text that has no valid tokens is a write, so
 //! the primary sees it. Statements whose effect outlives their transaction cannot
 //! work on shared server connections and are refused before they run.
+//!
+//! Owns nothing but the words that it goes by. Relies on a tokenizer, not on a parser: see `read`.
 
 mod cache;
 mod functions;
@@ -18,7 +20,8 @@
 
 use statements::{Words, split_statements};
 
-/// Longest text that may be a read; a longer one is a write.
+/// Longest text that may be a read, in bytes; a longer one is a write. Chosen, not measured: a bound on the time
+/// that one caller's text takes.
 pub const PARSED_TEXT_LIMIT: usize = 64 * 1024;
 
 /// What may be done with a text of one or more statements.
--- a/crates/core/src/classify/refused.rs
+++ b/crates/core/src/classify/refused.rs
@@ -1,4 +1,6 @@
 //! Statements whose effect outlives their transaction.
+//!
+//! Owns the words that give them away. Relies on [`super::statements`] for the words of a text.
 
 use super::statements::{Words, is_one_of};
 
--- a/crates/core/src/classify/statements.rs
+++ b/crates/core/src/classify/statements.rs
@@ -1,4 +1,6 @@
 //! Splits a text into statements and gives their tokens simple tests.
+//!
+//! Relies on the tokenizer of `sqlparser`; owns nothing.
 
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::tokenizer::{Token, Tokenizer, Word};
--- a/crates/core/src/distance.rs
+++ b/crates/core/src/distance.rs
@@ -1,4 +1,7 @@
 //! How far zones are from each other.
+//!
+//! Relies on the names of zones: the part before the first dot is the region. Owns what a distance is taken to cost
+//! before anything was measured.
 
 use crate::identity::ZoneName;
 use std::time::Duration;
@@ -27,7 +30,8 @@
         }
     }
 
-    /// What a statement at a member there is taken to last before the first was measured.
+    /// What a statement at a member there is taken to last before the first was measured. Chosen, not measured:
+    /// what statements show takes its place.
     #[must_use]
     pub const fn expected_latency(self) -> Duration {
         match self {
--- a/crates/core/src/identity.rs
+++ b/crates/core/src/identity.rs
@@ -1,4 +1,6 @@
 //! Typed names of the things corktack speaks about.
+//!
+//! Owns the checks of names; a name that exists is valid. Names are stored and sent.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -122,7 +124,7 @@
     }
 }
 
-/// Number drawn afresh at every start of a process, to tell its lives apart.
+/// Number drawn afresh at every start of a process, to tell its incarnations apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,6 +5,15 @@
 //! Nothing blocks, reads a clock, opens a file or draws ambient randomness,
 //! so the same code runs in the server, in the simulator and in bulk inside
 //! hollow nodes.
+//!
+//! - What control agrees on: [`consensus`] (the log), [`state`], [`resources`], [`registry`], [`tenancy`],
+//!   [`view`] and [`watch`] (what proxies get of it).
+//! - What the cell's leader decides: [`membership`] (who is live), [`ownership`] (who owns a group),
+//!   [`failover`] and [`registry`]'s promotions (who is primary), [`limits`] (what tenants may begin).
+//! - What a gateway decides: [`gateway`] (members, holders, freshness), [`scheduling`] (who gets a slot),
+//!   [`limits`].
+//! - What an owner and an edge decide (the PostgreSQL road): [`admission`], [`routing`], [`pool`], [`session`],
+//!   [`classify`], [`binding`], [`backend`].
 
 pub mod admission;
 pub mod backend;
--- a/crates/core/src/list_difference.rs
+++ b/crates/core/src/list_difference.rs
@@ -1,4 +1,6 @@
-//! What turns one list into another, told in less than the whole.
+//! What turns one list into another, in less than the whole.
+//!
+//! Owns the form of the steps, which travel, and both directions: what differs, and the list after it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
--- a/crates/core/src/map_difference.rs
+++ b/crates/core/src/map_difference.rs
@@ -1,4 +1,6 @@
 //! What differs between two sorted maps.
+//!
+//! One pass over both; owns nothing.
 
 use std::collections::BTreeMap;
 
--- a/crates/core/src/membership/platform.rs
+++ b/crates/core/src/membership/platform.rs
@@ -1,4 +1,6 @@
 //! The platform's list of machines.
+//!
+//! Compares the list with the control state. Owns nothing; the list is a hint, see [`super`].
 
 use crate::identity::{GroupName, Incarnation, MemberName, ProxyName};
 use crate::state::{ControlState, GroupRecord};
--- a/crates/core/src/membership/tracker.rs
+++ b/crates/core/src/membership/tracker.rs
@@ -1,4 +1,7 @@
-//! Heartbeats of the proxies.
+//! Heartbeats of the proxies: who came, who is silent, and what the control state should hold of it.
+//!
+//! Owns, of each proxy, its last heartbeat and what was proposed of it. Relies on the leader's clock and on
+//! control replicas that pass heartbeats on.
 
 use super::platform::PlatformList;
 use crate::identity::{Incarnation, ProxyName, ZoneName};
@@ -10,13 +13,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Fewest silent proxies that are blamed on the leader itself.
+/// Fewest silent proxies that are blamed on the leader itself. Chosen, not measured: with fewer, a small fleet
+/// that loses most of its proxies waits for a grace period more.
 const IMPLAUSIBLE_MINIMUM: usize = 3;
 
-/// Times of the membership.
+/// Times of the membership. Chosen, not measured: with lower ones, proxies that are frozen for a moment lose
+/// their groups; with higher ones, groups of proxies that are gone are taken over later.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// A proxy not heard of for this long is down.
+    /// A proxy without a heartbeat for this long is down.
     pub heartbeat_timeout: Duration,
     /// What a new leader gives every proxy, and every leader when over half are silent.
     pub grace_period: Duration,
@@ -34,12 +39,12 @@
     }
 }
 
-/// A heartbeat of a proxy, heard directly or through another replica.
+/// A heartbeat of a proxy, received directly or through another replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProxyHeartbeat {
     /// The proxy.
     pub proxy: ProxyName,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Address of its owner interface.
     pub address: SocketAddr,
@@ -61,7 +66,7 @@
         }
     }
 
-    /// Whether the control state must be told: another life or place, or a return.
+    /// Whether the control state must change: another incarnation or place, or a return.
     /// A proxy that is stopping is not taken up again, so that no group moves to it.
     fn is_news(&self, stored: Option<&ProxyView>) -> bool {
         let Some(stored) = stored.filter(|stored| stored.state != ProxyState::Down) else {
@@ -75,10 +80,10 @@
 
 /// The last word of one proxy.
 #[derive(Clone, Debug)]
-struct Heard {
+struct LastHeartbeat {
     at: Timestamp,
     heartbeat: ProxyHeartbeat,
-    /// The life before; what is still under way from it is left out.
+    /// The incarnation before; what is still under way from it is left out.
     former: Option<Incarnation>,
 }
 
@@ -97,8 +102,8 @@
 #[derive(Debug)]
 pub struct Membership {
     settings: MembershipSettings,
-    heard: BTreeMap<ProxyName, Heard>,
-    /// Proxies of the state that were not heard of yet count from here.
+    heartbeats: BTreeMap<ProxyName, LastHeartbeat>,
+    /// Proxies of the state that have sent no heartbeat yet count from here.
     leading_since: Timestamp,
     platform: PlatformList,
     implausible_since: Option<Timestamp>,
@@ -111,7 +116,7 @@
     pub const fn new(settings: MembershipSettings, now: Timestamp) -> Self {
         Self {
             settings,
-            heard: BTreeMap::new(),
+            heartbeats: BTreeMap::new(),
             leading_since: now,
             platform: PlatformList { live: BTreeSet::new(), leaving: BTreeSet::new() },
             implausible_since: None,
@@ -121,21 +126,21 @@
 
     /// Takes in a heartbeat that reached the cell at `now`.
     pub fn on_report(&mut self, now: Timestamp, heartbeat: ProxyHeartbeat) {
-        let Some(heard) = self.heard.get_mut(&heartbeat.proxy) else {
+        let Some(last) = self.heartbeats.get_mut(&heartbeat.proxy) else {
             let name = heartbeat.proxy.clone();
-            self.heard.insert(name, Heard { at: now, heartbeat, former: None });
+            self.heartbeats.insert(name, LastHeartbeat { at: now, heartbeat, former: None });
             return;
         };
-        let same_life = heard.heartbeat.incarnation == heartbeat.incarnation;
-        let silent = now.saturating_since(heard.at) >= self.settings.heartbeat_timeout;
-        if !same_life && heard.former == Some(heartbeat.incarnation) && !silent {
+        let same_incarnation = last.heartbeat.incarnation == heartbeat.incarnation;
+        let silent = now.saturating_since(last.at) >= self.settings.heartbeat_timeout;
+        if !same_incarnation && last.former == Some(heartbeat.incarnation) && !silent {
             return;
         }
-        if !same_life {
-            heard.former = Some(heard.heartbeat.incarnation);
+        if !same_incarnation {
+            last.former = Some(last.heartbeat.incarnation);
         }
-        heard.at = now;
-        heard.heartbeat = heartbeat;
+        last.at = now;
+        last.heartbeat = heartbeat;
     }
 
     /// Takes in the platform's list.
@@ -169,15 +174,14 @@
         commands
     }
 
-    fn is_silent(&self, now: Timestamp, heard: &Heard) -> bool {
-        now.saturating_since(heard.at) >= self.settings.heartbeat_timeout
+    fn is_silent(&self, now: Timestamp, last: &LastHeartbeat) -> bool {
+        now.saturating_since(last.at) >= self.settings.heartbeat_timeout
     }
 
     fn registrations(&self, now: Timestamp, state: &ControlState) -> Vec<ProxyRegistration> {
-        let fresh = self.heard.values().filter(|heard| !self.is_silent(now, heard));
-        let news =
-            fresh.filter(|heard| heard.heartbeat.is_news(state.proxy(&heard.heartbeat.proxy)));
-        news.map(|heard| heard.heartbeat.registration()).collect()
+        let fresh = self.heartbeats.values().filter(|last| !self.is_silent(now, last));
+        let news = fresh.filter(|last| last.heartbeat.is_news(state.proxy(&last.heartbeat.proxy)));
+        news.map(|last| last.heartbeat.registration()).collect()
     }
 
     /// Proxies that say they are stopping, or that the platform calls leaving.
@@ -187,20 +191,20 @@
         state: &ControlState,
     ) -> Vec<(ProxyName, Incarnation)> {
         let mut draining = self.platform.leaving_proxies(state);
-        for heard in self.heard.values() {
-            let heartbeat = &heard.heartbeat;
+        for last in self.heartbeats.values() {
+            let heartbeat = &last.heartbeat;
             let stored = state.proxy(&heartbeat.proxy);
             let owns = stored.is_some_and(|stored| {
                 stored.state == ProxyState::Live || stored.incarnation != heartbeat.incarnation
             });
-            if heartbeat.draining && owns && !self.is_silent(now, heard) {
+            if heartbeat.draining && owns && !self.is_silent(now, last) {
                 draining.insert((heartbeat.proxy.clone(), heartbeat.incarnation));
             }
         }
         Vec::from_iter(draining)
     }
 
-    /// Proxies of the state that were not heard of in time.
+    /// Proxies of the state that sent no heartbeat in time.
     fn silent_proxies(
         &self,
         now: Timestamp,
@@ -208,8 +212,8 @@
     ) -> Vec<(ProxyName, Incarnation)> {
         let grace_over = now.saturating_since(self.leading_since) >= self.settings.grace_period;
         let watched = state.proxies().filter(|(_, proxy)| proxy.state != ProxyState::Down);
-        let silent = watched.filter(|(name, _)| match self.heard.get(*name) {
-            Some(heard) => self.is_silent(now, heard),
+        let silent = watched.filter(|(name, _)| match self.heartbeats.get(*name) {
+            Some(last) => self.is_silent(now, last),
             None => grace_over,
         });
         silent.map(|(name, proxy)| (name.clone(), proxy.incarnation)).collect()
@@ -232,23 +236,23 @@
         if confirmed { silent } else { Vec::new() }
     }
 
-    /// Drops what was heard of proxies that are silent and down or unknown.
+    /// Drops what is known of proxies that are silent and down or unknown.
     fn forget(&mut self, state: &ControlState, now: Timestamp) {
         let timeout = self.settings.heartbeat_timeout;
-        self.heard.retain(|name, heard| {
+        self.heartbeats.retain(|name, last| {
             let up = state.proxy(name).is_some_and(|proxy| proxy.state != ProxyState::Down);
-            up || now.saturating_since(heard.at) < timeout
+            up || now.saturating_since(last.at) < timeout
         });
     }
 
     /// On which proxies that are not down a revision is in force. A new leader
-    /// counts a proxy once it has heard of it.
+    /// counts a proxy once it has sent a heartbeat.
     #[must_use]
     pub fn in_force(&self, revision: Revision, state: &ControlState) -> InForce {
         let mut result = InForce::default();
         let watched = state.proxies().filter(|(_, proxy)| proxy.state != ProxyState::Down);
         for (name, proxy) in watched {
-            let heartbeat = self.heard.get(name).map(|heard| &heard.heartbeat);
+            let heartbeat = self.heartbeats.get(name).map(|last| &last.heartbeat);
             let has_it = heartbeat
                 .is_some_and(|it| it.incarnation == proxy.incarnation && it.revision >= revision);
             result.of += 1;
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -1,4 +1,7 @@
 //! Decisions about server connections: replies, session state, sizes.
+//!
+//! Owns the rule for how many idle connections an owner keeps to each member. Relies on the view for the group's
+//! limits and for which members are draining.
 
 pub mod outcomes;
 pub mod replies;
--- a/crates/core/src/pool/outcomes.rs
+++ b/crates/core/src/pool/outcomes.rs
@@ -5,6 +5,8 @@
 //! lets only one transaction make; a repeat finds the key taken and gets the
 //! stored answer. Keys and answers are kept in hexadecimal, so that nothing of
 //! the caller's needs quoting.
+//!
+//! Owns the statements' texts; the owner runs them. Relies on the group's database for the unique index.
 
 use siphasher::sip::SipHasher13;
 use std::fmt::Write as _;
@@ -14,7 +16,8 @@
 pub const KEY_LIMIT: usize = 255;
 /// Largest answer that is stored, in bytes; a write with a larger one is rolled back.
 pub const ANSWER_LIMIT: usize = 64 * 1024;
-/// Keyed commits of one owner of a group between two removals of old outcomes.
+/// Keyed commits of one owner of a group between two removals of old outcomes. Chosen, not measured: with fewer,
+/// commits wait for removals more often.
 pub const COMMITS_BETWEEN_SWEEPS: u32 = 64;
 /// Most outcomes that one removal takes out; more than are added meanwhile.
 pub const SWEEP_ROWS: u32 = 256;
--- a/crates/core/src/pool/replies.rs
+++ b/crates/core/src/pool/replies.rs
@@ -1,4 +1,7 @@
 //! Which back-end message answers which front-end message on one connection.
+//!
+//! Owns the messages that wait for an answer, in order. Relies on the published protocol: answers come in the order of
+//! the questions.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/core/src/pool/statements.rs
+++ b/crates/core/src/pool/statements.rs
@@ -2,6 +2,8 @@
 //!
 //! These checks look at words only and err on the safe side: a word inside a
 //! string or a name counts too, and costs a reset or a less precise outcome.
+//!
+//! Owns the lists of words. Relies on nothing else.
 
 /// Words whose presence may leave session state behind.
 const SESSION_WORDS: [&str; 13] = [
--- a/crates/core/src/position.rs
+++ b/crates/core/src/position.rs
@@ -1,4 +1,6 @@
 //! Terms and log positions of a database group.
+//!
+//! Values only: their order, their text form, and how a known position takes up a newer one.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/core/src/resources/mod.rs
+++ b/crates/core/src/resources/mod.rs
@@ -1,4 +1,6 @@
 //! The resources that operators declare.
+//!
+//! Owns their forms and their checks. They are read from manifests, stored and sent; names and order of fields stay.
 
 mod network;
 mod validation;
--- a/crates/core/src/resources/validation.rs
+++ b/crates/core/src/resources/validation.rs
@@ -1,11 +1,13 @@
 //! Checks of one declared resource that need no other resource.
+//!
+//! Owns the bounds of single fields; a refusal names the field's path.
 
 use super::{BindingSpec, DatabaseGroupSpec, PriorityClassSpec, ResourceSpec, SourceNetwork};
 use crate::identity::MemberName;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Most members of one group.
+/// Most members of one group. Chosen, not measured.
 pub const MEMBER_LIMIT: usize = 15;
 
 /// Longest database, user or application name, in bytes; that of a PostgreSQL name.
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,18 +1,24 @@
 //! Retry budget and backoff.
+//!
+//! Decides whether a failed attempt may be repeated, and after how long. Owns the tokens of one group's budget and
+//! the random source of its delays. Relies on the caller to count first attempts and to say which failures may be
+//! repeated at all.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Thousandths of a token that a first attempt earns: one retry per five requests.
+/// Thousandths of a token that a first attempt earns: one retry per five requests. Chosen, not measured: with
+/// more, a failing back end is sent more repeats; with less, callers see failures that a retry would mend.
 const EARNED_PER_REQUEST: u32 = 200;
 /// Thousandths of a token that one retry costs.
 const COST_OF_RETRY: u32 = 1_000;
-/// Largest number of retries in a burst, in thousandths of a token.
+/// Largest number of retries in a burst, in thousandths of a token: 50. Chosen, not measured: it has to cover
+/// the statements under way at a member that is lost.
 const BURST: u32 = 50_000;
-/// First backoff.
+/// First backoff. Chosen, not measured: with less, a retry meets the same state; with more, it costs callers time.
 const BASE_BACKOFF: Duration = Duration::from_millis(2);
-/// Longest backoff.
+/// Longest backoff. Chosen, not measured: with more, a caller's time is over before a further attempt.
 const LONGEST_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Token bucket that keeps retries a bounded share of requests, so that a
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,4 +1,8 @@
 //! Which member of a group serves a transaction, and which proxies observe a group.
+//!
+//! Inputs: the positions, reachability and load that an owner knows of each member, and the position that a session
+//! must see. Owns that knowledge for one group. Relies on the owner to note every answer. This is the PostgreSQL
+//! road; gateways choose by [`crate::gateway`].
 
 mod observers;
 
--- a/crates/core/src/routing/observers.rs
+++ b/crates/core/src/routing/observers.rs
@@ -1,4 +1,7 @@
 //! Second observers of all groups, kept from view to view.
+//!
+//! Owns the heaviest proxies of each group, so that a change of the view weighs few of them anew. Relies on the view
+//! for which proxies are live.
 
 use super::observer_weight;
 use crate::identity::{GroupName, ProxyName};
--- a/crates/core/src/session/mod.rs
+++ b/crates/core/src/session/mod.rs
@@ -1,4 +1,7 @@
 //! What the proxy remembers of one caller's session.
+//!
+//! Owns the positions that the session has seen and its prepared statements. Relies on the edge to note what members
+//! answered.
 
 mod statements;
 mod token;
--- a/crates/core/src/session/statements.rs
+++ b/crates/core/src/session/statements.rs
@@ -1,4 +1,7 @@
 //! A session's prepared statements and the names they share on server connections.
+//!
+//! Owns the caller's names and texts; on server connections a statement is known by a hash of its text and types, so
+//! that sessions share it.
 
 use crate::classify::StatementProfile;
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -9,7 +12,7 @@
 /// Name that no shared statement ever has: closing it does nothing.
 pub const MISSING_STATEMENT: &str = "ct_none";
 
-/// Most bytes of text that the prepared statements of a session hold.
+/// Most bytes of text that the prepared statements of a session hold. Chosen, not measured: a bound on memory.
 pub const TEXT_LIMIT: usize = 32 * 1024 * 1024;
 
 /// Keys of the hash behind shared names: fixed, so that all proxies agree.
--- a/crates/core/src/session/token.rs
+++ b/crates/core/src/session/token.rs
@@ -1,4 +1,6 @@
 //! Session tokens: what a session has seen of each group.
+//!
+//! Owns the text form, which a caller may carry from one proxy to another, and the rule that positions only grow.
 
 use crate::identity::{GroupName, NameError};
 use crate::position::{Position, PositionError};
@@ -6,7 +8,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Most groups that a token may name.
+/// Most groups that a token may name. Chosen, not measured: a bound on what a caller may send.
 pub const TOKEN_GROUP_LIMIT: usize = 1_024;
 
 /// Why a text is not a token.
--- a/crates/core/src/state/change_set.rs
+++ b/crates/core/src/state/change_set.rs
@@ -1,4 +1,7 @@
 //! Which objects of the view one command touched.
+//!
+//! Owns names only; what changed is read from the state once the command is done, in an order in which each change
+//! finds what it names.
 
 use super::ControlState;
 use crate::identity::{BindingName, ClassName, GroupName, ProxyName};
--- a/crates/core/src/state/command.rs
+++ b/crates/core/src/state/command.rs
@@ -1,4 +1,6 @@
 //! Commands of the control log and their outcomes.
+//!
+//! Forms only. They are stored in the log and sent between replicas: order and number of variants and fields stay.
 
 use crate::identity::{GroupName, Incarnation, MemberName, ProxyName, ZoneName};
 use crate::position::Term;
@@ -41,7 +43,7 @@
 pub struct ProxyRegistration {
     /// The proxy.
     pub proxy: ProxyName,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Address of its owner interface.
     pub address: SocketAddr,
@@ -88,7 +90,7 @@
     },
     /// Proxies that came, with the owners that follow from it. Batched.
     RegisterProxies(Vec<ProxyRegistration>),
-    /// Proxies that missed their heartbeats, in the lives given. Batched.
+    /// Proxies that missed their heartbeats, in the incarnations given. Batched.
     ProxiesDown(Vec<(ProxyName, Incarnation)>),
     /// Proxies that are stopping. Batched.
     ProxiesDraining(Vec<(ProxyName, Incarnation)>),
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -1,4 +1,7 @@
 //! Proxies that come and go, and the owners that follow from it.
+//!
+//! Changes the state as a command of the log says. Relies on [`crate::membership`] for who is down, and on
+//! [`crate::ownership`] for who owns what.
 
 use super::ControlState;
 use super::change_set::ChangeSet;
@@ -11,7 +14,7 @@
 use std::sync::Arc;
 
 /// Proxies that are down and still remembered; the ones that went down first are
-/// forgotten first.
+/// forgotten first. Chosen, not measured: a bound on the state; a proxy that is forgotten comes back as a new one.
 pub const DOWN_PROXY_LIMIT: usize = 256;
 
 impl ControlState {
@@ -44,7 +47,7 @@
     }
 
     /// Stores the registration; tells whether it changed anything. A proxy that is
-    /// stopping stays so for the rest of its life.
+    /// stopping stays so for the rest of its incarnation.
     fn register_proxy(&mut self, registration: ProxyRegistration) -> bool {
         let ProxyRegistration { proxy, incarnation, address, zone } = registration;
         let stored = self.proxies.get(&proxy).map(|record| &record.view);
@@ -59,7 +62,7 @@
         true
     }
 
-    /// Declares proxies down, in the lives given.
+    /// Declares proxies down, in the incarnations given.
     pub(super) fn proxies_down(
         &mut self,
         revision: Revision,
@@ -77,7 +80,7 @@
         refused
     }
 
-    /// Notes proxies that are stopping, in the lives given.
+    /// Notes proxies that are stopping, in the incarnations given.
     pub(super) fn proxies_draining(
         &mut self,
         batch: Vec<(ProxyName, Incarnation)>,
--- a/crates/core/src/state/groups.rs
+++ b/crates/core/src/state/groups.rs
@@ -1,4 +1,7 @@
 //! Decisions about a group's primary, and the platform's word on its members.
+//!
+//! Changes the state as a command of the log says; a step of an older term is refused. Relies on [`crate::failover`]
+//! for the decisions.
 
 use super::ControlState;
 use super::change_set::ChangeSet;
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -5,6 +5,8 @@
 //! the same state and gave the same outcomes. It is also what a snapshot holds,
 //! so everything that must survive a change of leader or a restart, the memory
 //! of resends included, is part of it.
+//!
+//! Owns resources, proxies, owners, primaries and the registry. Relies on the log for the order of commands.
 
 mod change_set;
 pub mod command;
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -1,4 +1,6 @@
 //! What the control state keeps of each object.
+//!
+//! Stored in snapshots: order and number of fields stay.
 
 use crate::identity::{GroupName, MemberName, ProxyName};
 use crate::resources::{DatabaseGroupSpec, MemberSpec, ResourceKey, ResourceSpec, ResourceVersion};
--- a/crates/core/src/state/resend.rs
+++ b/crates/core/src/state/resend.rs
@@ -1,4 +1,7 @@
 //! Memory of answered changes, so that a resend gets the first answer.
+//!
+//! Owns the outcomes of the last changes by their ids. It is part of the control state, so that every replica gives
+//! the same answer.
 
 use super::command::{CHANGE_ID_LIMIT, ChangeId, Outcome, Refusal, ResourceOperation};
 use crate::view::Revision;
--- a/crates/core/src/state/resources.rs
+++ b/crates/core/src/state/resources.rs
@@ -1,4 +1,7 @@
 //! Operators' changes: compare-and-swap, and the checks that need other resources.
+//!
+//! Changes the state as a command of the log says, or refuses. Relies on [`crate::resources`] for the checks of a
+//! resource by itself.
 
 use super::ControlState;
 use super::change_set::ChangeSet;
--- a/crates/core/src/statement.rs
+++ b/crates/core/src/statement.rs
@@ -2,6 +2,8 @@
 //!
 //! A codec turns messages of its wire into these types and back. Texts of callers stay opaque:
 //! what a member is to run is passed on as it came.
+//!
+//! Forms only, which travel between gateways: order and number of variants and fields stay.
 
 use crate::position::Position;
 use crate::tenancy::ApiKey;
--- a/crates/core/src/tenancy/directory.rs
+++ b/crates/core/src/tenancy/directory.rs
@@ -1,4 +1,6 @@
 //! Which tenant a key stands for.
+//!
+//! Owns the tenants in force at one gateway, by key and by name. Relies on the document having been checked.
 
 use super::{ApiKey, TenantName, TenantRate, TenantRule};
 use std::collections::{HashMap, HashSet};
--- a/crates/core/src/tenancy/key.rs
+++ b/crates/core/src/tenancy/key.rs
@@ -1,4 +1,6 @@
 //! Keys of callers, which are secrets.
+//!
+//! Owns that a key is never printed.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/core/src/tenancy/mod.rs
+++ b/crates/core/src/tenancy/mod.rs
@@ -2,6 +2,8 @@
 //!
 //! A document may declare tenants. A caller then shows a key, which stands for one tenant; members and
 //! other gateways are told the tenant's name and never the key.
+//!
+//! Owns names, keys and declared rates. How many operations may begin is kept in [`crate::limits`].
 
 mod directory;
 mod key;
--- a/crates/core/src/tenancy/name.rs
+++ b/crates/core/src/tenancy/name.rs
@@ -1,4 +1,6 @@
 //! Names of tenants, and on whose behalf something is done.
+//!
+//! Values only: a name that exists is valid.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/core/src/tenancy/rule.rs
+++ b/crates/core/src/tenancy/rule.rs
@@ -1,4 +1,6 @@
 //! What a document declares of a tenant.
+//!
+//! Owns the forms, which are stored and sent, and the checks of all tenants together.
 
 use super::{ApiKey, TenantName};
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,4 +1,6 @@
 //! Time as the core sees it: a number handed in by the shell.
+//!
+//! Values only. Nothing in the core reads a clock.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,4 +1,7 @@
 //! The configuration as proxies apply it: revisions, snapshots and deltas.
+//!
+//! Owns the forms that control sends to proxies (order and number of variants and fields stay) and the rule by which
+//! a delta changes a view. Relies on control for the order of revisions.
 
 use crate::identity::{
     BindingName, ClassName, GroupName, Incarnation, MemberName, ProxyName, ZoneName,
@@ -52,7 +55,7 @@
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
-    /// Number of this life of the process.
+    /// Number of this incarnation of the process.
     pub incarnation: Incarnation,
     /// Its state.
     pub state: ProxyState,
--- a/crates/core/src/watch/deltas.rs
+++ b/crates/core/src/watch/deltas.rs
@@ -1,17 +1,20 @@
 //! Recent deltas of the view, for the proxies that watch.
+//!
+//! Owns a bounded number of changes; a watcher that asks for older ones gets the whole view.
 
 use super::log::{RevisionLog, TooOld};
 use crate::view::{Delta, Revision, ViewChange};
 use std::sync::Arc;
 
-/// Changes held over all recent deltas; about 10 MB at 600 bytes each.
+/// Changes held over all recent deltas; about 10 MB at 600 bytes each. With fewer, proxies that were away for a
+/// moment need the whole view.
 pub const DELTA_CHANGE_LIMIT: usize = 16_384;
 
 /// Routes of a document that count as one change, by their encoded size.
 const ROUTES_PER_CHANGE: usize = 4;
 
 /// Most changes given to a watcher in one step, so that one that is far behind
-/// does not hold up the others of its thread.
+/// does not hold up the others of its thread. Chosen, not measured.
 const STEP_CHANGE_LIMIT: usize = 1_024;
 
 /// The recent deltas, oldest first, bounded by their number of changes.
--- a/crates/core/src/watch/events.rs
+++ b/crates/core/src/watch/events.rs
@@ -1,4 +1,6 @@
 //! Changes of single resources, for the operators that watch.
+//!
+//! Owns a bounded number of events. Relies on the control state for the resource before and after a command.
 
 use super::log::{RevisionLog, TooOld};
 use crate::resources::{Kind, ResourceKey};
@@ -7,7 +9,7 @@
 use crate::view::{GroupView, Revision, ViewChange};
 use std::sync::Arc;
 
-/// Events held.
+/// Events held. Chosen, not measured: a bound on memory; a watcher that is farther behind starts over from a list.
 pub const EVENT_LIMIT: usize = 8_192;
 
 /// What happened to a resource.
--- a/crates/core/src/watch/log.rs
+++ b/crates/core/src/watch/log.rs
@@ -1,4 +1,6 @@
 //! Bounded log of items by revision.
+//!
+//! Shared by deltas and events. Owns the items and the revision after which it is complete.
 
 use crate::view::Revision;
 use std::collections::VecDeque;
--- a/crates/core/src/watch/mod.rs
+++ b/crates/core/src/watch/mod.rs
@@ -4,6 +4,8 @@
 //! control state. They are not part of it: a replica that restarted, or that
 //! installed a snapshot, starts with empty ones, and a watcher that asks for
 //! more than they hold starts over from a whole view or list.
+//!
+//! Owns the logs; relies on the control state for every change, in the order of revisions.
 
 mod deltas;
 mod events;
