--- a/crates/core/src/limits/ledger/ceilings.rs
+++ b/crates/core/src/limits/ledger/ceilings.rs
@@ -42,6 +42,23 @@
     Lower(TenantName, Option<u64>),
 }
 
+impl CeilingChange {
+    /// Makes the change of a committed entry. A raise is never below what stands: the one before it may have
+    /// been made use of.
+    pub fn apply(self, ceilings: &mut BTreeMap<TenantName, u64>) {
+        match self {
+            Self::Raise(tenant, operations) => {
+                let ceiling = ceilings.entry(tenant).or_default();
+                *ceiling = operations.max(*ceiling);
+            }
+            Self::Lower(tenant, Some(operations)) => {
+                ceilings.insert(tenant, operations);
+            }
+            Self::Lower(tenant, None) => drop(ceilings.remove(&tenant)),
+        }
+    }
+}
+
 /// The ceiling that allows what is needed, with some room.
 pub(super) fn raise(tenant: &TenantName, needed: u64, limit: u64) -> CeilingChange {
     let roomy = (needed as f64 * CEILING_ROOM) as u64;
--- a/crates/core/src/registry/state.rs
+++ b/crates/core/src/registry/state.rs
@@ -222,20 +222,8 @@
         RegistryOutcome::Promoting { fence: revision }
     }
 
-    /// A raise is never below what stands: the one before it may have been made use of.
     fn change_ceilings(&mut self, changes: Vec<CeilingChange>) -> RegistryOutcome {
-        for change in changes {
-            match change {
-                CeilingChange::Raise(tenant, operations) => {
-                    let ceiling = self.ceilings.entry(tenant).or_default();
-                    *ceiling = operations.max(*ceiling);
-                }
-                CeilingChange::Lower(tenant, Some(operations)) => {
-                    self.ceilings.insert(tenant, operations);
-                }
-                CeilingChange::Lower(tenant, None) => drop(self.ceilings.remove(&tenant)),
-            }
-        }
+        changes.into_iter().for_each(|change| change.apply(&mut self.ceilings));
         RegistryOutcome::CeilingsChanged
     }
 
--- a/crates/core/tests/limits_load/world/messages.rs
+++ b/crates/core/tests/limits_load/world/messages.rs
@@ -33,22 +33,9 @@
     }
 
     fn apply(&mut self, changes: Vec<CeilingChange>) {
-        let mut has_lowered = false;
+        let has_lowered = changes.iter().any(|change| matches!(change, CeilingChange::Lower(..)));
         for change in changes {
-            match change {
-                CeilingChange::Raise(tenant, operations) => {
-                    let ceiling = self.terms.ceilings.entry(tenant).or_default();
-                    *ceiling = (*ceiling).max(operations);
-                }
-                CeilingChange::Lower(tenant, Some(operations)) => {
-                    has_lowered = true;
-                    self.terms.ceilings.insert(tenant, operations);
-                }
-                CeilingChange::Lower(tenant, None) => {
-                    has_lowered = true;
-                    self.terms.ceilings.remove(&tenant);
-                }
-            }
+            change.apply(&mut self.terms.ceilings);
         }
         if has_lowered {
             self.ledger.lowered();
