--- a/crates/core/src/registry/state.rs
+++ b/crates/core/src/registry/state.rs
@@ -1,4 +1,7 @@
 //! The registry as part of the control state.
+//!
+//! Owns the document in force, the back ends, the decisions on who leads and the ceilings. Applies commands of the
+//! log, the same on each replica; stored in snapshots, so that order and number of fields stay.
 
 use super::back_end::{BackEndReport, BackEndState, RegisteredBackEnd};
 use super::document::{Document, StoredDocument};
@@ -11,7 +14,7 @@
 use std::sync::Arc;
 
 /// Identities of back ends that left and are still remembered, so that a heartbeat that comes
-/// late does not bring one back.
+/// late does not bring one back. Chosen, not measured: a bound on the state.
 const DEPARTED_LIMIT: usize = 1_024;
 
 /// A change of the registry.
@@ -219,20 +222,8 @@
         RegistryOutcome::Promoting { fence: revision }
     }
 
-    /// A raise is never below what stands: the one before it may have been made use of.
     fn change_ceilings(&mut self, changes: Vec<CeilingChange>) -> RegistryOutcome {
-        for change in changes {
-            match change {
-                CeilingChange::Raise(tenant, operations) => {
-                    let ceiling = self.ceilings.entry(tenant).or_default();
-                    *ceiling = operations.max(*ceiling);
-                }
-                CeilingChange::Lower(tenant, Some(operations)) => {
-                    self.ceilings.insert(tenant, operations);
-                }
-                CeilingChange::Lower(tenant, None) => drop(self.ceilings.remove(&tenant)),
-            }
-        }
+        changes.into_iter().for_each(|change| change.apply(&mut self.ceilings));
         RegistryOutcome::CeilingsChanged
     }
 
