--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -333,6 +333,65 @@
     assert_eq!(codec.decode(&mut buffer).expect("decoded"), Some(message));
 }
 
+/// The header's form, byte by byte: other versions of this program read it.
+#[test]
+fn the_head_of_a_frame_is_as_it_is() {
+    let bytes = frame(OwnerMessage::Stopping);
+    let payload = encode(&OwnerMessage::Stopping).expect("the message has an encoding");
+    assert_eq!(HEADER_BYTES, 12);
+    assert_eq!(bytes[..4], [1, 0, 0, 0], "version, two zero bytes, packing");
+    assert_eq!(bytes[4..8], (payload.len() as u32).to_be_bytes());
+    assert_eq!(bytes[8..12], crc32fast::hash(&payload).to_be_bytes());
+    assert_eq!(bytes[12..], payload[..]);
+    assert_eq!(payload, [5], "the variant's place among its kind");
+}
+
+#[rstest]
+#[case::plain(0, true)]
+#[case::deflate(1, true)]
+#[case::unknown(2, false)]
+fn the_last_byte_of_the_head_tells_how_the_payload_is_packed(
+    #[case] packing: u8,
+    #[case] known: bool,
+) {
+    let payload = encode(&OwnerMessage::Stopping).expect("the message has an encoding");
+    let packed = miniz_oxide::deflate::compress_to_vec(&payload, 1);
+    let mut bytes = framed(if packing == 1 { &packed } else { &payload });
+    bytes[3] = packing;
+    let found = FrameCodec::<(), OwnerMessage>::default().decode(&mut bytes);
+    if known {
+        assert!(matches!(found, Ok(Some(OwnerMessage::Stopping))), "{found:?}");
+    } else {
+        assert!(matches!(found, Err(FrameError::Version(1))), "{found:?}");
+    }
+}
+
+/// The payload is compressed from 4 KiB on, and only where that makes it smaller.
+#[rstest]
+#[case::below(4_095, 0, 0)]
+#[case::from(4_096, 0, 1)]
+#[case::incompressible(4_096, 1, 0)]
+fn a_payload_is_compressed_from_its_bound_on(
+    #[case] payload_bytes: usize,
+    #[case] noise: u32,
+    #[case] packing: u8,
+) {
+    // The variant, the stream, the length in three bytes, then the messages.
+    let mut state = 1_u32;
+    let mut byte = || {
+        state = state.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
+        (state >> 24) as u8 * noise as u8
+    };
+    let messages = (0..payload_bytes - 5).map(|_| byte()).collect();
+    let message = OwnerMessage::Data { stream: StreamId(7), messages };
+    assert_eq!(encode(&message).expect("an encoding").len(), payload_bytes);
+    let mut buffer = BytesMut::new();
+    let mut codec = FrameCodec::<OwnerMessage, OwnerMessage>::compressing();
+    codec.encode(message.clone(), &mut buffer).expect("encoded");
+    assert_eq!(buffer[3], packing);
+    assert_eq!(codec.decode(&mut buffer).expect("decoded"), Some(message));
+}
+
 #[test]
 fn a_small_message_is_not_compressed() {
     let mut buffer = BytesMut::new();
