--- a/crates/edge/src/answer.rs
+++ b/crates/edge/src/answer.rs
@@ -1,4 +1,7 @@
-//! Back-end messages that the edge itself writes.
+//! Back-end messages that the edge itself writes: errors, parameters, and the answers to its own statements.
+//!
+//! The module owns their content; it relies on the `pgwire` library for their encoding. What a back end
+//! answers passes through as it came, and is not written here.
 
 use crate::error::{Rejection, Severity};
 use bytes::{BufMut, BytesMut};
@@ -13,7 +16,7 @@
 };
 use pgwire::messages::startup::ParameterStatus;
 
-/// Type id of `text`.
+/// Type id of `text` in PostgreSQL's catalogue.
 const TEXT_TYPE: u32 = 25;
 
 /// Appends a message. All messages written here are far below the codec's limits.
--- a/crates/edge/src/batch.rs
+++ b/crates/edge/src/batch.rs
@@ -7,6 +7,9 @@
 //! a `Sync` of the edge's own whose `ReadyForQuery` the caller does not see.
 //! Elsewhere it is sent with the `Flush`, and the batch stays unfinished on its
 //! server connection until the caller's `Sync`.
+//!
+//! The module owns the messages of the batch that is not whole yet, and decides without I/O; it relies on
+//! `codec` for whole messages.
 
 use crate::error::Rejection;
 use pgwire::messages::PgWireFrontendMessage as Message;
--- a/crates/edge/src/caller.rs
+++ b/crates/edge/src/caller.rs
@@ -1,8 +1,12 @@
 //! A caller's socket with its buffers.
+//!
+//! The module owns the socket and what is read and not yet decoded, or gathered and not yet written. It
+//! relies on `codec` to cut messages. A session reads and writes nothing beside it.
 
 use crate::answer;
 use crate::codec;
 use crate::error::{Rejection, SessionEnd, Severity};
+use crate::times::LINGER;
 use bytes::{BufMut, BytesMut};
 use pgwire::messages::PgWireFrontendMessage;
 use std::time::Duration;
@@ -10,14 +14,15 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Bytes read ahead while an answer is under way.
+/// Bytes read ahead while an answer is under way, so that a caller that goes away is noticed. Chosen, not
+/// measured: a lower bound stops pipelining callers sooner, a higher one costs memory a connection.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
-/// Bytes asked for by one read.
+/// Bytes asked for by one read. Chosen, not measured: fewer mean more system calls for long batches, more
+/// mean memory for each of many idle callers.
 const READ_BYTES: usize = 8 * 1024;
-/// Answers are written once this many bytes are gathered.
+/// Bytes of an answer that are gathered before they are written; the end of what has come is written at
+/// once. Chosen, not measured: fewer mean more system calls, more mean memory and a later first row.
 pub const WRITE_BYTES: usize = 32 * 1024;
-/// Longest wait for the caller to close after its last message.
-const LINGER: Duration = Duration::from_secs(1);
 
 /// A caller's socket with its buffers.
 #[derive(Debug)]
--- a/crates/edge/src/codec.rs
+++ b/crates/edge/src/codec.rs
@@ -17,7 +17,8 @@
 const LENGTH_BYTES: usize = 4;
 /// Bytes of a message's type and length.
 const HEADER_BYTES: usize = 5;
-/// Most bytes set aside for a message that has not come.
+/// Most bytes set aside for a message that has not come. Chosen, not measured: fewer mean more steps of
+/// growth for a long message, more let a header alone take memory.
 const RESERVED_BYTES: usize = 64 * 1024;
 /// Shortest first message: length and code.
 const FIRST_MESSAGE_BYTES: usize = 8;
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -1,11 +1,15 @@
 //! What the sessions of one arbiter share.
+//!
+//! The module owns the connections to owners, the retries and the profiles of texts of its arbiter; it relies
+//! on `handle` to build it, and on the settings, the configuration in force and the table of sessions, which
+//! all arbiters share.
 
+use crate::credentials::Credentials;
 use crate::link::LinkPool;
 use crate::metrics::EdgeMetrics;
 use crate::retry::Retries;
 use crate::sessions::SessionTable;
 use crate::settings::EdgeSettings;
-use crate::startup::Credentials;
 use corktack_core::classify::{ProfileCache, StatementProfile};
 use corktack_core::view::View;
 use std::cell::RefCell;
--- a/crates/edge/src/startup/credentials.rs
+++ b/crates/edge/src/credentials.rs
@@ -1,4 +1,7 @@
 //! What callers must know, and salts that do not tell which users exist.
+//!
+//! The module owns the users' secrets as the settings gave them; it relies on `pgwire` for the hashes of SCRAM.
+//! The exchange itself is in `startup`.
 
 use crate::settings::{Authentication, UserSecret};
 use pgwire::api::auth::Password;
@@ -7,7 +10,7 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 
-/// Bytes of a salt.
+/// Bytes of a salt, as many as PostgreSQL's own.
 const SALT_BYTES: usize = 16;
 
 /// The users' secrets as SCRAM needs them.
--- a/crates/edge/src/error.rs
+++ b/crates/edge/src/error.rs
@@ -1,5 +1,9 @@
 //! Errors of the edge itself and answers that it gives in place of a back end.
+//!
+//! The module owns the texts, SQLSTATEs and hints that a caller meets; it decides nothing about when they are
+//! given. "Not run" in a text is a promise that a repeat is safe.
 
+use crate::times::CONNECTION_RETRY_MS;
 use corktack_core::classify::Unsupported;
 use corktack_core::session::{StatementError, TokenError};
 use corktack_protocol::peer::NotRunReason;
@@ -148,9 +152,6 @@
     Fatal,
 }
 
-/// Wait after which a caller whose connection was refused may come back.
-const CONNECTION_RETRY_MS: u32 = 1_000;
-
 fn reason_text(reason: NotRunReason) -> &'static str {
     match reason {
         NotRunReason::QueueFull => "the wait queue is full",
--- a/crates/edge/src/handle.rs
+++ b/crates/edge/src/handle.rs
@@ -1,13 +1,19 @@
 //! Starts and stops the edge.
+//!
+//! The module owns the arbiters, the accept loops and the phases of a drain; it relies on `startup` to serve or
+//! refuse each connection.
 
 use crate::context::{ArbiterContext, DrainPhase};
+use crate::credentials::Credentials;
 use crate::error::{EdgeError, Rejection};
-use crate::link::{LinkPool, OwnerLife};
+use crate::link::LinkPool;
 use crate::metrics::EdgeMetrics;
 use crate::retry::Retries;
+use crate::route::OwnerIncarnation;
 use crate::sessions::SessionTable;
 use crate::settings::EdgeSettings;
-use crate::startup::{Credentials, refuse_connection, serve_connection};
+use crate::startup::{refuse_connection, serve_connection};
+use crate::times::{ACCEPT_PAUSE, ENDING_LIMIT};
 use actix_rt::Arbiter;
 use corktack_core::classify::ProfileCache;
 use corktack_core::view::View;
@@ -22,12 +28,9 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Profiles that each arbiter keeps.
+/// Profiles of texts that each arbiter keeps. Chosen, not measured: with fewer, texts are classified again
+/// and again, with more, long texts cost memory.
 const PROFILE_LIMIT: usize = 4_096;
-/// Wait after the listener failed, for instance for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for sessions that were told to end at once.
-const ENDING_LIMIT: Duration = Duration::from_secs(5);
 
 /// Starts edges.
 #[derive(Debug)]
@@ -136,7 +139,7 @@
 }
 
 fn context(number: usize, shared: &Shared) -> Rc<ArbiterContext> {
-    let identity = OwnerLife {
+    let identity = OwnerIncarnation {
         proxy: shared.settings.proxy.clone(),
         incarnation: shared.settings.incarnation,
     };
--- a/crates/edge/src/link/pool.rs
+++ b/crates/edge/src/link/pool.rs
@@ -1,9 +1,11 @@
 //! The connections of one arbiter to owners.
 
+use super::connection::OwnerLink;
+use super::stream::OwnerStream;
 use super::task::LinkTask;
-use super::{OwnerLife, OwnerLink};
+use crate::route::OwnerIncarnation;
 use corktack_core::view::View;
-use corktack_protocol::peer::EdgeMessage;
+use corktack_protocol::peer::{EdgeMessage, OpenRequest};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,40 +13,50 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
-/// The connections of one arbiter, one for each life of an owner proxy.
+/// The connections of one arbiter, one for each incarnation of an owner proxy.
 #[derive(Debug)]
 pub struct LinkPool {
-    identity: OwnerLife,
+    identity: OwnerIncarnation,
     view: watch::Receiver<Arc<View>>,
-    links: RefCell<HashMap<OwnerLife, Rc<OwnerLink>>>,
-    /// Owners that said that they stop and whose connection is gone: no life of an
-    /// owner takes streams again after that.
-    stopped: RefCell<HashSet<OwnerLife>>,
+    links: RefCell<HashMap<OwnerIncarnation, Rc<OwnerLink>>>,
+    /// Owners that said that they stop and whose connection is gone: no
+    /// incarnation takes streams again after that.
+    stopped: RefCell<HashSet<OwnerIncarnation>>,
 }
 
 impl LinkPool {
     /// No connections yet; this process is `identity`.
     #[must_use]
-    pub fn new(identity: OwnerLife, view: watch::Receiver<Arc<View>>) -> Self {
+    pub fn new(identity: OwnerIncarnation, view: watch::Receiver<Arc<View>>) -> Self {
         Self { identity, view, links: RefCell::default(), stopped: RefCell::default() }
     }
 
-    /// The connection to an owner; a new one when there is none or it has failed.
+    /// Opens a stream to an owner.
     #[must_use]
-    pub fn link(&self, owner: &OwnerLife, address: SocketAddr) -> Rc<OwnerLink> {
+    pub fn open(
+        &self,
+        owner: &OwnerIncarnation,
+        address: SocketAddr,
+        request: OpenRequest,
+    ) -> OwnerStream {
+        OwnerStream::open(&self.link(owner, address), request)
+    }
+
+    /// The connection to an owner; a new one when there is none or it has failed.
+    fn link(&self, owner: &OwnerIncarnation, address: SocketAddr) -> Rc<OwnerLink> {
         let mut links = self.links.borrow_mut();
-        links.retain(|life, link| {
+        links.retain(|owner, link| {
             if link.is_closed() && link.is_stopping() {
-                self.stopped.borrow_mut().insert(life.clone());
+                self.stopped.borrow_mut().insert(owner.clone());
             }
             !link.is_closed()
         });
         links.entry(owner.clone()).or_insert_with(|| self.connect(owner, address)).clone()
     }
 
-    /// Whether this life of an owner takes no new streams.
+    /// Whether this incarnation of an owner takes no new streams.
     #[must_use]
-    pub fn is_stopping(&self, owner: &OwnerLife) -> bool {
+    pub fn is_stopping(&self, owner: &OwnerIncarnation) -> bool {
         if self.links.borrow().get(owner).is_some_and(|link| link.is_stopping()) {
             return true;
         }
@@ -53,15 +65,15 @@
             return false;
         }
         let view = self.view.borrow();
-        let is_in_force = |life: &OwnerLife| {
-            let known = view.proxies.get(&life.proxy);
-            known.is_some_and(|proxy| proxy.incarnation == life.incarnation)
+        let is_in_force = |owner: &OwnerIncarnation| {
+            let known = view.proxies.get(&owner.proxy);
+            known.is_some_and(|proxy| proxy.incarnation == owner.incarnation)
         };
         stopped.retain(is_in_force);
         stopped.contains(owner)
     }
 
-    fn connect(&self, owner: &OwnerLife, address: SocketAddr) -> Rc<OwnerLink> {
+    fn connect(&self, owner: &OwnerIncarnation, address: SocketAddr) -> Rc<OwnerLink> {
         let (sender, outgoing) = mpsc::unbounded_channel();
         let link = Rc::new(OwnerLink::new(sender));
         let hello = EdgeMessage::Hello {
--- a/crates/edge/src/link/stream.rs
+++ b/crates/edge/src/link/stream.rs
@@ -1,51 +1,15 @@
 //! One transaction on a connection to an owner.
 
-use super::OwnerLink;
-use corktack_core::position::Position;
-use corktack_protocol::peer::{
-    Batch, EdgeMessage, Failure, INITIAL_WINDOW_BYTES, ServedBy, StreamId, TransactionStatus,
-};
+use super::connection::OwnerLink;
+use super::event::StreamEvent;
+use corktack_protocol::peer::{Batch, EdgeMessage, INITIAL_WINDOW_BYTES, OpenRequest, StreamId};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Bytes taken by the caller after which they are granted at once.
+/// Bytes taken by the caller after which they are granted at once, and not only when the answer pauses.
+/// Chosen, not measured: a smaller part sends more grants, a larger one lets the owner wait for them.
 const GRANT_BYTES: u32 = INITIAL_WINDOW_BYTES / 4;
 
-/// What happens on a stream.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StreamEvent {
-    /// Messages for the caller.
-    Data(Vec<u8>),
-    /// The session's new position.
-    Position(Position),
-    /// The end of the answer to a batch.
-    Ready {
-        /// State of the transaction.
-        status: TransactionStatus,
-        /// Who served it.
-        served_by: ServedBy,
-    },
-    /// The stream is over without an answer.
-    Failed(Failure),
-    /// The connection is gone.
-    LinkLost {
-        /// Whether the last batch may have reached the owner.
-        sent: bool,
-    },
-}
-
-impl StreamEvent {
-    /// Whether the owner has forgotten the stream after this.
-    #[must_use]
-    pub fn ends_stream(&self) -> bool {
-        match self {
-            Self::Data(_) | Self::Position(_) => false,
-            Self::Ready { status, .. } => *status == TransactionStatus::Idle,
-            Self::Failed(_) | Self::LinkLost { .. } => true,
-        }
-    }
-}
-
 /// One transaction. Dropping it before its end tells the owner to roll back.
 #[derive(Debug)]
 pub struct OwnerStream {
@@ -57,12 +21,10 @@
 }
 
 impl OwnerStream {
-    pub(super) fn new(
-        link: Rc<OwnerLink>,
-        id: StreamId,
-        events: mpsc::UnboundedReceiver<StreamEvent>,
-    ) -> Self {
-        Self { link, id, events, ended: false, ungranted: 0 }
+    /// Opens a stream on a connection.
+    pub(super) fn open(link: &Rc<OwnerLink>, request: OpenRequest) -> Self {
+        let (id, events) = link.open(request);
+        Self { link: link.clone(), id, events, ended: false, ungranted: 0 }
     }
 
     /// Sends a further batch of the transaction.
--- a/crates/edge/src/link/task.rs
+++ b/crates/edge/src/link/task.rs
@@ -1,68 +1,37 @@
 //! Reads and writes one connection to an owner.
 
-use super::{OwnerLife, OwnerLink, StreamEvent};
+use super::connection::OwnerLink;
+use super::error::LinkError;
+use super::event::StreamEvent;
+use crate::route::OwnerIncarnation;
+use crate::times::{CONNECT_TIMEOUT, UNACKNOWLEDGED_LIMIT};
 use corktack_core::view::{ProxyState, View};
-use corktack_protocol::frame::{FrameCodec, FrameError};
-use corktack_protocol::peer::{EdgeMessage, Failure, NotRunReason, OwnerMessage, StreamId};
+use corktack_protocol::frame::FrameCodec;
+use corktack_protocol::peer::{EdgeMessage, Failure, NotRunReason, OwnerMessage};
 use futures_util::stream::{SplitSink, SplitStream};
 use futures_util::{SinkExt, StreamExt};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// Longest wait for a connection to an owner and its name.
-const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time without acknowledgement of sent bytes after which a connection is given up.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(4);
-
 type OwnerConnection = Framed<TcpStream, FrameCodec<EdgeMessage, OwnerMessage>>;
 
-/// Why a connection to an owner ended.
-#[derive(Debug, thiserror::Error)]
-pub(super) enum LinkError {
-    /// No connection came about.
-    #[error("no connection to the owner in time")]
-    ConnectTimeout,
-    /// The socket failed.
-    #[error("the connection to the owner failed")]
-    Io(#[from] std::io::Error),
-    /// A frame broke the protocol, or the socket failed.
-    #[error(transparent)]
-    Frame(#[from] FrameError),
-    /// The owner closed the connection.
-    #[error("the owner closed the connection")]
-    Closed,
-    /// The owner did not say who it is first.
-    #[error("the owner's first message was not its name")]
-    NoHello,
-    /// Another process answered at the address.
-    #[error("another proxy, or another life of it, answered at the owner's address")]
-    WrongOwner,
-    /// The owner sent more than its window and one frame on a stream.
-    #[error("the owner sent past the window of stream {}", .0.0)]
-    WindowOverrun(StreamId),
-    /// The configuration in force says that this life of the owner is over.
-    #[error("the owner is down")]
-    OwnerDown,
-}
-
 /// What a connection task works with.
 pub(super) struct LinkTask {
     pub(super) link: Rc<OwnerLink>,
     pub(super) hello: EdgeMessage,
-    pub(super) owner: OwnerLife,
+    pub(super) owner: OwnerIncarnation,
     pub(super) address: SocketAddr,
     pub(super) outgoing: mpsc::UnboundedReceiver<EdgeMessage>,
     pub(super) view: watch::Receiver<Arc<View>>,
 }
 
 impl LinkTask {
-    /// Serves the connection until it fails, then tells its streams.
+    /// Serves the connection until it fails, then lets its streams know.
     pub(super) async fn run(mut self) {
         let link = self.link.clone();
         let error = self.serve().await;
@@ -105,9 +74,9 @@
     async fn read_hello(&self, connection: &mut OwnerConnection) -> Result<(), LinkError> {
         loop {
             match connection.next().await.ok_or(LinkError::Closed)?? {
-                OwnerMessage::Stopping => self.link.stopping.set(true),
+                OwnerMessage::Stopping => self.link.note_stopping(),
                 OwnerMessage::Hello { proxy, incarnation } => {
-                    let is_owner = OwnerLife { proxy, incarnation } == self.owner;
+                    let is_owner = OwnerIncarnation { proxy, incarnation } == self.owner;
                     return if is_owner { Ok(()) } else { Err(LinkError::WrongOwner) };
                 }
                 _ => return Err(LinkError::NoHello),
@@ -163,17 +132,17 @@
         }
         OwnerMessage::Failed { stream, failure } => {
             if let Failure::NotRun { reason: NotRunReason::Stopping, .. } = failure {
-                link.stopping.set(true);
+                link.note_stopping();
             }
             link.deliver(stream, StreamEvent::Failed(failure));
         }
-        OwnerMessage::Stopping => link.stopping.set(true),
+        OwnerMessage::Stopping => link.note_stopping(),
     }
     Ok(())
 }
 
-/// Returns once the configuration in force says that this life of the owner is over.
-async fn owner_down(view: &mut watch::Receiver<Arc<View>>, owner: &OwnerLife) {
+/// Returns once the configuration in force says that this incarnation of the owner is over.
+async fn owner_down(view: &mut watch::Receiver<Arc<View>>, owner: &OwnerIncarnation) {
     let over = |view: &Arc<View>| match view.proxies.get(&owner.proxy) {
         Some(proxy) => proxy.incarnation != owner.incarnation || proxy.state == ProxyState::Down,
         None => true,
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,5 +1,8 @@
-//! Metrics of the edge.
+//! Metrics of the edge: their names, labels and buckets.
+//!
+//! The module owns the counters; sessions and accept loops count with them.
 
+use crate::error::Rejection;
 use corktack_core::identity::GroupName;
 use corktack_protocol::peer::ServedBy;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
@@ -28,6 +31,19 @@
     CallerGone,
 }
 
+impl Outcome {
+    /// How a request is counted that ends with this rejection.
+    #[must_use]
+    pub fn of(rejection: &Rejection) -> Self {
+        match rejection {
+            Rejection::Unknown => Self::Unknown,
+            Rejection::TransactionLost => Self::TransactionLost,
+            Rejection::ReadInterrupted => Self::ReadInterrupted,
+            _ => Self::NotRun,
+        }
+    }
+}
+
 /// Where a read was served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Server {
@@ -68,8 +84,12 @@
     pub retries: Counter,
 }
 
+/// Upper bound of the first bucket of the latency, in seconds. Chosen, not measured: a higher one does not
+/// tell fast answers apart; with a lower one the last bucket ends before 16 s, and long waits look alike.
 const FIRST_BUCKET_SECONDS: f64 = 0.000_5;
+/// Each bucket's bound over that of the one before.
 const BUCKET_FACTOR: f64 = 2.0;
+/// Number of buckets.
 const BUCKETS: u16 = 16;
 
 impl EdgeMetrics {
--- a/crates/edge/src/session/outcome.rs
+++ b/crates/edge/src/retry/loss.rs
@@ -1,12 +1,9 @@
 //! Decides what a request that got no whole answer comes to.
 
 use crate::error::Rejection;
-use crate::metrics::Outcome;
+use crate::times::OWNER_RETRY_MS;
 use corktack_protocol::peer::{Access, Failure, NotRunReason};
 
-/// When to come back after an owner could not be reached, in milliseconds.
-pub const OWNER_RETRY_MS: u32 = 250;
-
 /// How a request was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
@@ -141,14 +138,3 @@
         NotRunReason::QueueFull | NotRunReason::QueueTimeout | NotRunReason::RetryBudget => false,
     }
 }
-
-/// How a rejection is counted.
-#[must_use]
-pub fn outcome_of(rejection: &Rejection) -> Outcome {
-    match rejection {
-        Rejection::Unknown => Outcome::Unknown,
-        Rejection::TransactionLost => Outcome::TransactionLost,
-        Rejection::ReadInterrupted => Outcome::ReadInterrupted,
-        _ => Outcome::NotRun,
-    }
-}
--- a/crates/edge/src/route.rs
+++ b/crates/edge/src/route.rs
@@ -1,16 +1,26 @@
-//! Finds the group of a database and the group's owner.
+//! Finds the group of a database and the group's owner in the configuration in force.
+//!
+//! The module owns nothing and decides without I/O.
 
-use crate::link::OwnerLife;
-use corktack_core::identity::GroupName;
+use corktack_core::identity::{GroupName, Incarnation, ProxyName};
 use corktack_core::view::{GroupView, ProxyState, View};
 use corktack_protocol::peer::NotRunReason;
 use std::net::SocketAddr;
 
+/// One run of an owner's process.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct OwnerIncarnation {
+    /// The proxy.
+    pub proxy: ProxyName,
+    /// Which run of its process.
+    pub incarnation: Incarnation,
+}
+
 /// Where a group's owner is reached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerRoute {
     /// The owner.
-    pub owner: OwnerLife,
+    pub owner: OwnerIncarnation,
     /// Address of its interface for edges.
     pub address: SocketAddr,
 }
@@ -35,6 +45,6 @@
     if proxy.state == ProxyState::Down {
         return Err(NotRunReason::OwnerUnreachable);
     }
-    let owner = OwnerLife { proxy: name.clone(), incarnation: proxy.incarnation };
+    let owner = OwnerIncarnation { proxy: name.clone(), incarnation: proxy.incarnation };
     Ok(OwnerRoute { owner, address: proxy.address })
 }
--- a/crates/edge/src/session/forward.rs
+++ b/crates/edge/src/session/forward.rs
@@ -1,22 +1,19 @@
 //! Sends a batch to the group's owner, and again where that is safe.
 
-use super::answer_stream::Answered;
-use super::outcome::outcome_of;
-use super::owner_wait::{Lost, NoOwner};
+use super::owner_wait::NoOwner;
+use super::pass_answer::Answered;
 use super::plan::ForwardPlan;
-use super::{Loss, OpenTransaction, Progress, Session, Verdict, judge};
+use super::state::{BatchOutcome, OpenTransaction, Session};
 use crate::error::{Rejection, SessionEnd};
 use crate::link::OwnerStream;
 use crate::metrics::Outcome;
+use crate::retry::{Loss, Lost, Progress, Verdict, judge};
 use corktack_core::binding::choose_class;
 use corktack_core::classify::BlockEffect;
 use corktack_core::identity::GroupName;
-use corktack_protocol::peer::{Access, OpenRequest, ServedBy, TransactionStatus};
+use corktack_protocol::peer::{Access, OpenRequest, TransactionStatus};
 use tokio::time::Instant;
 
-/// How a batch ended, and whether the answer held an error.
-pub(super) type BatchOutcome = (Outcome, bool);
-
 impl Session {
     /// Sends a batch and passes the answer on. The caller gets everything but `ReadyForQuery`.
     pub(super) async fn forward(&mut self, plan: ForwardPlan) -> Result<BatchOutcome, SessionEnd> {
@@ -106,7 +103,7 @@
                 self.context.retries.borrow_mut().request(&group, &self.context.view_now());
             }
             let request = self.open_request(plan, &group, key.clone(), deadline);
-            let stream = self.context.links.link(&route.owner, route.address).open(request);
+            let stream = self.context.links.open(&route.owner, route.address, request);
             let lost = match self.first_answer(plan, stream, &group, key.is_some()).await? {
                 Ok(outcome) => return Ok(Ok(outcome)),
                 Err((loss, progress)) => match judge(loss, progress) {
@@ -175,27 +172,4 @@
             batch: plan.batch.clone(),
         }
     }
-
-    pub(super) fn end_of_batch(
-        &mut self,
-        stream: OwnerStream,
-        group: &GroupName,
-        access: Access,
-        status: TransactionStatus,
-        served_by: ServedBy,
-    ) {
-        self.status = status;
-        if access == Access::Read {
-            self.context.metrics.count_read(group, served_by);
-        }
-        if status != TransactionStatus::Idle {
-            self.transaction = Some(OpenTransaction { stream, group: group.clone(), access });
-        }
-    }
-
-    fn give_up(&mut self, rejection: &Rejection) -> BatchOutcome {
-        self.status = TransactionStatus::Idle;
-        self.reject(rejection);
-        (outcome_of(rejection), true)
-    }
 }
--- a/crates/edge/src/session/local.rs
+++ b/crates/edge/src/session/local.rs
@@ -1,6 +1,6 @@
 //! Answers batches whose statements the edge itself answers.
 
-use super::Session;
+use super::state::Session;
 use crate::answer;
 use crate::error::{Rejection, Severity};
 use bytes::BytesMut;
@@ -13,7 +13,8 @@
 };
 use std::sync::Arc;
 
-/// Longest idempotency key, in bytes.
+/// Longest idempotency key that a session keeps, in bytes, so that a key costs no more memory than a name.
+/// The owner's own limit is what a write meets.
 const KEY_LIMIT: usize = 256;
 
 /// Answers a batch; after an error its later messages are skipped. Tells whether
--- a/crates/edge/src/session/mod.rs
+++ b/crates/edge/src/session/mod.rs
@@ -1,227 +1,28 @@
 //! A caller's session: batches in, answers out, one after another.
-
-mod answer_stream;
+//!
+//! The module owns what a session keeps between its batches: its statements, portals, token and key, and the
+//! stream of a transaction or batch that is not over. It relies on the caller's socket, on the connections to
+//! owners, on [`crate::retry`] for what may be sent again, and on `corktack_core` for what a text does.
+//!
+//! The way of a batch, with the module of each step:
+//!
+//! 1. `serve` takes a caller's messages until a batch is whole, and notes how it ended,
+//! 2. `plan` decides where the batch is answered and rewrites it for the owner,
+//! 3. `local` answers what the edge answers itself, `forward` sends the others to the group's owner, which
+//!    `owner_wait` finds, and sends them again where that is safe,
+//! 4. `pass_answer` passes the owner's answer on to the caller,
+//! 5. `flushed` goes on with a batch that the caller flushed before its `Sync`, kept as an `unfinished` one.
+//!
+//! All of them work on the `state` of the session. The steps use later ones and the state, never earlier ones.
+
+mod flushed;
 mod forward;
 mod local;
-mod outcome;
 mod owner_wait;
+mod pass_answer;
 mod plan;
+mod serve;
+mod state;
 mod unfinished;
 
-pub use outcome::{Loss, Progress, Verdict, judge, judge_unfinished};
-
-use crate::answer;
-use crate::batch::{BatchCollector, BatchEnd, CallerBatch, Gathered};
-use crate::caller::CallerSocket;
-use crate::context::{ArbiterContext, DrainPhase};
-use crate::error::{Rejection, SessionEnd, Severity};
-use crate::link::OwnerStream;
-use crate::metrics::Outcome;
-use crate::sessions::Registration;
-use corktack_core::binding::CallerIdentity;
-use corktack_core::identity::GroupName;
-use corktack_core::session::{SessionStatements, SessionToken};
-use corktack_protocol::peer::{Access, TransactionStatus};
-use pgwire::messages::PgWireFrontendMessage as Message;
-use plan::{Known, Place, Plan, Portals};
-use std::rc::Rc;
-use tokio::time::Instant;
-use unfinished::{UnfinishedBatch, until};
-
-/// Most prepared statements of one session.
-const STATEMENT_LIMIT: usize = 10_000;
-
-/// An open transaction.
-#[derive(Debug)]
-struct OpenTransaction {
-    stream: OwnerStream,
-    group: GroupName,
-    access: Access,
-}
-
-/// A caller's session after its startup.
-#[derive(Debug)]
-pub struct Session {
-    context: Rc<ArbiterContext>,
-    caller: CallerSocket,
-    identity: CallerIdentity,
-    registration: Registration,
-    token: SessionToken,
-    statements: SessionStatements,
-    idempotency_key: Option<String>,
-    transaction: Option<OpenTransaction>,
-    /// A batch of which a part is answered and whose `Sync` has not come.
-    unfinished: Option<UnfinishedBatch>,
-    /// The portals bound since the last `Sync`.
-    portals: Portals,
-    status: TransactionStatus,
-    /// Whether the caller's transaction block is lost and the caller has not ended it.
-    abandoned: bool,
-    collector: BatchCollector,
-}
-
-impl Session {
-    /// A session of a caller that has been let in.
-    #[must_use]
-    pub fn new(
-        context: Rc<ArbiterContext>,
-        caller: CallerSocket,
-        identity: CallerIdentity,
-        registration: Registration,
-        token: SessionToken,
-    ) -> Self {
-        let collector = BatchCollector::new(context.settings.message_limit);
-        Self {
-            context,
-            caller,
-            identity,
-            registration,
-            token,
-            statements: SessionStatements::new(STATEMENT_LIMIT),
-            idempotency_key: None,
-            transaction: None,
-            unfinished: None,
-            portals: Portals::new(),
-            status: TransactionStatus::Idle,
-            abandoned: false,
-            collector,
-        }
-    }
-
-    /// Serves the caller until one side ends the session.
-    pub async fn run(mut self) {
-        let end = self.serve().await;
-        // The owner learns at once; the caller may take its time.
-        self.transaction = None;
-        self.unfinished = None;
-        if let Err(SessionEnd::Fatal(rejection)) = end {
-            self.caller.finish(&rejection).await;
-        }
-    }
-
-    async fn serve(&mut self) -> Result<(), SessionEnd> {
-        while let Some(batch) = self.next_batch().await? {
-            self.answer_batch(batch).await?;
-        }
-        Ok(())
-    }
-
-    /// The next batch, or nothing when the caller ends the session.
-    async fn next_batch(&mut self) -> Result<Option<CallerBatch>, SessionEnd> {
-        loop {
-            if *self.context.drain.borrow() == DrainPhase::Ending {
-                return Err(Rejection::Stopping.into());
-            }
-            let limit = self.context.settings.message_limit;
-            while let Some((message, bytes)) = self.caller.buffered_message(limit)? {
-                // The answers to both come together, and the batch stays in one piece.
-                if matches!(message, Message::Flush(_)) && self.caller.next_is_sync() {
-                    continue;
-                }
-                match self.collector.push(message, bytes)? {
-                    Gathered::More => {}
-                    Gathered::Batch(batch) => return Ok(Some(batch)),
-                    Gathered::Terminate => return Ok(None),
-                }
-            }
-            self.wait_for_input().await?;
-        }
-    }
-
-    /// Waits for the caller; an idle caller is told when the edge drains, and one that
-    /// does not end its batch in time that the batch is over.
-    async fn wait_for_input(&mut self) -> Result<(), SessionEnd> {
-        let in_flight = self.transaction.is_some() || self.unfinished.is_some();
-        let idle = !in_flight && self.collector.is_empty() && self.caller.input_is_empty();
-        let deadline = self.unfinished.as_ref().map(|unfinished| unfinished.deadline);
-        let last = if idle { DrainPhase::Draining } else { DrainPhase::Ending };
-        let mut drain = self.context.drain.clone();
-        tokio::select! {
-            biased;
-            result = self.caller.read_more() => return result,
-            _ = drain.wait_for(|phase| *phase >= last) => return Err(Rejection::Stopping.into()),
-            () = until(deadline) => {}
-        }
-        self.end_late_batch().await
-    }
-
-    async fn answer_batch(&mut self, batch: CallerBatch) -> Result<(), SessionEnd> {
-        let start = Instant::now();
-        let end = batch.end;
-        let counts = !batch.messages.is_empty() || batch.rejection.is_some();
-        let (outcome, failed) = self.run_batch(batch).await?;
-        self.statements.end_batch();
-        if counts {
-            self.context.metrics.count(outcome);
-            self.context.metrics.latency.observe(start.elapsed().as_secs_f64());
-        }
-        match end {
-            BatchEnd::Ready => {
-                self.portals.clear();
-                answer::put_ready(&mut self.caller.output, self.status);
-            }
-            BatchEnd::Flush if failed => self.collector.discard_until_sync(),
-            BatchEnd::Flush => {}
-        }
-        self.caller.flush().await
-    }
-
-    /// How a batch ended, and whether its answer holds an error.
-    async fn run_batch(&mut self, batch: CallerBatch) -> Result<(Outcome, bool), SessionEnd> {
-        let outcome = match self.plan(batch) {
-            Ok(Plan::Local(messages)) => match local::answer_locally(self, &messages) {
-                true => return Ok((Outcome::Local, false)),
-                false => Outcome::Local,
-            },
-            Ok(Plan::Forward(plan)) => {
-                let forwarded = self.forward(plan).await;
-                return forwarded.inspect_err(|_| self.context.metrics.count(Outcome::CallerGone));
-            }
-            Err(rejection) => {
-                self.reject(&rejection);
-                Outcome::NotRun
-            }
-        };
-        self.drop_unfinished();
-        // An error fails an open transaction, whoever found it.
-        if self.status == TransactionStatus::Open {
-            self.abandon_transaction();
-        }
-        Ok((outcome, true))
-    }
-
-    fn plan(&mut self, batch: CallerBatch) -> Result<Plan, Rejection> {
-        if self.abandoned {
-            return batch.rejection.map_or(Ok(Plan::Local(batch.messages)), Err);
-        }
-        self.check_unfinished(batch.bytes)?;
-        let place = Place {
-            in_transaction: self.transaction.is_some(),
-            unfinished: self.unfinished.is_some(),
-            keyed: self.idempotency_key.is_some(),
-        };
-        let known = Known {
-            statements: &mut self.statements,
-            portals: &mut self.portals,
-            cache: &mut self.context.profiles.borrow_mut(),
-        };
-        plan::plan(batch, place, known)
-    }
-
-    /// Has the owner roll back; nothing of the caller's transaction block runs any more.
-    fn abandon_transaction(&mut self) {
-        self.transaction = None;
-        self.abandoned = true;
-        self.status = TransactionStatus::Failed;
-    }
-
-    /// The caller has ended its lost transaction block.
-    fn end_abandoned(&mut self) {
-        self.abandoned = false;
-        self.status = TransactionStatus::Idle;
-    }
-
-    fn reject(&mut self, rejection: &Rejection) {
-        answer::put_rejection(&mut self.caller.output, rejection, Severity::Error);
-    }
-}
+pub use state::Session;
--- a/crates/edge/src/session/owner_wait.rs
+++ b/crates/edge/src/session/owner_wait.rs
@@ -1,13 +1,14 @@
 //! Finds a group's owner, and waits until a request may be sent again.
 
-use super::outcome::OWNER_RETRY_MS;
-use super::{Loss, Session};
+use super::state::Session;
 use crate::context::DrainPhase;
 use crate::error::{Rejection, SessionEnd};
+use crate::retry::Lost;
 use crate::route::{OwnerRoute, group_of_database, owner_of};
+use crate::times::OWNER_RETRY_MS;
 use corktack_core::identity::GroupName;
 use corktack_core::view::View;
-use corktack_protocol::peer::{Failure, NotRunReason};
+use corktack_protocol::peer::NotRunReason;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -27,30 +28,6 @@
     }
 }
 
-/// A request that may be sent again.
-pub(super) struct Lost {
-    /// How it was lost.
-    pub(super) loss: Loss,
-    /// The answer if it is not sent again.
-    pub(super) rejection: Rejection,
-    /// How often it was sent again so far.
-    pub(super) attempt: u32,
-}
-
-impl Lost {
-    /// Whether the request is sent again without a place in the group's budget: an
-    /// owner that hands the group over refuses it once, without asking a back end.
-    fn is_handover(&self) -> bool {
-        match self.loss {
-            Loss::Failed(Failure::NotRun { reason: NotRunReason::Stopping, .. }) => true,
-            Loss::Failed(Failure::NotRun { reason: NotRunReason::NotOwner, .. }) => {
-                self.attempt == 0
-            }
-            _ => false,
-        }
-    }
-}
-
 impl Session {
     /// The group of the session's database and its owner; waits for an owner that
     /// takes new streams.
@@ -98,15 +75,15 @@
         view: &mut watch::Receiver<Arc<View>>,
         deadline: Instant,
     ) -> Result<Option<Rejection>, SessionEnd> {
-        let wait = self.context.retries.borrow_mut().delay(lost.attempt);
-        if Instant::now() + wait >= deadline {
-            return Ok(Some(lost.rejection));
-        }
-        if !lost.is_handover() && !self.context.retries.borrow_mut().try_retry(group) {
-            return Ok(Some(out_of_budget(lost.rejection)));
+        let left = deadline.saturating_duration_since(Instant::now());
+        let decided = self.context.retries.borrow_mut().decide(lost, group, left);
+        match decided {
+            Ok(wait) => {
+                self.context.metrics.retries.inc();
+                self.pause(view, wait).await
+            }
+            Err(rejection) => Ok(Some(rejection)),
         }
-        self.context.metrics.retries.inc();
-        self.pause(view, wait).await
     }
 
     /// Waits, at most until the configuration in force is another than the one last
@@ -135,15 +112,6 @@
     }
 }
 
-fn out_of_budget(rejection: Rejection) -> Rejection {
-    match rejection {
-        Rejection::NotRun { retry_after_ms, .. } => {
-            Rejection::NotRun { reason: NotRunReason::RetryBudget, retry_after_ms }
-        }
-        other => other,
-    }
-}
-
 fn not_run(reason: NotRunReason) -> Rejection {
     Rejection::NotRun { reason, retry_after_ms: OWNER_RETRY_MS }
 }
--- a/crates/edge/src/session/answer_stream.rs
+++ b/crates/edge/src/session/pass_answer.rs
@@ -1,11 +1,12 @@
 //! Passes the owner's answer to one batch on to the caller.
 
-use super::{Loss, Progress, Session};
+use super::state::Session;
 use crate::answer;
 use crate::caller::WRITE_BYTES;
 use crate::context::DrainPhase;
 use crate::error::SessionEnd;
 use crate::link::{OwnerStream, StreamEvent};
+use crate::retry::{Loss, Progress};
 use bytes::Buf;
 use corktack_core::classify::TOKEN_SETTING;
 use corktack_core::identity::GroupName;
--- a/crates/edge/src/session/unfinished.rs
+++ b/crates/edge/src/session/unfinished.rs
@@ -1,193 +1,42 @@
-//! A batch outside a transaction block between its first `Flush` and its `Sync`.
-//!
-//! Its server connection is in a transaction that the `Sync` commits, so the batch
-//! keeps the owner's stream, and no other session gets the connection. Only its first
-//! part can be sent again; what comes later runs on what the first one did. When the
-//! batch cannot go on, its stream is dropped, for which the owner closes the connection
-//! and the back end rolls back.
+//! A batch outside a transaction block between its first `Flush` and its `Sync`: what is known of it.
 
-use super::answer_stream::Answered;
-use super::forward::BatchOutcome;
-use super::outcome::outcome_of;
-use super::plan::ForwardPlan;
-use super::{Loss, Progress, Session, judge_unfinished};
-use crate::error::{Rejection, SessionEnd};
+use crate::error::Rejection;
 use crate::link::OwnerStream;
-use crate::metrics::Outcome;
-use bytes::BytesMut;
 use corktack_core::classify::BlockEffect;
 use corktack_core::identity::GroupName;
-use corktack_protocol::peer::{Access, Batch, ServedBy, TransactionStatus};
-use pgwire::messages::PgWireFrontendMessage as Message;
-use pgwire::messages::extendedquery::Sync;
+use corktack_protocol::peer::Access;
 use tokio::time::Instant;
 
 /// A batch of which a part is answered and whose `Sync` has not come.
 #[derive(Debug)]
 pub(super) struct UnfinishedBatch {
-    stream: OwnerStream,
-    group: GroupName,
+    pub(super) stream: OwnerStream,
+    pub(super) group: GroupName,
     /// When its `Sync` must have come.
     pub(super) deadline: Instant,
     /// Bytes of its parts so far.
-    bytes: usize,
+    pub(super) bytes: usize,
     /// Whether a part may have run a write.
-    ran_write: bool,
+    pub(super) ran_write: bool,
     /// Whether a part so far may write at all.
-    access: Access,
+    pub(super) access: Access,
     /// What its parts leave behind of a transaction block.
-    block: BlockEffect,
+    pub(super) block: BlockEffect,
 }
 
-/// What the answer to a part says.
-pub(super) struct PartAnswer {
-    pub(super) status: TransactionStatus,
-    pub(super) served_by: ServedBy,
-    pub(super) failed: bool,
-}
-
-impl Session {
-    /// The first part of a batch is answered: keeps the stream for the next ones.
-    pub(super) async fn keep_unfinished(
-        &mut self,
-        stream: OwnerStream,
-        group: &GroupName,
-        plan: &ForwardPlan,
-        failed: bool,
-    ) -> Result<(), SessionEnd> {
-        let unfinished = UnfinishedBatch {
-            stream,
-            group: group.clone(),
-            deadline: Instant::now() + self.context.settings.unfinished_batch_timeout,
-            bytes: plan.batch.messages.len(),
-            ran_write: plan.may_leave_write(),
-            access: plan.access,
-            block: plan.block,
-        };
-        self.end_of_part(unfinished, failed).await
-    }
-
-    /// Sends a later part and passes its answer on.
-    pub(super) async fn continue_unfinished(
-        &mut self,
-        mut unfinished: UnfinishedBatch,
-        plan: ForwardPlan,
-    ) -> Result<BatchOutcome, SessionEnd> {
-        let (runs_write, flushes) = (plan.may_leave_write(), plan.flushes);
-        if plan.access == Access::Write {
-            unfinished.access = Access::Write;
-        }
-        unfinished.stream.send(plan.batch);
-        let answer = match self.pass_part(&mut unfinished).await? {
-            Ok(answer) => answer,
-            Err(loss) => {
-                let rejection = judge_unfinished(loss, unfinished.ran_write, runs_write);
-                self.reject(&rejection);
-                let begins = plan.block == BlockEffect::Opens && self.caller.has_more_input();
-                self.leave_block(unfinished.block == BlockEffect::Opens || begins);
-                return Ok((outcome_of(&rejection), true));
-            }
-        };
-        unfinished.ran_write |= runs_write;
-        unfinished.block = unfinished.block.then(plan.block);
-        if flushes && answer.status != TransactionStatus::Idle {
-            self.end_of_part(unfinished, answer.failed).await?;
-        } else {
-            self.end_unfinished(unfinished, &answer);
-        }
-        Ok((Outcome::Done, answer.failed))
-    }
-
-    /// Keeps the batch for its next part. After an error nothing of it runs any more:
-    /// it is ended at once, so that the server connection does not wait for the caller.
-    async fn end_of_part(
-        &mut self,
-        mut unfinished: UnfinishedBatch,
-        failed: bool,
-    ) -> Result<(), SessionEnd> {
-        if !failed {
-            self.unfinished = Some(unfinished);
-            return Ok(());
-        }
-        unfinished.stream.send(sync_alone());
-        match self.pass_part(&mut unfinished).await? {
-            Ok(answer) => self.end_unfinished(unfinished, &answer),
-            Err(loss) => {
-                // The caller has the error, for which the back end rolls back.
-                log::debug!(group:% = unfinished.group, loss:? = loss; "failed batch lost");
-                self.leave_block(unfinished.block == BlockEffect::Opens);
-            }
-        }
-        Ok(())
+impl UnfinishedBatch {
+    /// Whether its `Sync` has not come in time.
+    pub(super) fn is_late(&self, now: Instant) -> bool {
+        now >= self.deadline
     }
 
-    async fn pass_part(
-        &mut self,
-        unfinished: &mut UnfinishedBatch,
-    ) -> Result<Result<PartAnswer, Loss>, SessionEnd> {
-        let mut progress = Progress {
-            access: unfinished.access,
-            first_batch: false,
-            answered: true,
-            may_commit: true,
-            repeatable: false,
-            keyed: false,
-        };
-        let UnfinishedBatch { stream, group, .. } = unfinished;
-        Ok(match self.pass_answer(stream, group, &mut progress).await? {
-            Answered::Ready { status, served_by, failed } => {
-                Ok(PartAnswer { status, served_by, failed })
-            }
-            Answered::Lost(loss) => Err(loss),
-        })
-    }
-
-    /// The `Sync` is answered. A block that a part began goes on as any other.
-    fn end_unfinished(&mut self, unfinished: UnfinishedBatch, answer: &PartAnswer) {
-        let UnfinishedBatch { stream, group, access, .. } = unfinished;
-        self.end_of_batch(stream, &group, access, answer.status, answer.served_by);
-    }
-
-    /// Refuses a further part of so many bytes that comes too late or is too much.
-    pub(super) fn check_unfinished(&mut self, bytes: usize) -> Result<(), Rejection> {
-        let limit = self.context.settings.message_limit;
-        let Some(unfinished) = &mut self.unfinished else {
-            return Ok(());
-        };
-        if Instant::now() >= unfinished.deadline {
-            return Err(self.too_long());
-        }
-        unfinished.bytes += bytes;
-        if unfinished.bytes > limit {
-            return Err(Rejection::UnfinishedTooLarge(limit));
-        }
-        Ok(())
-    }
-
-    fn too_long(&self) -> Rejection {
-        Rejection::UnfinishedTooLong(self.context.settings.unfinished_batch_timeout)
-    }
-
-    /// Ends a batch whose `Sync` did not come in time; the rest of it is skipped.
-    pub(super) async fn end_late_batch(&mut self) -> Result<(), SessionEnd> {
-        self.reject(&self.too_long());
-        self.drop_unfinished();
-        self.collector.discard_until_sync();
-        self.caller.flush().await
-    }
-
-    /// Has the owner roll an unfinished batch back, if there is one.
-    pub(super) fn drop_unfinished(&mut self) {
-        if let Some(unfinished) = self.unfinished.take() {
-            self.leave_block(unfinished.block == BlockEffect::Opens);
-        }
-    }
-
-    /// Nothing of a lost batch is open; a block that it began waits for the caller's end.
-    fn leave_block(&mut self, began: bool) {
-        if began {
-            self.abandon_transaction();
-        }
+    /// Counts a further part of so many bytes; the parts may have `limit` together.
+    ///
+    /// # Errors
+    /// [`Rejection::UnfinishedTooLarge`] when they are too much.
+    pub(super) fn add_part(&mut self, bytes: usize, limit: usize) -> Result<(), Rejection> {
+        self.bytes += bytes;
+        if self.bytes > limit { Err(Rejection::UnfinishedTooLarge(limit)) } else { Ok(()) }
     }
 }
 
@@ -198,11 +47,3 @@
         None => std::future::pending().await,
     }
 }
-
-fn sync_alone() -> Batch {
-    let mut messages = BytesMut::new();
-    if let Err(error) = Message::Sync(Sync::new()).encode(&mut messages) {
-        log::error!(error = error.to_string().as_str(); "Sync was not encoded");
-    }
-    Batch { prepared: Vec::new(), messages: messages.to_vec() }
-}
--- a/crates/edge/src/sessions.rs
+++ b/crates/edge/src/sessions.rs
@@ -1,11 +1,14 @@
 //! The sessions of this proxy: their number and the way to cancel what they run.
+//!
+//! The module owns the count of connections and the keys of cancel requests, which may come to any arbiter.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::watch;
 
-/// Shards of the table, each under its own lock.
+/// Shards of the table, each under its own lock. Chosen, not measured: fewer make arbiters wait for each
+/// other more often, more cost little memory.
 const SHARDS: usize = 16;
 
 /// What a caller must present to cancel what its session runs.
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -1,10 +1,37 @@
 //! Settings of the edge.
+//!
+//! The module owns the defaults; the process that starts the edge reads a deployment's own values.
 
 use corktack_core::identity::{ClassName, Incarnation, ProxyName};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Default number of threads that serve callers. Chosen, not measured: with one, all callers wait
+/// behind each long step, more cost a small machine idle wake-ups.
+const ARBITERS: usize = 2;
+/// Default number of callers' connections at once. Chosen, not measured: a lower one refuses callers that there
+/// is room for, a higher one lets them use up the process's file descriptors and memory.
+const CONNECTION_LIMIT: usize = 10_000;
+/// Default longest message before authentication, in bytes. Chosen, not measured: a lower one refuses long
+/// startup options and tokens, a higher one lets callers that have proved nothing fill memory.
+const STARTUP_MESSAGE_LIMIT: usize = 8 * 1024;
+/// Default longest message and batch after authentication, in bytes: half of what a frame to an owner holds.
+/// Chosen, not measured: a lower one refuses long statements, a higher one a caller may fill memory with.
+const MESSAGE_LIMIT: usize = 4 * 1024 * 1024;
+/// Default longest time until a caller has authenticated. Chosen, not measured: a lower one cuts callers off
+/// behind slow links, a higher one lets silent connections take places under the limit.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Default longest wait for an owner with all retries, and for each message of an answer. Chosen, not measured:
+/// a lower one gives up statements that still run, a higher one holds callers of a group that is gone.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// Default longest time from the first `Flush` of a batch to its `Sync`. Chosen, not measured: a lower one ends
+/// batches of callers that think between two parts, a higher one keeps their server connection from others.
+const UNFINISHED_BATCH_TIMEOUT: Duration = Duration::from_secs(60);
+/// Default longest wait of a drain for transactions in flight. Chosen, not measured: a lower one loses long
+/// transactions at each restart, a higher one holds the restart up.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
+
 /// How callers prove who they are.
 #[derive(Clone, Debug, Default)]
 pub enum Authentication {
@@ -45,7 +72,7 @@
 pub struct EdgeSettings {
     /// This proxy.
     pub proxy: ProxyName,
-    /// This life of the process.
+    /// This incarnation of the process.
     pub incarnation: Incarnation,
     /// Where the owner in this process listens, if the way there need not leave the
     /// machine: used in place of the address that the configuration gives it.
@@ -84,17 +111,17 @@
             proxy,
             incarnation,
             local_owner: None,
-            arbiters: 2,
-            connection_limit: 10_000,
-            startup_message_limit: 8 * 1024,
-            message_limit: 4 * 1024 * 1024,
-            startup_timeout: Duration::from_secs(10),
+            arbiters: ARBITERS,
+            connection_limit: CONNECTION_LIMIT,
+            startup_message_limit: STARTUP_MESSAGE_LIMIT,
+            message_limit: MESSAGE_LIMIT,
+            startup_timeout: STARTUP_TIMEOUT,
             default_class,
             authentication: Authentication::Trust,
-            request_timeout: Duration::from_secs(30),
-            unfinished_batch_timeout: Duration::from_secs(60),
+            request_timeout: REQUEST_TIMEOUT,
+            unfinished_batch_timeout: UNFINISHED_BATCH_TIMEOUT,
             retry_seed: rand::random(),
-            drain_timeout: Duration::from_secs(60),
+            drain_timeout: DRAIN_TIMEOUT,
         }
     }
 }
--- a/crates/edge/src/startup.rs
+++ b/crates/edge/src/startup.rs
@@ -1,11 +1,11 @@
 //! From a fresh connection to a session: startup message, authentication, greeting.
+//!
+//! The module owns what is decided before a caller is let in, and refuses those that are not; it relies on
+//! `codec` for the first message, on `credentials` for what a caller must know, and hands over to `session`.
 
-mod credentials;
 mod options;
 mod scram;
 
-pub use credentials::Credentials;
-
 use crate::answer;
 use crate::caller::CallerSocket;
 use crate::codec::FirstMessage;
@@ -14,6 +14,7 @@
 use crate::route::group_of_database;
 use crate::session::Session;
 use crate::sessions::{CancelKey, Registration};
+use crate::times::REFUSAL_WAIT;
 use corktack_core::binding::CallerIdentity;
 use corktack_core::classify::TOKEN_SETTING;
 use corktack_core::session::SessionToken;
@@ -26,17 +27,14 @@
 };
 use std::net::IpAddr;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 /// Answer to a request for encryption: there is none.
 const NO_ENCRYPTION: u8 = b'N';
-/// Longest wait for the first message of a caller that is refused.
-const REFUSAL_WAIT: Duration = Duration::from_secs(1);
-/// Requests for encryption that a caller may make.
+/// Requests for encryption that a caller may make: one for TLS and one for GSS.
 const ENCRYPTION_REQUESTS: usize = 2;
-/// Parameters that every session starts with.
+/// Parameters that every session starts with, as callers' libraries expect them of PostgreSQL.
 const FIXED_PARAMETERS: [(&str, &str); 8] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -88,7 +86,7 @@
     }
 }
 
-/// Returns when a caller that has not started its session is to be told of the drain.
+/// Returns when a caller that has not started its session is to hear of the drain.
 async fn drain_of_newcomers(context: &ArbiterContext) {
     let mut drain = context.drain.clone();
     if drain.wait_for(|phase| *phase != DrainPhase::Running).await.is_err() {
--- a/crates/edge/src/startup/scram.rs
+++ b/crates/edge/src/startup/scram.rs
@@ -1,8 +1,8 @@
 //! SCRAM-SHA-256, by the library's implementation of the server's side.
 
-use super::credentials::Credentials;
 use crate::answer;
 use crate::caller::CallerSocket;
+use crate::credentials::Credentials;
 use crate::error::{Rejection, SessionEnd};
 use pgwire::api::auth::sasl::SCRAM_SHA_256_METHOD;
 use pgwire::api::auth::sasl::scram::ScramServerAuth;
@@ -54,7 +54,7 @@
     }
 }
 
-/// The client's first message, if it chose the one mechanism there is.
+/// The caller's first message, if it chose the one mechanism there is.
 fn initial_response(response: PasswordMessageFamily) -> Option<Vec<u8>> {
     let PasswordMessageFamily::Raw(body) = &response else {
         return None;
--- /dev/null
+++ b/crates/edge/tests/retry_decisions.rs
@@ -0,0 +1,195 @@
+//! What a lost request comes to, decided without I/O.
+
+use corktack_core::identity::GroupName;
+use corktack_core::view::View;
+use corktack_edge::Rejection;
+use corktack_edge::retry::{Loss, Lost, Progress, Retries, Verdict, judge, judge_unfinished};
+use corktack_protocol::peer::{Access, Failure, NotRunReason};
+use rstest::rstest;
+use std::time::Duration;
+
+/// Retries that a group may save up.
+const BURST: usize = 50;
+/// Longer than any wait before a retry.
+const LONG: Duration = Duration::from_secs(10);
+
+/// A write that opens its transaction, and of whose answer the caller has nothing.
+const WRITE: Progress = Progress {
+    access: Access::Write,
+    first_batch: true,
+    answered: false,
+    may_commit: false,
+    repeatable: false,
+    keyed: false,
+};
+const READ: Progress = Progress { access: Access::Read, ..WRITE };
+
+fn not_run(reason: NotRunReason) -> Rejection {
+    Rejection::NotRun { reason, retry_after_ms: 40 }
+}
+
+fn refused(reason: NotRunReason) -> Loss {
+    Loss::Failed(Failure::NotRun { reason, retry_after_ms: 40 })
+}
+
+fn unreachable() -> Rejection {
+    Rejection::NotRun { reason: NotRunReason::OwnerUnreachable, retry_after_ms: 250 }
+}
+
+#[rstest]
+#[case::no_back_end(NotRunReason::NoBackEnd, true)]
+#[case::not_owner(NotRunReason::NotOwner, true)]
+#[case::unknown_group(NotRunReason::UnknownGroup, true)]
+#[case::stopping(NotRunReason::Stopping, true)]
+#[case::unreachable(NotRunReason::OwnerUnreachable, true)]
+#[case::back_end_refused(NotRunReason::BackEndRefused, true)]
+#[case::queue_full(NotRunReason::QueueFull, false)]
+#[case::queue_timeout(NotRunReason::QueueTimeout, false)]
+#[case::retry_budget(NotRunReason::RetryBudget, false)]
+fn a_refusal_is_repeated_where_another_owner_or_primary_may_be_found(
+    #[case] reason: NotRunReason,
+    #[case] repeated: bool,
+) {
+    let expected = if repeated { Verdict::Retry } else { Verdict::Final };
+    assert_eq!(judge(refused(reason), WRITE), expected(not_run(reason)));
+}
+
+#[test]
+fn a_refusal_after_a_part_of_the_answer_is_no_proof_that_nothing_ran() {
+    let answered = Progress { answered: true, ..WRITE };
+    let loss = refused(NotRunReason::NoBackEnd);
+    assert_eq!(judge(loss, answered), Verdict::Final(Rejection::Unknown));
+}
+
+#[rstest]
+#[case::link_unsent(Loss::Link { sent: false }, Verdict::Retry(unreachable()))]
+#[case::late_unsent(Loss::TimedOut { sent: false }, Verdict::Final(unreachable()))]
+#[case::link_sent(Loss::Link { sent: true }, Verdict::Final(Rejection::Unknown))]
+#[case::late_sent(Loss::TimedOut { sent: true }, Verdict::Final(Rejection::Unknown))]
+#[case::unknown(Loss::Failed(Failure::Unknown), Verdict::Final(Rejection::Unknown))]
+#[case::lost(Loss::Failed(Failure::TransactionLost), Verdict::Final(Rejection::TransactionLost))]
+fn a_write_is_repeated_only_where_it_was_not_sent(#[case] loss: Loss, #[case] expected: Verdict) {
+    assert_eq!(judge(loss, WRITE), expected);
+}
+
+#[rstest]
+#[case::read(READ, Rejection::ReadInterrupted)]
+#[case::repeatable(Progress { repeatable: true, ..WRITE }, Rejection::TransactionLost)]
+#[case::keyed(Progress { keyed: true, ..WRITE }, Rejection::Unknown)]
+fn what_harms_nobody_is_repeated_until_a_part_is_answered(
+    #[case] progress: Progress,
+    #[case] rejection: Rejection,
+    #[values(Loss::Link { sent: true }, Loss::Failed(Failure::Unknown))] loss: Loss,
+) {
+    assert_eq!(judge(loss, progress), Verdict::Retry(rejection.clone()));
+    let answered = Progress { answered: true, ..progress };
+    assert_eq!(judge(loss, answered), Verdict::Final(rejection.clone()));
+    let late = Loss::TimedOut { sent: true };
+    assert_eq!(judge(late, progress), Verdict::Final(rejection));
+}
+
+#[rstest]
+#[case::unsent(Loss::Link { sent: false }, Rejection::TransactionLost)]
+#[case::late_unsent(Loss::TimedOut { sent: false }, Rejection::TransactionLost)]
+#[case::sent(Loss::Link { sent: true }, Rejection::Unknown)]
+#[case::late(Loss::TimedOut { sent: true }, Rejection::Unknown)]
+#[case::unknown(Loss::Failed(Failure::Unknown), Rejection::Unknown)]
+#[case::lost(Loss::Failed(Failure::TransactionLost), Rejection::TransactionLost)]
+#[case::refused(refused(NotRunReason::NotOwner), Rejection::TransactionLost)]
+fn a_later_batch_is_never_repeated_and_its_commit_may_be_unknown(
+    #[case] loss: Loss,
+    #[case] expected: Rejection,
+) {
+    let commit = Progress { first_batch: false, may_commit: true, ..WRITE };
+    assert_eq!(judge(loss, commit), Verdict::Final(expected));
+    let read = Progress { access: Access::Read, ..commit };
+    assert_eq!(judge(loss, read), Verdict::Final(Rejection::TransactionLost));
+}
+
+#[rstest]
+#[case::sent(Loss::Link { sent: true })]
+#[case::late(Loss::TimedOut { sent: true })]
+fn a_later_batch_that_cannot_commit_loses_its_transaction(#[case] loss: Loss) {
+    let later = Progress { first_batch: false, ..WRITE };
+    assert_eq!(judge(loss, later), Verdict::Final(Rejection::TransactionLost));
+}
+
+#[rstest]
+#[case::ran_before(Loss::Link { sent: false }, true, false, Rejection::Unknown)]
+#[case::sent(Loss::Link { sent: true }, false, true, Rejection::Unknown)]
+#[case::late(Loss::TimedOut { sent: true }, false, true, Rejection::Unknown)]
+#[case::unknown(Loss::Failed(Failure::Unknown), false, true, Rejection::Unknown)]
+#[case::unsent(Loss::TimedOut { sent: false }, false, true, Rejection::TransactionLost)]
+#[case::lost(Loss::Failed(Failure::TransactionLost), false, true, Rejection::TransactionLost)]
+#[case::reads(Loss::Link { sent: true }, false, false, Rejection::TransactionLost)]
+fn a_write_of_an_unfinished_batch_that_may_have_run_is_unknown(
+    #[case] loss: Loss,
+    #[case] ran_write: bool,
+    #[case] runs_write: bool,
+    #[case] expected: Rejection,
+) {
+    assert_eq!(judge_unfinished(loss, ran_write, runs_write), expected);
+}
+
+/// Retries of one group that has had a request.
+fn retries() -> (Retries, GroupName) {
+    let group: GroupName = "calls".parse().expect("a valid name");
+    let mut retries = Retries::new(7);
+    retries.request(&group, &View::default());
+    (retries, group)
+}
+
+fn lost(reason: NotRunReason, attempt: u32) -> Lost {
+    Lost { loss: refused(reason), rejection: not_run(reason), attempt }
+}
+
+#[test]
+fn a_group_that_used_its_retries_up_answers_so() {
+    let (mut retries, group) = retries();
+    for _ in 0..BURST {
+        assert!(retries.decide(lost(NotRunReason::NoBackEnd, 0), &group, LONG).is_ok());
+    }
+    let refused = retries.decide(lost(NotRunReason::NoBackEnd, 0), &group, LONG);
+    assert_eq!(refused, Err(not_run(NotRunReason::RetryBudget)));
+    let unknown = Lost { rejection: Rejection::Unknown, ..lost(NotRunReason::NoBackEnd, 0) };
+    assert_eq!(retries.decide(unknown, &group, LONG), Err(Rejection::Unknown));
+}
+
+#[test]
+fn a_handover_costs_no_retry() {
+    let (mut retries, group) = retries();
+    for attempt in 0..2 * BURST as u32 {
+        assert!(retries.decide(lost(NotRunReason::Stopping, attempt), &group, LONG).is_ok());
+        assert!(retries.decide(lost(NotRunReason::NotOwner, 0), &group, LONG).is_ok());
+    }
+    for _ in 0..BURST {
+        assert!(retries.decide(lost(NotRunReason::NotOwner, 1), &group, LONG).is_ok());
+    }
+    assert!(retries.decide(lost(NotRunReason::NotOwner, 1), &group, LONG).is_err());
+}
+
+#[test]
+fn a_wait_past_the_end_of_the_request_costs_no_retry_and_changes_no_answer() {
+    let (mut retries, group) = retries();
+    for _ in 0..2 * BURST {
+        let late = retries.decide(lost(NotRunReason::NoBackEnd, 0), &group, Duration::ZERO);
+        assert_eq!(late, Err(not_run(NotRunReason::NoBackEnd)));
+    }
+    assert!(retries.decide(lost(NotRunReason::NoBackEnd, 0), &group, LONG).is_ok());
+}
+
+#[rstest]
+#[case(0, 10)]
+#[case(1, 20)]
+#[case(3, 80)]
+#[case(6, 500)]
+#[case(60, 500)]
+fn the_wait_grows_to_its_bound(#[case] attempt: u32, #[case] bound_ms: u64) {
+    let bound = Duration::from_millis(bound_ms);
+    let (mut retries, group) = retries();
+    let waits: Vec<Duration> = (0..BURST)
+        .map(|_| retries.decide(lost(NotRunReason::NoBackEnd, attempt), &group, LONG))
+        .map(|wait| wait.expect("the budget has a retry"))
+        .collect();
+    assert!(waits.iter().all(|wait| (bound / 2..=bound).contains(wait)), "{waits:?}");
+}
