--- a/crates/owner/src/exchange/claim.rs
+++ b/crates/owner/src/exchange/claim.rs
@@ -4,7 +4,7 @@
 
 use super::own::OwnError;
 use super::replies::CANNOT_CONNECT_NOW;
-use super::{Exchange, Step};
+use super::state::{Exchange, Step};
 use crate::decisions::RetryCause;
 use crate::transcript::Turn;
 use corktack_core::backend::{NOT_PRIMARY, TOO_MANY_CONNECTIONS};
--- a/crates/owner/src/exchange/ending.rs
+++ b/crates/owner/src/exchange/ending.rs
@@ -1,15 +1,13 @@
-//! How a batch and the transaction end.
+//! How the transaction ends: answered, given up, left by its caller, or to be tried again.
 
-use super::{Exchange, Exit, Step, claim};
+use super::claim;
+use super::state::{Exchange, Exit};
 use crate::connection::ConnectionError;
-use crate::decisions::{
-    AfterLoss, Answer, InFlight, RetryCause, after_loss, failure_of_loss, is_unverified,
-    retry_after_refusal,
-};
+use crate::decisions::{AfterLoss, InFlight, RetryCause, after_loss, failure_of_loss};
 use crate::group::GroupState;
 use crate::wire::{self, WireError};
 use corktack_core::pool::outcomes::sweep_statement;
-use corktack_protocol::peer::{Access, Failure, ServedBy, TransactionStatus};
+use corktack_protocol::peer::{Access, Failure, TransactionStatus};
 use std::time::Duration;
 
 /// Longest wait for the removal of old outcomes; the slot is held meanwhile. Chosen, not measured: a shorter one closes
@@ -22,43 +20,6 @@
 const ANSWER_REFUSED: &str = "a row of the answer is over the limit of 7.8 MiB";
 
 impl Exchange<'_> {
-    /// The batch is answered: decides whether the answer counts.
-    pub(super) fn end_of_batch(&mut self, status: TransactionStatus) -> Step {
-        let alone = status == TransactionStatus::Idle || self.is_first_flush();
-        if let Some(cause) = self.refusal.filter(|_| alone) {
-            return self.refused(cause);
-        }
-        self.unfinished.answered(&self.facts);
-        if self.is_unverified(status) && !self.forwarded {
-            let member = &self.lease.destination().member;
-            let observed = self.observed;
-            self.group.with_state(|state| state.routing.reset_position(member, observed));
-            return Step::Retry(RetryCause::ReplicaBehind);
-        }
-        Step::Ready(status)
-    }
-
-    pub(super) fn refused(&self, cause: RetryCause) -> Step {
-        let destination = self.lease.destination();
-        if (cause, destination.served_by) == (RetryCause::NotPrimary, ServedBy::Primary) {
-            self.group.suspect_primary(&destination.member, destination.term);
-        }
-        Step::Retry(retry_after_refusal(cause, destination.served_by))
-    }
-
-    /// Whether a replica answered a read without proof that it holds the minimum.
-    fn is_unverified(&self, status: TransactionStatus) -> bool {
-        let answer = Answer {
-            served_by: self.lease.destination().served_by,
-            before: self.status,
-            after: status,
-            failed: self.failed,
-            completed: self.completed,
-            position: self.observed,
-        };
-        is_unverified(&answer, self.minimum)
-    }
-
     pub(super) fn answer_ready(&mut self, status: TransactionStatus) {
         self.forward();
         self.status = status;
@@ -94,11 +55,6 @@
         swept.is_ok()
     }
 
-    /// Whether the batch in flight is the first of the stream and ends with a Flush.
-    fn is_first_flush(&self) -> bool {
-        self.facts.flushes && self.status == TransactionStatus::Idle
-    }
-
     /// The caller is gone. A connection in an unfinished batch is closed, for which the
     /// back end rolls back: a Sync would commit, and after an error it hears nothing else.
     pub(super) async fn abandon(self) {
--- a/crates/owner/src/exchange/keyed.rs
+++ b/crates/owner/src/exchange/keyed.rs
@@ -7,15 +7,15 @@
 
 use super::claim::{Claim, ROLLBACK};
 use super::own::OwnAnswer;
-use super::{Exchange, Step};
+use super::state::{Exchange, Step};
 use crate::batch;
 use crate::decisions::RetryCause;
 use crate::transcript::{self, Turn};
 use crate::wire;
 use corktack_core::backend::NOT_PRIMARY;
-use corktack_core::pool::outcomes::{ANSWER_LIMIT, KEY_LIMIT};
+use corktack_core::pool::outcomes::KEY_LIMIT;
 use corktack_core::pool::statements::TransactionEnd;
-use corktack_protocol::peer::{Access, Batch, Failure, OpenRequest, TransactionStatus};
+use corktack_protocol::peer::{Batch, Failure, TransactionStatus};
 
 /// Commits the transaction of the owner's own.
 const COMMIT: &str = "COMMIT";
@@ -42,44 +42,6 @@
     text: "the answer to a write under an idempotency key is over 64 KiB, it was rolled back",
 };
 
-/// What is known of a keyed write.
-#[derive(Debug)]
-pub(super) struct KeyedWrite {
-    pub key: String,
-    /// Answers so far, or those of the first request.
-    pub turns: Vec<Turn>,
-    /// Turns already replayed; none while the write itself runs.
-    pub replayed: Option<usize>,
-    /// Its commit was sent and not yet answered.
-    pub commit_sent: bool,
-    /// The answer held is over the limit, and was dropped.
-    pub oversized: bool,
-}
-
-impl KeyedWrite {
-    /// The keyed write of a request, if it is one and runs something.
-    pub fn of(request: &OpenRequest) -> Option<Self> {
-        let key = request.idempotency_key.clone()?;
-        let runs = request.access == Access::Write && batch::runs_something(&request.batch);
-        runs.then(|| Self {
-            key,
-            turns: Vec::new(),
-            replayed: None,
-            commit_sent: false,
-            oversized: false,
-        })
-    }
-
-    fn kept_bytes(&self) -> usize {
-        self.turns.iter().map(|turn| turn.messages.len()).sum()
-    }
-
-    /// Whether an answer of this size would be over the limit.
-    pub fn is_over_limit(&self, held: usize) -> bool {
-        self.kept_bytes() + held > ANSWER_LIMIT
-    }
-}
-
 impl Exchange<'_> {
     /// Runs the first batch of a keyed write.
     pub(super) async fn open_keyed(&mut self, batch: &Batch) -> Step {
--- a/crates/owner/src/exchange/own.rs
+++ b/crates/owner/src/exchange/own.rs
@@ -1,7 +1,7 @@
 //! Statements of the owner's own on the leased connection.
 
 use super::replies::status_of;
-use super::{Exchange, Step};
+use super::state::{Exchange, Step};
 use crate::connection::ConnectionError;
 use crate::wire::{self, RawMessage};
 use corktack_core::backend::POSITION_PARAMETER;
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -1,6 +1,6 @@
 //! Takes in what the back end answers and passes it on.
 
-use super::Exchange;
+use super::state::Exchange;
 use crate::connection::ConnectionError;
 use crate::decisions::{self, RetryCause};
 use crate::wire::{self, RawMessage};
--- /dev/null
+++ b/crates/owner/src/exchange/send.rs
@@ -0,0 +1,117 @@
+//! One batch: out on the leased connection, and its answer in, until the member is ready or the batch is lost.
+
+use super::state::{Exchange, Step};
+use crate::batch;
+use crate::connection::{CancelTarget, ConnectionError};
+use crate::decisions::{Answer, RetryCause, is_unverified, retry_after_refusal};
+use crate::stream_input::InputEvent;
+use corktack_protocol::peer::{Access, Batch, ServedBy, TransactionStatus};
+
+impl Exchange<'_> {
+    /// Sends a batch and takes its answer in.
+    pub(super) async fn run_batch(&mut self, batch: &Batch) -> Step {
+        self.observed = None;
+        self.failed = false;
+        let Ok(connection) = self.lease.connection() else {
+            return Step::Lost(ConnectionError::Closed);
+        };
+        connection.sent_bytes = 0;
+        connection.session_changed |= self.facts.may_change_session;
+        self.unfinished.sent(&self.facts);
+        if batch::queue(batch, &mut connection.tracker, &mut connection.output).is_err() {
+            return Step::Violation;
+        }
+        loop {
+            match self.read_replies() {
+                Ok(Some(status)) => return self.end_of_batch(status),
+                Ok(None) => {}
+                Err(error) => return Step::Lost(error),
+            }
+            if let Some(step) = self.wait().await {
+                return step;
+            }
+        }
+    }
+
+    /// Waits for input of either side while a batch is in flight.
+    pub(super) async fn wait(&mut self) -> Option<Step> {
+        let may_read = self.input.window > 0;
+        let may_retry = self.request.access == Access::Read && !self.forwarded;
+        let (replaced, silent) = (self.lease.replaced(), self.lease.silent());
+        let unreachable = self.lease.unreachable();
+        let Ok(connection) = self.lease.connection() else {
+            return Some(Step::Lost(ConnectionError::Closed));
+        };
+        tokio::select! {
+            result = connection.progress(may_read) => result.err().map(Step::Lost),
+            () = replaced => Some(Step::Lost(ConnectionError::Closed)),
+            () = silent => Some(Step::Lost(ConnectionError::TimedOut)),
+            () = unreachable, if may_retry => Some(Step::Lost(ConnectionError::TimedOut)),
+            event = self.input.next() => match event {
+                InputEvent::Gone => Some(Step::Gone),
+                InputEvent::Cancel => {
+                    self.send_cancel();
+                    None
+                }
+                InputEvent::Batch | InputEvent::Window => None,
+            },
+        }
+    }
+
+    fn send_cancel(&mut self) {
+        self.cancelled = true;
+        let target = self.lease.connection().ok().and_then(|connection| connection.cancel_target());
+        if let Some(target) = target {
+            actix_rt::spawn(deliver_cancel(target));
+        }
+    }
+
+    /// The batch is answered: decides whether the answer counts.
+    fn end_of_batch(&mut self, status: TransactionStatus) -> Step {
+        let alone = status == TransactionStatus::Idle || self.is_first_flush();
+        if let Some(cause) = self.refusal.filter(|_| alone) {
+            return self.refused(cause);
+        }
+        self.unfinished.answered(&self.facts);
+        if self.is_unverified(status) && !self.forwarded {
+            let member = &self.lease.destination().member;
+            let observed = self.observed;
+            self.group.with_state(|state| state.routing.reset_position(member, observed));
+            return Step::Retry(RetryCause::ReplicaBehind);
+        }
+        Step::Ready(status)
+    }
+
+    /// The request was refused before anything ran.
+    pub(super) fn refused(&self, cause: RetryCause) -> Step {
+        let destination = self.lease.destination();
+        if (cause, destination.served_by) == (RetryCause::NotPrimary, ServedBy::Primary) {
+            self.group.suspect_primary(&destination.member, destination.term);
+        }
+        Step::Retry(retry_after_refusal(cause, destination.served_by))
+    }
+
+    /// Whether a replica answered a read without proof that it holds the minimum.
+    fn is_unverified(&self, status: TransactionStatus) -> bool {
+        let answer = Answer {
+            served_by: self.lease.destination().served_by,
+            before: self.status,
+            after: status,
+            failed: self.failed,
+            completed: self.completed,
+            position: self.observed,
+        };
+        is_unverified(&answer, self.minimum)
+    }
+
+    /// Whether the batch in flight is the first of the stream and ends with a Flush.
+    fn is_first_flush(&self) -> bool {
+        self.facts.flushes && self.status == TransactionStatus::Idle
+    }
+}
+
+async fn deliver_cancel(target: CancelTarget) {
+    if let Err(error) = target.send().await {
+        log::debug!(error:? = error; "cancel request not delivered");
+    }
+}
--- a/crates/owner/src/stream.rs
+++ b/crates/owner/src/stream.rs
@@ -78,10 +78,8 @@
     loop {
         let lease = match obtain(&mut router, input).await {
             Obtained::Lease(lease) => *lease,
-            Obtained::Refused(_) | Obtained::Cancelled if unresolved => {
-                return outbound.failed(Failure::Unknown);
-            }
-            Obtained::Refused(refusal) => return refuse(group, outbound, refusal),
+            Obtained::Refused(refusal) => return end(group, outbound, refusal, unresolved),
+            Obtained::Cancelled if unresolved => return outbound.failed(Failure::Unknown),
             Obtained::Cancelled => return cancelled(outbound),
             Obtained::Gone => return,
         };
@@ -100,10 +98,8 @@
                 cause
             }
         };
-        match router.prepare_retry(cause).await {
-            Ok(()) => {}
-            Err(_) if unresolved => return outbound.failed(Failure::Unknown),
-            Err(refusal) => return refuse(group, outbound, refusal),
+        if let Err(refusal) = router.prepare_retry(cause).await {
+            return end(group, outbound, refusal, unresolved);
         }
     }
 }
@@ -128,6 +124,14 @@
     }
 }
 
+/// Ends a stream that is not tried again. A keyed write whose commit was sent may have run.
+fn end(group: &Group, outbound: &Outbound, refusal: Refusal, unresolved: bool) {
+    if unresolved {
+        return outbound.failed(Failure::Unknown);
+    }
+    refuse(group, outbound, refusal);
+}
+
 fn refuse(group: &Group, outbound: &Outbound, refusal: Refusal) {
     group.metrics.refused(group.name.as_str(), refusal.reason);
     let retry_after_ms = refusal
