--- a/crates/edge/src/session/forward.rs
+++ b/crates/edge/src/session/forward.rs
@@ -1,4 +1,7 @@
 //! Sends a batch to the group's owner, and again where that is safe.
+//!
+//! A batch opens a transaction, goes on with an open one, or with one that is unfinished. Only the first can be sent
+//! again: whether it is, `crate::retry` decides.
 
 use super::owner_wait::NoOwner;
 use super::pass_answer::Answered;
@@ -85,8 +88,7 @@
         uncertain: &mut Option<GroupName>,
     ) -> Result<Result<BatchOutcome, Rejection>, SessionEnd> {
         let deadline = Instant::now() + self.context.settings.request_timeout;
-        // A batch that only prepares a write leaves the key to the one that runs it.
-        let key = if plan.runs_write() { self.idempotency_key.take() } else { None };
+        let key = self.take_key(plan);
         let mut view = self.context.view.clone();
         let mut attempt = 0;
         loop {
@@ -121,6 +123,11 @@
         }
     }
 
+    /// The key of a batch that runs a write; one that only prepares a write leaves it to that.
+    fn take_key(&mut self, plan: &ForwardPlan) -> Option<String> {
+        if plan.runs_write() { self.idempotency_key.take() } else { None }
+    }
+
     /// Passes on the answer to the batch that opens a transaction.
     async fn first_answer(
         &mut self,
--- a/crates/edge/src/session/local.rs
+++ b/crates/edge/src/session/local.rs
@@ -1,4 +1,5 @@
-//! Answers batches whose statements the edge itself answers.
+//! Answers batches whose statements the edge itself answers: settings of the session, and all of a lost
+//! transaction block up to its end.
 
 use super::state::Session;
 use crate::answer;
@@ -9,7 +10,7 @@
 use pgwire::messages::PgWireBackendMessage as Answer;
 use pgwire::messages::PgWireFrontendMessage as Message;
 use pgwire::messages::extendedquery::{
-    BindComplete, CloseComplete, Parse, ParseComplete, TARGET_TYPE_BYTE_STATEMENT,
+    Bind, BindComplete, CloseComplete, Describe, Parse, ParseComplete, TARGET_TYPE_BYTE_STATEMENT,
 };
 use std::sync::Arc;
 
@@ -38,25 +39,8 @@
             execute(session, &profile)
         }
         Message::Parse(parse) => define(session, parse),
-        Message::Bind(bind) => {
-            let name = bind.statement_name.as_deref().unwrap_or_default();
-            let statement = statement_of(session, name)?;
-            check(session, &statement.profile)?;
-            session.portals.insert(bind.portal_name.clone().unwrap_or_default(), statement);
-            put(session, Answer::BindComplete(BindComplete::new()));
-            Ok(())
-        }
-        Message::Describe(target) => {
-            let name = target.name.as_deref().unwrap_or_default();
-            let is_statement = target.target_type == TARGET_TYPE_BYTE_STATEMENT;
-            let (profile, described) = if is_statement {
-                (statement_of(session, name)?.profile.clone(), Described::Statement)
-            } else {
-                (portal(session, name)?, Described::Portal)
-            };
-            describe(&mut session.caller.output, &profile, described);
-            Ok(())
-        }
+        Message::Bind(target) => bind(session, target),
+        Message::Describe(target) => describe_target(session, target),
         Message::Execute(target) => {
             let profile = portal(session, target.name.as_deref().unwrap_or_default())?;
             execute(session, &profile)
@@ -104,6 +88,15 @@
     Ok(())
 }
 
+fn bind(session: &mut Session, bind: &Bind) -> Result<(), Rejection> {
+    let name = bind.statement_name.as_deref().unwrap_or_default();
+    let statement = statement_of(session, name)?;
+    check(session, &statement.profile)?;
+    session.portals.insert(bind.portal_name.clone().unwrap_or_default(), statement);
+    put(session, Answer::BindComplete(BindComplete::new()));
+    Ok(())
+}
+
 fn statement_of(session: &Session, name: &str) -> Result<Arc<SessionStatement>, Rejection> {
     let found = session.statements.find(name);
     Ok(found.ok_or_else(|| StatementError::Unknown(name.to_owned()))?)
@@ -121,6 +114,18 @@
     Portal,
 }
 
+fn describe_target(session: &mut Session, target: &Describe) -> Result<(), Rejection> {
+    let name = target.name.as_deref().unwrap_or_default();
+    let is_statement = target.target_type == TARGET_TYPE_BYTE_STATEMENT;
+    let (profile, described) = if is_statement {
+        (statement_of(session, name)?.profile.clone(), Described::Statement)
+    } else {
+        (portal(session, name)?, Described::Portal)
+    };
+    describe(&mut session.caller.output, &profile, described);
+    Ok(())
+}
+
 fn describe(output: &mut BytesMut, profile: &StatementProfile, described: Described) {
     if described == Described::Statement {
         answer::put_no_parameters(output);
@@ -139,11 +144,20 @@
         answer::put_complete(&mut session.caller.output, "ROLLBACK");
         return Ok(());
     };
-    let tag = match statement {
-        LocalStatement::Empty => {
-            answer::put_empty(&mut session.caller.output);
-            return Ok(());
-        }
+    match run(session, statement)? {
+        Some(tag) => answer::put_complete(&mut session.caller.output, tag),
+        None => answer::put_empty(&mut session.caller.output),
+    }
+    Ok(())
+}
+
+/// Runs a statement of the edge's own, and gives the tag that completes it; an empty one has none.
+fn run(
+    session: &mut Session,
+    statement: &LocalStatement,
+) -> Result<Option<&'static str>, Rejection> {
+    Ok(Some(match statement {
+        LocalStatement::Empty => return Ok(None),
         LocalStatement::ShowToken => {
             let token = session.token.to_string();
             answer::put_text_row(&mut session.caller.output, &token);
@@ -176,7 +190,5 @@
             session.statements.clear();
             "DEALLOCATE ALL"
         }
-    };
-    answer::put_complete(&mut session.caller.output, tag);
-    Ok(())
+    }))
 }
--- a/crates/edge/src/session/owner_wait.rs
+++ b/crates/edge/src/session/owner_wait.rs
@@ -1,4 +1,6 @@
 //! Finds a group's owner, and waits until a request may be sent again.
+//!
+//! Both waits end early with a new configuration, a cancel request of the caller, or the end of the edge.
 
 use super::state::Session;
 use crate::context::DrainPhase;
--- a/crates/edge/src/session/pass_answer.rs
+++ b/crates/edge/src/session/pass_answer.rs
@@ -1,4 +1,7 @@
 //! Passes the owner's answer to one batch on to the caller.
+//!
+//! The caller is written to, and the owner granted further bytes, as the answer comes; a cancel request of the
+//! caller and what it sends ahead are taken meanwhile.
 
 use super::state::Session;
 use crate::answer;
@@ -63,16 +66,12 @@
             };
             match event {
                 StreamEvent::Data(messages) => {
-                    let Some(contents) = self.note_messages(&messages) else {
+                    let Some(holds_error) = self.note_messages(&messages) else {
                         return Ok(Answered::Lost(Loss::Failed(Failure::Unknown)));
                     };
-                    failed |= contents.holds_error;
+                    failed |= holds_error;
                     progress.answered = true;
-                    self.caller.output.extend_from_slice(&messages);
-                    if self.caller.output.len() >= WRITE_BYTES || stream.must_grant() {
-                        self.caller.flush().await?;
-                        stream.grant();
-                    }
+                    self.pass_messages(stream, &messages).await?;
                 }
                 StreamEvent::Position(position) => {
                     self.token.advance(group, position);
@@ -90,6 +89,20 @@
         }
     }
 
+    /// Adds messages to what is written to the caller, and writes once there is enough.
+    async fn pass_messages(
+        &mut self,
+        stream: &mut OwnerStream,
+        messages: &[u8],
+    ) -> Result<(), SessionEnd> {
+        self.caller.output.extend_from_slice(messages);
+        if self.caller.output.len() >= WRITE_BYTES || stream.must_grant() {
+            self.caller.flush().await?;
+            stream.grant();
+        }
+        Ok(())
+    }
+
     /// The next event, or nothing when none comes in time.
     async fn next_event(
         &mut self,
@@ -118,10 +131,10 @@
         }
     }
 
-    /// Notes what the messages say of prepared statements; nothing is returned
-    /// when they are not whole messages.
-    fn note_messages(&mut self, messages: &[u8]) -> Option<Contents> {
-        let mut contents = Contents { holds_error: false };
+    /// Notes what the messages say of prepared statements. Tells whether one is an error;
+    /// nothing is returned when they are not whole messages.
+    fn note_messages(&mut self, messages: &[u8]) -> Option<bool> {
+        let mut holds_error = false;
         let mut rest = messages;
         while !rest.is_empty() {
             let length = rest.get(1..HEADER_BYTES)?.get_u32() as usize;
@@ -129,20 +142,15 @@
                 MESSAGE_TYPE_BYTE_PARSE_COMPLETE | MESSAGE_TYPE_BYTE_CLOSE_COMPLETE => {
                     self.statements.confirm();
                 }
-                MESSAGE_TYPE_BYTE_ERROR_RESPONSE => contents.holds_error = true,
+                MESSAGE_TYPE_BYTE_ERROR_RESPONSE => holds_error = true,
                 _ => {}
             }
             rest = rest.get(1 + length..).filter(|_| length >= HEADER_BYTES - 1)?;
         }
-        Some(contents)
+        Some(holds_error)
     }
 }
 
-/// What was found in messages of an answer.
-struct Contents {
-    holds_error: bool,
-}
-
 fn timed_out(stream: &OwnerStream) -> Loss {
     Loss::TimedOut { sent: stream.was_sent() }
 }
--- a/crates/edge/src/session/plan/mod.rs
+++ b/crates/edge/src/session/plan/mod.rs
@@ -14,6 +14,7 @@
 use corktack_core::classify::BlockEffect;
 use corktack_protocol::frame::PAYLOAD_LIMIT;
 use corktack_protocol::peer::{Access, Batch};
+use effects::Effects;
 use pgwire::messages::PgWireFrontendMessage as Message;
 use pgwire::messages::extendedquery::{Flush, Sync};
 use rewrite::Rewriter;
@@ -55,6 +56,18 @@
 }
 
 impl ForwardPlan {
+    fn new(effects: Effects, batch: Batch, flushes: bool) -> Self {
+        Self {
+            batch,
+            access: if effects.writes { Access::Write } else { Access::Read },
+            may_commit: effects.may_commit,
+            repeatable: effects.repeatable || !effects.executes,
+            executes: effects.executes,
+            block: effects.block,
+            flushes,
+        }
+    }
+
     /// Whether it may run a write, and does not only prepare one.
     #[must_use]
     pub fn runs_write(&self) -> bool {
@@ -111,16 +124,7 @@
     } else if !is_query {
         rewriter.put(&Message::Sync(Sync::new()))?;
     }
-    let effects = rewriter.effects;
-    let plan = ForwardPlan {
-        batch: rewriter.finish(),
-        access: if effects.writes { Access::Write } else { Access::Read },
-        may_commit: effects.may_commit,
-        repeatable: effects.repeatable || !effects.executes,
-        executes: effects.executes,
-        block: effects.block,
-        flushes,
-    };
+    let plan = ForwardPlan::new(rewriter.effects, rewriter.finish(), flushes);
     if size_of_batch(&plan.batch) > REQUEST_LIMIT {
         return Err(Rejection::RequestTooLarge(REQUEST_LIMIT));
     }
