--- a/crates/owner/src/context.rs
+++ b/crates/owner/src/context.rs
@@ -39,7 +39,9 @@
 #[derive(Debug)]
 pub(crate) struct Context {
     pub settings: OwnerSettings,
+    /// The configuration in force.
     pub view: watch::Receiver<Arc<View>>,
+    /// What probes see, for control.
     pub observations: mpsc::UnboundedSender<Observation>,
     pub metrics: Metrics,
     phase: watch::Sender<Phase>,
--- a/crates/owner/src/group/state.rs
+++ b/crates/owner/src/group/state.rs
@@ -15,10 +15,15 @@
 /// What the group's lock protects. Never held across an await.
 #[derive(Debug)]
 pub(crate) struct GroupState {
+    /// Who waits for a slot, and whose turn it is.
     pub admission: AdmissionQueue,
+    /// What is known of the members: reachable, position, work in flight.
     pub routing: RoutingTable,
+    /// Connections that no transaction uses, by member.
     pub idle: BTreeMap<MemberName, Vec<PooledConnection>>,
+    /// Retries that the group's requests have left.
     pub retry: RetryBudget,
+    /// Waits before retries.
     pub backoff: Backoff,
     /// The primary in the view failed or refused; writes wait for a probe or a new view.
     pub primary_suspect: bool,
--- a/crates/owner/src/metrics.rs
+++ b/crates/owner/src/metrics.rs
@@ -40,19 +40,36 @@
 /// Metrics of the owner.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
+    /// Requests that wait for a slot now.
     pub queue_length: Family<GroupLabel, Gauge>,
+    /// Seconds that requests waited for a slot, or until they gave up.
     pub queue_wait: Family<ClassLabel, Histogram, fn() -> Histogram>,
+    /// Transactions that hold a slot now.
     pub slots_in_use: Family<GroupLabel, Gauge>,
+    /// Read transactions that were answered.
     pub reads: Family<ServerLabel, Counter>,
+    /// Questions to a primary for a confirmed position.
     pub barriers: Family<GroupLabel, Counter>,
+    /// Attempts of requests after the first.
     pub retries: Family<GroupLabel, Counter>,
+    /// Requests that were refused as not run.
     pub refusals: Family<ReasonLabel, Counter>,
+    /// Server connections that were closed and not used again.
     pub discarded: Family<GroupLabel, Counter>,
+    /// Links that are not read now, since their edge does not take answers.
     pub links_held: Gauge,
 }
 
+/// Upper bound of the first bucket of the wait, in seconds. Chosen, not measured: a higher one does not tell a free
+/// slot from a short wait; with a lower one the last bucket ends before the usual limit of a wait.
+const FIRST_BUCKET_SECONDS: f64 = 0.000_1;
+/// Each bucket's bound over that of the one before.
+const BUCKET_FACTOR: f64 = 2.0;
+/// Number of buckets: the last ends at 13 s.
+const BUCKETS: u16 = 18;
+
 fn wait_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(0.000_1, 2.0, 18))
+    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKETS))
 }
 
 impl Metrics {
--- a/crates/owner/src/probe.rs
+++ b/crates/owner/src/probe.rs
@@ -4,6 +4,7 @@
 //! observer runs the same probes and learns nothing for itself.
 
 use crate::connection::{CONNECT_TIMEOUT, ConnectionError, Login, ServerConnection};
+use crate::decisions::{Probed, primary_is_suspect};
 use crate::group::Group;
 use corktack_core::backend::{MemberRole, MemberStatus, SHOW_STATUS};
 use corktack_core::identity::{GroupName, MemberName};
@@ -39,7 +40,9 @@
     pub member: MemberName,
     pub address: SocketAddr,
     pub login: Login,
+    /// Time from one probe to the next.
     pub interval: Duration,
+    /// Longest wait for an answer.
     pub timeout: Duration,
     /// Who learns from the probe.
     pub learner: Learner,
@@ -121,26 +124,25 @@
     }
 }
 
+/// Brings what the group knows of a member up to date with a probe, and wakes what waits for that.
 fn learn(group: &Arc<Group>, member: &MemberName, status: Option<&MemberStatus>) {
     group.note_probe(member, status.is_some());
     let view = group.view();
     let is_primary = view.primary.as_ref() == Some(member);
-    let term = status.filter(|status| status.role == MemberRole::Primary);
-    let term = term.map(|status| status.promised_term);
+    let leads = status.filter(|status| status.role == MemberRole::Primary);
+    let leads = leads.map(|status| status.promised_term);
+    let probed = Probed { is_primary, answered: status.is_some(), leads };
     let changed = group.with_state(|state| {
         let before = state.routing.member(member).cloned().unwrap_or_default();
         let position = status.map(|status| status.applied_position);
         state.routing.set_reachable(member, status.is_some());
-        state.routing.set_primary_term(member, term);
+        state.routing.set_primary_term(member, leads);
         if position.is_some() {
             // A member that restarted may be behind what it once reported.
             state.routing.reset_position(member, position);
         }
-        if is_primary && status.is_none() {
-            // Work sent now might stay without an answer; it waits instead.
-            state.primary_suspect = true;
-        } else if is_primary && term.is_some_and(|term| term >= view.term) {
-            state.primary_suspect = false;
+        if let Some(suspect) = primary_is_suspect(probed, view.term) {
+            state.primary_suspect = suspect;
         }
         before.reachable != status.is_some() || (position.is_some() && before.position != position)
     });
--- a/crates/owner/tests/decisions.rs
+++ b/crates/owner/tests/decisions.rs
@@ -3,8 +3,9 @@
 use corktack_core::admission::{AdmissionError, Lane};
 use corktack_core::position::{Position, Term};
 use corktack_owner::decisions::{
-    AfterLoss, Answer, InFlight, Refusal, RetryCause, after_loss, failure_of_loss, is_behind,
-    is_unverified, late_reason, longest_wait, reason_when_late, retry_after_refusal,
+    AfterLoss, Answer, InFlight, Probed, Refusal, RetryCause, after_loss, failure_of_loss,
+    is_behind, is_unverified, late_reason, longest_wait, primary_is_suspect, reason_when_late,
+    retry_after_refusal,
 };
 use corktack_protocol::peer::{Access, Failure, NotRunReason, ServedBy, TransactionStatus};
 use rstest::rstest;
@@ -154,6 +155,9 @@
     assert_eq!(retry_after_refusal(cause, served_by), expected);
 }
 
+/// The primary in force answers as that of term 3.
+const PRIMARY: Probed = Probed { is_primary: true, answered: true, leads: Some(Term(3)) };
+
 fn at(index: u64) -> Position {
     Position { term: Term(1), index }
 }
@@ -199,6 +203,21 @@
     assert!(is_unverified(&replica_answer(None), None));
 }
 
+#[rstest]
+#[case::silent(Probed { answered: false, leads: None, ..PRIMARY }, Some(true))]
+#[case::leads(PRIMARY, Some(false))]
+#[case::leads_later_term(Probed { leads: Some(Term(4)), ..PRIMARY }, Some(false))]
+#[case::leads_earlier_term(Probed { leads: Some(Term(2)), ..PRIMARY }, None)]
+#[case::follows(Probed { leads: None, ..PRIMARY }, None)]
+#[case::other_member(Probed { is_primary: false, ..PRIMARY }, None)]
+#[case::other_silent(Probed { is_primary: false, answered: false, leads: None }, None)]
+fn a_primary_is_suspect_until_it_answers_for_the_term(
+    #[case] probed: Probed,
+    #[case] expected: Option<bool>,
+) {
+    assert_eq!(primary_is_suspect(probed, Term(3)), expected);
+}
+
 #[test]
 fn only_a_replica_is_behind() {
     assert!(is_behind(ServedBy::Replica, at(4), Some(at(5))));
--- a/crates/owner/tests/support/group.rs
+++ b/crates/owner/tests/support/group.rs
@@ -1,31 +1,21 @@
 //! A real stand-in group behind a relay, and owners that each believe to own it.
 
 use super::edge::TestEdge;
+use super::owner::TestOwner;
 use super::relay::Relay;
 use super::{GROUP, classes, zone};
 use corktack_core::identity::{GroupName, Incarnation, MemberName, ProxyName};
 use corktack_core::position::Term;
 use corktack_core::resources::{DatabaseGroupSpec, MemberSpec};
 use corktack_core::view::{GroupView, Revision, View};
-use corktack_owner::{Owner, OwnerHandle, OwnerSettings};
-use corktack_protocol::control::Observation;
+use corktack_owner::OwnerSettings;
 use corktack_standin::{GROUP_SIZE, Group, GroupSettings};
-use prometheus_client::registry::Registry;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 use tempfile::TempDir;
-use tokio::sync::{mpsc, watch};
 use tokio_postgres::{NoTls, SimpleQueryMessage};
 
-/// One owner with a view of its own, in which it owns the group.
-pub struct TestOwner {
-    pub owner: OwnerHandle,
-    pub observations: mpsc::UnboundedReceiver<Observation>,
-    pub registry: Registry,
-    views: watch::Sender<Arc<View>>,
-}
-
 /// A stand-in group and its owners.
 pub struct GroupFleet {
     pub owners: Vec<TestOwner>,
@@ -72,16 +62,7 @@
         let mut view = View { revision: Revision(1), classes: classes(), ..View::default() };
         let name = GroupName::new(GROUP).expect("a valid name");
         view.groups.insert(name, Arc::new(self.view(&proxy, slots)));
-        let (views, receiver) = watch::channel(Arc::new(view));
-        let mut settings = OwnerSettings::new(proxy, Incarnation(1), zone("amba.a"));
-        settings.probe_interval = Duration::from_millis(5);
-        adjust(&mut settings);
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let (sender, observations) = mpsc::unbounded_channel();
-        let mut registry = Registry::default();
-        let owner = Owner::start(settings, listener, receiver, sender, &mut registry)
-            .expect("the owner starts");
-        TestOwner { owner, observations, registry, views }
+        TestOwner::start(proxy, Incarnation(1), view, adjust)
     }
 
     fn view(&self, proxy: &ProxyName, slots: u32) -> GroupView {
--- a/crates/owner/tests/support/mod.rs
+++ b/crates/owner/tests/support/mod.rs
@@ -4,6 +4,7 @@
 pub mod back_end;
 pub mod edge;
 pub mod group;
+pub mod owner;
 pub mod relay;
 
 use back_end::FakeMember;
@@ -11,14 +12,14 @@
 use corktack_core::position::Term;
 use corktack_core::resources::{DatabaseGroupSpec, MemberSpec, PriorityClassSpec};
 use corktack_core::view::{GroupView, Revision, View};
-use corktack_owner::{Owner, OwnerHandle, OwnerSettings};
+use corktack_owner::{OwnerHandle, OwnerSettings};
 use corktack_protocol::control::Observation;
 use corktack_protocol::peer::{Access, Failure, NotRunReason};
 use edge::TestEdge;
+use owner::TestOwner;
 use prometheus_client::registry::Registry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
 pub const GROUP: &str = "calls";
@@ -85,15 +86,9 @@
         let mut view = View { revision: Revision(1), classes: classes(), ..View::default() };
         let group = group_view(&members, slots, queue_limit);
         view.groups.insert(GroupName::new(GROUP).unwrap(), Arc::new(group));
-        let (views, receiver) = watch::channel(Arc::new(view));
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let name = ProxyName::new("proxy-1").unwrap();
-        let mut settings = OwnerSettings::new(name, Incarnation(7), zone("amba.a"));
-        settings.probe_interval = Duration::from_millis(5);
-        adjust(&mut settings);
-        let (sender, observations) = mpsc::unbounded_channel();
-        let mut registry = Registry::default();
-        let owner = Owner::start(settings, listener, receiver, sender, &mut registry).unwrap();
+        let started = TestOwner::start(name, Incarnation(7), view, adjust);
+        let TestOwner { owner, observations, registry, views } = started;
         Self { members, views, owner, observations, registry }
     }
 
