--- a/crates/edge/src/session/plan/rewrite.rs
+++ b/crates/edge/src/session/plan/rewrite.rs
@@ -43,6 +43,7 @@
 }
 
 impl<'a> Rewriter<'a> {
+    /// Of a batch of which no message is taken yet.
     pub(super) fn new(known: Known<'a>) -> Self {
         Self {
             known,
--- a/crates/edge/src/session/state.rs
+++ b/crates/edge/src/session/state.rs
@@ -135,6 +135,7 @@
         self.status = TransactionStatus::Idle;
     }
 
+    /// Answers with an error, after which the session goes on.
     pub(super) fn reject(&mut self, rejection: &Rejection) {
         answer::put_rejection(&mut self.caller.output, rejection, Severity::Error);
     }
--- a/crates/owner/src/backlog.rs
+++ b/crates/owner/src/backlog.rs
@@ -43,6 +43,7 @@
 }
 
 impl LinkSender {
+    /// Puts a message in the queue.
     pub fn send(&self, message: OwnerMessage) {
         self.waiting.count.fetch_add(1, Ordering::Relaxed);
         // A link that is gone has no one to answer.
--- a/crates/owner/src/context.rs
+++ b/crates/owner/src/context.rs
@@ -54,6 +54,7 @@
 }
 
 impl Context {
+    /// Starts the threads; nothing is owned yet.
     pub fn new(
         settings: OwnerSettings,
         view: watch::Receiver<Arc<View>>,
@@ -88,14 +89,17 @@
         self.arbiters[turn % self.arbiters.len()].spawn(task);
     }
 
+    /// How far a stop has gone, to be followed.
     pub fn phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
+    /// Whether new streams are refused.
     pub fn is_draining(&self) -> bool {
         *self.phase.borrow() >= Phase::Draining
     }
 
+    /// Has new streams refused from now on.
     pub fn begin_drain(&self) {
         self.phase.send_replace(Phase::Draining);
     }
@@ -111,28 +115,34 @@
         wait_for_zero(&self.open_links).await;
     }
 
+    /// Stops the threads with all that runs on them.
     pub fn stop(&self) {
         for arbiter in &self.arbiters {
             arbiter.stop();
         }
     }
 
+    /// Counts a stream as open.
     pub fn count_stream(&self) -> OpenCount {
         OpenCount::new(&self.open_streams)
     }
 
+    /// Counts a link as open.
     pub fn count_link(&self) -> OpenCount {
         OpenCount::new(&self.open_links)
     }
 
+    /// An owned group.
     pub fn group(&self, name: &GroupName) -> Option<Arc<Group>> {
         lock(self.shard(name)).get(name).cloned()
     }
 
+    /// Notes that a group is owned from now on.
     pub fn insert_group(&self, name: GroupName, group: Arc<Group>) {
         lock(self.shard(&name)).insert(name, group);
     }
 
+    /// Notes that a group is owned no more.
     pub fn remove_group(&self, name: &GroupName) -> Option<Arc<Group>> {
         lock(self.shard(name)).remove(name)
     }
--- a/crates/owner/src/exchange/claim.rs
+++ b/crates/owner/src/exchange/claim.rs
@@ -99,10 +99,12 @@
         Ok(Step::Ready(TransactionStatus::Idle))
     }
 
+    /// The key of the write.
     pub(super) fn key(&self) -> &str {
         self.keyed.as_ref().map(|keyed| keyed.key.as_str()).unwrap_or_default()
     }
 
+    /// The statement that stores the transcript under the key.
     pub(super) fn store_statement(&self) -> Result<String, Step> {
         let turns = self.keyed.as_ref().map(|keyed| keyed.turns.as_slice()).unwrap_or_default();
         let bytes = frame::encode(&turns).map_err(|_| Step::Violation)?;
--- a/crates/owner/src/exchange/ending.rs
+++ b/crates/owner/src/exchange/ending.rs
@@ -20,12 +20,14 @@
 const ANSWER_REFUSED: &str = "a row of the answer is over the limit of 7.8 MiB";
 
 impl Exchange<'_> {
+    /// Forwards what is held, and tells the edge that the batch is answered.
     pub(super) fn answer_ready(&mut self, status: TransactionStatus) {
         self.forward();
         self.status = status;
         self.outbound.ready(status, self.lease.destination().served_by);
     }
 
+    /// The transaction is over and answered: the connection is given back where it may be used again.
     pub(super) async fn finish(mut self) -> Exit {
         self.answer_ready(TransactionStatus::Idle);
         if self.request.access == Access::Read {
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -53,7 +53,7 @@
         Ok(Some(TransactionStatus::Open))
     }
 
-    pub(super) fn take_reply(
+    fn take_reply(
         &mut self,
         message: RawMessage,
         reply: Reply,
@@ -77,7 +77,8 @@
         Ok(None)
     }
 
-    pub(super) fn take_parameter(&mut self, message: RawMessage) -> Result<(), ConnectionError> {
+    /// Takes a parameter in: a position is for the edge, others for the caller.
+    fn take_parameter(&mut self, message: RawMessage) -> Result<(), ConnectionError> {
         let (name, value) = wire::parameter(&message)?;
         if name != POSITION_PARAMETER {
             self.held.extend_from_slice(&message.bytes);
@@ -114,7 +115,8 @@
         }
     }
 
-    pub(super) fn take_error(&mut self, message: &RawMessage) -> Result<(), ConnectionError> {
+    /// Notes an error; one that came before anything ran may be a refusal.
+    fn take_error(&mut self, message: &RawMessage) -> Result<(), ConnectionError> {
         self.failed = true;
         let nothing_ran = self.status == TransactionStatus::Idle && !self.completed;
         if nothing_ran && !self.forwarded {
@@ -128,17 +130,17 @@
     }
 
     /// The protocol between edge and owner has no way to send copy data.
-    pub(super) fn refuse_copy(&mut self) -> Result<(), ConnectionError> {
+    fn refuse_copy(&mut self) -> Result<(), ConnectionError> {
         let connection = self.lease.connection()?;
         wire::encode(&CopyFail::new(COPY_REFUSED.to_owned()), &mut connection.output)?;
         Ok(())
     }
 
-    pub(super) fn is_behind(&self, position: Position) -> bool {
+    fn is_behind(&self, position: Position) -> bool {
         decisions::is_behind(self.lease.destination().served_by, position, self.minimum)
     }
 
-    pub(super) fn forward_if_large(&mut self) {
+    fn forward_if_large(&mut self) {
         if self.keyed.is_some() {
             // Its answer counts only once it is stored.
             return;
@@ -149,6 +151,7 @@
         }
     }
 
+    /// Sends what is held to the edge; from then on the request cannot be tried again.
     pub(super) fn forward(&mut self) {
         if self.held.is_empty() {
             return;
@@ -160,6 +163,7 @@
     }
 }
 
+/// The status of `ReadyForQuery` in the words of the protocol between edge and owner.
 pub(super) fn status_of(status: ReadyStatus) -> TransactionStatus {
     match status {
         ReadyStatus::Idle => TransactionStatus::Idle,
--- a/crates/owner/src/exchange/state.rs
+++ b/crates/owner/src/exchange/state.rs
@@ -76,6 +76,7 @@
 }
 
 impl<'stream> Exchange<'stream> {
+    /// A transaction of which nothing is sent yet.
     pub fn new(
         group: &'stream Arc<Group>,
         lease: Lease,
--- a/crates/owner/src/group/mod.rs
+++ b/crates/owner/src/group/mod.rs
@@ -94,26 +94,32 @@
         step(&mut lock(&self.state))
     }
 
+    /// The time now, on the owner's clock.
     pub fn now(&self) -> Timestamp {
         self.origin + self.started.elapsed()
     }
 
+    /// The group as the configuration in force has it.
     pub fn view(&self) -> Arc<GroupView> {
         Arc::clone(&self.view.borrow())
     }
 
+    /// The same, to be followed.
     pub fn follow_view(&self) -> watch::Receiver<Arc<GroupView>> {
         self.view.subscribe()
     }
 
+    /// Changes with what is known of the members.
     pub fn follow_knowledge(&self) -> watch::Receiver<u64> {
         self.knowledge.subscribe()
     }
 
+    /// Wakes what waits for more to be known of the members.
     pub fn knowledge_changed(&self) {
         self.knowledge.send_modify(|count| *count += 1);
     }
 
+    /// The label of the group's metrics.
     pub fn label(&self) -> GroupLabel {
         GroupLabel { group: self.name.to_string() }
     }
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -67,6 +67,7 @@
         Ok(Self { pooled: Some(pooled), group, destination, epoch, _slot: slot })
     }
 
+    /// The member that the transaction runs at.
     pub fn destination(&self) -> &Destination {
         &self.destination
     }
--- a/crates/owner/src/metrics.rs
+++ b/crates/owner/src/metrics.rs
@@ -73,6 +73,7 @@
 }
 
 impl Metrics {
+    /// Registers the metrics.
     pub fn register(registry: &mut Registry) -> Self {
         let wait: fn() -> Histogram = wait_histogram;
         let metrics = Self {
@@ -101,6 +102,7 @@
         metrics
     }
 
+    /// Counts a read transaction that was answered.
     pub fn read_served(&self, group: &str, served_by: ServedBy) {
         let server = match served_by {
             ServedBy::Primary => "primary",
@@ -110,6 +112,7 @@
         self.reads.get_or_create(&label).inc();
     }
 
+    /// Counts a request that was refused as not run.
     pub fn refused(&self, group: &str, reason: NotRunReason) {
         let label = ReasonLabel { group: group.to_owned(), reason: format!("{reason:?}") };
         self.refusals.get_or_create(&label).inc();
--- a/crates/owner/src/outbound.rs
+++ b/crates/owner/src/outbound.rs
@@ -16,22 +16,27 @@
 }
 
 impl Outbound {
+    /// The way from a stream to its link; `ended` hears of its end.
     pub fn new(stream: StreamId, link: LinkSender, ended: mpsc::UnboundedSender<StreamId>) -> Self {
         Self { stream, link, ended }
     }
 
+    /// Sends messages for the caller.
     pub fn data(&self, messages: Vec<u8>) {
         self.send(OwnerMessage::Data { stream: self.stream, messages });
     }
 
+    /// Sends the session's new position.
     pub fn position(&self, position: Position) {
         self.send(OwnerMessage::Position { stream: self.stream, position });
     }
 
+    /// Tells that a batch is answered.
     pub fn ready(&self, status: TransactionStatus, served_by: ServedBy) {
         self.send(OwnerMessage::Ready { stream: self.stream, status, served_by });
     }
 
+    /// Sends the final answer of a stream that a back end did not answer.
     pub fn failed(&self, failure: Failure) {
         self.send(OwnerMessage::Failed { stream: self.stream, failure });
     }
--- a/crates/owner/src/router.rs
+++ b/crates/owner/src/router.rs
@@ -40,6 +40,7 @@
 }
 
 impl Router {
+    /// A request that has just come.
     pub fn new(group: Arc<Group>, request: &OpenRequest) -> Self {
         let wait = longest_wait(request.timeout_ms, group.view().spec.queue_timeout_ms);
         let deadline = group.now() + wait;
--- a/crates/owner/src/stream_input.rs
+++ b/crates/owner/src/stream_input.rs
@@ -52,6 +52,7 @@
         waiting > 0 && waiting + batch.messages.len() > PENDING_BYTES
     }
 
+    /// Passes input on to the stream.
     pub fn send(&self, input: StreamInput) {
         if let StreamInput::Batch(batch) = &input {
             self.pending.fetch_add(batch.messages.len(), Ordering::Relaxed);
