--- a/crates/edge/src/link/connection.rs
+++ b/crates/edge/src/link/connection.rs
@@ -1,4 +1,7 @@
 //! The books of one connection to an owner: its streams and what of them the owner may know.
+//!
+//! The module owns the table of open streams; it decides which of a stream's batches may have reached the
+//! owner, and relies on the task to say when a message is about to be written. It does no I/O.
 
 use super::error::LinkError;
 use super::event::StreamEvent;
--- a/crates/edge/src/link/pool.rs
+++ b/crates/edge/src/link/pool.rs
@@ -1,4 +1,7 @@
 //! The connections of one arbiter to owners.
+//!
+//! The module owns the table of connections and remembers which owners are stopping; it relies on the
+//! configuration in force to forget those that are gone.
 
 use super::connection::OwnerLink;
 use super::stream::OwnerStream;
--- a/crates/edge/src/link/stream.rs
+++ b/crates/edge/src/link/stream.rs
@@ -1,4 +1,6 @@
 //! One transaction on a connection to an owner.
+//!
+//! The module owns the grants of bytes that the caller has taken; it relies on the connection for everything else.
 
 use super::connection::OwnerLink;
 use super::event::StreamEvent;
--- a/crates/edge/src/link/task.rs
+++ b/crates/edge/src/link/task.rs
@@ -1,4 +1,7 @@
 //! Reads and writes one connection to an owner.
+//!
+//! The module owns the socket. It makes sure who answers before any request is written, and ends the
+//! connection when the configuration in force says that the owner's incarnation is over.
 
 use super::connection::OwnerLink;
 use super::error::LinkError;
--- a/crates/edge/src/retry/budget.rs
+++ b/crates/edge/src/retry/budget.rs
@@ -1,4 +1,7 @@
 //! Bounds how many requests are sent again, for each group on its own, and when.
+//!
+//! The module owns the budgets and the source of waits; it relies on `loss` for whether a request may be sent
+//! again at all.
 
 use super::Loss;
 use crate::error::Rejection;
--- a/crates/edge/src/retry/loss.rs
+++ b/crates/edge/src/retry/loss.rs
@@ -1,4 +1,7 @@
 //! Decides what a request that got no whole answer comes to.
+//!
+//! Functions without state. Inputs are how the request was lost and how far it had come; a request is sent
+//! again only where running it twice is impossible or harms nobody.
 
 use crate::error::Rejection;
 use crate::times::OWNER_RETRY_MS;
--- a/crates/edge/src/session/forward.rs
+++ b/crates/edge/src/session/forward.rs
@@ -1,7 +1,7 @@
 //! Sends a batch to the group's owner, and again where that is safe.
 //!
-//! A batch opens a transaction, goes on with an open one, or with one that is unfinished. Only the first can be sent
-//! again: whether it is, `crate::retry` decides.
+//! A batch opens a transaction, goes on with an open one, or with one that is unfinished. Only the first can
+//! be sent again: whether it is, `crate::retry` decides.
 
 use super::owner_wait::NoOwner;
 use super::pass_answer::Answered;
--- a/crates/edge/src/session/plan/effects.rs
+++ b/crates/edge/src/session/plan/effects.rs
@@ -1,4 +1,6 @@
 //! Sums up what the statements of a batch do, from the profiles of their texts.
+//!
+//! The module owns no texts; it relies on the profiles that `corktack_core` makes of them.
 
 use crate::error::Rejection;
 use corktack_core::classify::{BlockEffect, Classification, StatementProfile};
--- a/crates/edge/src/session/plan/rewrite.rs
+++ b/crates/edge/src/session/plan/rewrite.rs
@@ -1,4 +1,7 @@
 //! Rewrites the messages of a batch for the owner: statements get the names that all sessions share.
+//!
+//! The module owns the rewritten messages; it relies on the session's statements and portals, which it
+//! changes as the messages ask, and on `effects` for the sum.
 
 use super::effects::Effects;
 use crate::error::Rejection;
--- a/crates/edge/src/session/serve.rs
+++ b/crates/edge/src/session/serve.rs
@@ -1,4 +1,7 @@
 //! Takes a caller's messages until a batch is whole, has it answered, and notes how it ended.
+//!
+//! The module owns the session's loop and the order of its steps; it relies on `plan` for where a batch is
+//! answered. An error that the edge finds ends an unfinished batch and fails an open transaction.
 
 use super::local;
 use super::plan::{self, Known, Place, Plan};
--- a/crates/edge/src/session/state.rs
+++ b/crates/edge/src/session/state.rs
@@ -1,4 +1,7 @@
 //! What a session keeps between its batches, and the changes of it that several steps make.
+//!
+//! The module owns the fields and the rule that a lost transaction block is kept until the caller ends it; it
+//! does no I/O.
 
 use super::plan::Portals;
 use super::unfinished::UnfinishedBatch;
--- a/crates/edge/src/startup/scram.rs
+++ b/crates/edge/src/startup/scram.rs
@@ -1,4 +1,7 @@
 //! SCRAM-SHA-256, by the library's implementation of the server's side.
+//!
+//! The module owns the exchange of messages; it relies on `credentials` for what the caller must know. A user
+//! that does not exist is refused at the same step as a wrong password.
 
 use crate::answer;
 use crate::caller::CallerSocket;
--- a/crates/edge/src/times.rs
+++ b/crates/edge/src/times.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 /// Bound of the wait before a request is sent again for the first time: drawn between its half and itself;
-/// the bound doubles with each further retry. Chosen, not measured: a lower one asks an owner that changes more often for nothing, a
-/// higher one adds its wait to requests that a second try would answer.
+/// the bound doubles with each further retry. Chosen, not measured: a lower one asks an owner that changes
+/// more often for nothing, a higher one adds its wait to requests that a second try would answer.
 pub const FIRST_BACKOFF: Duration = Duration::from_millis(10);
 
 /// Largest bound of that wait. Chosen, not measured: a lower one hammers a group during a change of primary,
--- a/crates/owner/src/backlog.rs
+++ b/crates/owner/src/backlog.rs
@@ -9,9 +9,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::{Notify, mpsc};
 
-/// Messages that may wait before a link is no longer read. Chosen, not measured: far above what an edge that listens
-/// has waiting; a lower limit holds up edges with many streams, a higher one costs memory for an edge that does not
-/// listen.
+/// Messages that may wait before a link is no longer read. Chosen, not measured: far above what an edge that
+/// listens has waiting; a lower limit holds up edges with many streams, a higher one costs memory for an edge
+/// that does not listen.
 const BACKLOG_LIMIT: usize = 16 * 1024;
 
 #[derive(Debug, Default)]
--- a/crates/owner/src/barrier.rs
+++ b/crates/owner/src/barrier.rs
@@ -3,8 +3,8 @@
 //! One barrier is in flight at a time. A request that arrives after it was sent
 //! waits for the next one, since only that is confirmed after its arrival.
 //!
-//! The module owns the connection to the primary for barriers; it relies on `barrier_queue` for who waits and on the
-//! configuration in force for who is the primary.
+//! The module owns the connection to the primary for barriers; it relies on `barrier_queue` for who waits and
+//! on the configuration in force for who is the primary.
 
 use crate::connection::{ConnectionError, ServerConnection};
 use crate::group::{CONTROL_APPLICATION_NAME, Group};
--- a/crates/owner/src/batch.rs
+++ b/crates/owner/src/batch.rs
@@ -1,7 +1,7 @@
 //! Turns a batch of the caller into what is sent on one server connection, and says what its texts may do.
 //!
-//! The module owns no state and does no I/O; it relies on `corktack_core` for what a text means and for the books of a
-//! connection's prepared statements.
+//! The module owns no state and does no I/O; it relies on `corktack_core` for what a text means and for the
+//! books of a connection's prepared statements.
 
 use crate::wire::{self, WireError};
 use bytes::BytesMut;
@@ -12,8 +12,8 @@
 use pgwire::messages::simplequery::Query;
 use std::collections::{BTreeSet, HashMap};
 
-/// Prepared statements kept on one connection. Chosen, not measured: with fewer, callers' statements are prepared again
-/// and again, with more, each connection costs the back end more memory.
+/// Prepared statements kept on one connection. Chosen, not measured: with fewer, callers' statements are
+/// prepared again and again, with more, each connection costs the back end more memory.
 pub(crate) const STATEMENT_LIMIT: usize = 256;
 /// Kind of a Close that names a statement.
 const CLOSE_STATEMENT: u8 = b'S';
--- a/crates/owner/src/connection.rs
+++ b/crates/owner/src/connection.rs
@@ -15,10 +15,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::TcpStream;
 
-/// Longest wait for a new connection to be ready, and for room under the group's limit. Chosen, not measured: a shorter
-/// one finds members behind slow links unreachable, a longer one holds requests at a member that is gone.
+/// Longest wait for a new connection to be ready, and for room under the group's limit. Chosen, not measured:
+/// a shorter one finds members behind slow links unreachable, a longer one holds requests at a member that is
+/// gone.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Bytes of room made for each read. Chosen, not measured: fewer mean more system calls, more mean memory a connection.
+/// Bytes of room made for each read. Chosen, not measured: fewer mean more system calls, more mean memory a
+/// connection.
 const READ_BYTES: usize = 16 * 1024;
 
 /// Why a server connection cannot be used any more.
--- a/crates/owner/src/context.rs
+++ b/crates/owner/src/context.rs
@@ -1,7 +1,7 @@
 //! What all tasks of an owner share.
 //!
-//! The module owns the threads, the map of owned groups, and the counts of open streams and links that a drain waits
-//! for; it relies on the settings and on the configuration in force.
+//! The module owns the threads, the map of owned groups, and the counts of open streams and links that a
+//! drain waits for; it relies on the settings and on the configuration in force.
 
 use crate::group::Group;
 use crate::lock::lock;
@@ -20,8 +20,8 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, watch};
 
-/// Shards of the map of groups, each under its own lock. Chosen, not measured: fewer make threads wait for each other
-/// more often, more cost little memory.
+/// Shards of the map of groups, each under its own lock. Chosen, not measured: fewer make threads wait for
+/// each other more often, more cost little memory.
 const GROUP_SHARDS: usize = 16;
 
 /// How far a stop has gone.
--- a/crates/owner/src/decisions/loss.rs
+++ b/crates/owner/src/decisions/loss.rs
@@ -1,4 +1,7 @@
 //! What a request comes to when its server connection is lost, or its answer cannot count.
+//!
+//! Functions of what is known of the batch in flight; nothing is repeated that may have run and would harm
+//! when it runs twice.
 
 use super::refusal::RetryCause;
 use corktack_core::position::Position;
--- a/crates/owner/src/exchange/ending.rs
+++ b/crates/owner/src/exchange/ending.rs
@@ -1,4 +1,6 @@
 //! How the transaction ends: answered, given up, left by its caller, or to be tried again.
+//!
+//! The module owns what happens to the lease then; it relies on `decisions` for what a lost connection comes to.
 
 use super::claim;
 use super::state::{Exchange, Exit};
@@ -10,8 +12,9 @@
 use corktack_protocol::peer::{Access, Failure, TransactionStatus};
 use std::time::Duration;
 
-/// Longest wait for the removal of old outcomes; the slot is held meanwhile. Chosen, not measured: a shorter one closes
-/// connections for a removal that is a little slow, a longer one keeps the slot from the next request.
+/// Longest wait for the removal of old outcomes; the slot is held meanwhile. Chosen, not measured: a shorter
+/// one closes connections for a removal that is a little slow, a longer one keeps the slot from the next
+/// request.
 const SWEEP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// SQLSTATE of an answer that is over a limit.
--- a/crates/owner/src/exchange/keyed.rs
+++ b/crates/owner/src/exchange/keyed.rs
@@ -19,8 +19,9 @@
 
 /// Commits the transaction of the owner's own.
 const COMMIT: &str = "COMMIT";
-/// Claims tried before the request is given back to the router. Chosen, not measured: one finds the table missing, one
-/// may collide with its creation by another owner, the others are room; more hold the slot longer.
+/// Claims tried before the request is given back to the router. Chosen, not measured: one finds the table
+/// missing, one may collide with its creation by another owner, the others are room; more hold the slot
+/// longer.
 const CLAIM_ATTEMPTS: usize = 4;
 
 /// An answer of the owner's own to a keyed write that did not run.
--- a/crates/owner/src/exchange/own.rs
+++ b/crates/owner/src/exchange/own.rs
@@ -1,4 +1,6 @@
 //! Statements of the owner's own on the leased connection.
+//!
+//! The module owns their answers, which do not reach the caller; it relies on `send` to wait.
 
 use super::replies::status_of;
 use super::state::{Exchange, Step};
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -1,4 +1,7 @@
 //! Takes in what the back end answers and passes it on.
+//!
+//! The module owns what is held of an answer before any of it is forwarded; it relies on the connection's
+//! tracker for which messages are the caller's.
 
 use super::state::Exchange;
 use crate::connection::ConnectionError;
--- a/crates/owner/src/exchange/run.rs
+++ b/crates/owner/src/exchange/run.rs
@@ -1,4 +1,6 @@
 //! The transaction from its first batch to its end.
+//!
+//! The module owns the loop; between two batches it watches for the caller, the member and a change of primary.
 
 use super::state::{Exchange, Exit, Step};
 use super::unfinished;
--- a/crates/owner/src/exchange/send.rs
+++ b/crates/owner/src/exchange/send.rs
@@ -1,4 +1,7 @@
 //! One batch: out on the leased connection, and its answer in, until the member is ready or the batch is lost.
+//!
+//! The module owns the wait for either side while a batch is in flight; it relies on `replies` to take
+//! messages in and on `decisions` for whether the answer counts.
 
 use super::state::{Exchange, Step};
 use crate::batch;
--- a/crates/owner/src/group/connections.rs
+++ b/crates/owner/src/group/connections.rs
@@ -1,4 +1,6 @@
 //! The server connections of a group, within the limit that they have together.
+//!
+//! The module owns the count; a connection counts from before it is opened until it is dropped.
 
 use super::Group;
 use crate::connection::{ConnectionError, Login, ServerConnection};
--- a/crates/owner/src/group/state.rs
+++ b/crates/owner/src/group/state.rs
@@ -1,4 +1,7 @@
 //! What a group's lock protects.
+//!
+//! The module owns the fields and small steps on them; who waits for a change is woken by the group, outside
+//! the lock.
 
 use super::connections::PooledConnection;
 use super::slots::Slot;
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -16,8 +16,8 @@
 //! 4. `outbound` sends the answer to the edge, in a queue that `backlog` bounds.
 //! 5. Where no whole answer comes, [`decisions`] says whether the stream goes back to step 2 or how it ends.
 //!
-//! Beside the streams, `groups` follows the configuration in force and runs for each group a `probe` of every member,
-//! the barriers, and the task that keeps connections `warm`. `context` is what all of them share.
+//! Beside the streams, `groups` follows the configuration in force and runs for each group a `probe` of every
+//! member, the barriers, and the task that keeps connections `warm`. `context` is what all of them share.
 
 mod backlog;
 mod barrier;
@@ -54,9 +54,9 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Links stay open this long after the word that the owner stops, so that what
-/// edges sent before they heard it still gets its answer. Chosen, not measured: a shorter time cuts off what is on the
-/// way over a slow link, which its edge then has to repeat, a longer one adds its length to every stop.
+/// Links stay open this long after the word that the owner stops, so that what edges sent before they heard
+/// it still gets its answer. Chosen, not measured: a shorter time cuts off what is on the way over a slow
+/// link, which its edge then has to repeat, a longer one adds its length to every stop.
 const DRAIN_LINGER: Duration = Duration::from_millis(250);
 
 /// Why an owner could not start.
--- a/crates/owner/src/link.rs
+++ b/crates/owner/src/link.rs
@@ -22,8 +22,8 @@
 
 type Frames = Framed<TcpStream, FrameCodec<OwnerMessage, EdgeMessage>>;
 
-/// Pause after a failed accept, so that a lack of file descriptors is not a busy loop. Chosen, not measured: a longer
-/// one delays edges after the lack is over.
+/// Pause after a failed accept, so that a lack of file descriptors is not a busy loop. Chosen, not measured:
+/// a longer one delays edges after the lack is over.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Why a link was closed. All its streams are rolled back.
--- a/crates/owner/src/probe.rs
+++ b/crates/owner/src/probe.rs
@@ -1,7 +1,7 @@
 //! Probes of members: health for control, positions for routing.
 //!
-//! The module owns the connections of the probes; it relies on `corktack_core` for the status row of a member. A second
-//! observer runs the same probes and learns nothing for itself.
+//! The module owns the connections of the probes; it relies on `corktack_core` for the status row of a
+//! member. A second observer runs the same probes and learns nothing for itself.
 
 use crate::connection::{CONNECT_TIMEOUT, ConnectionError, Login, ServerConnection};
 use crate::decisions::{Probed, primary_is_suspect};
--- a/crates/owner/src/stream.rs
+++ b/crates/owner/src/stream.rs
@@ -18,8 +18,9 @@
 
 /// SQLSTATE of a statement that was cancelled.
 const QUERY_CANCELED: &str = "57014";
-/// When to come back after a refusal that does not depend on the queue, in milliseconds. Chosen, not measured: a lower
-/// one brings requests back before the next configuration is in force, a higher one keeps them away after it is.
+/// When to come back after a refusal that does not depend on the queue, in milliseconds. Chosen, not
+/// measured: a lower one brings requests back before the next configuration is in force, a higher one keeps
+/// them away after it is.
 const RETRY_AFTER_MS: u32 = 100;
 
 /// How the wait for a server connection ended.
--- a/crates/owner/src/stream_input.rs
+++ b/crates/owner/src/stream_input.rs
@@ -1,7 +1,7 @@
 //! What an edge sends on an open stream, on its way from the link to the stream.
 //!
-//! The module owns the batches that wait and the window of bytes that may be sent to the edge; it relies on the link
-//! to pass messages in the order of their arrival.
+//! The module owns the batches that wait and the window of bytes that may be sent to the edge; it relies on
+//! the link to pass messages in the order of their arrival.
 
 use corktack_protocol::peer::{Batch, INITIAL_WINDOW_BYTES};
 use std::collections::VecDeque;
--- a/crates/owner/src/transcript.rs
+++ b/crates/owner/src/transcript.rs
@@ -5,8 +5,8 @@
 //! where the first request found them prepared, or the other way round, so
 //! completions of Parse and Close are not kept but made up for the repeat.
 //!
-//! The module owns the form in which an answer is stored, does no I/O and relies on `wire`; when a transcript is stored or
-//! replayed is the concern of `exchange`.
+//! The module owns the form in which an answer is stored, does no I/O and relies on `wire`; when a transcript
+//! is stored or replayed is the concern of `exchange`.
 
 use crate::batch::{BatchError, statement_texts};
 use crate::wire::{self, RawMessage, WireError};
--- a/crates/owner/src/warm.rs
+++ b/crates/owner/src/warm.rs
@@ -1,7 +1,7 @@
 //! The task that keeps some server connections of a group open before they are needed.
 //!
-//! The module owns the task; it relies on `corktack_core` for how many connections each member should have, and on the
-//! group's limit, which it never goes over.
+//! The module owns the task; it relies on `corktack_core` for how many connections each member should have,
+//! and on the group's limit, which it never goes over.
 
 use crate::group::Group;
 use crate::idle::sweep_idle;
--- a/crates/protocol/src/cell.rs
+++ b/crates/protocol/src/cell.rs
@@ -16,7 +16,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellName(pub String);
 
-/// What a replica knows of one proxy that is connected to it, as the proxy said it; goes to the leader in a summary.
+/// What a replica knows of one proxy that is connected to it, as the proxy said it; goes to the leader in a
+/// summary.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyReport {
     /// The proxy.
--- a/crates/protocol/src/liveness.rs
+++ b/crates/protocol/src/liveness.rs
@@ -32,8 +32,8 @@
         probe_interval: Duration::from_secs(1),
         probes: 2,
     };
-    /// To callers, which may be far away and idle for long. Chosen, not measured: lower values cut callers off whose
-    /// link is lost for some seconds, higher ones keep what callers hold that are gone.
+    /// To callers, which may be far away and idle for long. Chosen, not measured: lower values cut callers
+    /// off whose link is lost for some seconds, higher ones keep what callers hold that are gone.
     pub const TO_CALLERS: Self = Self {
         unacknowledged: Duration::from_secs(10),
         idle: Duration::from_secs(15),
--- a/crates/protocol/src/tunnel.rs
+++ b/crates/protocol/src/tunnel.rs
@@ -11,9 +11,10 @@
 //!
 //! The same tunnels carry questions to the gateway that counts the operations of a tenant.
 //!
-//! The gateway that needs something sends a [`TunnelRequest`]; the holder answers with the [`TunnelReply`] that the
-//! request names, or with [`TunnelReply::Refused`], and may say [`TunnelReply::Working`] before. [`TunnelRequest::Bytes`] and
-//! [`TunnelReply::Bytes`] belong to a lease and go both ways until it is released.
+//! The gateway that needs something sends a [`TunnelRequest`]; the holder answers with the [`TunnelReply`]
+//! that the request names, or with [`TunnelReply::Refused`], and may say [`TunnelReply::Working`] before.
+//! [`TunnelRequest::Bytes`] and [`TunnelReply::Bytes`] belong to a lease and go both ways until it is
+//! released.
 
 use corktack_core::gateway::{ConnectionProfile, ReadBound, ReadPosition, SessionProfile};
 use corktack_core::identity::{GroupName, MemberName};
@@ -251,8 +252,8 @@
     },
     /// The request waits or is under way; sent again and again, so that a holder that is gone can be told.
     Working,
-    /// Answer to [`TunnelRequest::Position`]: age and position of the holder's newest answer of the group's primary,
-    /// or nothing when it has none.
+    /// Answer to [`TunnelRequest::Position`]: age and position of the holder's newest answer of the group's
+    /// primary, or nothing when it has none.
     Position(Option<(Duration, Position)>),
     /// A transaction is open on a connection, which is leased.
     Opened {
