--- a/crates/edge/src/session/outcome.rs
+++ b/crates/edge/src/retry/loss.rs
@@ -1,12 +1,12 @@
 //! Decides what a request that got no whole answer comes to.
+//!
+//! Functions without state. Inputs are how the request was lost and how far it had come; a request is sent
+//! again only where running it twice is impossible or harms nobody.
 
 use crate::error::Rejection;
-use crate::metrics::Outcome;
+use crate::times::OWNER_RETRY_MS;
 use corktack_protocol::peer::{Access, Failure, NotRunReason};
 
-/// When to come back after an owner could not be reached, in milliseconds.
-pub const OWNER_RETRY_MS: u32 = 250;
-
 /// How a request was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
@@ -141,14 +141,3 @@
         NotRunReason::QueueFull | NotRunReason::QueueTimeout | NotRunReason::RetryBudget => false,
     }
 }
-
-/// How a rejection is counted.
-#[must_use]
-pub fn outcome_of(rejection: &Rejection) -> Outcome {
-    match rejection {
-        Rejection::Unknown => Outcome::Unknown,
-        Rejection::TransactionLost => Outcome::TransactionLost,
-        Rejection::ReadInterrupted => Outcome::ReadInterrupted,
-        _ => Outcome::NotRun,
-    }
-}
--- a/crates/edge/src/session/forward.rs
+++ b/crates/edge/src/session/forward.rs
@@ -1,22 +1,22 @@
 //! Sends a batch to the group's owner, and again where that is safe.
+//!
+//! A batch opens a transaction, goes on with an open one, or with one that is unfinished. Only the first can
+//! be sent again: whether it is, `crate::retry` decides.
 
-use super::answer_stream::Answered;
-use super::outcome::outcome_of;
-use super::owner_wait::{Lost, NoOwner};
+use super::owner_wait::NoOwner;
+use super::pass_answer::Answered;
 use super::plan::ForwardPlan;
-use super::{Loss, OpenTransaction, Progress, Session, Verdict, judge};
+use super::state::{BatchOutcome, OpenTransaction, Session};
 use crate::error::{Rejection, SessionEnd};
 use crate::link::OwnerStream;
 use crate::metrics::Outcome;
+use crate::retry::{Loss, Lost, Progress, Verdict, judge};
 use corktack_core::binding::choose_class;
 use corktack_core::classify::BlockEffect;
 use corktack_core::identity::GroupName;
-use corktack_protocol::peer::{Access, OpenRequest, ServedBy, TransactionStatus};
+use corktack_protocol::peer::{Access, OpenRequest, TransactionStatus};
 use tokio::time::Instant;
 
-/// How a batch ended, and whether the answer held an error.
-pub(super) type BatchOutcome = (Outcome, bool);
-
 impl Session {
     /// Sends a batch and passes the answer on. The caller gets everything but `ReadyForQuery`.
     pub(super) async fn forward(&mut self, plan: ForwardPlan) -> Result<BatchOutcome, SessionEnd> {
@@ -88,8 +88,7 @@
         uncertain: &mut Option<GroupName>,
     ) -> Result<Result<BatchOutcome, Rejection>, SessionEnd> {
         let deadline = Instant::now() + self.context.settings.request_timeout;
-        // A batch that only prepares a write leaves the key to the one that runs it.
-        let key = if plan.runs_write() { self.idempotency_key.take() } else { None };
+        let key = self.take_key(plan);
         let mut view = self.context.view.clone();
         let mut attempt = 0;
         loop {
@@ -106,7 +105,7 @@
                 self.context.retries.borrow_mut().request(&group, &self.context.view_now());
             }
             let request = self.open_request(plan, &group, key.clone(), deadline);
-            let stream = self.context.links.link(&route.owner, route.address).open(request);
+            let stream = self.context.links.open(&route.owner, route.address, request);
             let lost = match self.first_answer(plan, stream, &group, key.is_some()).await? {
                 Ok(outcome) => return Ok(Ok(outcome)),
                 Err((loss, progress)) => match judge(loss, progress) {
@@ -124,6 +123,11 @@
         }
     }
 
+    /// The key of a batch that runs a write; one that only prepares a write leaves it to that.
+    fn take_key(&mut self, plan: &ForwardPlan) -> Option<String> {
+        if plan.runs_write() { self.idempotency_key.take() } else { None }
+    }
+
     /// Passes on the answer to the batch that opens a transaction.
     async fn first_answer(
         &mut self,
@@ -175,27 +179,4 @@
             batch: plan.batch.clone(),
         }
     }
-
-    pub(super) fn end_of_batch(
-        &mut self,
-        stream: OwnerStream,
-        group: &GroupName,
-        access: Access,
-        status: TransactionStatus,
-        served_by: ServedBy,
-    ) {
-        self.status = status;
-        if access == Access::Read {
-            self.context.metrics.count_read(group, served_by);
-        }
-        if status != TransactionStatus::Idle {
-            self.transaction = Some(OpenTransaction { stream, group: group.clone(), access });
-        }
-    }
-
-    fn give_up(&mut self, rejection: &Rejection) -> BatchOutcome {
-        self.status = TransactionStatus::Idle;
-        self.reject(rejection);
-        (outcome_of(rejection), true)
-    }
 }
--- a/crates/edge/src/startup/scram.rs
+++ b/crates/edge/src/startup/scram.rs
@@ -1,8 +1,11 @@
 //! SCRAM-SHA-256, by the library's implementation of the server's side.
+//!
+//! The module owns the exchange of messages; it relies on `credentials` for what the caller must know. A user
+//! that does not exist is refused at the same step as a wrong password.
 
-use super::credentials::Credentials;
 use crate::answer;
 use crate::caller::CallerSocket;
+use crate::credentials::Credentials;
 use crate::error::{Rejection, SessionEnd};
 use pgwire::api::auth::sasl::SCRAM_SHA_256_METHOD;
 use pgwire::api::auth::sasl::scram::ScramServerAuth;
@@ -54,7 +57,7 @@
     }
 }
 
-/// The client's first message, if it chose the one mechanism there is.
+/// The caller's first message, if it chose the one mechanism there is.
 fn initial_response(response: PasswordMessageFamily) -> Option<Vec<u8>> {
     let PasswordMessageFamily::Raw(body) = &response else {
         return None;
--- a/crates/owner/src/backlog.rs
+++ b/crates/owner/src/backlog.rs
@@ -9,7 +9,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::{Notify, mpsc};
 
-/// Messages that may wait before a link is no longer read.
+/// Messages that may wait before a link is no longer read. Chosen, not measured: far above what an edge that
+/// listens has waiting; a lower limit holds up edges with many streams, a higher one costs memory for an edge
+/// that does not listen.
 const BACKLOG_LIMIT: usize = 16 * 1024;
 
 #[derive(Debug, Default)]
@@ -41,6 +43,7 @@
 }
 
 impl LinkSender {
+    /// Puts a message in the queue.
     pub fn send(&self, message: OwnerMessage) {
         self.waiting.count.fetch_add(1, Ordering::Relaxed);
         // A link that is gone has no one to answer.
--- a/crates/owner/src/context.rs
+++ b/crates/owner/src/context.rs
@@ -1,6 +1,10 @@
 //! What all tasks of an owner share.
+//!
+//! The module owns the threads, the map of owned groups, and the counts of open streams and links that a
+//! drain waits for; it relies on the settings and on the configuration in force.
 
 use crate::group::Group;
+use crate::lock::lock;
 use crate::metrics::Metrics;
 use crate::settings::OwnerSettings;
 use actix_rt::{Arbiter, ArbiterHandle};
@@ -12,11 +16,12 @@
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Instant;
 use tokio::sync::{mpsc, watch};
 
-/// Shards of the map of groups, each under its own lock.
+/// Shards of the map of groups, each under its own lock. Chosen, not measured: fewer make threads wait for
+/// each other more often, more cost little memory.
 const GROUP_SHARDS: usize = 16;
 
 /// How far a stop has gone.
@@ -30,17 +35,13 @@
     Closing,
 }
 
-/// Locks, also after a panic elsewhere: what the locks here protect is changed
-/// in steps that leave it usable.
-pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 /// What all tasks of an owner share.
 #[derive(Debug)]
 pub(crate) struct Context {
     pub settings: OwnerSettings,
+    /// The configuration in force.
     pub view: watch::Receiver<Arc<View>>,
+    /// What probes see, for control.
     pub observations: mpsc::UnboundedSender<Observation>,
     pub metrics: Metrics,
     phase: watch::Sender<Phase>,
@@ -53,6 +54,7 @@
 }
 
 impl Context {
+    /// Starts the threads; nothing is owned yet.
     pub fn new(
         settings: OwnerSettings,
         view: watch::Receiver<Arc<View>>,
@@ -87,14 +89,17 @@
         self.arbiters[turn % self.arbiters.len()].spawn(task);
     }
 
+    /// How far a stop has gone, to be followed.
     pub fn phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
+    /// Whether new streams are refused.
     pub fn is_draining(&self) -> bool {
         *self.phase.borrow() >= Phase::Draining
     }
 
+    /// Has new streams refused from now on.
     pub fn begin_drain(&self) {
         self.phase.send_replace(Phase::Draining);
     }
@@ -110,28 +115,34 @@
         wait_for_zero(&self.open_links).await;
     }
 
+    /// Stops the threads with all that runs on them.
     pub fn stop(&self) {
         for arbiter in &self.arbiters {
             arbiter.stop();
         }
     }
 
+    /// Counts a stream as open.
     pub fn count_stream(&self) -> OpenCount {
         OpenCount::new(&self.open_streams)
     }
 
+    /// Counts a link as open.
     pub fn count_link(&self) -> OpenCount {
         OpenCount::new(&self.open_links)
     }
 
+    /// An owned group.
     pub fn group(&self, name: &GroupName) -> Option<Arc<Group>> {
         lock(self.shard(name)).get(name).cloned()
     }
 
+    /// Notes that a group is owned from now on.
     pub fn insert_group(&self, name: GroupName, group: Arc<Group>) {
         lock(self.shard(&name)).insert(name, group);
     }
 
+    /// Notes that a group is owned no more.
     pub fn remove_group(&self, name: &GroupName) -> Option<Arc<Group>> {
         lock(self.shard(name)).remove(name)
     }
--- a/crates/owner/src/exchange/claim.rs
+++ b/crates/owner/src/exchange/claim.rs
@@ -1,9 +1,11 @@
 //! The claim of an idempotency key, and the look-up of what a taken key holds.
+//!
+//! The statements are those of `corktack_core::pool::outcomes`; their answers do not reach the caller.
 
 use super::own::OwnError;
 use super::replies::CANNOT_CONNECT_NOW;
-use super::{Exchange, Step};
-use crate::router::RetryCause;
+use super::state::{Exchange, Step};
+use crate::decisions::RetryCause;
 use crate::transcript::Turn;
 use corktack_core::backend::{NOT_PRIMARY, TOO_MANY_CONNECTIONS};
 use corktack_core::pool::outcomes::{
@@ -20,7 +22,7 @@
 /// Tag of a claim that found the key free.
 const CLAIMED_TAG: &str = "INSERT 0 1";
 
-/// What came of a claim.
+/// Outcome of a claim.
 pub(super) enum Claim {
     Won,
     Taken,
@@ -97,10 +99,12 @@
         Ok(Step::Ready(TransactionStatus::Idle))
     }
 
+    /// The key of the write.
     pub(super) fn key(&self) -> &str {
         self.keyed.as_ref().map(|keyed| keyed.key.as_str()).unwrap_or_default()
     }
 
+    /// The statement that stores the transcript under the key.
     pub(super) fn store_statement(&self) -> Result<String, Step> {
         let turns = self.keyed.as_ref().map(|keyed| keyed.turns.as_slice()).unwrap_or_default();
         let bytes = frame::encode(&turns).map_err(|_| Step::Violation)?;
--- a/crates/owner/src/exchange/ending.rs
+++ b/crates/owner/src/exchange/ending.rs
@@ -1,15 +1,20 @@
-//! How a batch and the transaction end.
+//! How the transaction ends: answered, given up, left by its caller, or to be tried again.
+//!
+//! The module owns what happens to the lease then; it relies on `decisions` for what a lost connection comes to.
 
-use super::{Exchange, Exit, Step, claim};
+use super::claim;
+use super::state::{Exchange, Exit};
 use crate::connection::ConnectionError;
+use crate::decisions::{AfterLoss, InFlight, RetryCause, after_loss, failure_of_loss};
 use crate::group::GroupState;
-use crate::router::RetryCause;
 use crate::wire::{self, WireError};
 use corktack_core::pool::outcomes::sweep_statement;
-use corktack_protocol::peer::{Access, Failure, ServedBy, TransactionStatus};
+use corktack_protocol::peer::{Access, Failure, TransactionStatus};
 use std::time::Duration;
 
-/// Longest wait for the removal of old outcomes.
+/// Longest wait for the removal of old outcomes; the slot is held meanwhile. Chosen, not measured: a shorter
+/// one closes connections for a removal that is a little slow, a longer one keeps the slot from the next
+/// request.
 const SWEEP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// SQLSTATE of an answer that is over a limit.
@@ -18,51 +23,14 @@
 const ANSWER_REFUSED: &str = "a row of the answer is over the limit of 7.8 MiB";
 
 impl Exchange<'_> {
-    /// The batch is answered: decides whether the answer counts.
-    pub(super) fn end_of_batch(&mut self, status: TransactionStatus) -> Step {
-        let alone = status == TransactionStatus::Idle || self.is_first_flush();
-        if let Some(cause) = self.refusal.filter(|_| alone) {
-            return self.refused(cause);
-        }
-        self.unfinished.answered(&self.facts);
-        if self.is_unverified(status) && !self.forwarded {
-            let member = &self.lease.destination().member;
-            let observed = self.observed;
-            self.group.with_state(|state| state.routing.reset_position(member, observed));
-            return Step::Retry(RetryCause::ReplicaBehind);
-        }
-        Step::Ready(status)
-    }
-
-    pub(super) fn refused(&self, cause: RetryCause) -> Step {
-        let destination = self.lease.destination();
-        match (cause, destination.served_by) {
-            (RetryCause::NotPrimary, ServedBy::Primary) => {
-                self.group.suspect_primary(&destination.member, destination.term);
-                Step::Retry(cause)
-            }
-            // A statement that a replica does not run is one for the primary.
-            (RetryCause::NotPrimary, ServedBy::Replica) => Step::Retry(RetryCause::ReplicaBehind),
-            _ => Step::Retry(cause),
-        }
-    }
-
-    /// Whether a replica answered a read without proof that it holds the minimum.
-    pub(super) fn is_unverified(&self, status: TransactionStatus) -> bool {
-        let replica = self.lease.destination().served_by == ServedBy::Replica;
-        let alone = self.status == TransactionStatus::Idle && status == TransactionStatus::Idle;
-        if !replica || !alone || self.failed || !self.completed {
-            return false;
-        }
-        self.observed.is_none_or(|position| self.is_behind(position))
-    }
-
+    /// Forwards what is held, and tells the edge that the batch is answered.
     pub(super) fn answer_ready(&mut self, status: TransactionStatus) {
         self.forward();
         self.status = status;
         self.outbound.ready(status, self.lease.destination().served_by);
     }
 
+    /// The transaction is over and answered: the connection is given back where it may be used again.
     pub(super) async fn finish(mut self) -> Exit {
         self.answer_ready(TransactionStatus::Idle);
         if self.request.access == Access::Read {
@@ -92,11 +60,6 @@
         swept.is_ok()
     }
 
-    /// Whether the batch in flight is the first of the stream and ends with a Flush.
-    fn is_first_flush(&self) -> bool {
-        self.facts.flushes && self.status == TransactionStatus::Idle
-    }
-
     /// The caller is gone. A connection in an unfinished batch is closed, for which the
     /// back end rolls back: a Sync would commit, and after an error it hears nothing else.
     pub(super) async fn abandon(self) {
@@ -112,22 +75,15 @@
         if unresolved { Exit::Unresolved(cause) } else { Exit::Retry(cause) }
     }
 
-    /// The connection is lost: what is known of the outcome.
+    /// The connection is lost.
     pub(super) fn lost(mut self, error: &ConnectionError) -> Exit {
         log::debug!(group:% = self.group.name, error:? = error; "server connection lost");
-        let nothing_ran = self.status == TransactionStatus::Idle && !self.forwarded;
-        if nothing_ran && self.keyed.is_some() {
-            return self.retried(RetryCause::ConnectionLost);
+        match after_loss(&self.in_flight(), is_too_large(error)) {
+            AfterLoss::RepeatUnderKey => self.retried(RetryCause::ConnectionLost),
+            AfterLoss::Repeat => Exit::Retry(RetryCause::ConnectionLost),
+            AfterLoss::RefuseAnswer => self.refuse_answer(),
+            AfterLoss::Final(failure) => Exit::Failed(failure),
         }
-        let sent = self.lease.connection().map_or(0, |connection| connection.sent_bytes);
-        let only_read = self.request.access == Access::Read;
-        if only_read && self.status == TransactionStatus::Idle && is_too_large(error) {
-            return self.refuse_answer();
-        }
-        if nothing_ran && (only_read || sent == 0 || self.facts.only_begins) {
-            return Exit::Retry(RetryCause::ConnectionLost);
-        }
-        Exit::Failed(self.failure_of_loss())
     }
 
     /// The answer to a read cannot be passed on; another member would give the same.
@@ -140,18 +96,23 @@
         Exit::Ended
     }
 
-    pub(super) fn failure_of_loss(&mut self) -> Failure {
-        let sent = self.lease.connection().map_or(0, |connection| connection.sent_bytes);
-        let may_have_committed = self.unfinished.may_have_committed(sent)
-            || match self.status {
-                TransactionStatus::Idle => sent > 0,
-                TransactionStatus::Open => sent > 0 && self.facts.may_commit,
-                TransactionStatus::Failed => false,
-            };
-        if self.request.access == Access::Write && may_have_committed {
-            return Failure::Unknown;
+    /// The final answer when the batch in flight breaks the rules between edge and owner.
+    pub(super) fn failure_of_violation(&mut self) -> Failure {
+        failure_of_loss(&self.in_flight())
+    }
+
+    fn in_flight(&mut self) -> InFlight {
+        let sent_bytes = self.lease.connection().map_or(0, |connection| connection.sent_bytes);
+        InFlight {
+            access: self.request.access,
+            status: self.status,
+            forwarded: self.forwarded,
+            keyed: self.keyed.is_some(),
+            sent_bytes,
+            may_commit: self.facts.may_commit,
+            only_begins: self.facts.only_begins,
+            unfinished_may_be_committed: self.unfinished.may_have_committed(sent_bytes),
         }
-        Failure::TransactionLost
     }
 }
 
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -1,21 +1,26 @@
 //! Takes in what the back end answers and passes it on.
+//!
+//! The module owns what is held of an answer before any of it is forwarded; it relies on the connection's
+//! tracker for which messages are the caller's.
 
-use super::Exchange;
+use super::state::Exchange;
 use crate::connection::ConnectionError;
-use crate::router::RetryCause;
+use crate::decisions::{self, RetryCause};
 use crate::wire::{self, RawMessage};
 use corktack_core::backend::{NOT_PRIMARY, POSITION_PARAMETER, TOO_MANY_CONNECTIONS};
 use corktack_core::pool::replies::{Disposition, Reply, back};
 use corktack_core::position::Position;
-use corktack_protocol::peer::{ServedBy, TransactionStatus};
+use corktack_protocol::peer::TransactionStatus;
 use pgwire::messages::copy::CopyFail;
 use pgwire::messages::extendedquery::ParseComplete;
 use pgwire::messages::response::TransactionStatus as ReadyStatus;
 
-/// Answers are held up to this size, so that a request that turns out not to
-/// have run, or to have been read from a replica that is behind, can be retried.
+/// Answers are held up to this many bytes, so that a request that turns out not to
+/// have run, or to have been read from a replica that is behind, can be retried. Chosen, not measured: fewer make
+/// large reads of a stale replica fail where they could be repeated, more cost memory and a later first row.
 const HOLD_BYTES: usize = 64 * 1024;
-/// Size of one frame of answers once nothing is held any more.
+/// Bytes of one frame of answers once nothing is held any more. Chosen, not measured: smaller frames cost a header
+/// and a wake-up more often, larger ones delay the other streams of the link.
 const FRAME_BYTES: usize = 32 * 1024;
 /// SQLSTATE of a back end that takes no work now.
 pub(super) const CANNOT_CONNECT_NOW: &str = "57P03";
@@ -51,7 +56,7 @@
         Ok(Some(TransactionStatus::Open))
     }
 
-    pub(super) fn take_reply(
+    fn take_reply(
         &mut self,
         message: RawMessage,
         reply: Reply,
@@ -75,7 +80,8 @@
         Ok(None)
     }
 
-    pub(super) fn take_parameter(&mut self, message: RawMessage) -> Result<(), ConnectionError> {
+    /// Takes a parameter in: a position is for the edge, others for the caller.
+    fn take_parameter(&mut self, message: RawMessage) -> Result<(), ConnectionError> {
         let (name, value) = wire::parameter(&message)?;
         if name != POSITION_PARAMETER {
             self.held.extend_from_slice(&message.bytes);
@@ -112,7 +118,8 @@
         }
     }
 
-    pub(super) fn take_error(&mut self, message: &RawMessage) -> Result<(), ConnectionError> {
+    /// Notes an error; one that came before anything ran may be a refusal.
+    fn take_error(&mut self, message: &RawMessage) -> Result<(), ConnectionError> {
         self.failed = true;
         let nothing_ran = self.status == TransactionStatus::Idle && !self.completed;
         if nothing_ran && !self.forwarded {
@@ -126,18 +133,17 @@
     }
 
     /// The protocol between edge and owner has no way to send copy data.
-    pub(super) fn refuse_copy(&mut self) -> Result<(), ConnectionError> {
+    fn refuse_copy(&mut self) -> Result<(), ConnectionError> {
         let connection = self.lease.connection()?;
         wire::encode(&CopyFail::new(COPY_REFUSED.to_owned()), &mut connection.output)?;
         Ok(())
     }
 
-    pub(super) fn is_behind(&self, position: Position) -> bool {
-        let replica = self.lease.destination().served_by == ServedBy::Replica;
-        replica && self.minimum.is_some_and(|minimum| !position.covers(minimum))
+    fn is_behind(&self, position: Position) -> bool {
+        decisions::is_behind(self.lease.destination().served_by, position, self.minimum)
     }
 
-    pub(super) fn forward_if_large(&mut self) {
+    fn forward_if_large(&mut self) {
         if self.keyed.is_some() {
             // Its answer counts only once it is stored.
             return;
@@ -148,6 +154,7 @@
         }
     }
 
+    /// Sends what is held to the edge; from then on the request cannot be tried again.
     pub(super) fn forward(&mut self) {
         if self.held.is_empty() {
             return;
@@ -159,6 +166,7 @@
     }
 }
 
+/// The status of `ReadyForQuery` in the words of the protocol between edge and owner.
 pub(super) fn status_of(status: ReadyStatus) -> TransactionStatus {
     match status {
         ReadyStatus::Idle => TransactionStatus::Idle,
