--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -2,11 +2,13 @@
 //! session's state, which member a read is offered to, and which gateways hold connections to it.
 
 mod detour;
+mod fallback;
 mod flight_limit;
 mod freshness;
 mod holders;
 mod member_choice;
 mod member_estimate;
+mod member_pauses;
 mod peers;
 mod preference;
 mod profile;
@@ -14,6 +16,7 @@
 mod silence;
 
 pub use detour::{Detour, DetourStep};
+pub use fallback::{FALLBACK_CONNECTIONS, FallbackPeriod};
 pub use flight_limit::FlightLimit;
 pub use freshness::{
     FloorBasis, Freshness, KnownPosition, OwnPosition, POSITION_RETENTION, PositionSource,
@@ -25,6 +28,7 @@
 };
 pub use member_choice::{MemberLoad, choose_reader};
 pub use member_estimate::{MemberEstimate, ReportedLoad};
+pub use member_pauses::{ClockInstant, MemberPauses};
 pub use peers::PeerTable;
 pub use preference::{Preference, ReaderPreferences};
 pub use profile::{ConnectionProfile, SessionProfile, UnknownName};
--- a/crates/gateway/src/group/acquire.rs
+++ b/crates/gateway/src/group/acquire.rs
@@ -82,7 +82,7 @@
                     }
                 }
                 Step::NoHolder(member) => {
-                    self.stand_in(&member);
+                    self.begin_fallback(&member);
                     return Err(AcquireError::NoHolder(member));
                 }
                 // Another gateway asks the next one at once, and the primary may serve a read that
@@ -163,11 +163,12 @@
     fn explain_wait(&self, wish: &Wish<'_>) {
         let state = self.state.borrow();
         let waiting = state.waiting.len();
-        for (name, member) in state.members.iter().filter(|(_, member)| member.limit > 0) {
+        for (name, member) in state.members.iter().filter(|(_, member)| member.holds_connections())
+        {
             log::debug!(
                 target: LOG_TARGET, group:% = self.name, member:% = name, wish:? = wish.target,
-                waiting, open = member.open, idle = member.idle.len(), resting = member.resting,
-                limit = member.limit;
+                waiting, open = member.pool.open(), idle = member.pool.idle(),
+                resting = member.pool.idle_in_transaction(), limit = member.pool.limit();
                 "no room at a member in time"
             );
         }
@@ -201,7 +202,7 @@
                 match &error {
                     DialError::Refused { code: ErrorCode::TooManyConnections, .. } => {
                         let now = Instant::now();
-                        self.with_member(&member, |it| it.note_full(now));
+                        self.with_member(&member, |it| it.pauses.note_full(now));
                         return Err(AcquireError::Full(member));
                     }
                     DialError::Unreachable(_)
@@ -213,7 +214,7 @@
                     }
                     _ => {
                         let now = Instant::now();
-                        self.with_member(&member, |it| it.note_busy(now));
+                        self.with_member(&member, |it| it.pauses.note_busy(now));
                     }
                 }
                 Err(AcquireError::Unreachable(member))
--- a/crates/gateway/src/group/choice.rs
+++ b/crates/gateway/src/group/choice.rs
@@ -66,8 +66,8 @@
         };
         let Some(name) = chosen else { return Step::NoMember };
         let Some(member) = self.members.get_mut(&name) else { return Step::NoMember };
-        member.end_stand_in(now);
-        if member.limit == 0 {
+        member.end_fallback_if_over(now);
+        if !member.holds_connections() {
             return Self::forward(name, member, wish, tunnels);
         }
         if let Some(homes) = Self::homes(member, wish, settings, tunnels) {
@@ -91,7 +91,7 @@
         tunnels: &Tunnels,
     ) -> Option<Vec<Holder>> {
         let tenant = wish.principal?.tenant()?;
-        if matches!(wish.target, Target::Held(_)) || member.has_idle_for(wish.principal) {
+        if matches!(wish.target, Target::Held(_)) || member.pool.has_idle_for(wish.principal) {
             return None;
         }
         let homes =
@@ -143,7 +143,8 @@
         settings: &GatewaySettings,
     ) -> Option<MemberName> {
         let member = self.members.get(name)?;
-        let able = member.limit > 0 && member.takes_writes(now, settings.drain_limit);
+        let takes_writes = member.pauses.takes_writes(now, settings.drain_limit);
+        let able = member.holds_connections() && takes_writes;
         able.then(|| name.clone())
     }
 
@@ -155,11 +156,13 @@
         settings: &GatewaySettings,
     ) -> Step<W> {
         let Some(member) = self.members.get_mut(name) else { return Step::NoMember };
-        member.reserved = member.reserved.saturating_sub(1);
+        member.pool.release_reserved();
         let now = Instant::now();
         let able = match &wish.target {
-            Target::Reader { refused } => member.takes_reads(now) && !refused.contains(name),
-            Target::Primary | Target::Held(_) => member.takes_writes(now, settings.drain_limit),
+            Target::Reader { refused } => member.pauses.takes_reads(now) && !refused.contains(name),
+            Target::Primary | Target::Held(_) => {
+                member.pauses.takes_writes(now, settings.drain_limit)
+            }
         };
         if !able || !member.has_room(now, wish.needs_slot) {
             return Step::Wait;
@@ -170,19 +173,19 @@
     /// A place that was kept for a waiter is not taken.
     pub(super) fn release_reserved(&mut self, now: Timestamp, name: &MemberName) {
         if let Some(member) = self.members.get_mut(name) {
-            member.reserved = member.reserved.saturating_sub(1);
+            member.pool.release_reserved();
         }
         self.wake_next(now, name);
     }
 
     fn take(name: MemberName, member: &mut Member<W>, wish: &Wish<'_>) -> Step<W> {
-        if let Some(connection) = member.take_idle(wish.session, wish.principal) {
+        if let Some(connection) = member.pool.take_idle(wish.session, wish.principal) {
             return Step::Use(name, connection);
         }
-        if !member.may_open(Instant::now()) && !member.make_room() {
+        if !member.may_open(Instant::now()) && !member.pool.close_longest_idle() {
             return Step::Wait;
         }
-        member.open += 1;
+        member.pool.begin_opening();
         Step::Dial(name, Arc::clone(&member.back_end))
     }
 
@@ -214,8 +217,8 @@
             rank(name, member) < UNKNOWN_RANK && member.needs_detour(now) && !closed
         };
         let able = self.members.iter().filter(|(name, member)| {
-            let left = member.has_left(now, settings.drain_limit);
-            let reached = member.takes_writes(now, settings.drain_limit);
+            let left = member.pauses.has_left(now, settings.drain_limit);
+            let reached = member.pauses.takes_writes(now, settings.drain_limit);
             !left && !excluded(name) && (reached || detour(name, member))
         });
         able.min_by_key(|(name, member)| rank(name, member)).map(|(name, _)| name.clone())
@@ -233,7 +236,7 @@
         let able: Vec<_> = self
             .members
             .iter()
-            .filter(|(name, member)| member.takes_reads(now) && !refused.contains(*name))
+            .filter(|(name, member)| member.pauses.takes_reads(now) && !refused.contains(*name))
             .collect();
         let choose = |able: Vec<(&MemberName, &Member<W>)>| {
             let load = |(name, member): &(&MemberName, &Member<W>)| MemberLoad {
@@ -243,7 +246,7 @@
             let loads: Vec<_> = able.iter().map(load).collect();
             choose_reader(&loads).map(|place| able[place].0.clone())
         };
-        let good = able.iter().copied().filter(|(_, member)| !member.is_passed_over(now));
+        let good = able.iter().copied().filter(|(_, member)| !member.pauses.is_passed_over(now));
         let free = good.clone().filter(|(_, member)| member.has_room(now, true));
         choose(free.collect()).or_else(|| choose(good.collect())).or_else(|| choose(able))
     }
@@ -264,15 +267,15 @@
         let may_lead = self.proven_primary.as_ref().is_none_or(|primary| primary == name);
         let Some(member) = self.members.get_mut(name) else { return };
         // A member that is leaving gets no new work through those who wait.
-        if !member.takes_reads(Instant::now()) {
+        if !member.pauses.takes_reads(Instant::now()) {
             return;
         }
         while let Some(waker) = self.waiting.next(now, name, may_lead) {
-            member.reserved += 1;
+            member.pool.reserve();
             if waker.send(name.clone()).is_ok() {
                 return;
             }
-            member.reserved -= 1;
+            member.pool.release_reserved();
         }
     }
 }
--- a/crates/gateway/src/group/elsewhere.rs
+++ b/crates/gateway/src/group/elsewhere.rs
@@ -263,7 +263,7 @@
         granted: Granted,
         principal: Principal,
     ) -> Located<W> {
-        self.with_member(&member, |it| it.forwarded += 1);
+        self.with_member(&member, |it| it.remote_in_use += 1);
         let transport = Transport::Tunnel(granted.tunnel);
         let mut connection = MemberConnection::new(self.wire.clone(), transport, principal);
         connection.profile = granted.profile;
@@ -278,7 +278,7 @@
         connection: MemberConnection<W>,
         settled: bool,
     ) {
-        self.with_member(name, |it| it.forwarded = it.forwarded.saturating_sub(1));
+        self.with_member(name, |it| it.remote_in_use = it.remote_in_use.saturating_sub(1));
         let Some((tunnel, profile)) = connection.into_tunnel() else { return };
         if tunnel.is_silent() {
             self.tunnels.note_silent(tunnel.holder());
@@ -298,13 +298,14 @@
 
 impl<'g, W: Wire> ForwardedPlace<'g, W> {
     fn new(group: &'g Group<W>, member: &'g MemberName) -> Self {
-        group.with_member(member, |it| it.forwarded += 1);
+        group.with_member(member, |it| it.remote_in_use += 1);
         Self { group, member }
     }
 }
 
 impl<W: Wire> Drop for ForwardedPlace<'_, W> {
     fn drop(&mut self) {
-        self.group.with_member(self.member, |it| it.forwarded = it.forwarded.saturating_sub(1));
+        self.group
+            .with_member(self.member, |it| it.remote_in_use = it.remote_in_use.saturating_sub(1));
     }
 }
--- a/crates/gateway/src/group/elsewhere/told.rs
+++ b/crates/gateway/src/group/elsewhere/told.rs
@@ -74,7 +74,7 @@
         let (mut reached, mut holds) = (false, false);
         self.with_member(&member, |it| {
             reached = it.detour.is_open();
-            holds = it.limit > 0;
+            holds = it.holds_connections();
             if !reached {
                 it.detour.failed(steady);
             }
@@ -83,13 +83,13 @@
             return none_free;
         }
         if !holds && self.all_are_silent(&member) {
-            self.stand_in(&member);
+            self.begin_fallback(&member);
             return AcquireError::NoHolder(member);
         }
         if reached {
             return none_free;
         }
-        self.with_member(&member, |it| it.note_busy(now));
+        self.with_member(&member, |it| it.pauses.note_busy(now));
         AcquireError::Unreachable(member)
     }
 
@@ -101,13 +101,13 @@
     }
 
     /// Opens connections of its own to a member for some time.
-    pub(in crate::group) fn stand_in(&self, member: &MemberName) {
+    pub(in crate::group) fn begin_fallback(&self, member: &MemberName) {
         log::info!(
             group:% = self.name, member:% = member;
             "no gateway that holds connections answers: this one opens its own"
         );
         let now = Instant::now();
-        self.with_member(member, |it| it.stand_in(now));
+        self.with_member(member, |it| it.begin_fallback(now));
     }
 
     /// Takes over the newest position that a holder knows, which was asked at `asked_at`.
--- a/crates/gateway/src/group/mod.rs
+++ b/crates/gateway/src/group/mod.rs
@@ -11,7 +11,7 @@
 use crate::clock::SteadyClock;
 use crate::connection::MemberConnection;
 use crate::lease::Lease;
-use crate::member::{IdleConnection, Member};
+use crate::member::{Member, MemberShare};
 use crate::metrics::{Holdings, Metrics};
 use crate::settings::GatewaySettings;
 use crate::tunnel::Tunnels;
@@ -121,19 +121,6 @@
     pub(crate) share: MemberShare,
 }
 
-/// Who holds connections to a member.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct MemberShare {
-    /// Connections that this gateway may have; none where it holds no share.
-    pub(crate) connections: usize,
-    /// Other gateways that hold some, in the order to ask.
-    pub(crate) others: Vec<Holder>,
-    /// All that hold some.
-    pub(crate) holder_count: usize,
-    /// How long a connection may rest before it is closed.
-    pub(crate) idle_limit: Duration,
-}
-
 /// A group of back ends as this gateway uses it.
 pub(crate) struct Group<W: Wire> {
     pub(crate) name: GroupName,
@@ -212,8 +199,8 @@
             let new = || Member::new(Arc::clone(back_end), distance);
             let member = state.members.entry(name.clone()).or_insert_with(new);
             member.follow(back_end, now);
-            if member.share(share) {
-                member.open += 1;
+            if member.set_share(share) {
+                member.pool.begin_opening();
                 held.push((name.clone(), Arc::clone(back_end)));
             }
         }
@@ -239,14 +226,7 @@
         let mut state = self.state.borrow_mut();
         let Some(member) = state.members.get_mut(name) else { return connection.terminate() };
         member.silence.answered(self.clock.at(connection.answered_at()));
-        if member.draining_since.is_some() && !member.takes_writes(now, self.settings.drain_limit)
-            || member.open > member.limit
-        {
-            member.open -= 1;
-            connection.terminate();
-        } else {
-            member.idle.push(IdleConnection { connection, since: now });
-        }
+        member.give_back(connection, now, self.settings.drain_limit);
         state.wake_next(self.now(), name);
     }
 
@@ -266,9 +246,9 @@
             *holdings.waiting.entry(priority).or_default() += waiting;
         }
         for member in state.members.values() {
-            holdings.idle += member.idle.len();
-            holdings.in_use += member.open.saturating_sub(member.idle.len());
-            holdings.unreached += usize::from(member.is_unreached());
+            holdings.idle += member.pool.idle();
+            holdings.in_use += member.pool.in_use();
+            holdings.unreached += usize::from(member.pauses.is_unreached());
             holdings.unserving += usize::from(member.is_unserving(now));
         }
     }
@@ -278,10 +258,10 @@
         let mut state = self.state.borrow_mut();
         let Some(member) = state.members.get_mut(name) else { return };
         if rests {
-            member.resting += 1;
+            member.pool.begin_idle_in_transaction();
             state.wake_next(self.now(), name);
         } else {
-            member.resting = member.resting.saturating_sub(1);
+            member.pool.end_idle_in_transaction();
         }
     }
 
@@ -289,7 +269,7 @@
     pub(crate) fn closed(&self, name: &MemberName) {
         let mut state = self.state.borrow_mut();
         if let Some(member) = state.members.get_mut(name) {
-            member.open = member.open.saturating_sub(1);
+            member.pool.closed();
         }
         state.wake_next(self.now(), name);
     }
--- a/crates/gateway/src/group/positions.rs
+++ b/crates/gateway/src/group/positions.rs
@@ -57,7 +57,7 @@
             Target::Primary => false,
             Target::Reader { .. } => {
                 let state = self.state.borrow();
-                state.members.values().any(|member| member.limit > 0)
+                state.members.values().any(|member| member.holds_connections())
             }
         }
     }
--- a/crates/gateway/src/group/reach.rs
+++ b/crates/gateway/src/group/reach.rs
@@ -15,7 +15,7 @@
         let mut news = false;
         self.with_member(name, |member| {
             member.silence.answered(now);
-            news = member.note_reached();
+            news = member.pauses.note_reached();
         });
         if news {
             self.tell(name, true);
@@ -37,7 +37,7 @@
         let now = self.clock.now();
         let mut gone = false;
         // Through another gateway, it is that one that may be slow.
-        self.with_member(name, |it| gone = it.limit > 0 && it.silence.unanswered(now));
+        self.with_member(name, |it| gone = it.holds_connections() && it.silence.unanswered(now));
         if gone {
             log::warn!(
                 target: LOG_TARGET, group:% = self.name, member:% = name;
--- a/crates/gateway/src/routes/membership.rs
+++ b/crates/gateway/src/routes/membership.rs
@@ -3,7 +3,8 @@
 //! At hundreds of gateways a view changes with each that starts or stops; only the groups that a
 //! change touches are looked at again.
 
-use crate::group::{GroupFacts, MemberFacts, MemberShare};
+use crate::group::{GroupFacts, MemberFacts};
+use crate::member::MemberShare;
 use corktack_core::gateway::{GatewayPlace, Holder, HolderTable, MemberNeeds};
 use corktack_core::identity::{GroupName, MemberName, ProxyName};
 use corktack_core::map_difference::{EntryChange, differences};
