--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -14,7 +14,7 @@
 /// First size of the buffers.
 const BUFFER_BYTES: usize = 2 * 1024;
 
-/// What became of statements of the product's own.
+/// The outcome of statements of the product's own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum OwnOutcome {
     /// All were completed.
--- a/crates/gateway/src/group/acquire.rs
+++ b/crates/gateway/src/group/acquire.rs
@@ -1,7 +1,7 @@
-//! Finds where a wish can be served, waits for room there, and opens connections.
+//! Finds where a request can be served, waits for room there, and opens connections.
 
 use super::choice::Step;
-use super::{Group, LOG_TARGET, Located, Place, Target, Wish};
+use super::{ConnectionRequest, Group, LOG_TARGET, Located, Location, Target};
 use crate::connection::MemberConnection;
 use crate::dial::{Destination, dial};
 use crate::error::{AcquireError, DialError, LinkError};
@@ -17,65 +17,78 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-/// Pause between two looks while no member that could serve can be reached.
+/// Pause between two evaluations while no member that could serve can be reached.
 const NO_MEMBER_PAUSE: Duration = Duration::from_millis(30);
-/// Longest wait before a waiter looks by itself: what kept a member from having room may pass
+/// Longest wait before a waiter evaluates by itself: what kept a member from having room may pass
 /// without a connection being given back.
-const WAIT_LOOK: Duration = Duration::from_millis(25);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 impl<W: Wire> Group<W> {
-    /// Waits for a connection to a member that could serve the wish, here or elsewhere.
+    /// Waits for a connection to a member that could serve the request, local or remote.
     pub(crate) async fn acquire(
         self: &Rc<Self>,
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
     ) -> Result<Located<W>, AcquireError> {
-        match self.place(wish).await? {
-            Place::Here(located) => Ok(*located),
-            Place::Elsewhere(member, holders) => self.forward(member, &holders, wish).await,
+        match self.locate(request).await? {
+            Location::Local(located) => Ok(*located),
+            Location::Remote(member, holders) => {
+                self.acquire_remote(member, &holders, request).await
+            }
         }
     }
 
-    /// Waits until it is clear where the wish can be served.
-    pub(crate) async fn place(self: &Rc<Self>, wish: &Wish<'_>) -> Result<Place<W>, AcquireError> {
+    /// Waits until it is clear where the request can be served.
+    pub(crate) async fn locate(
+        self: &Rc<Self>,
+        request: &ConnectionRequest<'_>,
+    ) -> Result<Location<W>, AcquireError> {
         let asked = Instant::now();
-        let place = self.find_place(wish).await;
+        let location = self.find_location(request).await;
         // The product's own questions are no statements.
-        if let Ok(Place::Here(_)) = place
-            && wish.needs_slot
+        if let Ok(Location::Local(_)) = location
+            && request.needs_slot
         {
             self.metrics.note_wait(asked.elapsed());
         }
-        place
+        location
     }
 
-    async fn find_place(self: &Rc<Self>, wish: &Wish<'_>) -> Result<Place<W>, AcquireError> {
-        let position = self.position_for(wish).await?;
-        let here = |lease| Place::Here(Box::new(Located { lease, position }));
+    async fn find_location(
+        self: &Rc<Self>,
+        request: &ConnectionRequest<'_>,
+    ) -> Result<Location<W>, AcquireError> {
+        let position = self.position_for(request).await?;
+        let local = |lease| Location::Local(Box::new(Located { lease, position }));
         let mut has_waited = false;
         loop {
-            match self.next_step(wish) {
-                Step::Use(member, connection) => return Ok(here(self.leased(member, connection))),
+            match self.next_step(request) {
+                Step::Use(member, connection) => return Ok(local(self.leased(member, connection))),
                 Step::Dial(member, back_end) => {
-                    return self.open(member, &back_end, wish.principal).await.map(here);
+                    return self.open(member, &back_end, request.principal).await.map(local);
                 }
-                Step::Forward(member, holders) => return Ok(Place::Elsewhere(member, holders)),
-                Step::ForwardAndCheck(member, holders, back_end) => {
+                Step::Remote(member, holders) => return Ok(Location::Remote(member, holders)),
+                Step::RemoteAndCheck(member, holders, back_end) => {
                     self.check(&member, back_end);
-                    return Ok(Place::Elsewhere(member, holders));
+                    return Ok(Location::Remote(member, holders));
                 }
                 Step::Wait => {
-                    let woken = self.wait(wish, std::mem::replace(&mut has_waited, true)).await?;
+                    let woken =
+                        self.wait(request, std::mem::replace(&mut has_waited, true)).await?;
                     let Some(member) = woken else { continue };
-                    let step = self.state.borrow_mut().take_reserved(&member, wish, &self.settings);
+                    let step =
+                        self.state.borrow_mut().take_reserved(&member, request, &self.settings);
                     match step {
                         Step::Use(member, connection) => {
-                            return Ok(here(self.leased(member, connection)));
+                            return Ok(local(self.leased(member, connection)));
                         }
                         Step::Dial(member, back_end) => {
-                            return self.open(member, &back_end, wish.principal).await.map(here);
+                            return self
+                                .open(member, &back_end, request.principal)
+                                .await
+                                .map(local);
                         }
-                        Step::Forward(..)
-                        | Step::ForwardAndCheck(..)
+                        Step::Remote(..)
+                        | Step::RemoteAndCheck(..)
                         | Step::NoHolder(_)
                         | Step::Wait
                         | Step::NoMember => (),
@@ -87,12 +100,12 @@
                 }
                 // Another gateway asks the next one at once, and the primary may serve a read that
                 // others refused.
-                Step::NoMember if wish.target.has_another_way() => {
+                Step::NoMember if request.target.has_another_way() => {
                     return Err(AcquireError::NoMember);
                 }
                 Step::NoMember => {
                     let until = Instant::now() + NO_MEMBER_PAUSE;
-                    if until >= wish.give_up {
+                    if until >= request.give_up {
                         return Err(AcquireError::NoMember);
                     }
                     tokio::time::sleep_until(until).await;
@@ -101,72 +114,72 @@
         }
     }
 
-    fn next_step(&self, wish: &Wish<'_>) -> Step<W> {
+    fn next_step(&self, request: &ConnectionRequest<'_>) -> Step<W> {
         let mut state = self.state.borrow_mut();
-        state.step(wish, &self.settings, self.clock, &self.tunnels)
+        state.step(request, &self.settings, self.clock, &self.tunnels)
     }
 
     fn leased(self: &Rc<Self>, member: MemberName, connection: MemberConnection<W>) -> Lease<W> {
         Lease::new(Rc::clone(self), member, connection)
     }
 
-    /// Waits for a member with room that is kept for this waiter, or until it is time to look.
+    /// Waits for a member with room that is kept for this waiter, or until it is time to evaluate again.
     async fn wait(
         &self,
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
         has_waited: bool,
     ) -> Result<Option<MemberName>, AcquireError> {
         let (waker, woken) = oneshot::channel();
-        let (request, capacity) = self.slot_request(wish);
+        let (slot_request, capacity) = self.slot_request(request);
         let ticket = {
             let waiting = &mut self.state.borrow_mut().waiting;
             if has_waited {
-                waiting.wait_on(request.clone(), waker)
+                waiting.wait_on(slot_request.clone(), waker)
             } else {
-                let enqueued = waiting.enqueue(self.now(), request.clone(), capacity, waker);
+                let enqueued = waiting.enqueue(self.now(), slot_request.clone(), capacity, waker);
                 enqueued.map_err(none_free)?
             }
         };
         let mut place = QueuePlace { group: self, ticket, woken };
-        let look = (Instant::now() + WAIT_LOOK).min(wish.give_up);
-        match timeout_at(look, &mut place.woken).await {
+        let recheck_at = (Instant::now() + RECHECK_INTERVAL).min(request.give_up);
+        match timeout_at(recheck_at, &mut place.woken).await {
             Ok(member) => Ok(member.ok()),
-            Err(_) if Instant::now() < wish.give_up => Ok(None),
+            Err(_) if Instant::now() < request.give_up => Ok(None),
             Err(_) => {
-                self.explain_wait(wish);
+                self.explain_wait(request);
                 let over =
-                    self.state.borrow_mut().waiting.time_over(self.now(), &request, capacity);
+                    self.state.borrow_mut().waiting.time_over(self.now(), &slot_request, capacity);
                 Err(none_free(over))
             }
         }
     }
 
-    /// What the queue is told of a wish, and what serves it.
-    fn slot_request(&self, wish: &Wish<'_>) -> (SlotRequest, Capacity) {
+    /// What the queue is told of a request, and what serves it.
+    fn slot_request(&self, request: &ConnectionRequest<'_>) -> (SlotRequest, Capacity) {
         let state = self.state.borrow();
-        let request = SlotRequest {
-            wish: match &wish.target {
+        let slot_request = SlotRequest {
+            wish: match &request.target {
                 Target::Primary => SlotTarget::Primary,
                 Target::Reader { refused } => SlotTarget::AnyBut(refused.clone()),
                 Target::Held(member) => SlotTarget::At(member.clone()),
             },
-            priority: wish.kind.priority,
-            tenant: wish.principal.and_then(Principal::tenant).cloned(),
-            cost: state.service_times.estimate(wish.kind),
-            give_up: self.clock.at(wish.give_up),
+            priority: request.kind.priority,
+            tenant: request.principal.and_then(Principal::tenant).cloned(),
+            cost: state.service_times.estimate(request.kind),
+            give_up: self.clock.at(request.give_up),
         };
-        let capacity = state.capacity(&request.wish);
-        (request, capacity)
+        let capacity = state.capacity(&slot_request.wish);
+        (slot_request, capacity)
     }
 
-    /// Says what kept a wish from being served in its time.
-    fn explain_wait(&self, wish: &Wish<'_>) {
+    /// Says what kept a request from being served in its time.
+    fn explain_wait(&self, request: &ConnectionRequest<'_>) {
         let state = self.state.borrow();
         let waiting = state.waiting.len();
         for (name, member) in state.members.iter().filter(|(_, member)| member.holds_connections())
         {
             log::debug!(
-                target: LOG_TARGET, group:% = self.name, member:% = name, wish:? = wish.target,
+                target: LOG_TARGET, group:% = self.name, member:% = name, wish:? = request.target,
                 waiting, open = member.pool.open(), idle = member.pool.idle(),
                 resting = member.pool.idle_in_transaction(), limit = member.pool.limit();
                 "no room at a member in time"
@@ -227,7 +240,7 @@
     AcquireError::NoneFree { retry_after }
 }
 
-/// A place among those who wait; left where who waits goes, or looks around.
+/// A place among those who wait; left where who waits goes, or evaluates again.
 struct QueuePlace<'g, W: Wire> {
     group: &'g Group<W>,
     ticket: SlotTicket,
--- a/crates/gateway/src/group/choice.rs
+++ b/crates/gateway/src/group/choice.rs
@@ -1,6 +1,6 @@
-//! Which member of a group serves a wish, and who is woken when one has room.
+//! Which member of a group serves a request, and who is woken when one has room.
 
-use super::{Target, Wish};
+use super::{ConnectionRequest, Target};
 use crate::clock::SteadyClock;
 use crate::connection::MemberConnection;
 use crate::member::Member;
@@ -41,9 +41,9 @@
     Use(MemberName, MemberConnection<W>),
     Dial(MemberName, Arc<RegisteredBackEnd>),
     /// Ask the gateways that hold connections to it.
-    Forward(MemberName, Vec<Holder>),
-    /// As [`Step::Forward`], and connect to it beside that: it may be reached again.
-    ForwardAndCheck(MemberName, Vec<Holder>, Arc<RegisteredBackEnd>),
+    Remote(MemberName, Vec<Holder>),
+    /// As [`Step::Remote`], and connect to it beside that: it may be reached again.
+    RemoteAndCheck(MemberName, Vec<Holder>, Arc<RegisteredBackEnd>),
     /// None of those gateways answers.
     NoHolder(MemberName),
     Wait,
@@ -53,45 +53,46 @@
 impl<W: Wire> GroupState<W> {
     pub(super) fn step(
         &mut self,
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
         settings: &GatewaySettings,
         clock: SteadyClock,
         tunnels: &Tunnels,
     ) -> Step<W> {
         let now = Instant::now();
-        let chosen = match &wish.target {
+        let chosen = match &request.target {
             Target::Primary => self.primary(now, settings, clock),
-            Target::Reader { refused } => self.reader(now, clock.at(now), wish, refused),
+            Target::Reader { refused } => self.reader(now, clock.at(now), request, refused),
             Target::Held(member) => self.held(member, now, settings),
         };
         let Some(name) = chosen else { return Step::NoMember };
         let Some(member) = self.members.get_mut(&name) else { return Step::NoMember };
         member.end_fallback_if_over(now);
         if !member.holds_connections() {
-            return Self::forward(name, member, wish, tunnels);
+            return Self::remote(name, member, request, tunnels);
         }
-        if let Some(homes) = Self::homes(member, wish, settings, tunnels) {
-            return Step::Forward(name, homes);
+        if let Some(homes) = Self::homes(member, request, settings, tunnels) {
+            return Step::Remote(name, homes);
         }
-        if wish.target == Target::Primary && member.needs_detour(now) {
+        if request.target == Target::Primary && member.needs_detour(now) {
             return Self::detour(name, member, now, clock, tunnels);
         }
-        if !member.has_room(now, wish.needs_slot) {
+        if !member.has_room(now, request.needs_slot) {
             return Step::Wait;
         }
-        Self::take(name, member, wish)
+        Self::take(name, member, request)
     }
 
-    /// The gateways that keep the connections of the wish's tenant to a member; none where this one
+    /// The gateways that keep the connections of the request's tenant to a member; none where this one
     /// does, or has one that is idle.
     fn homes(
         member: &Member<W>,
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
         settings: &GatewaySettings,
         tunnels: &Tunnels,
     ) -> Option<Vec<Holder>> {
-        let tenant = wish.principal?.tenant()?;
-        if matches!(wish.target, Target::Held(_)) || member.pool.has_idle_for(wish.principal) {
+        let tenant = request.principal?.tenant()?;
+        if matches!(request.target, Target::Held(_)) || member.pool.has_idle_for(request.principal)
+        {
             return None;
         }
         let homes =
@@ -99,20 +100,20 @@
         (!homes.is_empty()).then_some(homes)
     }
 
-    fn forward(
+    fn remote(
         name: MemberName,
         member: &Member<W>,
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
         tunnels: &Tunnels,
     ) -> Step<W> {
-        let holders = match wish.principal.and_then(Principal::tenant) {
+        let holders = match request.principal.and_then(Principal::tenant) {
             Some(tenant) => tunnels.to_ask_for(&member.holders, tenant, None, HOLDERS_ASKED),
             None => tunnels.to_ask(&member.holders, HOLDERS_ASKED),
         };
         if holders.is_empty() {
             return Step::NoHolder(name);
         }
-        Step::Forward(name, holders)
+        Step::Remote(name, holders)
     }
 
     fn detour(
@@ -128,8 +129,8 @@
             DetourStep::Take => {
                 let holders = tunnels.to_ask(&member.holders, HOLDERS_ASKED);
                 match member.due_check(now) {
-                    None => Step::Forward(name, holders),
-                    Some(back_end) => Step::ForwardAndCheck(name, holders, back_end),
+                    None => Step::Remote(name, holders),
+                    Some(back_end) => Step::RemoteAndCheck(name, holders, back_end),
                 }
             }
         }
@@ -152,22 +153,22 @@
     pub(super) fn take_reserved(
         &mut self,
         name: &MemberName,
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
         settings: &GatewaySettings,
     ) -> Step<W> {
         let Some(member) = self.members.get_mut(name) else { return Step::NoMember };
         member.pool.release_reserved();
         let now = Instant::now();
-        let able = match &wish.target {
+        let able = match &request.target {
             Target::Reader { refused } => member.pauses.takes_reads(now) && !refused.contains(name),
             Target::Primary | Target::Held(_) => {
                 member.pauses.takes_writes(now, settings.drain_limit)
             }
         };
-        if !able || !member.has_room(now, wish.needs_slot) {
+        if !able || !member.has_room(now, request.needs_slot) {
             return Step::Wait;
         }
-        Self::take(name.clone(), member, wish)
+        Self::take(name.clone(), member, request)
     }
 
     /// A place that was kept for a waiter is not taken.
@@ -178,8 +179,8 @@
         self.wake_next(now, name);
     }
 
-    fn take(name: MemberName, member: &mut Member<W>, wish: &Wish<'_>) -> Step<W> {
-        if let Some(connection) = member.pool.take_idle(wish.session, wish.principal) {
+    fn take(name: MemberName, member: &mut Member<W>, request: &ConnectionRequest<'_>) -> Step<W> {
+        if let Some(connection) = member.pool.take_idle(request.session, request.principal) {
             return Step::Use(name, connection);
         }
         if !member.may_open(Instant::now()) && !member.pool.close_longest_idle() {
@@ -229,10 +230,10 @@
         &mut self,
         now: Instant,
         steady: Timestamp,
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
         refused: &BTreeSet<MemberName>,
     ) -> Option<MemberName> {
-        let preferred = self.preferences.next(wish.principal.and_then(Principal::tenant));
+        let preferred = self.preferences.next(request.principal.and_then(Principal::tenant));
         let able: Vec<_> = self
             .members
             .iter()
@@ -252,9 +253,9 @@
     }
 
     /// What serves a statement that waits here.
-    pub(super) fn capacity(&self, wish: &SlotTarget) -> Capacity {
-        let serves = |name: &MemberName| match wish {
-            SlotTarget::At(wished) => wished == name,
+    pub(super) fn capacity(&self, target: &SlotTarget) -> Capacity {
+        let serves = |name: &MemberName| match target {
+            SlotTarget::At(wanted) => wanted == name,
             SlotTarget::Primary => self.proven_primary.as_ref().is_none_or(|lead| lead == name),
             SlotTarget::AnyBut(refused) => !refused.contains(name),
         };
--- a/crates/gateway/src/group/elsewhere.rs
+++ b/crates/gateway/src/group/elsewhere.rs
@@ -2,15 +2,15 @@
 
 mod told;
 
-use super::{Group, Located, Wish};
+use super::{ConnectionRequest, Group, Located};
 use crate::answer::Answer;
 use crate::connection::MemberConnection;
 use crate::error::{AcquireError, LinkError};
 use crate::lease::Lease;
-use crate::metrics::ElsewhereOutcome;
+use crate::metrics::RemoteOutcome;
 use crate::run::{LoneStatement, Unanswered};
 use crate::transport::Transport;
-use crate::tunnel::{Granted, OpenedElsewhere, TunnelClient, TunnelError, TunnelWish};
+use crate::tunnel::{Granted, OpenedAtHolder, RemoteRequest, TunnelClient, TunnelError};
 use crate::wire::Wire;
 use corktack_core::gateway::{Holder, ReadPosition};
 use corktack_core::identity::MemberName;
@@ -20,21 +20,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What came of asking one gateway.
-enum Asked<T> {
-    /// It said this.
-    Answer(T),
-    /// The next one may serve. This one said when it may have room, if it has none now.
-    Next(Option<Duration>),
+/// What asking one gateway has brought.
+enum HolderReply<T> {
+    /// It served.
+    Answered(T),
+    /// The next one may serve. This one has said when it may have room, if it has none now.
+    AskNext(Option<Duration>),
     /// Nobody else is asked.
-    Over(AcquireError),
+    GiveUp(AcquireError),
 }
 
 /// A transaction that another gateway was asked to begin, with its first statement.
-pub(crate) enum OpenedThere<W: Wire> {
+pub(crate) enum RemoteOpening<W: Wire> {
     /// It gave a connection, on which the transaction is still to be begun.
     Lent(Located<W>),
-    /// It is open; this came of the statement.
+    /// It is open; this is the result of the statement.
     Open(Located<W>, Result<Answer, Unanswered>),
     /// It could not be begun at the member; the statement was not sent.
     NotBegun(Unanswered),
@@ -51,53 +51,56 @@
 
 impl<W: Wire> Group<W> {
     /// Uses a connection that another gateway holds.
-    pub(crate) async fn forward(
+    pub(crate) async fn acquire_remote(
         self: &Rc<Self>,
         member: MemberName,
         holders: &[Holder],
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
     ) -> Result<Located<W>, AcquireError> {
-        let ask = async |tunnel, wish| self.ask_to_lend(&member, tunnel, wish).await;
-        self.ask_in_turn(&member, holders, wish, ask).await
+        let ask = async |tunnel, remote| self.ask_to_lend(&member, tunnel, remote).await;
+        self.ask_in_turn(&member, holders, request, ask).await
     }
 
     /// Has another gateway begin a transaction on one of its connections and run its first statement. Of
     /// one that has not answered lately a connection is asked for first: without it nothing is lost.
-    pub(crate) async fn open_elsewhere(
+    pub(crate) async fn open_remote(
         self: &Rc<Self>,
         member: &MemberName,
         holders: &[Holder],
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
         first: LoneStatement<'_>,
         deadline: Instant,
-    ) -> Result<OpenedThere<W>, AcquireError> {
-        let ask = async |tunnel: TunnelClient, wish| {
+    ) -> Result<RemoteOpening<W>, AcquireError> {
+        let ask = async |tunnel: TunnelClient, remote| {
             if self.tunnels.answers(tunnel.holder()) {
-                return self.ask_to_open(member, tunnel, wish, first, deadline).await;
+                return self.ask_to_open(member, tunnel, remote, first, deadline).await;
             }
-            match self.ask_to_lend(member, tunnel, wish).await {
-                Asked::Answer(located) => Asked::Answer(OpenedThere::Lent(located)),
-                Asked::Next(said) => Asked::Next(said),
-                Asked::Over(error) => Asked::Over(error),
+            match self.ask_to_lend(member, tunnel, remote).await {
+                HolderReply::Answered(located) => {
+                    HolderReply::Answered(RemoteOpening::Lent(located))
+                }
+                HolderReply::AskNext(retry_after) => HolderReply::AskNext(retry_after),
+                HolderReply::GiveUp(error) => HolderReply::GiveUp(error),
             }
         };
-        self.ask_in_turn(member, holders, wish, ask).await
+        self.ask_in_turn(member, holders, request, ask).await
     }
 
     /// Has another gateway run a statement on one of its connections. A statement that may have
     /// reached a member is not sent again here: whether it may be is for the caller to know.
-    pub(crate) async fn run_elsewhere(
+    pub(crate) async fn run_remote(
         self: &Rc<Self>,
         member: &MemberName,
         holders: &[Holder],
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
         statement: LoneStatement<'_>,
         deadline: Instant,
     ) -> Result<(Result<Answer, Unanswered>, Option<ReadPosition>), AcquireError> {
-        let _place = ForwardedPlace::new(self, member);
-        let ask =
-            async |tunnel, wish| self.ask_to_run(member, tunnel, wish, statement, deadline).await;
-        self.ask_in_turn(member, holders, wish, ask).await
+        let _place = RemoteUse::new(self, member);
+        let ask = async |tunnel, remote| {
+            self.ask_to_run(member, tunnel, remote, statement, deadline).await
+        };
+        self.ask_in_turn(member, holders, request, ask).await
     }
 
     /// Asks the holders one after the other until one answers.
@@ -105,39 +108,41 @@
         &self,
         member: &MemberName,
         holders: &[Holder],
-        wish: &Wish<'_>,
-        ask: impl AsyncFn(TunnelClient, TunnelWish) -> Asked<T>,
+        request: &ConnectionRequest<'_>,
+        ask: impl AsyncFn(TunnelClient, RemoteRequest) -> HolderReply<T>,
     ) -> Result<T, AcquireError> {
         let mut left = holders.to_vec();
-        let mut room = None;
-        while let Some((tunnel, wait)) = self.next_tunnel(&mut left, wish).await {
-            let tunnel_wish = self.tunnel_wish(member, wish, wait);
-            match ask(tunnel, tunnel_wish).await {
-                Asked::Answer(answer) => return Ok(answer),
-                Asked::Next(said) => room = room.into_iter().chain(said).min(),
-                Asked::Over(error) => return Err(error),
+        let mut room_after = None;
+        while let Some((tunnel, wait)) = self.next_tunnel(&mut left, request).await {
+            let remote = self.remote_request(member, request, wait);
+            match ask(tunnel, remote).await {
+                HolderReply::Answered(answer) => return Ok(answer),
+                HolderReply::AskNext(retry_after) => {
+                    room_after = room_after.into_iter().chain(retry_after).min()
+                }
+                HolderReply::GiveUp(error) => return Err(error),
             }
         }
-        Err(self.none_elsewhere(member.clone(), wish, room))
+        Err(self.none_serves(member.clone(), request, room_after))
     }
 
     async fn ask_to_lend(
         self: &Rc<Self>,
         member: &MemberName,
         tunnel: TunnelClient,
-        wish: TunnelWish,
-    ) -> Asked<Located<W>> {
+        remote: RemoteRequest,
+    ) -> HolderReply<Located<W>> {
         let holder = tunnel.holder();
         let asked_at = self.now();
-        match self.tunnels.acquire(tunnel, &wish).await {
+        match self.tunnels.acquire(tunnel, &remote).await {
             Ok(granted) => {
-                self.heard(member, holder);
+                self.note_holder_served(member, holder);
                 self.note_newest(holder, asked_at, granted.newest);
-                Asked::Answer(self.granted(member.clone(), granted, wish.principal))
+                HolderReply::Answered(self.granted(member.clone(), granted, remote.principal))
             }
-            Err(TunnelError::Refused(refusal)) => self.refused(member, holder, refusal),
+            Err(TunnelError::Refused(refusal)) => self.note_holder_refused(member, holder, refusal),
             // Nothing was run on a connection that was not granted.
-            Err(TunnelError::NotSent(_) | TunnelError::Sent(_)) => self.unheard(),
+            Err(TunnelError::NotSent(_) | TunnelError::Sent(_)) => self.note_holder_unreached(),
         }
     }
 
@@ -145,23 +150,23 @@
         self: &Rc<Self>,
         member: &MemberName,
         tunnel: TunnelClient,
-        wish: TunnelWish,
+        remote: RemoteRequest,
         first: LoneStatement<'_>,
         deadline: Instant,
-    ) -> Asked<OpenedThere<W>> {
+    ) -> HolderReply<RemoteOpening<W>> {
         let holder = tunnel.holder();
         let asked_at = self.now();
         let limit = deadline.saturating_duration_since(Instant::now());
-        match self.tunnels.begin(tunnel, &wish, first.to_request(), limit).await {
+        match self.tunnels.begin(tunnel, &remote, first.to_request(), limit).await {
             Ok(opened) => {
-                self.heard(member, holder);
-                Asked::Answer(self.take_opened(member, opened, asked_at, wish.principal))
+                self.note_holder_served(member, holder);
+                HolderReply::Answered(self.take_opened(member, opened, asked_at, remote.principal))
             }
-            Err(TunnelError::Refused(refusal)) => self.refused(member, holder, refusal),
-            Err(TunnelError::NotSent(_)) => self.unheard(),
+            Err(TunnelError::Refused(refusal)) => self.note_holder_refused(member, holder, refusal),
+            Err(TunnelError::NotSent(_)) => self.note_holder_unreached(),
             Err(TunnelError::Sent(error)) => {
-                self.metrics.note_elsewhere(ElsewhereOutcome::Lost);
-                Asked::Answer(OpenedThere::Lost(error))
+                self.metrics.note_remote(RemoteOutcome::Lost);
+                HolderReply::Answered(RemoteOpening::Lost(error))
             }
         }
     }
@@ -170,25 +175,25 @@
         self: &Rc<Self>,
         member: &MemberName,
         tunnel: TunnelClient,
-        wish: TunnelWish,
+        remote: RemoteRequest,
         statement: LoneStatement<'_>,
         deadline: Instant,
-    ) -> Asked<(Result<Answer, Unanswered>, Option<ReadPosition>)> {
+    ) -> HolderReply<(Result<Answer, Unanswered>, Option<ReadPosition>)> {
         let holder = tunnel.holder();
         let sent = RequestSent { asked_at: self.now(), instant: Instant::now() };
         let limit = deadline.saturating_duration_since(sent.instant);
-        match self.tunnels.run(tunnel, &wish, statement.to_request(), limit).await {
+        match self.tunnels.run(tunnel, &remote, statement.to_request(), limit).await {
             Ok(ran) => {
-                self.heard(member, holder);
+                self.note_holder_served(member, holder);
                 self.note_newest(holder, sent.asked_at, ran.newest);
-                self.note_ran_elsewhere(member, statement.kind, &ran, sent);
-                Asked::Answer((ran.result, ran.position))
+                self.note_ran_remotely(member, statement.kind, &ran, sent);
+                HolderReply::Answered((ran.result, ran.position))
             }
-            Err(TunnelError::Refused(refusal)) => self.refused(member, holder, refusal),
-            Err(TunnelError::NotSent(_)) => self.unheard(),
+            Err(TunnelError::Refused(refusal)) => self.note_holder_refused(member, holder, refusal),
+            Err(TunnelError::NotSent(_)) => self.note_holder_unreached(),
             Err(TunnelError::Sent(error)) => {
-                self.metrics.note_elsewhere(ElsewhereOutcome::Lost);
-                Asked::Answer((Err(Unanswered::Sent(error)), None))
+                self.metrics.note_remote(RemoteOutcome::Lost);
+                HolderReply::Answered((Err(Unanswered::Sent(error)), None))
             }
         }
     }
@@ -196,42 +201,42 @@
     fn take_opened(
         self: &Rc<Self>,
         member: &MemberName,
-        opened: OpenedElsewhere,
+        opened: OpenedAtHolder,
         asked_at: Timestamp,
         principal: Principal,
-    ) -> OpenedThere<W> {
+    ) -> RemoteOpening<W> {
         match opened {
-            OpenedElsewhere::Open(granted, result) => {
+            OpenedAtHolder::Open(granted, result) => {
                 self.note_newest(granted.tunnel.holder(), asked_at, granted.newest);
                 if granted.position.is_none() {
                     self.note_primary(member);
                 }
                 let mut located = self.granted(member.clone(), granted, principal);
                 located.lease.in_transaction = true;
-                OpenedThere::Open(located, result)
+                RemoteOpening::Open(located, result)
             }
-            OpenedElsewhere::Not(tunnel, why, newest) => {
+            OpenedAtHolder::Not(tunnel, why, newest) => {
                 self.note_newest(tunnel.holder(), asked_at, newest);
-                self.tunnels.take_back(*tunnel);
-                OpenedThere::NotBegun(why)
+                self.tunnels.keep_free(*tunnel);
+                RemoteOpening::NotBegun(why)
             }
         }
     }
 
-    /// A tunnel to one of the holders that are left to ask, which is taken off, and how long the wish
+    /// A tunnel to one of the holders that are left to ask, which is taken off, and how long the request
     /// may wait there: half of its time, and all of it at the last one. None when the time is over or
     /// no holder can be reached.
     pub(super) async fn next_tunnel(
         &self,
         left: &mut Vec<Holder>,
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
     ) -> Option<(TunnelClient, Duration)> {
-        let time_left = || wish.give_up.saturating_duration_since(Instant::now());
+        let time_left = || request.give_up.saturating_duration_since(Instant::now());
         if left.is_empty() || time_left().is_zero() {
             return None;
         }
         let Ok(tunnel) = self.tunnels.reach(left).await else {
-            self.metrics.note_elsewhere(ElsewhereOutcome::NotReached);
+            self.metrics.note_remote(RemoteOutcome::NotReached);
             left.clear();
             return None;
         };
@@ -241,19 +246,19 @@
         Some((tunnel, wait))
     }
 
-    pub(super) fn tunnel_wish(
+    pub(super) fn remote_request(
         &self,
         member: &MemberName,
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
         wait: Duration,
-    ) -> TunnelWish {
-        TunnelWish {
+    ) -> RemoteRequest {
+        RemoteRequest {
             group: self.name.clone(),
             member: member.clone(),
-            principal: wish.principal.cloned().unwrap_or_default(),
-            priority: wish.kind.priority,
+            principal: request.principal.cloned().unwrap_or_default(),
+            priority: request.kind.priority,
             wait,
-            bound: wish.bound,
+            bound: request.bound,
         }
     }
 
@@ -291,19 +296,19 @@
 }
 
 /// A statement that another gateway runs counts at the member while it does.
-struct ForwardedPlace<'g, W: Wire> {
+struct RemoteUse<'g, W: Wire> {
     group: &'g Group<W>,
     member: &'g MemberName,
 }
 
-impl<'g, W: Wire> ForwardedPlace<'g, W> {
+impl<'g, W: Wire> RemoteUse<'g, W> {
     fn new(group: &'g Group<W>, member: &'g MemberName) -> Self {
         group.with_member(member, |it| it.remote_in_use += 1);
         Self { group, member }
     }
 }
 
-impl<W: Wire> Drop for ForwardedPlace<'_, W> {
+impl<W: Wire> Drop for RemoteUse<'_, W> {
     fn drop(&mut self) {
         self.group
             .with_member(self.member, |it| it.remote_in_use = it.remote_in_use.saturating_sub(1));
--- a/crates/gateway/src/group/elsewhere/told.rs
+++ b/crates/gateway/src/group/elsewhere/told.rs
@@ -1,11 +1,11 @@
 //! What other gateways say where they are asked, and what is remembered of it.
 
-use super::{Asked, RequestSent};
+use super::{HolderReply, RequestSent};
 use crate::error::AcquireError;
-use crate::group::{Group, Wish};
-use crate::metrics::ElsewhereOutcome;
+use crate::group::{ConnectionRequest, Group};
+use crate::metrics::RemoteOutcome;
 use crate::run::Unanswered;
-use crate::tunnel::RanElsewhere;
+use crate::tunnel::RanAtHolder;
 use crate::wire::Wire;
 use corktack_core::gateway::Holder;
 use corktack_core::identity::MemberName;
@@ -17,12 +17,12 @@
 
 /// When a caller should come back where no gateway has said when it may have room: a few times as long as
 /// the users' statements last.
-const UNTOLD_RETRY: Duration = Duration::from_millis(100);
+const UNREPORTED_RETRY: Duration = Duration::from_millis(100);
 
 impl<W: Wire> Group<W> {
     /// A gateway served.
-    pub(super) fn heard(&self, member: &MemberName, holder: Holder) {
-        self.metrics.note_elsewhere(ElsewhereOutcome::Served);
+    pub(super) fn note_holder_served(&self, member: &MemberName, holder: Holder) {
+        self.metrics.note_remote(RemoteOutcome::Served);
         self.with_member(member, |it| {
             it.detour.reached();
             it.holders.served(holder.address);
@@ -30,45 +30,46 @@
     }
 
     /// A gateway said that it does not serve.
-    pub(super) fn refused<T>(
+    pub(super) fn note_holder_refused<T>(
         &self,
         member: &MemberName,
         holder: Holder,
         refusal: TunnelRefusal,
-    ) -> Asked<T> {
+    ) -> HolderReply<T> {
         match refusal {
             TunnelRefusal::NoneFree { retry_after } => {
-                self.metrics.note_elsewhere(ElsewhereOutcome::NoneFree);
+                self.metrics.note_remote(RemoteOutcome::NoneFree);
                 self.with_member(member, |it| it.detour.reached());
-                Asked::Next(Some(retry_after))
+                HolderReply::AskNext(Some(retry_after))
             }
             TunnelRefusal::NoPosition => {
-                self.metrics.note_elsewhere(ElsewhereOutcome::NoPosition);
-                Asked::Over(AcquireError::NoPosition)
+                self.metrics.note_remote(RemoteOutcome::NoPosition);
+                HolderReply::GiveUp(AcquireError::NoPosition)
             }
             TunnelRefusal::Unreachable | TunnelRefusal::NotHeld => {
-                self.metrics.note_elsewhere(ElsewhereOutcome::NotReached);
+                self.metrics.note_remote(RemoteOutcome::NotReached);
                 let now = self.now();
                 self.with_member(member, |it| it.holders.refused(holder.address, now));
-                Asked::Next(None)
+                HolderReply::AskNext(None)
             }
         }
     }
 
     /// A gateway did not hear what was asked.
-    pub(super) fn unheard<T>(&self) -> Asked<T> {
-        self.metrics.note_elsewhere(ElsewhereOutcome::NotReached);
-        Asked::Next(None)
+    pub(super) fn note_holder_unreached<T>(&self) -> HolderReply<T> {
+        self.metrics.note_remote(RemoteOutcome::NotReached);
+        HolderReply::AskNext(None)
     }
 
-    /// No gateway that was asked serves the wish; `room` is when the first may have room.
-    pub(super) fn none_elsewhere(
+    /// No gateway that was asked serves the request; `room_after` is when the first may have room.
+    pub(super) fn none_serves(
         &self,
         member: MemberName,
-        wish: &Wish<'_>,
-        room: Option<Duration>,
+        request: &ConnectionRequest<'_>,
+        room_after: Option<Duration>,
     ) -> AcquireError {
-        let none_free = AcquireError::NoneFree { retry_after: room.unwrap_or(UNTOLD_RETRY) };
+        let none_free =
+            AcquireError::NoneFree { retry_after: room_after.unwrap_or(UNREPORTED_RETRY) };
         let now = Instant::now();
         let steady = self.now();
         let (mut reached, mut holds) = (false, false);
@@ -79,7 +80,7 @@
                 it.detour.failed(steady);
             }
         });
-        if now >= wish.give_up {
+        if now >= request.give_up {
             return none_free;
         }
         if !holds && self.all_are_silent(&member) {
@@ -119,7 +120,7 @@
     ) {
         let Some((age, position)) = newest else { return };
         let noted = self.freshness.borrow_mut().note_reported(asked_at, age, position);
-        self.metrics.note_told_position(noted.is_ok());
+        self.metrics.note_reported_position(noted.is_ok());
         if let Err(error) = noted {
             log::debug!(
                 group:% = self.name, holder:% = holder.address, position:% = position,
@@ -131,11 +132,11 @@
 
     /// Remembers what a statement that another gateway ran says of the member. What it says of the
     /// connection is the holder's to remember.
-    pub(super) fn note_ran_elsewhere(
+    pub(super) fn note_ran_remotely(
         &self,
         member: &MemberName,
         kind: LoneKind,
-        ran: &RanElsewhere,
+        ran: &RanAtHolder,
         sent: RequestSent,
     ) {
         let taken = sent.instant.elapsed();
--- a/crates/gateway/src/group/mod.rs
+++ b/crates/gateway/src/group/mod.rs
@@ -25,7 +25,7 @@
 use corktack_core::registry::{Promotion, RegisteredBackEnd};
 use corktack_core::scheduling::{ServiceTimes, SlotQueue, StatementKind};
 use corktack_core::tenancy::Principal;
-pub(crate) use elsewhere::OpenedThere;
+pub(crate) use elsewhere::RemoteOpening;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -75,9 +75,9 @@
     }
 }
 
-/// A wish for a connection.
+/// A request for a connection.
 #[derive(Clone, Debug)]
-pub(crate) struct Wish<'s> {
+pub(crate) struct ConnectionRequest<'s> {
     pub(crate) target: Target,
     pub(crate) session: &'s SessionProfile,
     /// On whose behalf; none for questions of the product's own, which any connection will do for.
@@ -95,16 +95,16 @@
 /// A connection, and the position that a read on it must see.
 pub(crate) struct Located<W: Wire> {
     pub(crate) lease: Lease<W>,
-    /// There for a wish with a bound.
+    /// There for a request with a bound.
     pub(crate) position: Option<ReadPosition>,
 }
 
-/// Where a wish can be served.
-pub(crate) enum Place<W: Wire> {
+/// Where a request can be served.
+pub(crate) enum Location<W: Wire> {
     /// On a connection of this gateway.
-    Here(Box<Located<W>>),
+    Local(Box<Located<W>>),
     /// On one of these gateways' connections to a member.
-    Elsewhere(MemberName, Vec<Holder>),
+    Remote(MemberName, Vec<Holder>),
 }
 
 /// What the registry says of a group.
@@ -253,11 +253,11 @@
         }
     }
 
-    /// A transaction rests between two statements, or goes on.
-    pub(crate) fn note_resting(&self, name: &MemberName, rests: bool) {
+    /// A transaction is idle between two statements, or goes on.
+    pub(crate) fn note_idle_in_transaction(&self, name: &MemberName, idle_in_transaction: bool) {
         let mut state = self.state.borrow_mut();
         let Some(member) = state.members.get_mut(name) else { return };
-        if rests {
+        if idle_in_transaction {
             member.pool.begin_idle_in_transaction();
             state.wake_next(self.now(), name);
         } else {
--- a/crates/gateway/src/group/notes.rs
+++ b/crates/gateway/src/group/notes.rs
@@ -26,7 +26,7 @@
         self.settings.begin_timeout
     }
 
-    /// A member acted as only the primary can, in answer to a question asked at this time, and told
+    /// A member acted as only the primary can, in answer to a question asked at this time, and reported
     /// its position.
     pub(crate) fn note_lead(
         &self,
--- a/crates/gateway/src/group/positions.rs
+++ b/crates/gateway/src/group/positions.rs
@@ -4,7 +4,7 @@
 //! there. It asks the primary, or a gateway that holds connections to that, in the background before
 //! the last answer grows old, once for all reads; without one, the reads wait for it.
 
-use super::{Group, Place, Target, Wish};
+use super::{ConnectionRequest, Group, Location, Target};
 use crate::connection::MemberConnection;
 use crate::error::AcquireError;
 use crate::lease::Lease;
@@ -22,7 +22,7 @@
 /// young enough, and one that is not much younger than it must be.
 const REFRESH_PART: f64 = 0.15;
 /// Part of that time which an answer that another gateway knows may be old.
-const TOLD_PART: f64 = 0.5;
+const REPORTED_PART: f64 = 0.5;
 /// Longest time that a question for the primary's position may take.
 const REFRESH_LIMIT: Duration = Duration::from_millis(600);
 /// Priority of the product's own questions: they make room for callers' reads.
@@ -31,20 +31,20 @@
 const POSITION_PART: f64 = 0.6;
 
 impl<W: Wire> Group<W> {
-    /// The position that a wish with a bound must see, if it may be served here. A gateway that knows
+    /// The position that a request with a bound must see, if it may be served here. A gateway that knows
     /// none yet is asking for one: its first reads wait for that, where all of them at the primary
     /// would be too many for it.
     pub(super) async fn position_for(
         self: &Rc<Self>,
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
     ) -> Result<Option<ReadPosition>, AcquireError> {
-        let Some(bound) = wish.bound.filter(|_| self.may_serve_here(&wish.target)) else {
+        let Some(bound) = request.bound.filter(|_| self.may_serve_here(&request.target)) else {
             return Ok(None);
         };
         if let Some(known) = self.read_position(&bound) {
             return Ok(Some(known));
         }
-        let left = wish.give_up.saturating_duration_since(Instant::now());
+        let left = request.give_up.saturating_duration_since(Instant::now());
         let asked = self.position_asked.notified();
         // In vain or in time: what is known then decides.
         drop(timeout(left.mul_f64(POSITION_PART), asked).await);
@@ -72,7 +72,7 @@
         let due = staleness.mul_f64(REFRESH_PART);
         let young = self.freshness.borrow().age(self.now()).is_some_and(|age| age < due);
         if !young {
-            self.ask_in_background(due.mul_f64(TOLD_PART));
+            self.ask_in_background(due.mul_f64(REPORTED_PART));
         }
     }
 
@@ -95,7 +95,7 @@
 
     /// The newest position known, for another gateway that takes this member for the primary. The
     /// member is asked when the last answer is older than it may be.
-    pub(crate) async fn tell_position(
+    pub(crate) async fn report_position(
         self: &Rc<Self>,
         member: MemberName,
         max_age: Duration,
@@ -117,7 +117,7 @@
     async fn refresh(self: &Rc<Self>, target: Target, max_age: Duration, limit: Duration) {
         let give_up = Instant::now() + limit;
         let session = SessionProfile::default();
-        let wish = Wish {
+        let request = ConnectionRequest {
             target,
             session: &session,
             principal: None,
@@ -127,10 +127,10 @@
             needs_slot: false,
             give_up,
         };
-        match self.place(&wish).await {
-            Ok(Place::Here(located)) => self.ask_primary(located.lease, give_up).await,
-            Ok(Place::Elsewhere(member, holders)) => {
-                self.ask_holders(&member, &holders, &wish, max_age).await;
+        match self.locate(&request).await {
+            Ok(Location::Local(located)) => self.ask_primary(located.lease, give_up).await,
+            Ok(Location::Remote(member, holders)) => {
+                self.ask_holders(&member, &holders, &request, max_age).await;
             }
             Err(error) => {
                 log::debug!(group:% = self.name, error:% = error; "primary not asked for its position");
@@ -160,15 +160,15 @@
         &self,
         member: &MemberName,
         holders: &[Holder],
-        wish: &Wish<'_>,
+        request: &ConnectionRequest<'_>,
         max_age: Duration,
     ) {
         let mut left = holders.to_vec();
-        while let Some((tunnel, wait)) = self.next_tunnel(&mut left, wish).await {
+        while let Some((tunnel, wait)) = self.next_tunnel(&mut left, request).await {
             let holder = tunnel.holder();
-            let tunnel_wish = self.tunnel_wish(member, wish, wait);
+            let remote = self.remote_request(member, request, wait);
             let asked_at = self.now();
-            match self.tunnels.ask_position(tunnel, &tunnel_wish, max_age).await {
+            match self.tunnels.ask_position(tunnel, &remote, max_age).await {
                 Ok(Some(newest)) => return self.note_newest(holder, asked_at, Some(newest)),
                 Ok(None) => (),
                 Err(error) => log::debug!(
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/lease.rs
@@ -16,8 +16,8 @@
     remote: bool,
     /// Set while a transaction may be open.
     pub(crate) in_transaction: bool,
-    /// Set while a transaction rests between two statements.
-    rests: bool,
+    /// Set while a transaction is idle between two statements.
+    idle_in_transaction: bool,
 }
 
 impl<W: Wire> Lease<W> {
@@ -45,16 +45,23 @@
         remote: bool,
     ) -> Self {
         let connection = Some(connection);
-        Self { group, member, connection, remote, in_transaction: false, rests: false }
+        Self {
+            group,
+            member,
+            connection,
+            remote,
+            in_transaction: false,
+            idle_in_transaction: false,
+        }
     }
 
-    /// Notes whether a transaction rests between two statements: it takes no slot of the member then.
-    pub(crate) fn set_resting(&mut self, rests: bool) {
-        if self.remote || self.rests == rests {
+    /// Notes whether a transaction is idle between two statements: it takes no slot of the member then.
+    pub(crate) fn set_idle_in_transaction(&mut self, idle_in_transaction: bool) {
+        if self.remote || self.idle_in_transaction == idle_in_transaction {
             return;
         }
-        self.rests = rests;
-        self.group.note_resting(&self.member, rests);
+        self.idle_in_transaction = idle_in_transaction;
+        self.group.note_idle_in_transaction(&self.member, idle_in_transaction);
     }
 
     pub(crate) fn group(&self) -> &Rc<Group<W>> {
@@ -74,7 +81,7 @@
 
 impl<W: Wire> Drop for Lease<W> {
     fn drop(&mut self) {
-        self.set_resting(false);
+        self.set_idle_in_transaction(false);
         let Some(connection) = self.connection.take() else { return };
         if self.remote {
             let settled = connection.is_settled() && !self.in_transaction;
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -50,7 +50,7 @@
 pub(crate) struct Limits {
     /// What is counted here.
     books: RefCell<GatewayLimits>,
-    /// Who is told what becomes of operations that wait here.
+    /// Who is told the outcome of operations that wait here.
     waiting: RefCell<
         HashMap<OperationRequestNumber, oneshot::Sender<Result<AdmittedOperations, OverLimit>>>,
     >,
--- a/crates/gateway/src/limits/question.rs
+++ b/crates/gateway/src/limits/question.rs
@@ -5,7 +5,7 @@
 //! question in that time, however many operations it begins.
 
 use super::{AskedOperations, Limits};
-use crate::tunnel::{OperationsWish, TunnelError};
+use crate::tunnel::{OperationsRequest, TunnelError};
 use corktack_core::gateway::Holder;
 use corktack_core::limits::{AdmittedOperations, OverLimit};
 use corktack_core::tenancy::TenantName;
@@ -25,13 +25,13 @@
 
 /// An operation that a home has counted.
 #[derive(Debug)]
-pub(super) struct CountedElsewhere {
+pub(super) struct CountedAtHome {
     /// The gateway that counted it; none where this one stood in.
     pub(super) home: Option<Holder>,
     pub(super) begun: AdmittedOperations,
 }
 
-type Outcome = Result<CountedElsewhere, OverLimit>;
+type Outcome = Result<CountedAtHome, OverLimit>;
 
 /// An operation that waits for an answer.
 #[derive(Debug)]
@@ -138,7 +138,7 @@
         for asker in askers {
             if left == 0 {
                 unserved.push(asker);
-            } else if asker.answered.send(Ok(CountedElsewhere { home, begun: one })).is_ok() {
+            } else if asker.answered.send(Ok(CountedAtHome { home, begun: one })).is_ok() {
                 left -= 1;
             }
         }
@@ -174,8 +174,8 @@
             let home = tunnel.holder();
             left.retain(|it| it.address != home.address);
             let wait = until.saturating_duration_since(Instant::now());
-            let wish = OperationsWish { operations, priority, wait };
-            match self.tunnels.begin_operations(tunnel, tenant, wish).await {
+            let request = OperationsRequest { operations, priority, wait };
+            match self.tunnels.begin_operations(tunnel, tenant, request).await {
                 Ok(outcome) => return (Some(home), outcome),
                 Err(TunnelError::Refused(refusal)) => log::debug!(
                     tenant:% = tenant, home:% = home.address, refusal:? = refusal;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -45,9 +45,9 @@
     state: &'static str,
 }
 
-/// What came of asking another gateway.
+/// The outcome of asking another gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ElsewhereOutcome {
+pub(crate) enum RemoteOutcome {
     /// It served.
     Served,
     /// It had no connection to give.
@@ -88,8 +88,8 @@
     unserving: Gauge,
     allowances: Gauge,
     counted: Gauge,
-    elsewhere: Family<Outcome, Counter>,
-    told_positions: Family<Outcome, Counter>,
+    remote: Family<Outcome, Counter>,
+    reported_positions: Family<Outcome, Counter>,
     sessions: Gauge,
     document_version: Gauge,
     answered: Rc<Cell<u64>>,
@@ -117,8 +117,8 @@
             unserving: Gauge::default(),
             allowances: Gauge::default(),
             counted: Gauge::default(),
-            elsewhere: Family::default(),
-            told_positions: Family::default(),
+            remote: Family::default(),
+            reported_positions: Family::default(),
             sessions: Gauge::default(),
             document_version: Gauge::default(),
             answered: Rc::default(),
@@ -136,9 +136,9 @@
         let help = "Members that could not be reached when last tried";
         registry.register("corktack_gateway_unreached_members", help, self.unreached.clone());
         let help = "Questions to gateways that hold connections, by outcome";
-        registry.register("corktack_gateway_elsewhere", help, self.elsewhere.clone());
+        registry.register("corktack_gateway_elsewhere", help, self.remote.clone());
         let help = "Positions of primaries that other gateways told, by outcome: used or too_old";
-        registry.register("corktack_gateway_told_positions", help, self.told_positions.clone());
+        registry.register("corktack_gateway_told_positions", help, self.reported_positions.clone());
         let help = "Sessions of callers that are open";
         registry.register("corktack_gateway_sessions", help, self.sessions.clone());
         let help = "Version of the document in force";
@@ -175,21 +175,21 @@
         self.wait_seconds.observe(waited.as_secs_f64());
     }
 
-    pub(crate) fn note_elsewhere(&self, outcome: ElsewhereOutcome) {
+    pub(crate) fn note_remote(&self, outcome: RemoteOutcome) {
         let outcome = match outcome {
-            ElsewhereOutcome::Served => "served",
-            ElsewhereOutcome::NoneFree => "none_free",
-            ElsewhereOutcome::NoPosition => "no_position",
-            ElsewhereOutcome::NotReached => "not_reached",
-            ElsewhereOutcome::Lost => "lost",
+            RemoteOutcome::Served => "served",
+            RemoteOutcome::NoneFree => "none_free",
+            RemoteOutcome::NoPosition => "no_position",
+            RemoteOutcome::NotReached => "not_reached",
+            RemoteOutcome::Lost => "lost",
         };
-        self.elsewhere.get_or_create(&Outcome { outcome: outcome.to_owned() }).inc();
+        self.remote.get_or_create(&Outcome { outcome: outcome.to_owned() }).inc();
     }
 
     /// Another gateway told a position; one from before this gateway's clock began is too old.
-    pub(crate) fn note_told_position(&self, used: bool) {
+    pub(crate) fn note_reported_position(&self, used: bool) {
         let outcome = if used { "used" } else { "too_old" };
-        self.told_positions.get_or_create(&Outcome { outcome: outcome.to_owned() }).inc();
+        self.reported_positions.get_or_create(&Outcome { outcome: outcome.to_owned() }).inc();
     }
 
     pub(crate) fn note_holdings(&self, holdings: &Holdings, sessions: usize) {
--- a/crates/gateway/src/routes/mod.rs
+++ b/crates/gateway/src/routes/mod.rs
@@ -24,7 +24,7 @@
 
 /// How long a transaction may rest where the document sets no limit, before another gateway's connection
 /// is taken back from it.
-const UNLIMITED_REST: Duration = Duration::from_secs(3_600);
+const UNLIMITED_IDLE: Duration = Duration::from_secs(3_600);
 
 /// How a session's statements are served.
 #[derive(Clone)]
@@ -124,7 +124,7 @@
     pub(crate) fn transaction_idle(&self) -> Duration {
         let document = self.document.borrow();
         let limit = document.as_ref().map(|document| document.limits.transaction_idle);
-        limit.filter(|limit| !limit.is_zero()).unwrap_or(UNLIMITED_REST)
+        limit.filter(|limit| !limit.is_zero()).unwrap_or(UNLIMITED_IDLE)
     }
 
     /// Whether there is a document to go by.
--- a/crates/gateway/src/session/alone.rs
+++ b/crates/gateway/src/session/alone.rs
@@ -5,7 +5,7 @@
 use super::statement::access_of;
 use crate::answer::Answer;
 use crate::error::{AcquireError, LinkError};
-use crate::group::{Located, Place, Target, Wish};
+use crate::group::{ConnectionRequest, Located, Location, Target};
 use crate::limits::Pass;
 use crate::routes::{Admitted, Route};
 use crate::run::{LoneStatement, PassedStatement, Unanswered};
@@ -40,7 +40,7 @@
     }
 }
 
-/// What became of one offer of a statement to a member.
+/// The outcome of one offer of a statement to a member.
 pub(super) enum Offer {
     /// The caller has its answer.
     Done(Response),
@@ -57,7 +57,7 @@
 }
 
 impl Offer {
-    /// Sorts what came of a statement at a member.
+    /// Sorts the result of a statement at a member.
     fn of(member: &MemberName, result: Result<Answer, Unanswered>) -> Self {
         match result {
             Ok(answer) => match &answer.outcome {
@@ -133,7 +133,7 @@
         target: Target,
         kind: LoneKind,
     ) -> Result<(MemberName, Offer), AcquireError> {
-        let wish = Wish {
+        let connection_request = ConnectionRequest {
             target,
             session: &self.profile,
             principal: Some(lone.principal),
@@ -151,14 +151,15 @@
         };
         let deadline = lone.bounds.deadline;
         let group = &lone.route.group;
-        let (member, result, position) = match group.place(&wish).await? {
-            Place::Here(located) => {
+        let (member, result, position) = match group.locate(&connection_request).await? {
+            Location::Local(located) => {
                 let Located { lease, position } = *located;
                 let member = lease.member.clone();
                 (member, statement.run(lease, position, deadline).await, position)
             }
-            Place::Elsewhere(member, holders) => {
-                let ran = group.run_elsewhere(&member, &holders, &wish, statement, deadline);
+            Location::Remote(member, holders) => {
+                let ran =
+                    group.run_remote(&member, &holders, &connection_request, statement, deadline);
                 let (result, position) = ran.await?;
                 (member, result, position)
             }
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -33,7 +33,7 @@
     /// At this position.
     At(KnownPosition),
     /// The member did not tell its position: only the primary surely has it.
-    Untold,
+    Unreported,
 }
 
 /// One caller's session.
@@ -154,7 +154,7 @@
             Consistency::BoundedStaleness(staleness) => Some(ReadBound { staleness, own: None }),
             Consistency::ReadYourWrites(staleness) => {
                 match self.own_commits.get(&route.group.name) {
-                    Some(OwnCommit::Untold) => None,
+                    Some(OwnCommit::Unreported) => None,
                     Some(OwnCommit::At(commit)) => {
                         Some(ReadBound { staleness, own: Some(own(*commit)) })
                     }
@@ -167,6 +167,6 @@
     fn note_own_commit(&mut self, group: &GroupName, position: Option<Position>) {
         let known_at = self.shared.now();
         let at = |position| OwnCommit::At(KnownPosition { position, known_at });
-        self.own_commits.insert(group.clone(), position.map_or(OwnCommit::Untold, at));
+        self.own_commits.insert(group.clone(), position.map_or(OwnCommit::Unreported, at));
     }
 }
--- a/crates/gateway/src/session/opening.rs
+++ b/crates/gateway/src/session/opening.rs
@@ -7,7 +7,7 @@
 use super::transaction::OpenTransaction;
 use crate::answer::{Answer, Failure};
 use crate::error::{AcquireError, LinkError};
-use crate::group::{Located, OpenedThere, Place, Target, Wish};
+use crate::group::{ConnectionRequest, Located, Location, RemoteOpening, Target};
 use crate::routes::{Admitted, Route};
 use crate::run::{
     LoneStatement, PassedStatement, Unanswered, align, begin_as_primary, begin_reading,
@@ -29,7 +29,7 @@
     pub(super) shape: Option<&'s PreparedShape>,
 }
 
-/// What came of beginning a transaction.
+/// The outcome of beginning a transaction.
 pub(super) enum Opened<W: Wire> {
     /// It is open; its first statement is still to be run.
     Begun(Box<OpenTransaction<W>>),
@@ -127,7 +127,7 @@
         };
         let mut tries = Tries { bound, refused: BTreeSet::new(), why: String::new() };
         loop {
-            let wish = Wish {
+            let connection_request = ConnectionRequest {
                 target: tries.target(),
                 session: &self.profile,
                 principal: Some(principal),
@@ -139,7 +139,7 @@
                 needs_slot: true,
                 give_up: bounds.give_up,
             };
-            let error = match self.try_open(route, &wish, bounds, first).await {
+            let error = match self.try_open(route, &connection_request, bounds, first).await {
                 Ok(Tried::Opened(opened)) => return Ok(opened),
                 Ok(Tried::NotBegun(member, why)) => {
                     tries.why = Self::note_unanswered(route, &member, &why);
@@ -160,17 +160,25 @@
     async fn try_open(
         &self,
         route: &Route<W>,
-        wish: &Wish<'_>,
+        connection_request: &ConnectionRequest<'_>,
         bounds: Bounds,
         first: Option<First<'_>>,
     ) -> Result<Tried<W>, AcquireError> {
-        let located = match (route.group.place(wish).await?, first) {
-            (Place::Here(located), _) => *located,
-            (Place::Elsewhere(member, holders), None) => {
-                route.group.forward(member, &holders, wish).await?
+        let located = match (route.group.locate(connection_request).await?, first) {
+            (Location::Local(located), _) => *located,
+            (Location::Remote(member, holders), None) => {
+                route.group.acquire_remote(member, &holders, connection_request).await?
             }
-            (Place::Elsewhere(member, holders), Some(first)) => {
-                return self.open_there(route, wish, (member, holders), bounds, first).await;
+            (Location::Remote(member, holders), Some(first)) => {
+                return self
+                    .open_remote_transaction(
+                        route,
+                        connection_request,
+                        (member, holders),
+                        bounds,
+                        first,
+                    )
+                    .await;
             }
         };
         Ok(self.begin_on(route, located, bounds.deadline).await)
@@ -201,10 +209,10 @@
     }
 
     /// Has another gateway begin it and run its first statement.
-    async fn open_there(
+    async fn open_remote_transaction(
         &self,
         route: &Route<W>,
-        wish: &Wish<'_>,
+        connection_request: &ConnectionRequest<'_>,
         (member, holders): (MemberName, Vec<Holder>),
         bounds: Bounds,
         First { request, shape }: First<'_>,
@@ -214,19 +222,23 @@
             shape,
             session: &self.profile,
             priority: route.rule.priority,
-            kind: wish.bound.map_or(LoneKind::Write, |bound| LoneKind::Read { bound }),
+            kind: connection_request
+                .bound
+                .map_or(LoneKind::Write, |bound| LoneKind::Read { bound }),
         };
         let group = &route.group;
-        let opened = group.open_elsewhere(&member, &holders, wish, first, bounds.deadline).await?;
+        let opened = group
+            .open_remote(&member, &holders, connection_request, first, bounds.deadline)
+            .await?;
         Ok(match opened {
-            OpenedThere::Lent(located) => self.begin_on(route, located, bounds.deadline).await,
-            OpenedThere::Open(Located { lease, position }, result) => {
+            RemoteOpening::Lent(located) => self.begin_on(route, located, bounds.deadline).await,
+            RemoteOpening::Open(Located { lease, position }, result) => {
                 self.decision.borrow_mut().needs(position);
                 let open = Box::new(OpenTransaction::new(route.clone(), lease));
                 Tried::Opened(Opened::Ran(open, result))
             }
-            OpenedThere::NotBegun(why) => Tried::NotBegun(member, why),
-            OpenedThere::Lost(error) => Tried::Opened(Opened::Lost(lost(&member, &error))),
+            RemoteOpening::NotBegun(why) => Tried::NotBegun(member, why),
+            RemoteOpening::Lost(error) => Tried::Opened(Opened::Lost(lost(&member, &error))),
         })
     }
 
--- a/crates/gateway/src/session/read.rs
+++ b/crates/gateway/src/session/read.rs
@@ -15,7 +15,7 @@
 /// Members that a read is offered to in all, those that refused without running it included.
 const OFFER_LIMIT: u32 = 6;
 
-/// What became of a read so far.
+/// The outcome of a read so far.
 #[derive(Default)]
 struct Attempts {
     /// Members that are not offered it again.
@@ -35,7 +35,7 @@
 }
 
 impl Attempts {
-    /// Takes what became of an offer to a member.
+    /// Takes the outcome of an offer to a member.
     async fn take<W: Wire>(
         &mut self,
         lone: &Lone<'_, W>,
--- a/crates/gateway/src/session/serve.rs
+++ b/crates/gateway/src/session/serve.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The next message; a transaction that rests too long is rolled back, and a planned stop
+    /// The next message; a transaction that is idle for too long is rolled back, and a planned stop
     /// ends a session that is outside one.
     async fn next_message(&mut self, session: &mut Session<W>) -> Result<CallerMessage, Ended> {
         let shared = Rc::clone(&self.shared);
--- a/crates/gateway/src/session/transaction.rs
+++ b/crates/gateway/src/session/transaction.rs
@@ -163,7 +163,7 @@
         match answer {
             Ok(answer) if answer.outcome.is_ok() => {
                 open.wrote |= wrote;
-                open.lease.set_resting(true);
+                open.lease.set_idle_in_transaction(true);
                 self.transaction = Transaction::Open(open);
                 Response::of(answer, TransactionState::Open)
             }
@@ -192,7 +192,7 @@
         request: &Request,
         shape: Option<&PreparedShape>,
     ) -> Result<Answer, Unanswered> {
-        open.lease.set_resting(false);
+        open.lease.set_idle_in_transaction(false);
         let deadline = Instant::now() + open.route.rule.statement_timeout;
         let before = open.lease.connection().profile.clone();
         let prepared = align(&mut open.lease, &self.profile, shape, deadline).await?;
@@ -234,7 +234,7 @@
             }
         };
         self.note_route(&mut open);
-        open.lease.set_resting(false);
+        open.lease.set_idle_in_transaction(false);
         let asked_at = self.shared.now();
         let deadline = Instant::now() + open.route.rule.statement_timeout;
         let answer = pass_on(&mut open.lease, request.into(), None, None, deadline).await;
--- a/crates/gateway/src/tunnel/client.rs
+++ b/crates/gateway/src/tunnel/client.rs
@@ -1,7 +1,7 @@
 //! One tunnel as the gateway sees it that needs a connection.
 
 use super::outcome::result_of;
-use super::{SIGN_INTERVAL, SIGN_SLACK, link_error};
+use super::{HEARTBEAT_INTERVAL, HEARTBEAT_SLACK, link_error};
 use crate::answer::Answer;
 use crate::error::LinkError;
 use crate::run::Unanswered;
@@ -29,7 +29,7 @@
 
 /// What is asked of a holder.
 #[derive(Clone, Debug)]
-pub(crate) struct TunnelWish {
+pub(crate) struct RemoteRequest {
     pub(crate) group: GroupName,
     pub(crate) member: MemberName,
     /// On whose behalf.
@@ -43,7 +43,7 @@
 
 /// Operations of a tenant that are to be counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct OperationsWish {
+pub(crate) struct OperationsRequest {
     pub(crate) operations: u64,
     pub(crate) priority: u32,
     /// How long they may wait.
@@ -64,7 +64,7 @@
 
 /// What a holder made of the beginning of a transaction.
 #[derive(Debug)]
-pub(crate) enum OpenedElsewhere {
+pub(crate) enum OpenedAtHolder {
     /// It is open, and its first statement was run.
     Open(Granted, Result<Answer, Unanswered>),
     /// It could not be begun, and nothing else was sent. The tunnel is free again.
@@ -73,7 +73,7 @@
 
 /// What a holder made of a statement.
 #[derive(Debug)]
-pub(crate) struct RanElsewhere {
+pub(crate) struct RanAtHolder {
     pub(crate) result: Result<Answer, Unanswered>,
     /// The position that a read had to see.
     pub(crate) position: Option<ReadPosition>,
@@ -111,7 +111,7 @@
     ) -> std::io::Result<Self> {
         Liveness::WITHIN_DEPLOYMENT.apply(&stream)?;
         let frames = Framed::new(stream, FrameCodec::default());
-        let silence_limit = round_trip + SIGN_INTERVAL + SIGN_SLACK;
+        let silence_limit = round_trip + HEARTBEAT_INTERVAL + HEARTBEAT_SLACK;
         Ok(Self { frames, holder, silence_limit, silent: false })
     }
 
@@ -133,8 +133,8 @@
     }
 
     /// Asks for a connection. A tunnel on which none was granted ends.
-    pub(super) async fn acquire(mut self, wish: &TunnelWish) -> Result<Granted, TunnelError> {
-        let TunnelWish { group, member, principal, priority, wait, bound } = wish.clone();
+    pub(super) async fn acquire(mut self, remote: &RemoteRequest) -> Result<Granted, TunnelError> {
+        let RemoteRequest { group, member, principal, priority, wait, bound } = remote.clone();
         let request = TunnelRequest::Acquire { group, member, principal, priority, wait, bound };
         self.send(request).await?;
         let until = Instant::now() + wait + self.silence_limit;
@@ -150,28 +150,28 @@
     /// tunnel it rolls back.
     pub(super) async fn open(
         mut self,
-        wish: &TunnelWish,
+        remote: &RemoteRequest,
         statement: LoneRequest,
         limit: Duration,
-    ) -> Result<OpenedElsewhere, TunnelError> {
+    ) -> Result<OpenedAtHolder, TunnelError> {
         let request = TunnelRequest::Open {
-            group: wish.group.clone(),
-            member: wish.member.clone(),
-            principal: wish.principal.clone(),
-            priority: wish.priority,
-            wait: wish.wait,
+            group: remote.group.clone(),
+            member: remote.member.clone(),
+            principal: remote.principal.clone(),
+            priority: remote.priority,
+            wait: remote.wait,
             limit,
             statement: Box::new(statement),
         };
         self.send(request).await?;
-        let until = Instant::now() + wish.wait + limit + self.silence_limit;
+        let until = Instant::now() + remote.wait + limit + self.silence_limit;
         match self.reply(until, true).await? {
             TunnelReply::Opened { profile, position, newest, outcome } => {
                 let granted = Granted { tunnel: Box::new(self), profile, position, newest };
-                Ok(OpenedElsewhere::Open(granted, result_of(outcome)))
+                Ok(OpenedAtHolder::Open(granted, result_of(outcome)))
             }
             TunnelReply::NotOpened { outcome, newest } => match result_of(outcome) {
-                Err(why) => Ok(OpenedElsewhere::Not(Box::new(self), why, newest)),
+                Err(why) => Ok(OpenedAtHolder::Not(Box::new(self), why, newest)),
                 Ok(_) => Err(TunnelError::Sent(LinkError::Closed)),
             },
             other => Err(unexpected(other)),
@@ -182,17 +182,17 @@
     /// silent is waited for to its end: nobody else may run it.
     pub(super) async fn run(
         &mut self,
-        wish: &TunnelWish,
+        remote: &RemoteRequest,
         statement: LoneRequest,
         limit: Duration,
-    ) -> Result<RanElsewhere, TunnelError> {
+    ) -> Result<RanAtHolder, TunnelError> {
         let gives_up_on_silence = statement.kind.is_read();
         let request = TunnelRequest::Run {
-            group: wish.group.clone(),
-            member: wish.member.clone(),
-            principal: wish.principal.clone(),
-            priority: wish.priority,
-            wait: wish.wait,
+            group: remote.group.clone(),
+            member: remote.member.clone(),
+            principal: remote.principal.clone(),
+            priority: remote.priority,
+            wait: remote.wait,
             limit,
             statement: Box::new(statement),
         };
@@ -200,7 +200,7 @@
         let until = Instant::now() + limit + self.silence_limit;
         match self.reply(until, gives_up_on_silence).await? {
             TunnelReply::Ran { outcome, position, newest, load } => {
-                Ok(RanElsewhere { result: result_of(outcome), position, newest, load })
+                Ok(RanAtHolder { result: result_of(outcome), position, newest, load })
             }
             other => Err(unexpected(other)),
         }
@@ -209,10 +209,10 @@
     /// Asks for the newest position of the primary.
     pub(super) async fn ask_position(
         &mut self,
-        wish: &TunnelWish,
+        remote: &RemoteRequest,
         max_age: Duration,
     ) -> Result<Option<(Duration, Position)>, TunnelError> {
-        let TunnelWish { group, member, wait, .. } = wish.clone();
+        let RemoteRequest { group, member, wait, .. } = remote.clone();
         self.send(TunnelRequest::Position { group, member, max_age, wait }).await?;
         let until = Instant::now() + wait + self.silence_limit;
         match self.reply(until, true).await? {
@@ -225,7 +225,7 @@
     pub(super) async fn begin_operations(
         &mut self,
         tenant: &TenantName,
-        OperationsWish { operations, priority, wait }: OperationsWish,
+        OperationsRequest { operations, priority, wait }: OperationsRequest,
     ) -> Result<Result<AdmittedOperations, OverLimit>, TunnelError> {
         let tenant = tenant.clone();
         self.send(TunnelRequest::BeginOperations { tenant, operations, priority, wait }).await?;
@@ -261,8 +261,8 @@
         gives_up_on_silence: bool,
     ) -> Result<TunnelReply, TunnelError> {
         loop {
-            let sign_due = Instant::now() + self.silence_limit;
-            let wait = if gives_up_on_silence { until.min(sign_due) } else { until };
+            let heartbeat_due = Instant::now() + self.silence_limit;
+            let wait = if gives_up_on_silence { until.min(heartbeat_due) } else { until };
             let Ok(reply) = timeout_at(wait, self.frames.next()).await else {
                 self.silent = true;
                 let error =
--- a/crates/gateway/src/tunnel/mod.rs
+++ b/crates/gateway/src/tunnel/mod.rs
@@ -7,7 +7,8 @@
 mod serve;
 
 pub(crate) use client::{
-    Granted, OpenedElsewhere, OperationsWish, RanElsewhere, TunnelClient, TunnelError, TunnelWish,
+    Granted, OpenedAtHolder, OperationsRequest, RanAtHolder, RemoteRequest, TunnelClient,
+    TunnelError,
 };
 pub(crate) use pool::Tunnels;
 pub(crate) use serve::accept_tunnels;
@@ -21,11 +22,11 @@
 
 /// Time after which a holder that has no answer yet says that it is at work, and then says so again:
 /// most statements are answered by then and cost no message more.
-const FIRST_SIGN: Duration = Duration::from_millis(60);
-const SIGN_INTERVAL: Duration = Duration::from_millis(100);
+const FIRST_HEARTBEAT: Duration = Duration::from_millis(60);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// How late a sign may be, the way left aside: a process may stand still for a tenth of a second
 /// where its share of a core is a quota.
-const SIGN_SLACK: Duration = Duration::from_millis(120);
+const HEARTBEAT_SLACK: Duration = Duration::from_millis(120);
 
 fn link_error(error: FrameError) -> LinkError {
     match error {
--- a/crates/gateway/src/tunnel/outcome.rs
+++ b/crates/gateway/src/tunnel/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a statement, between the gateway's types and those of the internal protocol.
+//! The result of a statement, between the gateway's types and those of the internal protocol.
 
 use crate::answer::{Answer, Failure};
 use crate::error::LinkError;
--- a/crates/gateway/src/tunnel/pool.rs
+++ b/crates/gateway/src/tunnel/pool.rs
@@ -1,7 +1,8 @@
 //! The tunnels of a gateway, and what it knows of the gateways at their other ends.
 
 use super::client::{
-    Granted, OpenedElsewhere, OperationsWish, RanElsewhere, TunnelClient, TunnelError, TunnelWish,
+    Granted, OpenedAtHolder, OperationsRequest, RanAtHolder, RemoteRequest, TunnelClient,
+    TunnelError,
 };
 use crate::clock::SteadyClock;
 use crate::error::LinkError;
@@ -120,10 +121,10 @@
     pub(crate) async fn acquire(
         &self,
         tunnel: TunnelClient,
-        wish: &TunnelWish,
+        request: &RemoteRequest,
     ) -> Result<Granted, TunnelError> {
         let holder = tunnel.holder();
-        let granted = tunnel.acquire(wish).await;
+        let granted = tunnel.acquire(request).await;
         self.note(holder, &granted);
         granted
     }
@@ -132,12 +133,12 @@
     pub(crate) async fn begin(
         &self,
         tunnel: TunnelClient,
-        wish: &TunnelWish,
+        request: &RemoteRequest,
         statement: LoneRequest,
         limit: Duration,
-    ) -> Result<OpenedElsewhere, TunnelError> {
+    ) -> Result<OpenedAtHolder, TunnelError> {
         let holder = tunnel.holder();
-        let opened = tunnel.open(wish, statement, limit).await;
+        let opened = tunnel.open(request, statement, limit).await;
         self.note(holder, &opened);
         opened
     }
@@ -148,7 +149,7 @@
     }
 
     /// Takes a tunnel back on which nothing is outstanding.
-    pub(crate) fn take_back(&self, tunnel: TunnelClient) {
+    pub(crate) fn keep_free(&self, tunnel: TunnelClient) {
         self.keep(tunnel);
     }
 
@@ -156,11 +157,11 @@
     pub(crate) async fn run(
         &self,
         mut tunnel: TunnelClient,
-        wish: &TunnelWish,
+        request: &RemoteRequest,
         statement: LoneRequest,
         limit: Duration,
-    ) -> Result<RanElsewhere, TunnelError> {
-        let ran = tunnel.run(wish, statement, limit).await;
+    ) -> Result<RanAtHolder, TunnelError> {
+        let ran = tunnel.run(request, statement, limit).await;
         self.ended(tunnel, &ran);
         ran
     }
@@ -169,12 +170,12 @@
     pub(crate) async fn ask_position(
         &self,
         mut tunnel: TunnelClient,
-        wish: &TunnelWish,
+        request: &RemoteRequest,
         max_age: Duration,
     ) -> Result<Option<(Duration, Position)>, TunnelError> {
-        let told = tunnel.ask_position(wish, max_age).await;
-        self.ended(tunnel, &told);
-        told
+        let reported = tunnel.ask_position(request, max_age).await;
+        self.ended(tunnel, &reported);
+        reported
     }
 
     /// Asks the gateway that counts a tenant's operations for some.
@@ -182,9 +183,9 @@
         &self,
         mut tunnel: TunnelClient,
         tenant: &TenantName,
-        wish: OperationsWish,
+        request: OperationsRequest,
     ) -> Result<Result<AdmittedOperations, OverLimit>, TunnelError> {
-        let begun = tunnel.begin_operations(tenant, wish).await;
+        let begun = tunnel.begin_operations(tenant, request).await;
         self.ended(tunnel, &begun);
         begun
     }
--- a/crates/gateway/src/tunnel/serve.rs
+++ b/crates/gateway/src/tunnel/serve.rs
@@ -2,9 +2,11 @@
 //! other gateways and tells them positions.
 
 use super::outcome::outcome_of;
-use super::{FIRST_SIGN, LOG_TARGET, OperationsWish, SIGN_INTERVAL, TunnelWish, link_error};
+use super::{
+    FIRST_HEARTBEAT, HEARTBEAT_INTERVAL, LOG_TARGET, OperationsRequest, RemoteRequest, link_error,
+};
 use crate::error::{AcquireError, LinkError};
-use crate::group::{Group, Located, Target, Wish};
+use crate::group::{ConnectionRequest, Group, Located, Target};
 use crate::handle::Shared;
 use crate::lease::Lease;
 use crate::limits::AskedOperations;
@@ -29,7 +31,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 /// How much longer than a transaction may rest a connection is lent without a word: the gateway that
 /// uses it ends the transaction before, unless it is gone.
-const REST_SLACK: Duration = Duration::from_secs(1);
+const IDLE_SLACK: Duration = Duration::from_secs(1);
 /// First size of the buffer for a member's bytes.
 const BUFFER_BYTES: usize = 4 * 1024;
 
@@ -68,9 +70,9 @@
 ) -> Result<(), LinkError> {
     let reply = match request {
         TunnelRequest::Acquire { group, member, principal, priority, wait, bound } => {
-            let wish = TunnelWish { group, member, principal, priority, wait, bound };
+            let remote = RemoteRequest { group, member, principal, priority, wait, bound };
             let writes = bound.is_none();
-            match with_signs(frames, grant(shared, &wish, writes)).await? {
+            match with_heartbeats(frames, grant(shared, &remote, writes)).await? {
                 Ok(Located { mut lease, position }) => {
                     let granted = granted(&mut lease, position);
                     return serve_lease(shared, frames, lease, granted).await;
@@ -80,9 +82,9 @@
         }
         TunnelRequest::Open { group, member, principal, priority, wait, limit, statement } => {
             let bound = statement.kind.bound();
-            let wish = TunnelWish { group, member, principal, priority, wait, bound };
-            let opening = open(shared, &wish, &statement, limit);
-            match with_signs(frames, opening).await? {
+            let remote = RemoteRequest { group, member, principal, priority, wait, bound };
+            let opening = open(shared, &remote, &statement, limit);
+            match with_heartbeats(frames, opening).await? {
                 Ok((Some(lease), opened)) => {
                     return serve_lease(shared, frames, lease, opened).await;
                 }
@@ -92,26 +94,26 @@
         }
         TunnelRequest::Run { group, member, principal, priority, wait, limit, statement } => {
             let bound = statement.kind.bound();
-            let wish = TunnelWish { group, member, principal, priority, wait, bound };
-            let running = run(shared, &wish, &statement, limit);
-            with_signs(frames, running).await?.unwrap_or_else(TunnelReply::Refused)
+            let remote = RemoteRequest { group, member, principal, priority, wait, bound };
+            let running = run(shared, &remote, &statement, limit);
+            with_heartbeats(frames, running).await?.unwrap_or_else(TunnelReply::Refused)
         }
         TunnelRequest::BeginOperations { tenant, operations, priority, wait } => {
-            let wish = OperationsWish { operations, priority, wait };
-            return begin_operations(shared, frames, &tenant, wish).await;
+            let remote = OperationsRequest { operations, priority, wait };
+            return begin_operations(shared, frames, &tenant, remote).await;
         }
         TunnelRequest::ReturnOperations { tenant, begun } => {
             shared.limits.return_operations(&tenant, begun);
             TunnelReply::Returned
         }
         TunnelRequest::Position { group, member, max_age, wait } => {
-            let told = async {
+            let reported = async {
                 shared.document_by(Instant::now() + wait).await;
                 let group = find_group(shared, &group)?;
-                Ok(group.tell_position(member, max_age, wait).await)
+                Ok(group.report_position(member, max_age, wait).await)
             };
-            let told = with_signs(frames, told).await?;
-            told.map_or_else(TunnelReply::Refused, TunnelReply::Position)
+            let reported = with_heartbeats(frames, reported).await?;
+            reported.map_or_else(TunnelReply::Refused, TunnelReply::Position)
         }
         // Nothing is leased.
         TunnelRequest::Bytes(_) | TunnelRequest::Release { .. } => return Err(LinkError::Closed),
@@ -124,7 +126,7 @@
     shared: &Shared<W>,
     frames: &mut ServerFrames,
     tenant: &TenantName,
-    OperationsWish { operations, priority, wait }: OperationsWish,
+    OperationsRequest { operations, priority, wait }: OperationsRequest,
 ) -> Result<(), LinkError> {
     let until = Instant::now() + wait;
     let counting = async {
@@ -132,7 +134,7 @@
         let asked = AskedOperations { operations, priority, until };
         shared.limits.count_for_another(tenant, asked).await
     };
-    let counted = with_signs(frames, counting).await?;
+    let counted = with_heartbeats(frames, counting).await?;
     let begun = counted.as_ref().and_then(|it| it.as_ref().ok()).copied();
     let reply = counted
         .map_or(TunnelReply::Refused(TunnelRefusal::NotHeld), TunnelReply::OperationsAdmitted);
@@ -144,18 +146,18 @@
 }
 
 /// Says that the holder is at work, until it has what it is asked for.
-async fn with_signs<T>(
+async fn with_heartbeats<T>(
     frames: &mut ServerFrames,
     work: impl Future<Output = T>,
 ) -> Result<T, LinkError> {
     tokio::pin!(work);
-    let mut pause = FIRST_SIGN;
+    let mut pause = FIRST_HEARTBEAT;
     loop {
         match timeout(pause, &mut work).await {
             Ok(done) => return Ok(done),
             Err(_) => frames.send(TunnelReply::Working).await.map_err(link_error)?,
         }
-        pause = SIGN_INTERVAL;
+        pause = HEARTBEAT_INTERVAL;
     }
 }
 
@@ -169,18 +171,18 @@
 /// Runs a statement of another gateway.
 async fn run<W: Wire>(
     shared: &Shared<W>,
-    wish: &TunnelWish,
+    remote: &RemoteRequest,
     statement: &LoneRequest,
     limit: Duration,
 ) -> Result<TunnelReply, TunnelRefusal> {
     let begun = Instant::now();
     let deadline = begun + limit;
-    let Located { lease, position } = grant(shared, wish, !statement.kind.is_read()).await?;
+    let Located { lease, position } = grant(shared, remote, !statement.kind.is_read()).await?;
     let group = Rc::clone(lease.group());
     let result =
-        LoneStatement::of_request(statement, wish.priority).run(lease, position, deadline).await;
+        LoneStatement::of_request(statement, remote.priority).run(lease, position, deadline).await;
     let newest = group.freshness.borrow().newest(group.now());
-    let load = group.load_report(&wish.member, begun.elapsed());
+    let load = group.load_report(&remote.member, begun.elapsed());
     Ok(TunnelReply::Ran { outcome: outcome_of(result), position, newest, load })
 }
 
@@ -188,21 +190,21 @@
 /// transaction is open.
 async fn open<W: Wire>(
     shared: &Shared<W>,
-    wish: &TunnelWish,
+    remote: &RemoteRequest,
     statement: &LoneRequest,
     limit: Duration,
 ) -> Result<(Option<Lease<W>>, TunnelReply), TunnelRefusal> {
     let deadline = Instant::now() + limit;
-    let Located { mut lease, position } = grant(shared, wish, !statement.kind.is_read()).await?;
+    let Located { mut lease, position } = grant(shared, remote, !statement.kind.is_read()).await?;
     let group = Rc::clone(lease.group());
-    let first = LoneStatement::of_request(statement, wish.priority);
+    let first = LoneStatement::of_request(statement, remote.priority);
     let opened = first.open_on(&mut lease, position, deadline).await;
     let newest = group.freshness.borrow().newest(group.now());
     match opened {
         Ok(result) => {
             let profile = lease.connection().profile.clone();
             let outcome = outcome_of(result);
-            lease.set_resting(true);
+            lease.set_idle_in_transaction(true);
             Ok((Some(lease), TunnelReply::Opened { profile, position, newest, outcome }))
         }
         Err(why) => Ok((None, TunnelReply::NotOpened { outcome: outcome_of(Err(why)), newest })),
@@ -211,28 +213,28 @@
 
 async fn grant<W: Wire>(
     shared: &Shared<W>,
-    wish: &TunnelWish,
+    remote: &RemoteRequest,
     writes: bool,
 ) -> Result<Located<W>, TunnelRefusal> {
     let begun = Instant::now();
-    let give_up = begun + wish.wait;
+    let give_up = begun + remote.wait;
     // In the first moments of a process control is about to tell it what it holds.
     shared.document_by(give_up).await;
-    let group = find_group(shared, &wish.group)?;
+    let group = find_group(shared, &remote.group)?;
     let session = SessionProfile::default();
-    let local = Wish {
-        target: Target::Held(wish.member.clone()),
+    let local = ConnectionRequest {
+        target: Target::Held(remote.member.clone()),
         session: &session,
-        principal: Some(&wish.principal),
-        kind: StatementKind { priority: wish.priority, writes },
-        bound: wish.bound,
+        principal: Some(&remote.principal),
+        kind: StatementKind { priority: remote.priority, writes },
+        bound: remote.bound,
         needs_slot: true,
         give_up,
     };
     let acquired = group.acquire(&local).await;
     acquired.map_err(|error| {
         log::debug!(
-            target: LOG_TARGET, group:% = wish.group, member:% = wish.member, error:% = error,
+            target: LOG_TARGET, group:% = remote.group, member:% = remote.member, error:% = error,
             after_ms = begun.elapsed().as_millis() as u64;
             "statement of another gateway not taken"
         );
@@ -263,19 +265,19 @@
     // Until it is given back, something may be under way on it.
     lease.in_transaction = true;
     frames.send(leased).await.map_err(link_error)?;
-    let rest_limit = shared.routes.transaction_idle() + REST_SLACK;
+    let idle_limit = shared.routes.transaction_idle() + IDLE_SLACK;
     let mut heard_at = Instant::now();
     let mut asked_at = None;
-    let mut sign_due = Instant::now();
+    let mut heartbeat_due = Instant::now();
     let mut buffer = BytesMut::with_capacity(BUFFER_BYTES);
     loop {
         tokio::select! {
             request = frames.next() => match request {
                 Some(Ok(TunnelRequest::Bytes(bytes))) => {
-                    lease.set_resting(false);
+                    lease.set_idle_in_transaction(false);
                     heard_at = Instant::now();
                     asked_at = Some(heard_at);
-                    sign_due = Instant::now() + FIRST_SIGN;
+                    heartbeat_due = Instant::now() + FIRST_HEARTBEAT;
                     if lease.connection().write_bytes(&bytes).await.is_err() {
                         return close(frames).await;
                     }
@@ -296,19 +298,19 @@
                 }
                 asked_at = None;
                 heard_at = Instant::now();
-                lease.set_resting(true);
+                lease.set_idle_in_transaction(true);
                 let bytes = buffer.split().to_vec();
                 frames.send(TunnelReply::Bytes(bytes)).await.map_err(link_error)?;
             }
-            () = sleep_until(heard_at + rest_limit), if asked_at.is_none() => {
+            () = sleep_until(heard_at + idle_limit), if asked_at.is_none() => {
                 log::info!(
                     target: LOG_TARGET, member:% = lease.member;
                     "the gateway that uses a connection is silent: its transaction is rolled back"
                 );
                 return Err(LinkError::HolderSilent);
             }
-            () = sleep_until(sign_due), if asked_at.is_some() => {
-                sign_due = Instant::now() + SIGN_INTERVAL;
+            () = sleep_until(heartbeat_due), if asked_at.is_some() => {
+                heartbeat_due = Instant::now() + HEARTBEAT_INTERVAL;
                 frames.send(TunnelReply::Working).await.map_err(link_error)?;
             }
         }
--- a/crates/gateway/tests/metric_names.rs
+++ b/crates/gateway/tests/metric_names.rs
@@ -11,7 +11,7 @@
 use corktack_core::statement::ErrorCode;
 use error::RefusalReason;
 use expect_test::expect;
-use metrics::{ElsewhereOutcome, Holdings, Metrics};
+use metrics::{Holdings, Metrics, RemoteOutcome};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::registry::Registry;
 use std::time::Duration;
@@ -44,12 +44,12 @@
     RefusalReason::NoPosition,
 ];
 
-const OUTCOMES: [ElsewhereOutcome; 5] = [
-    ElsewhereOutcome::Served,
-    ElsewhereOutcome::NoneFree,
-    ElsewhereOutcome::NoPosition,
-    ElsewhereOutcome::NotReached,
-    ElsewhereOutcome::Lost,
+const OUTCOMES: [RemoteOutcome; 5] = [
+    RemoteOutcome::Served,
+    RemoteOutcome::NoneFree,
+    RemoteOutcome::NoPosition,
+    RemoteOutcome::NotReached,
+    RemoteOutcome::Lost,
 ];
 
 /// Each line of the encoded registry without its value, in the order of the alphabet: the registry's
@@ -73,8 +73,8 @@
     metrics.note_statement(None, Duration::ZERO);
     CODES.iter().for_each(|code| metrics.note_statement(Some(*code), Duration::ZERO));
     REASONS.iter().for_each(|reason| metrics.note_refusal(*reason, 0));
-    OUTCOMES.iter().for_each(|outcome| metrics.note_elsewhere(*outcome));
-    [true, false].iter().for_each(|used| metrics.note_told_position(*used));
+    OUTCOMES.iter().for_each(|outcome| metrics.note_remote(*outcome));
+    [true, false].iter().for_each(|used| metrics.note_reported_position(*used));
     let waiting = [(0, 1)].into();
     metrics.note_holdings(&Holdings { waiting, ..Holdings::default() }, 0);
     expect![[r##"
