--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -10,6 +10,17 @@
     pub(crate) text: String,
 }
 
+/// Why a statement has no whole answer.
+#[derive(Debug)]
+pub(crate) enum Unanswered {
+    /// It was not sent: the connection could not be brought to the session's state.
+    NotSent(LinkError),
+    /// It was sent and may have run.
+    Sent(LinkError),
+    /// A member refused what had to come before it; it was not sent.
+    Refused(Failure),
+}
+
 /// A member's whole answer: only one that is complete counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Answer {
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -1,6 +1,6 @@
 //! A planned stop: sessions end when they are quiet, transactions get their time.
 
-use crate::handle::Shared;
+use crate::shared::Shared;
 use crate::wire::Wire;
 use std::rc::Rc;
 use tokio::time::{Instant, timeout_at};
--- a/crates/gateway/src/group/acquire.rs
+++ b/crates/gateway/src/group/acquire.rs
@@ -1,11 +1,10 @@
 //! Finds where a request can be served, waits for room there, and opens connections.
 
 use super::choice::Step;
-use super::{ConnectionRequest, Group, LOG_TARGET, Located, Location, Target};
+use super::{ConnectionRequest, Group, LOG_TARGET, Lease, Located, Location, Target};
 use crate::connection::MemberConnection;
 use crate::dial::{Destination, dial};
 use crate::error::{AcquireError, DialError, LinkError};
-use crate::lease::Lease;
 use crate::wire::Wire;
 use corktack_core::identity::MemberName;
 use corktack_core::registry::RegisteredBackEnd;
--- a/crates/gateway/src/group/elsewhere.rs
+++ b/crates/gateway/src/group/elsewhere.rs
@@ -2,13 +2,12 @@
 
 mod told;
 
-use super::{ConnectionRequest, Group, Located};
-use crate::answer::Answer;
+use super::{ConnectionRequest, Group, Lease, Located};
+use crate::answer::{Answer, Unanswered};
 use crate::connection::MemberConnection;
 use crate::error::{AcquireError, LinkError};
-use crate::lease::Lease;
+use crate::lone_statement::LoneStatement;
 use crate::metrics::RemoteOutcome;
-use crate::run::{LoneStatement, Unanswered};
 use crate::transport::Transport;
 use crate::tunnel::{Granted, OpenedAtHolder, RemoteRequest, TunnelClient, TunnelError};
 use crate::wire::Wire;
--- a/crates/gateway/src/group/elsewhere/told.rs
+++ b/crates/gateway/src/group/elsewhere/told.rs
@@ -1,10 +1,10 @@
 //! What other gateways say where they are asked, and what is remembered of it.
 
 use super::{HolderReply, RequestSent};
+use crate::answer::Unanswered;
 use crate::error::AcquireError;
 use crate::group::{ConnectionRequest, Group};
 use crate::metrics::RemoteOutcome;
-use crate::run::Unanswered;
 use crate::tunnel::RanAtHolder;
 use crate::wire::Wire;
 use corktack_core::gateway::Holder;
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/group/lease.rs
@@ -1,7 +1,7 @@
 //! A connection that one statement or transaction uses.
 
+use super::Group;
 use crate::connection::MemberConnection;
-use crate::group::Group;
 use crate::wire::Wire;
 use corktack_core::identity::MemberName;
 use std::rc::Rc;
--- a/crates/gateway/src/group/mod.rs
+++ b/crates/gateway/src/group/mod.rs
@@ -4,13 +4,13 @@
 mod acquire;
 mod choice;
 mod elsewhere;
+mod lease;
 mod notes;
 mod positions;
 mod reach;
 
 use crate::clock::SteadyClock;
 use crate::connection::MemberConnection;
-use crate::lease::Lease;
 use crate::member::{Member, MemberShare};
 use crate::metrics::{Holdings, Metrics};
 use crate::settings::GatewaySettings;
@@ -26,6 +26,7 @@
 use corktack_core::scheduling::{ServiceTimes, SlotQueue, StatementKind};
 use corktack_core::tenancy::Principal;
 pub(crate) use elsewhere::RemoteOpening;
+pub(crate) use lease::Lease;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -127,7 +128,7 @@
     wire: W,
     settings: Rc<GatewaySettings>,
     state: RefCell<GroupState<W>>,
-    pub(crate) freshness: RefCell<Freshness>,
+    freshness: RefCell<Freshness>,
     /// Whether a question for the primary's position is under way.
     asking_position: Cell<bool>,
     /// Told whenever such a question has ended.
--- a/crates/gateway/src/group/notes.rs
+++ b/crates/gateway/src/group/notes.rs
@@ -1,9 +1,8 @@
 //! What statements say of a member, remembered for those that come.
 
 use super::Group;
-use crate::answer::Answer;
+use crate::answer::{Answer, Unanswered};
 use crate::error::LinkError;
-use crate::run::Unanswered;
 use crate::wire::Wire;
 use corktack_core::identity::MemberName;
 use corktack_core::position::Position;
@@ -40,6 +39,11 @@
         }
     }
 
+    /// Age and position of the newest answer of the primary that is known here.
+    pub(crate) fn newest_position(&self) -> Option<(Duration, Position)> {
+        self.freshness.borrow().newest(self.now())
+    }
+
     /// How busy a member is, for the gateway whose statement has just taken this long.
     pub(crate) fn load_report(&self, name: &MemberName, spent: Duration) -> MemberLoadReport {
         let state = self.state.borrow();
--- a/crates/gateway/src/group/positions.rs
+++ b/crates/gateway/src/group/positions.rs
@@ -4,10 +4,9 @@
 //! there. It asks the primary, or a gateway that holds connections to that, in the background before
 //! the last answer grows old, once for all reads; without one, the reads wait for it.
 
-use super::{ConnectionRequest, Group, Location, Target};
+use super::{ConnectionRequest, Group, Lease, Location, Target};
 use crate::connection::MemberConnection;
 use crate::error::AcquireError;
-use crate::lease::Lease;
 use crate::wire::Wire;
 use corktack_core::gateway::{Holder, ReadBound, ReadPosition, SessionProfile};
 use corktack_core::identity::MemberName;
@@ -110,7 +109,7 @@
                 self.refresh(Target::Held(member), Duration::ZERO, wait).await;
             }
         }
-        self.freshness.borrow().newest(self.now())
+        self.newest_position()
     }
 
     /// Asks the primary for its position, or a gateway that holds connections to it.
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -4,72 +4,27 @@
 use crate::drain::drain;
 use crate::error::GatewayError;
 use crate::group::MemberReach;
+use crate::holder::accept_tunnels;
 use crate::limits::{Limits, LimitsLink, keep_allowances};
 use crate::metrics::Metrics;
 use crate::routes::Routes;
 use crate::session::serve_caller;
 use crate::settings::GatewaySettings;
-use crate::tunnel::{Tunnels, accept_tunnels};
+use crate::shared::Shared;
+use crate::tunnel::Tunnels;
 use crate::wire::Wire;
-use corktack_core::time::Timestamp;
 use corktack_core::view::View;
 use prometheus_client::registry::Registry;
-use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::sync::{Notify, mpsc, watch};
-use tokio::time::{Instant, timeout_at};
+use tokio::sync::{mpsc, watch};
 
 /// Pause after a failed accept (out of file descriptors, most likely).
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 /// Time between two looks for connections that have not been used for long.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest time that the start of a session waits for the first configuration; longer in the first
-/// moments of the process, when control is about to tell it. After a loss of all machines of the users'
-/// large deployments it came 0.4 to 1.1 s after the start; callers wait 2 s for the start of a session.
-const DOCUMENT_LIMIT: Duration = Duration::from_millis(100);
-const FIRST_DOCUMENT_LIMIT: Duration = Duration::from_millis(1_200);
-/// What all sessions of a gateway share.
-pub(crate) struct Shared<W: Wire> {
-    pub(crate) wire: W,
-    pub(crate) settings: Rc<GatewaySettings>,
-    pub(crate) routes: Routes<W>,
-    pub(crate) metrics: Metrics,
-    pub(crate) limits: Rc<Limits>,
-    pub(crate) sessions: Cell<usize>,
-    pub(crate) stopping: Cell<bool>,
-    pub(crate) stop_began: Notify,
-    pub(crate) transactions_over: Notify,
-    pub(crate) session_ended: Notify,
-    document_came: Notify,
-    started: Instant,
-    clock: SteadyClock,
-}
-
-impl<W: Wire> Shared<W> {
-    /// The steady time.
-    pub(crate) fn now(&self) -> Timestamp {
-        self.clock.now()
-    }
-
-    /// Waits until there is a configuration to go by; says whether there is one.
-    pub(crate) async fn document_there(&self) -> bool {
-        let until = (Instant::now() + DOCUMENT_LIMIT).max(self.started + FIRST_DOCUMENT_LIMIT);
-        self.document_by(until).await
-    }
-
-    /// Waits for a configuration until this time; says whether there is one.
-    pub(crate) async fn document_by(&self, until: Instant) -> bool {
-        while !self.routes.has_document() {
-            if timeout_at(until, self.document_came.notified()).await.is_err() {
-                return false;
-            }
-        }
-        true
-    }
-}
 
 /// Bound listeners of a gateway.
 #[derive(Debug)]
@@ -131,21 +86,7 @@
             clock,
             metrics.clone(),
         );
-        let shared = Rc::new(Shared {
-            routes,
-            wire,
-            settings,
-            metrics,
-            limits: Rc::new(limits),
-            sessions: Cell::new(0),
-            stopping: Cell::new(false),
-            stop_began: Notify::new(),
-            transactions_over: Notify::new(),
-            session_ended: Notify::new(),
-            document_came: Notify::new(),
-            started: Instant::now(),
-            clock,
-        });
+        let shared = Rc::new(Shared::new(wire, settings, routes, metrics, limits, clock));
         actix_rt::spawn(keep_allowances(Rc::clone(&shared.limits), limits_link));
         actix_rt::spawn(follow_views(Rc::clone(&shared), views));
         actix_rt::spawn(accept(callers, Rc::clone(&shared)));
@@ -187,7 +128,7 @@
         }
         shared.limits.follow_peers(&shared.routes.zone_peers());
         if shared.routes.has_document() {
-            shared.document_came.notify_waiters();
+            shared.note_document();
         }
         if views.changed().await.is_err() {
             return;
--- /dev/null
+++ b/crates/gateway/src/holder/mod.rs
@@ -0,0 +1,152 @@
+//! Serves other gateways from the connections that this one holds.
+//!
+//! It is for gateways that hold no share of a member, or do not reach it: it lends them connections, runs
+//! statements and begins transactions for them, reports positions of primaries, and counts operations of
+//! tenants. It owns the accepted tunnels. It relies on the groups for connections
+//! ([`Group::acquire`](crate::group::Group::acquire)), on [`run`](crate::run) for statements, and on the
+//! limits for operations. The other side of a tunnel is [`tunnel`](crate::tunnel).
+
+mod heartbeat;
+mod lent;
+mod operations;
+mod statement;
+
+use crate::error::LinkError;
+use crate::group::{Group, Located};
+use crate::shared::Shared;
+use crate::tunnel::{OperationsRequest, RemoteRequest, link_error};
+use crate::wire::Wire;
+use corktack_core::identity::GroupName;
+use corktack_protocol::frame::FrameCodec;
+use corktack_protocol::liveness::Liveness;
+use corktack_protocol::tunnel::{LoneRequest, TunnelRefusal, TunnelReply, TunnelRequest};
+use futures_util::{SinkExt, StreamExt};
+use heartbeat::with_heartbeats;
+use lent::LentConnection;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::Instant;
+use tokio_util::codec::Framed;
+
+/// Target of the log lines of this module, by which operators may filter.
+const LOG_TARGET: &str = "corktack_gateway::tunnel";
+
+/// Pause after a failed accept (out of file descriptors, most likely). Chosen, not measured: lower, the
+/// process spends its time on attempts that fail; higher, tunnels wait though descriptors are free again.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+
+/// The frames of an accepted tunnel.
+type HolderFrames = Framed<TcpStream, FrameCodec<TunnelReply, TunnelRequest>>;
+
+/// Serves tunnels of other gateways until the process ends.
+pub(crate) async fn accept_tunnels<W: Wire>(listener: TcpListener, shared: Rc<Shared<W>>) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                actix_rt::spawn(serve_tunnel(stream, Rc::clone(&shared)));
+            }
+            Err(error) => {
+                log::warn!(target: LOG_TARGET, error:% = error; "a tunnel cannot be accepted");
+                tokio::time::sleep(ACCEPT_PAUSE).await;
+            }
+        }
+    }
+}
+
+async fn serve_tunnel<W: Wire>(stream: TcpStream, shared: Rc<Shared<W>>) {
+    // The options only save time: a tunnel without them still works.
+    drop(Liveness::WITHIN_DEPLOYMENT.apply(&stream));
+    let mut frames: HolderFrames = Framed::new(stream, FrameCodec::default());
+    while let Some(Ok(request)) = frames.next().await {
+        if serve_request(&shared, &mut frames, request).await.is_err() {
+            return;
+        }
+    }
+}
+
+async fn serve_request<W: Wire>(
+    shared: &Shared<W>,
+    frames: &mut HolderFrames,
+    request: TunnelRequest,
+) -> Result<(), LinkError> {
+    match request {
+        TunnelRequest::Acquire { group, member, principal, priority, wait, bound } => {
+            let remote = RemoteRequest { group, member, principal, priority, wait, bound };
+            lend(shared, frames, &remote).await
+        }
+        TunnelRequest::Open { group, member, principal, priority, wait, limit, statement } => {
+            let bound = statement.kind.bound();
+            let remote = RemoteRequest { group, member, principal, priority, wait, bound };
+            open(shared, frames, &remote, &statement, limit).await
+        }
+        TunnelRequest::Run { group, member, principal, priority, wait, limit, statement } => {
+            let bound = statement.kind.bound();
+            let remote = RemoteRequest { group, member, principal, priority, wait, bound };
+            let running = statement::run(shared, &remote, &statement, limit);
+            let reply = with_heartbeats(frames, running).await?;
+            send(frames, reply.unwrap_or_else(TunnelReply::Refused)).await
+        }
+        TunnelRequest::BeginOperations { tenant, operations, priority, wait } => {
+            let request = OperationsRequest { operations, priority, wait };
+            operations::begin(shared, frames, &tenant, request).await
+        }
+        TunnelRequest::ReturnOperations { tenant, begun } => {
+            shared.limits.return_operations(&tenant, begun);
+            send(frames, TunnelReply::Returned).await
+        }
+        TunnelRequest::Position { group, member, max_age, wait } => {
+            let reporting = async {
+                shared.wait_for_document_until(Instant::now() + wait).await;
+                let group = find_group(shared, &group)?;
+                Ok(group.report_position(member, max_age, wait).await)
+            };
+            let reported = with_heartbeats(frames, reporting).await?;
+            send(frames, reported.map_or_else(TunnelReply::Refused, TunnelReply::Position)).await
+        }
+        // Nothing is lent.
+        TunnelRequest::Bytes(_) | TunnelRequest::Release { .. } => Err(LinkError::Closed),
+    }
+}
+
+/// Lends a connection until it is given back.
+async fn lend<W: Wire>(
+    shared: &Shared<W>,
+    frames: &mut HolderFrames,
+    remote: &RemoteRequest,
+) -> Result<(), LinkError> {
+    let writes = remote.bound.is_none();
+    match with_heartbeats(frames, statement::acquire(shared, remote, writes)).await? {
+        Ok(Located { mut lease, position }) => {
+            let granted = statement::granted(&mut lease, position);
+            LentConnection::new(frames, lease).serve(shared, granted).await
+        }
+        Err(refusal) => send(frames, TunnelReply::Refused(refusal)).await,
+    }
+}
+
+/// Begins a transaction, runs its first statement, and lends the connection while it is open.
+async fn open<W: Wire>(
+    shared: &Shared<W>,
+    frames: &mut HolderFrames,
+    remote: &RemoteRequest,
+    first: &LoneRequest,
+    limit: Duration,
+) -> Result<(), LinkError> {
+    match with_heartbeats(frames, statement::open(shared, remote, first, limit)).await? {
+        Ok((Some(lease), opened)) => LentConnection::new(frames, lease).serve(shared, opened).await,
+        Ok((None, not_opened)) => send(frames, not_opened).await,
+        Err(refusal) => send(frames, TunnelReply::Refused(refusal)).await,
+    }
+}
+
+fn find_group<W: Wire>(
+    shared: &Shared<W>,
+    group: &GroupName,
+) -> Result<Rc<Group<W>>, TunnelRefusal> {
+    shared.routes.group(group).ok_or(TunnelRefusal::NotHeld)
+}
+
+async fn send(frames: &mut HolderFrames, reply: TunnelReply) -> Result<(), LinkError> {
+    frames.send(reply).await.map_err(link_error)
+}
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,53 +1,26 @@
 //! Runs a caller's statement on a connection of a member.
+//!
+//! It is for sessions and for other gateways that ask this one. It owns the order of what is sent: the
+//! session's values and prepared statements first, then the begin where there is one, then the statement.
+//! It relies on a [`Lease`] for the connection and on the group to remember what the outcome shows.
 
-use crate::answer::{Answer, Failure};
+use crate::answer::{Answer, Unanswered};
 use crate::connection::OwnOutcome;
 use crate::error::LinkError;
-use crate::lease::Lease;
+use crate::group::Lease;
+use crate::lone_statement::{LoneStatement, PassedStatement};
 use crate::wire::Wire;
 use corktack_core::gateway::{ReadPosition, SessionProfile};
 use corktack_core::position::Position;
 use corktack_core::scheduling::StatementKind;
-use corktack_core::statement::{
-    Access, MemberRequest, OwnStatement, PreparedShape, Request, Statement,
-};
-use corktack_protocol::tunnel::{LoneKind, LoneRequest};
+use corktack_core::statement::{Access, MemberRequest, OwnStatement, PreparedShape};
+use corktack_protocol::tunnel::LoneKind;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// Longest time that the end of the product's own transaction may take.
 pub(crate) const ROLLBACK_LIMIT: Duration = Duration::from_secs(2);
 
-/// Why a statement has no whole answer.
-#[derive(Debug)]
-pub(crate) enum Unanswered {
-    /// It was not sent: the connection could not be brought to the session's state.
-    NotSent(LinkError),
-    /// It was sent and may have run.
-    Sent(LinkError),
-    /// A member refused what had to come before it; it was not sent.
-    Refused(Failure),
-}
-
-/// What of a caller's statement is passed on.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct PassedStatement<'s> {
-    pub(crate) id: &'s str,
-    pub(crate) text: &'s str,
-    /// Arguments of an execution.
-    pub(crate) arguments: Option<&'s str>,
-}
-
-impl<'s> From<&'s Request> for PassedStatement<'s> {
-    fn from(request: &'s Request) -> Self {
-        let arguments = match &request.statement {
-            Statement::Execute { arguments, .. } => Some(arguments.as_str()),
-            _ => None,
-        };
-        Self { id: &request.id, text: &request.text, arguments }
-    }
-}
-
 /// Brings the connection to the session's values and prepared statements; gives the connection's
 /// name of the shape.
 pub(crate) async fn align<W: Wire>(
@@ -135,16 +108,6 @@
     });
 }
 
-/// A statement outside a transaction, as it is run on any connection.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct LoneStatement<'s> {
-    pub(crate) passed: PassedStatement<'s>,
-    pub(crate) shape: Option<&'s PreparedShape>,
-    pub(crate) session: &'s SessionProfile,
-    pub(crate) priority: u32,
-    pub(crate) kind: LoneKind,
-}
-
 impl LoneStatement<'_> {
     /// Runs it, and notes what that says of the member.
     pub(crate) async fn run<W: Wire>(
@@ -208,31 +171,4 @@
         };
         pass_on(lease, self.passed, prepared.as_deref(), after, deadline).await
     }
-
-    /// The statement as another gateway gets it.
-    pub(crate) fn to_request(self) -> LoneRequest {
-        LoneRequest {
-            id: self.passed.id.to_owned(),
-            text: self.passed.text.to_owned(),
-            arguments: self.passed.arguments.map(str::to_owned),
-            shape: self.shape.cloned(),
-            session: self.session.values_only(),
-            kind: self.kind,
-        }
-    }
-
-    /// The statement that another gateway sent.
-    pub(crate) fn of_request(request: &LoneRequest, priority: u32) -> LoneStatement<'_> {
-        LoneStatement {
-            passed: PassedStatement {
-                id: &request.id,
-                text: &request.text,
-                arguments: request.arguments.as_deref(),
-            },
-            shape: request.shape.as_ref(),
-            session: &request.session,
-            priority,
-            kind: request.kind,
-        }
-    }
 }
--- a/crates/gateway/src/session/alone.rs
+++ b/crates/gateway/src/session/alone.rs
@@ -3,12 +3,12 @@
 use super::Session;
 use super::response::Response;
 use super::statement::access_of;
-use crate::answer::Answer;
+use crate::answer::{Answer, Unanswered};
 use crate::error::{AcquireError, LinkError};
 use crate::group::{ConnectionRequest, Located, Location, Target};
 use crate::limits::Pass;
+use crate::lone_statement::{LoneStatement, PassedStatement};
 use crate::routes::{Admitted, Route};
-use crate::run::{LoneStatement, PassedStatement, Unanswered};
 use crate::wire::Wire;
 use corktack_core::identity::MemberName;
 use corktack_core::scheduling::StatementKind;
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -11,8 +11,8 @@
 
 pub(crate) use serve::serve_caller;
 
-use crate::handle::Shared;
 use crate::routes::{Admitted, Route};
+use crate::shared::Shared;
 use crate::wire::Wire;
 use corktack_core::gateway::{KnownPosition, OwnPosition, ReadBound, SessionProfile};
 use corktack_core::identity::GroupName;
--- a/crates/gateway/src/session/opening.rs
+++ b/crates/gateway/src/session/opening.rs
@@ -5,13 +5,12 @@
 use super::alone::Bounds;
 use super::response::Response;
 use super::transaction::OpenTransaction;
-use crate::answer::{Answer, Failure};
+use crate::answer::{Answer, Failure, Unanswered};
 use crate::error::{AcquireError, LinkError};
 use crate::group::{ConnectionRequest, Located, Location, RemoteOpening, Target};
+use crate::lone_statement::{LoneStatement, PassedStatement};
 use crate::routes::{Admitted, Route};
-use crate::run::{
-    LoneStatement, PassedStatement, Unanswered, align, begin_as_primary, begin_reading,
-};
+use crate::run::{align, begin_as_primary, begin_reading};
 use crate::wire::Wire;
 use corktack_core::gateway::{Holder, ReadBound};
 use corktack_core::identity::MemberName;
--- a/crates/gateway/src/session/serve.rs
+++ b/crates/gateway/src/session/serve.rs
@@ -3,7 +3,7 @@
 use super::Session;
 use super::response::Response;
 use super::transaction::Transaction;
-use crate::handle::Shared;
+use crate::shared::Shared;
 use crate::wire::Wire;
 use bytes::BytesMut;
 use corktack_core::statement::TransactionState;
@@ -70,7 +70,7 @@
         let CallerMessage::Start { database, key } = first else {
             return self.refuse(ErrorCode::Malformed, "a session begins with its start").await;
         };
-        if !self.shared.document_there().await {
+        if !self.shared.wait_for_document().await {
             let text = "not run: no configuration yet; retry_after_ms=500";
             return self.refuse(ErrorCode::Busy, text).await;
         }
--- a/crates/gateway/src/tunnel/client.rs
+++ b/crates/gateway/src/tunnel/client.rs
@@ -2,9 +2,8 @@
 
 use super::outcome::result_of;
 use super::{HEARTBEAT_INTERVAL, HEARTBEAT_SLACK, link_error};
-use crate::answer::Answer;
+use crate::answer::{Answer, Unanswered};
 use crate::error::LinkError;
-use crate::run::Unanswered;
 use bytes::BytesMut;
 use corktack_core::gateway::{ConnectionProfile, Holder, ReadBound, ReadPosition};
 use corktack_core::identity::{GroupName, MemberName};
@@ -154,17 +153,12 @@
         statement: LoneRequest,
         limit: Duration,
     ) -> Result<OpenedAtHolder, TunnelError> {
-        let request = TunnelRequest::Open {
-            group: remote.group.clone(),
-            member: remote.member.clone(),
-            principal: remote.principal.clone(),
-            priority: remote.priority,
-            wait: remote.wait,
-            limit,
-            statement: Box::new(statement),
-        };
+        let RemoteRequest { group, member, principal, priority, wait, .. } = remote.clone();
+        let statement = Box::new(statement);
+        let request =
+            TunnelRequest::Open { group, member, principal, priority, wait, limit, statement };
         self.send(request).await?;
-        let until = Instant::now() + remote.wait + limit + self.silence_limit;
+        let until = Instant::now() + wait + limit + self.silence_limit;
         match self.reply(until, true).await? {
             TunnelReply::Opened { profile, position, newest, outcome } => {
                 let granted = Granted { tunnel: Box::new(self), profile, position, newest };
@@ -187,15 +181,10 @@
         limit: Duration,
     ) -> Result<RanAtHolder, TunnelError> {
         let gives_up_on_silence = statement.kind.is_read();
-        let request = TunnelRequest::Run {
-            group: remote.group.clone(),
-            member: remote.member.clone(),
-            principal: remote.principal.clone(),
-            priority: remote.priority,
-            wait: remote.wait,
-            limit,
-            statement: Box::new(statement),
-        };
+        let RemoteRequest { group, member, principal, priority, wait, .. } = remote.clone();
+        let statement = Box::new(statement);
+        let request =
+            TunnelRequest::Run { group, member, principal, priority, wait, limit, statement };
         self.send(request).await?;
         let until = Instant::now() + limit + self.silence_limit;
         match self.reply(until, gives_up_on_silence).await? {
--- a/crates/gateway/src/tunnel/outcome.rs
+++ b/crates/gateway/src/tunnel/outcome.rs
@@ -1,11 +1,10 @@
 //! The result of a statement, between the gateway's types and those of the internal protocol.
 
-use crate::answer::{Answer, Failure};
+use crate::answer::{Answer, Failure, Unanswered};
 use crate::error::LinkError;
-use crate::run::Unanswered;
 use corktack_protocol::tunnel::{MemberRefusal, RunFailure, RunOutcome};
 
-pub(super) fn outcome_of(result: Result<Answer, Unanswered>) -> RunOutcome {
+pub(crate) fn outcome_of(result: Result<Answer, Unanswered>) -> RunOutcome {
     let refusal = |failure: Failure| MemberRefusal { code: failure.code, text: failure.text };
     let failure = |error: LinkError| match error {
         LinkError::TimedOut | LinkError::HolderSilent => RunFailure::TimedOut,
