--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -1,5 +1,6 @@
 //! Decisions of a gateway: how fresh a member must be, how a pooled connection is brought to a
-//! session's state, which member a read is offered to, and which gateways hold connections to it.
+//! session's state, which member a request is offered to, for how long one is left alone after trouble,
+//! and which gateways hold connections to it.
 
 mod detour;
 mod fallback;
@@ -11,7 +12,10 @@
 mod member_pauses;
 mod peers;
 mod preference;
+mod primary_choice;
 mod profile;
+mod reader_choice;
+mod remote_attempt;
 mod round_trip;
 mod silence;
 
@@ -31,6 +35,9 @@
 pub use member_pauses::{ClockInstant, MemberPauses};
 pub use peers::PeerTable;
 pub use preference::{Preference, ReaderPreferences};
+pub use primary_choice::{PrimaryCandidate, PrimaryEvidence, choose_primary};
 pub use profile::{ConnectionProfile, SessionProfile, UnknownName};
+pub use reader_choice::{ReaderCandidate, choose_available_reader};
+pub use remote_attempt::{RemoteAttempt, RemoteFailure};
 pub use round_trip::RoundTrip;
 pub use silence::Silence;
--- /dev/null
+++ b/crates/core/tests/gateway_choice.rs
@@ -0,0 +1,116 @@
+//! Which member a gateway tries as primary, offers a read to, and what it makes of gateways that do not serve.
+
+use corktack_core::gateway::{
+    MemberLoad, PrimaryCandidate, PrimaryEvidence, ReaderCandidate, RemoteAttempt, RemoteFailure,
+    choose_available_reader, choose_primary,
+};
+use rstest::rstest;
+use std::time::Duration;
+
+fn candidate(evidence: PrimaryEvidence) -> PrimaryCandidate {
+    PrimaryCandidate {
+        evidence,
+        has_left: false,
+        denied_lately: false,
+        is_reached: true,
+        has_detour: false,
+    }
+}
+
+#[test]
+fn the_strongest_evidence_decides() {
+    let all = [
+        ("unknown", candidate(PrimaryEvidence::None)),
+        ("registered", candidate(PrimaryEvidence::Registered)),
+        ("promoted", candidate(PrimaryEvidence::Promoted)),
+        ("proven", candidate(PrimaryEvidence::Proven)),
+    ];
+    for left in (1..=all.len()).rev() {
+        assert_eq!(choose_primary(all[..left].to_vec()), Some(all[left - 1].0));
+    }
+    assert_eq!(choose_primary::<&str>([]), None);
+}
+
+#[test]
+fn among_equals_the_first_is_tried() {
+    let equal = candidate(PrimaryEvidence::None);
+    assert_eq!(choose_primary([("a", equal), ("b", equal)]), Some("a"));
+}
+
+#[rstest]
+#[case::left(PrimaryCandidate { has_left: true, ..candidate(PrimaryEvidence::Proven) })]
+#[case::denied(PrimaryCandidate { denied_lately: true, ..candidate(PrimaryEvidence::Proven) })]
+#[case::not_reached(PrimaryCandidate { is_reached: false, ..candidate(PrimaryEvidence::Proven) })]
+#[case::left_with_detour(PrimaryCandidate {
+    has_left: true, is_reached: false, has_detour: true, ..candidate(PrimaryEvidence::Proven)
+})]
+#[case::detour_without_evidence(PrimaryCandidate {
+    is_reached: false, has_detour: true, ..candidate(PrimaryEvidence::None)
+})]
+fn a_member_that_cannot_be_tried_leaves_the_next(#[case] unable: PrimaryCandidate) {
+    let other = candidate(PrimaryEvidence::None);
+    assert_eq!(choose_primary([("unable", unable), ("other", other)]), Some("other"));
+    assert_eq!(choose_primary([("unable", unable)]), None);
+}
+
+#[rstest]
+#[case(PrimaryEvidence::Proven)]
+#[case(PrimaryEvidence::Promoted)]
+#[case(PrimaryEvidence::Registered)]
+fn a_member_that_something_speaks_for_is_tried_by_a_detour(#[case] evidence: PrimaryEvidence) {
+    let by_detour = PrimaryCandidate { is_reached: false, has_detour: true, ..candidate(evidence) };
+    assert_eq!(choose_primary([("primary", by_detour)]), Some("primary"));
+}
+
+fn reader(latency_millis: u64, is_passed_over: bool, has_room: bool) -> ReaderCandidate {
+    let load = MemberLoad {
+        latency: Duration::from_millis(latency_millis),
+        way: Duration::ZERO,
+        age: Duration::ZERO,
+        running: 0,
+        capacity_share: 1.0,
+        waiting: 0.0,
+        served: 1.0,
+        preference: 0,
+    };
+    ReaderCandidate { load, is_passed_over, has_room }
+}
+
+#[rstest]
+#[case::room_comes_before_load([reader(1, false, false), reader(50, false, true)], 1)]
+#[case::passed_over_comes_after_full([reader(1, true, true), reader(50, false, false)], 1)]
+#[case::load_decides_among_those_with_room([reader(50, false, true), reader(1, false, true)], 1)]
+#[case::load_decides_among_the_full([reader(1, false, false), reader(50, false, false)], 0)]
+#[case::load_decides_among_the_passed_over([reader(50, true, true), reader(1, true, false)], 1)]
+fn a_read_goes_to_a_member_with_room_that_served_lately(
+    #[case] candidates: [ReaderCandidate; 2],
+    #[case] expected: usize,
+) {
+    assert_eq!(choose_available_reader(&candidates), Some(expected));
+}
+
+#[test]
+fn without_a_member_there_is_no_reader() {
+    assert_eq!(choose_available_reader(&[]), None);
+}
+
+#[test]
+fn each_case_of_unserved_requests_has_its_reason() {
+    for case in 0..16_u8 {
+        let attempt = RemoteAttempt {
+            is_time_over: case & 1 != 0,
+            holds_connections: case & 2 != 0,
+            is_reached: case & 4 != 0,
+            no_holder_left: case & 8 != 0,
+        };
+        let expected = match attempt {
+            RemoteAttempt { is_time_over: true, .. } => RemoteFailure::NoneFree,
+            RemoteAttempt { holds_connections: false, no_holder_left: true, .. } => {
+                RemoteFailure::NoHolder
+            }
+            RemoteAttempt { is_reached: true, .. } => RemoteFailure::NoneFree,
+            _ => RemoteFailure::Unreachable,
+        };
+        assert_eq!(attempt.failure(), expected, "{attempt:?}");
+    }
+}
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -1,7 +1,7 @@
 //! Questions to members on behalf of control, each on a connection of its own.
 
 use crate::dial::{Destination, dial};
-use crate::error::DialError;
+use crate::error::DialFailure;
 use crate::settings::GatewaySettings;
 use crate::wire::Wire;
 use corktack_core::identity::{GroupName, MemberName};
@@ -60,17 +60,14 @@
         let dialed = dial(wire, settings, destination).await;
         let mut connection = match dialed {
             Ok((connection, _)) => connection,
-            Err(DialError::Refused { code: ErrorCode::TooManyConnections, .. }) => {
+            Err(error) if error.failure() == DialFailure::Full => {
                 tokio::time::sleep(BUSY_PAUSE).await;
                 continue;
             }
             Err(error) => {
                 log::info!(group:% = group, member:% = member, error:% = error; "no status");
-                return match error {
-                    DialError::Unreachable(_)
-                    | DialError::Refused { code: ErrorCode::WrongMember, .. } => {
-                        MemberAnswer::Unreachable
-                    }
+                return match error.failure() {
+                    DialFailure::Unreachable => MemberAnswer::Unreachable,
                     _ => MemberAnswer::Silent,
                 };
             }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -74,7 +74,32 @@
     },
 }
 
+/// What a failed attempt to connect says of a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum DialFailure {
+    /// It takes no more connections.
+    Full,
+    /// Nothing answers at its address, or another member does.
+    Unreachable,
+    /// It was reached and was not ready in time.
+    NoAnswer,
+    /// It was reached, and may serve a moment later.
+    Other,
+}
+
 impl DialError {
+    /// What it says of the member.
+    pub(crate) const fn failure(&self) -> DialFailure {
+        match self {
+            Self::Refused { code: ErrorCode::TooManyConnections, .. } => DialFailure::Full,
+            Self::Unreachable(_) | Self::Refused { code: ErrorCode::WrongMember, .. } => {
+                DialFailure::Unreachable
+            }
+            Self::Link(LinkError::TimedOut) => DialFailure::NoAnswer,
+            Self::Link(_) | Self::Refused { .. } => DialFailure::Other,
+        }
+    }
+
     /// A connection that ends before it is ready is none: whoever accepted it stands before the
     /// member, or the member went away. One that is slow may only have too much to do.
     pub(crate) fn of_opening(self) -> Self {
--- a/crates/gateway/src/group/choice.rs
+++ b/crates/gateway/src/group/choice.rs
@@ -1,56 +1,60 @@
-//! Which member of a group serves a request, and who is woken when one has room.
-
-use super::{ConnectionRequest, Target};
+//! Which member of a group serves a request, and what is done to get a connection to it.
+//!
+//! It is for [`acquire`](super::acquire), which carries the decision out. It owns the order of the reasons:
+//! the member first (the rules are in [`corktack_core::gateway`]: [`choose_primary`],
+//! [`choose_available_reader`]), then whether others have to be asked, then whether there is room. Nothing
+//! here waits or sends. It relies on [`GroupState`] for what is known.
+
+use super::request::{ConnectionRequest, RemoteMember, Target};
+use super::state::GroupState;
 use crate::clock::SteadyClock;
 use crate::connection::MemberConnection;
 use crate::member::Member;
 use crate::settings::GatewaySettings;
 use crate::tunnel::Tunnels;
 use crate::wire::Wire;
-use corktack_core::gateway::{DetourStep, Holder, MemberLoad, ReaderPreferences, choose_reader};
+use corktack_core::gateway::{
+    DetourStep, Holder, MemberLoad, PrimaryCandidate, PrimaryEvidence, ReaderCandidate,
+    choose_available_reader, choose_primary,
+};
 use corktack_core::identity::MemberName;
-use corktack_core::registry::{BackEndRole, Promotion, RegisteredBackEnd};
-use corktack_core::scheduling::{Capacity, ServiceTimes, SlotQueue, SlotTarget};
+use corktack_core::registry::{BackEndRole, RegisteredBackEnd};
 use corktack_core::tenancy::Principal;
 use corktack_core::time::Timestamp;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::sync::Arc;
-use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Gateways that are asked for one statement.
+/// Gateways that are asked for one statement. Chosen, not measured: fewer give up while a holder is left
+/// that answers, more spend a statement's time on a member that none of them serves.
 const HOLDERS_ASKED: usize = 3;
-/// Rank of a member that nothing says is the primary.
-const UNKNOWN_RANK: u8 = 3;
 
-/// What a group knows of its members, and who waits for them.
-pub(super) struct GroupState<W: Wire> {
-    pub(super) members: BTreeMap<MemberName, Member<W>>,
-    pub(super) promotion: Option<Promotion>,
-    /// The member that last acted as primary.
-    pub(super) proven_primary: Option<MemberName>,
-    pub(super) not_primary_until: BTreeMap<MemberName, Instant>,
-    /// Statements that wait for a slot here.
-    pub(super) waiting: SlotQueue<oneshot::Sender<MemberName>>,
-    pub(super) service_times: ServiceTimes,
-    pub(super) preferences: ReaderPreferences,
+/// A connection of this gateway that a request may use.
+pub(super) enum Taken<W: Wire> {
+    /// One that was idle.
+    Idle(MemberName, MemberConnection<W>),
+    /// One that is to be opened; it counts as open already.
+    ToOpen(MemberName, Arc<RegisteredBackEnd>),
 }
 
 /// The next step towards a connection.
 pub(super) enum Step<W: Wire> {
-    Use(MemberName, MemberConnection<W>),
-    Dial(MemberName, Arc<RegisteredBackEnd>),
+    /// Use a connection of this gateway.
+    Take(Taken<W>),
     /// Ask the gateways that hold connections to it.
-    Remote(MemberName, Vec<Holder>),
+    Remote(RemoteMember),
     /// As [`Step::Remote`], and connect to it beside that: it may be reached again.
-    RemoteAndCheck(MemberName, Vec<Holder>, Arc<RegisteredBackEnd>),
+    RemoteAndCheck(RemoteMember, Arc<RegisteredBackEnd>),
     /// None of those gateways answers.
     NoHolder(MemberName),
+    /// Wait for room.
     Wait,
+    /// No member that could serve is there.
     NoMember,
 }
 
 impl<W: Wire> GroupState<W> {
+    /// The next step towards a connection for a request.
     pub(super) fn step(
         &mut self,
         request: &ConnectionRequest<'_>,
@@ -68,95 +72,28 @@
         let Some(member) = self.members.get_mut(&name) else { return Step::NoMember };
         member.end_fallback_if_over(now);
         if !member.holds_connections() {
-            return Self::remote(name, member, request, tunnels);
+            return remote(name, member, request, tunnels);
         }
-        if let Some(homes) = Self::homes(member, request, settings, tunnels) {
-            return Step::Remote(name, homes);
+        if let Some(holders) = homes(member, request, settings, tunnels) {
+            return Step::Remote(RemoteMember { name, holders });
         }
         if request.target == Target::Primary && member.needs_detour(now) {
-            return Self::detour(name, member, now, clock, tunnels);
+            return detour(name, member, now, clock, tunnels);
         }
         if !member.has_room(now, request.needs_slot) {
             return Step::Wait;
         }
-        Self::take(name, member, request)
-    }
-
-    /// The gateways that keep the connections of the request's tenant to a member; none where this one
-    /// does, or has one that is idle.
-    fn homes(
-        member: &Member<W>,
-        request: &ConnectionRequest<'_>,
-        settings: &GatewaySettings,
-        tunnels: &Tunnels,
-    ) -> Option<Vec<Holder>> {
-        let tenant = request.principal?.tenant()?;
-        if matches!(request.target, Target::Held(_)) || member.pool.has_idle_for(request.principal)
-        {
-            return None;
-        }
-        let homes =
-            tunnels.to_ask_for(&member.holders, tenant, Some(settings.peers), HOLDERS_ASKED);
-        (!homes.is_empty()).then_some(homes)
-    }
-
-    fn remote(
-        name: MemberName,
-        member: &Member<W>,
-        request: &ConnectionRequest<'_>,
-        tunnels: &Tunnels,
-    ) -> Step<W> {
-        let holders = match request.principal.and_then(Principal::tenant) {
-            Some(tenant) => tunnels.to_ask_for(&member.holders, tenant, None, HOLDERS_ASKED),
-            None => tunnels.to_ask(&member.holders, HOLDERS_ASKED),
-        };
-        if holders.is_empty() {
-            return Step::NoHolder(name);
-        }
-        Step::Remote(name, holders)
+        take(name, member, request).map_or(Step::Wait, Step::Take)
     }
 
-    fn detour(
-        name: MemberName,
-        member: &mut Member<W>,
-        now: Instant,
-        clock: SteadyClock,
-        tunnels: &Tunnels,
-    ) -> Step<W> {
-        match member.detour.step(clock.at(now)) {
-            DetourStep::Wait => Step::Wait,
-            DetourStep::Closed => Step::NoMember,
-            DetourStep::Take => {
-                let holders = tunnels.to_ask(&member.holders, HOLDERS_ASKED);
-                match member.due_check(now) {
-                    None => Step::Remote(name, holders),
-                    Some(back_end) => Step::RemoteAndCheck(name, holders, back_end),
-                }
-            }
-        }
-    }
-
-    /// A member for another gateway, if this one holds connections to it and it takes any work.
-    fn held(
-        &self,
-        name: &MemberName,
-        now: Instant,
-        settings: &GatewaySettings,
-    ) -> Option<MemberName> {
-        let member = self.members.get(name)?;
-        let takes_writes = member.pauses.takes_writes(now, settings.drain_limit);
-        let able = member.holds_connections() && takes_writes;
-        able.then(|| name.clone())
-    }
-
-    /// Takes the place that was kept for a waiter.
+    /// Takes the place that was kept for a waiter; none where it has to wait on.
     pub(super) fn take_reserved(
         &mut self,
         name: &MemberName,
         request: &ConnectionRequest<'_>,
         settings: &GatewaySettings,
-    ) -> Step<W> {
-        let Some(member) = self.members.get_mut(name) else { return Step::NoMember };
+    ) -> Option<Taken<W>> {
+        let member = self.members.get_mut(name)?;
         member.pool.release_reserved();
         let now = Instant::now();
         let able = match &request.target {
@@ -166,66 +103,58 @@
             }
         };
         if !able || !member.has_room(now, request.needs_slot) {
-            return Step::Wait;
-        }
-        Self::take(name.clone(), member, request)
-    }
-
-    /// A place that was kept for a waiter is not taken.
-    pub(super) fn release_reserved(&mut self, now: Timestamp, name: &MemberName) {
-        if let Some(member) = self.members.get_mut(name) {
-            member.pool.release_reserved();
+            return None;
         }
-        self.wake_next(now, name);
+        take(name.clone(), member, request)
     }
 
-    fn take(name: MemberName, member: &mut Member<W>, request: &ConnectionRequest<'_>) -> Step<W> {
-        if let Some(connection) = member.pool.take_idle(request.session, request.principal) {
-            return Step::Use(name, connection);
-        }
-        if !member.may_open(Instant::now()) && !member.pool.close_longest_idle() {
-            return Step::Wait;
-        }
-        member.pool.begin_opening();
-        Step::Dial(name, Arc::clone(&member.back_end))
+    /// A member for another gateway, if this one holds connections to it and it takes any work.
+    fn held(
+        &self,
+        name: &MemberName,
+        now: Instant,
+        settings: &GatewaySettings,
+    ) -> Option<MemberName> {
+        let member = self.members.get(name)?;
+        let takes_writes = member.pauses.takes_writes(now, settings.drain_limit);
+        (member.holds_connections() && takes_writes).then(|| name.clone())
     }
 
-    /// The member to try as primary: the one that proved to be, the one promoted last, one that
-    /// calls itself primary, then the others.
+    /// The member to try as primary.
     fn primary(
         &self,
         now: Instant,
         settings: &GatewaySettings,
         clock: SteadyClock,
     ) -> Option<MemberName> {
-        let promoted = self.promotion.as_ref().map(|promotion| &promotion.target);
-        let rank = |name: &MemberName, member: &Member<W>| {
-            if self.proven_primary.as_ref() == Some(name) {
-                0
-            } else if promoted == Some(name) {
-                1
-            } else if member.back_end.role == BackEndRole::Primary {
-                2
-            } else {
-                UNKNOWN_RANK
-            }
-        };
-        let excluded =
-            |name: &MemberName| self.not_primary_until.get(name).is_some_and(|until| now < *until);
-        // Others are asked only for a member that is known to lead.
-        let detour = |name: &MemberName, member: &Member<W>| {
-            let closed = member.detour.clone().step(clock.at(now)) == DetourStep::Closed;
-            rank(name, member) < UNKNOWN_RANK && member.needs_detour(now) && !closed
-        };
-        let able = self.members.iter().filter(|(name, member)| {
-            let left = member.pauses.has_left(now, settings.drain_limit);
-            let reached = member.pauses.takes_writes(now, settings.drain_limit);
-            !left && !excluded(name) && (reached || detour(name, member))
+        let candidates = self.members.iter().map(|(name, member)| {
+            let is_closed = member.detour.clone().step(clock.at(now)) == DetourStep::Closed;
+            let candidate = PrimaryCandidate {
+                evidence: self.evidence(name, member),
+                has_left: member.pauses.has_left(now, settings.drain_limit),
+                denied_lately: self.not_primary_until.get(name).is_some_and(|until| now < *until),
+                is_reached: member.pauses.takes_writes(now, settings.drain_limit),
+                has_detour: member.needs_detour(now) && !is_closed,
+            };
+            (name, candidate)
         });
-        able.min_by_key(|(name, member)| rank(name, member)).map(|(name, _)| name.clone())
+        choose_primary(candidates).cloned()
     }
 
-    /// The member to offer a read to. Those that lagged or had no room come after the others.
+    /// What speaks for a member as the primary.
+    fn evidence(&self, name: &MemberName, member: &Member<W>) -> PrimaryEvidence {
+        if self.proven_primary.as_ref() == Some(name) {
+            PrimaryEvidence::Proven
+        } else if self.promotion.as_ref().is_some_and(|promotion| promotion.target == *name) {
+            PrimaryEvidence::Promoted
+        } else if member.back_end.role == BackEndRole::Primary {
+            PrimaryEvidence::Registered
+        } else {
+            PrimaryEvidence::None
+        }
+    }
+
+    /// The member to offer a read to.
     fn reader(
         &mut self,
         now: Instant,
@@ -234,49 +163,91 @@
         refused: &BTreeSet<MemberName>,
     ) -> Option<MemberName> {
         let preferred = self.preferences.next(request.principal.and_then(Principal::tenant));
-        let able: Vec<_> = self
+        let able = self
             .members
             .iter()
-            .filter(|(name, member)| member.pauses.takes_reads(now) && !refused.contains(*name))
-            .collect();
-        let choose = |able: Vec<(&MemberName, &Member<W>)>| {
-            let load = |(name, member): &(&MemberName, &Member<W>)| MemberLoad {
-                preference: preferred.weight(name),
-                ..member.load(steady)
+            .filter(|(name, member)| member.pauses.takes_reads(now) && !refused.contains(*name));
+        let candidate = |(name, member): (_, &Member<W>)| {
+            let load = MemberLoad { preference: preferred.weight(name), ..member.load(steady) };
+            let candidate = ReaderCandidate {
+                load,
+                is_passed_over: member.pauses.is_passed_over(now),
+                has_room: member.has_room(now, true),
             };
-            let loads: Vec<_> = able.iter().map(load).collect();
-            choose_reader(&loads).map(|place| able[place].0.clone())
+            (name, candidate)
         };
-        let good = able.iter().copied().filter(|(_, member)| !member.pauses.is_passed_over(now));
-        let free = good.clone().filter(|(_, member)| member.has_room(now, true));
-        choose(free.collect()).or_else(|| choose(good.collect())).or_else(|| choose(able))
+        let (names, candidates): (Vec<_>, Vec<_>) = able.map(candidate).unzip();
+        choose_available_reader(&candidates).map(|place| names[place].clone())
     }
+}
 
-    /// What serves a statement that waits here.
-    pub(super) fn capacity(&self, target: &SlotTarget) -> Capacity {
-        let serves = |name: &MemberName| match target {
-            SlotTarget::At(wanted) => wanted == name,
-            SlotTarget::Primary => self.proven_primary.as_ref().is_none_or(|lead| lead == name),
-            SlotTarget::AnyBut(refused) => !refused.contains(name),
-        };
-        let members = self.members.iter().filter(|(name, _)| serves(name));
-        Capacity { slots: members.map(|(_, member)| member.slots()).sum() }
+/// The gateways that keep the connections of the request's tenant to a member; none where this one
+/// does, or has one that is idle.
+fn homes<W: Wire>(
+    member: &Member<W>,
+    request: &ConnectionRequest<'_>,
+    settings: &GatewaySettings,
+    tunnels: &Tunnels,
+) -> Option<Vec<Holder>> {
+    let tenant = request.principal?.tenant()?;
+    if matches!(request.target, Target::Held(_)) || member.pool.has_idle_for(request.principal) {
+        return None;
     }
+    let homes = tunnels.to_ask_for(&member.holders, tenant, Some(settings.peers), HOLDERS_ASKED);
+    (!homes.is_empty()).then_some(homes)
+}
 
-    /// Wakes the first who could use a connection to this member.
-    pub(super) fn wake_next(&mut self, now: Timestamp, name: &MemberName) {
-        let may_lead = self.proven_primary.as_ref().is_none_or(|primary| primary == name);
-        let Some(member) = self.members.get_mut(name) else { return };
-        // A member that is leaving gets no new work through those who wait.
-        if !member.pauses.takes_reads(Instant::now()) {
-            return;
-        }
-        while let Some(waker) = self.waiting.next(now, name, may_lead) {
-            member.pool.reserve();
-            if waker.send(name.clone()).is_ok() {
-                return;
+/// The step where this gateway holds no connections to the member.
+fn remote<W: Wire>(
+    name: MemberName,
+    member: &Member<W>,
+    request: &ConnectionRequest<'_>,
+    tunnels: &Tunnels,
+) -> Step<W> {
+    let holders = match request.principal.and_then(Principal::tenant) {
+        Some(tenant) => tunnels.to_ask_for(&member.holders, tenant, None, HOLDERS_ASKED),
+        None => tunnels.to_ask(&member.holders, HOLDERS_ASKED),
+    };
+    if holders.is_empty() {
+        return Step::NoHolder(name);
+    }
+    Step::Remote(RemoteMember { name, holders })
+}
+
+/// The step where this gateway holds connections to the primary and does not reach it.
+fn detour<W: Wire>(
+    name: MemberName,
+    member: &mut Member<W>,
+    now: Instant,
+    clock: SteadyClock,
+    tunnels: &Tunnels,
+) -> Step<W> {
+    match member.detour.step(clock.at(now)) {
+        DetourStep::Wait => Step::Wait,
+        DetourStep::Closed => Step::NoMember,
+        DetourStep::Take => {
+            let holders = tunnels.to_ask(&member.holders, HOLDERS_ASKED);
+            let remote = RemoteMember { name, holders };
+            match member.due_check(now) {
+                None => Step::Remote(remote),
+                Some(back_end) => Step::RemoteAndCheck(remote, back_end),
             }
-            member.pool.release_reserved();
         }
     }
 }
+
+/// Takes an idle connection, or room for a new one; none where there is neither.
+fn take<W: Wire>(
+    name: MemberName,
+    member: &mut Member<W>,
+    request: &ConnectionRequest<'_>,
+) -> Option<Taken<W>> {
+    if let Some(connection) = member.pool.take_idle(request.session, request.principal) {
+        return Some(Taken::Idle(name, connection));
+    }
+    if !member.may_open(Instant::now()) && !member.pool.close_longest_idle() {
+        return None;
+    }
+    member.pool.begin_opening();
+    Some(Taken::ToOpen(name, Arc::clone(&member.back_end)))
+}
--- a/crates/gateway/src/group/lease.rs
+++ b/crates/gateway/src/group/lease.rs
@@ -1,4 +1,7 @@
 //! A connection that one statement or transaction uses.
+//!
+//! It is for whoever was given a connection. It owns the connection for that time, and sees to it that it
+//! goes back, or is closed where something may be open on it. It relies on the group to take it back.
 
 use super::Group;
 use crate::connection::MemberConnection;
--- a/crates/gateway/src/group/mod.rs
+++ b/crates/gateway/src/group/mod.rs
@@ -1,44 +1,58 @@
-//! A group of back ends as this gateway uses it: its state, how it follows the registry, and what
-//! becomes of connections that are given back.
+//! A group of back ends as this gateway uses it.
+//!
+//! It is for sessions, which need connections to members, and for other gateways that ask this one. It owns
+//! the group's state and decides with nothing else. A request goes one way through its modules:
+//!
+//! 1. [`request`]: who could serve it, until when it may wait ([`ConnectionRequest`]);
+//! 2. [`positions`]: what a read must see;
+//! 3. [`choice`]: which member, and whether here or through another gateway; decides, awaits nothing;
+//! 4. [`wait`]: for room, by the queue of [`state`];
+//! 5. [`connect`]: opens a connection of this gateway, or [`remote`]: asks others for one of theirs;
+//! 6. [`lease`]: the connection while it is used; it goes back when dropped;
+//! 7. [`notes`] and [`reach`]: what the outcome shows of the member, for the requests that come.
+//!
+//! [`acquire`] carries the steps out in this order. It relies on [`member`](crate::member) for one member's
+//! connections and pauses, on [`tunnel`](crate::tunnel) for other gateways, and on the routes to hand on what
+//! the registry says ([`facts`]).
 
 mod acquire;
 mod choice;
-mod elsewhere;
+mod connect;
+mod facts;
 mod lease;
 mod notes;
 mod positions;
 mod reach;
+mod remote;
+mod request;
+mod state;
+mod wait;
+
+pub(crate) use facts::{GroupFacts, MemberFacts};
+pub(crate) use lease::Lease;
+pub(crate) use remote::RemoteOpening;
+pub(crate) use request::{ConnectionRequest, Located, Location, RemoteMember, Target};
 
 use crate::clock::SteadyClock;
 use crate::connection::MemberConnection;
-use crate::member::{Member, MemberShare};
+use crate::member::Member;
 use crate::metrics::{Holdings, Metrics};
 use crate::settings::GatewaySettings;
 use crate::tunnel::Tunnels;
 use crate::wire::Wire;
-use choice::GroupState;
 use corktack_core::distance::Distance;
-use corktack_core::gateway::{
-    Detour, Freshness, Holder, ReadBound, ReadPosition, ReaderPreferences, SessionProfile,
-};
+use corktack_core::gateway::Freshness;
 use corktack_core::identity::{GroupName, MemberName};
-use corktack_core::registry::{Promotion, RegisteredBackEnd};
-use corktack_core::scheduling::{ServiceTimes, SlotQueue, StatementKind};
-use corktack_core::tenancy::Principal;
-pub(crate) use elsewhere::RemoteOpening;
-pub(crate) use lease::Lease;
+use corktack_core::registry::RegisteredBackEnd;
+use state::GroupState;
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// Target of the log lines of `acquire` and `reach`: operators may filter by it.
+/// Target of the log lines of `connect`, `wait` and `reach`, by which operators may filter.
 const LOG_TARGET: &str = module_path!();
-/// How long a member that said it is no primary is not asked again, unless control says it is.
-const NOT_PRIMARY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Whether a member could be reached when it was used as primary; told once on change.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,77 +65,6 @@
     pub reached: bool,
 }
 
-/// Who could serve a statement.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Target {
-    /// The primary.
-    Primary,
-    /// A member that this gateway holds connections to, for another gateway.
-    Held(MemberName),
-    /// Any member but those that have already refused it.
-    Reader {
-        /// Members that refused it.
-        refused: BTreeSet<MemberName>,
-    },
-}
-
-impl Target {
-    /// Whether who asks can go on at once where no member is there.
-    fn has_another_way(&self) -> bool {
-        match self {
-            Self::Held(_) => true,
-            Self::Reader { refused } => !refused.is_empty(),
-            Self::Primary => false,
-        }
-    }
-}
-
-/// A request for a connection.
-#[derive(Clone, Debug)]
-pub(crate) struct ConnectionRequest<'s> {
-    pub(crate) target: Target,
-    pub(crate) session: &'s SessionProfile,
-    /// On whose behalf; none for questions of the product's own, which any connection will do for.
-    pub(crate) principal: Option<&'s Principal>,
-    /// What tells how long it is likely to keep a slot.
-    pub(crate) kind: StatementKind,
-    /// What a read that any member may serve must see.
-    pub(crate) bound: Option<ReadBound>,
-    /// Whether it takes one of the slots of the member.
-    pub(crate) needs_slot: bool,
-    /// When waiting for a connection ends.
-    pub(crate) give_up: Instant,
-}
-
-/// A connection, and the position that a read on it must see.
-pub(crate) struct Located<W: Wire> {
-    pub(crate) lease: Lease<W>,
-    /// There for a request with a bound.
-    pub(crate) position: Option<ReadPosition>,
-}
-
-/// Where a request can be served.
-pub(crate) enum Location<W: Wire> {
-    /// On a connection of this gateway.
-    Local(Box<Located<W>>),
-    /// On one of these gateways' connections to a member.
-    Remote(MemberName, Vec<Holder>),
-}
-
-/// What the registry says of a group.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct GroupFacts {
-    pub(crate) members: BTreeMap<MemberName, MemberFacts>,
-    pub(crate) promotion: Option<Promotion>,
-}
-
-/// What the registry says of a member, and who holds connections to it.
-#[derive(Clone, Debug)]
-pub(crate) struct MemberFacts {
-    pub(crate) back_end: Arc<RegisteredBackEnd>,
-    pub(crate) share: MemberShare,
-}
-
 /// A group of back ends as this gateway uses it.
 pub(crate) struct Group<W: Wire> {
     pub(crate) name: GroupName,
@@ -149,17 +92,8 @@
         tunnels: Rc<Tunnels>,
         metrics: Metrics,
     ) -> Self {
-        let state = GroupState {
-            members: BTreeMap::new(),
-            promotion: None,
-            proven_primary: None,
-            not_primary_until: BTreeMap::new(),
-            waiting: SlotQueue::default(),
-            service_times: ServiceTimes::default(),
-            preferences: ReaderPreferences::of(&settings.name),
-        };
         let freshness = RefCell::default();
-        let state = RefCell::new(state);
+        let state = RefCell::new(GroupState::new(&settings.name));
         Self {
             name,
             wire,
@@ -205,12 +139,7 @@
                 held.push((name.clone(), Arc::clone(back_end)));
             }
         }
-        if state.promotion != facts.promotion {
-            state.members.values_mut().for_each(|member| member.detour = Detour::default());
-            state.promotion.clone_from(&facts.promotion);
-            state.not_primary_until.clear();
-            state.proven_primary = None;
-        }
+        state.follow_promotion(facts.promotion.as_ref());
         held
     }
 
@@ -277,21 +206,13 @@
 
     /// A member acted as only the primary can.
     pub(crate) fn note_primary(&self, name: &MemberName) {
-        let mut state = self.state.borrow_mut();
-        if state.proven_primary.as_ref() != Some(name) {
+        if self.state.borrow_mut().note_primary(name) {
             log::info!(group:% = self.name, member:% = name; "primary found");
-            state.proven_primary = Some(name.clone());
         }
-        state.not_primary_until.remove(name);
     }
 
     /// A member refused what only the primary takes.
     pub(crate) fn note_not_primary(&self, name: &MemberName) {
-        let mut state = self.state.borrow_mut();
-        if state.proven_primary.as_ref() == Some(name) {
-            state.proven_primary = None;
-        }
-        let until = Instant::now() + NOT_PRIMARY_PAUSE;
-        state.not_primary_until.insert(name.clone(), until);
+        self.state.borrow_mut().note_not_primary(name);
     }
 }
--- a/crates/gateway/src/group/notes.rs
+++ b/crates/gateway/src/group/notes.rs
@@ -1,4 +1,7 @@
 //! What statements say of a member, remembered for those that come.
+//!
+//! It is for the outcome of statements at a member. It owns what each outcome means for the member. It
+//! relies on the member to keep it and on [`reach`](super::reach) where it may be gone.
 
 use super::Group;
 use crate::answer::{Answer, Unanswered};
@@ -47,8 +50,7 @@
     /// How busy a member is, for the gateway whose statement has just taken this long.
     pub(crate) fn load_report(&self, name: &MemberName, spent: Duration) -> MemberLoadReport {
         let state = self.state.borrow();
-        let may_lead = state.proven_primary.as_ref().is_none_or(|lead| lead == name);
-        let waiting = state.waiting.len_at(name, may_lead);
+        let waiting = state.waiting.len_at(name, state.may_lead(name));
         let member = state.members.get(name);
         member.map_or_else(MemberLoadReport::default, |it| it.load_report(spent, waiting))
     }
--- a/crates/gateway/src/group/positions.rs
+++ b/crates/gateway/src/group/positions.rs
@@ -4,11 +4,11 @@
 //! there. It asks the primary, or a gateway that holds connections to that, in the background before
 //! the last answer grows old, once for all reads; without one, the reads wait for it.
 
-use super::{ConnectionRequest, Group, Lease, Location, Target};
+use super::{ConnectionRequest, Group, Lease, Location, RemoteMember, Target};
 use crate::connection::MemberConnection;
 use crate::error::AcquireError;
 use crate::wire::Wire;
-use corktack_core::gateway::{Holder, ReadBound, ReadPosition, SessionProfile};
+use corktack_core::gateway::{ReadBound, ReadPosition, SessionProfile};
 use corktack_core::identity::MemberName;
 use corktack_core::position::Position;
 use corktack_core::scheduling::StatementKind;
@@ -128,9 +128,7 @@
         };
         match self.locate(&request).await {
             Ok(Location::Local(located)) => self.ask_primary(located.lease, give_up).await,
-            Ok(Location::Remote(member, holders)) => {
-                self.ask_holders(&member, &holders, &request, max_age).await;
-            }
+            Ok(Location::Remote(member)) => self.ask_holders(&member, &request, max_age).await,
             Err(error) => {
                 log::debug!(group:% = self.name, error:% = error; "primary not asked for its position");
             }
@@ -157,15 +155,14 @@
 
     async fn ask_holders(
         &self,
-        member: &MemberName,
-        holders: &[Holder],
+        member: &RemoteMember,
         request: &ConnectionRequest<'_>,
         max_age: Duration,
     ) {
-        let mut left = holders.to_vec();
+        let mut left = member.holders.clone();
         while let Some((tunnel, wait)) = self.next_tunnel(&mut left, request).await {
             let holder = tunnel.holder();
-            let remote = self.remote_request(member, request, wait);
+            let remote = self.remote_request(&member.name, request, wait);
             let asked_at = self.now();
             match self.tunnels.ask_position(tunnel, &remote, max_age).await {
                 Ok(Some(newest)) => return self.note_newest(holder, asked_at, Some(newest)),
--- a/crates/gateway/src/group/reach.rs
+++ b/crates/gateway/src/group/reach.rs
@@ -1,11 +1,12 @@
 //! Notes which members answer and which do not, and reports changes to control.
+//!
+//! It is for the outcome of attempts to connect and of statements. It owns the change from reached to
+//! unreached and back. It relies on [`connect`](super::connect) to find out whether a silent member is gone.
 
 use super::{Group, LOG_TARGET, MemberReach};
 use crate::wire::Wire;
 use corktack_core::identity::MemberName;
-use corktack_core::registry::RegisteredBackEnd;
 use std::rc::Rc;
-use std::sync::Arc;
 use tokio::time::Instant;
 
 impl<W: Wire> Group<W> {
@@ -60,15 +61,6 @@
         }
     }
 
-    /// Connects to a member in the background; its place counts as open already.
-    pub(super) fn check(self: &Rc<Self>, name: &MemberName, back_end: Arc<RegisteredBackEnd>) {
-        let (group, name) = (Rc::clone(self), name.clone());
-        actix_rt::spawn(async move {
-            // The connection goes to the idle ones, or says that the member cannot be reached.
-            drop(group.open(name, &back_end, None).await);
-        });
-    }
-
     fn tell(&self, member: &MemberName, reached: bool) {
         let (group, member) = (self.name.clone(), member.clone());
         // Nobody listens at the end of the process only.
--- a/crates/gateway/src/group/elsewhere.rs
+++ b/crates/gateway/src/group/remote/mod.rs
@@ -1,8 +1,13 @@
-//! Members that other gateways hold connections to.
+//! Asking other gateways for a member that they hold connections to.
+//!
+//! It is for requests that this gateway cannot serve on a connection of its own. It owns who is asked in
+//! which order and for how long, and the leases of remote connections. It relies on
+//! [`tunnel`](crate::tunnel) for the exchange with one gateway, and on [`outcome`] to remember what each has
+//! said.
 
-mod told;
+mod outcome;
 
-use super::{ConnectionRequest, Group, Lease, Located};
+use super::{ConnectionRequest, Group, Lease, Located, RemoteMember};
 use crate::answer::{Answer, Unanswered};
 use crate::connection::MemberConnection;
 use crate::error::{AcquireError, LinkError};
@@ -29,6 +34,19 @@
     GiveUp(AcquireError),
 }
 
+impl<T> HolderReply<T> {
+    fn map<U>(self, change: impl FnOnce(T) -> U) -> HolderReply<U> {
+        match self {
+            Self::Answered(answer) => HolderReply::Answered(change(answer)),
+            Self::AskNext(retry_after) => HolderReply::AskNext(retry_after),
+            Self::GiveUp(error) => HolderReply::GiveUp(error),
+        }
+    }
+}
+
+/// The result of a statement that another gateway ran, and the position that a read had to see.
+pub(crate) type RanRemotely = (Result<Answer, Unanswered>, Option<ReadPosition>);
+
 /// A transaction that another gateway was asked to begin, with its first statement.
 pub(crate) enum RemoteOpening<W: Wire> {
     /// It gave a connection, on which the transaction is still to be begun.
@@ -52,77 +70,67 @@
     /// Uses a connection that another gateway holds.
     pub(crate) async fn acquire_remote(
         self: &Rc<Self>,
-        member: MemberName,
-        holders: &[Holder],
+        member: &RemoteMember,
         request: &ConnectionRequest<'_>,
     ) -> Result<Located<W>, AcquireError> {
-        let ask = async |tunnel, remote| self.ask_to_lend(&member, tunnel, remote).await;
-        self.ask_in_turn(&member, holders, request, ask).await
+        let ask = async |tunnel, remote| self.ask_to_lend(&member.name, tunnel, remote).await;
+        self.ask_in_turn(member, request, ask).await
     }
 
     /// Has another gateway begin a transaction on one of its connections and run its first statement. Of
     /// one that has not answered lately a connection is asked for first: without it nothing is lost.
     pub(crate) async fn open_remote(
         self: &Rc<Self>,
-        member: &MemberName,
-        holders: &[Holder],
+        member: &RemoteMember,
         request: &ConnectionRequest<'_>,
         first: LoneStatement<'_>,
         deadline: Instant,
     ) -> Result<RemoteOpening<W>, AcquireError> {
         let ask = async |tunnel: TunnelClient, remote| {
             if self.tunnels.answers(tunnel.holder()) {
-                return self.ask_to_open(member, tunnel, remote, first, deadline).await;
-            }
-            match self.ask_to_lend(member, tunnel, remote).await {
-                HolderReply::Answered(located) => {
-                    HolderReply::Answered(RemoteOpening::Lent(located))
-                }
-                HolderReply::AskNext(retry_after) => HolderReply::AskNext(retry_after),
-                HolderReply::GiveUp(error) => HolderReply::GiveUp(error),
+                return self.ask_to_open(&member.name, tunnel, remote, first, deadline).await;
             }
+            self.ask_to_lend(&member.name, tunnel, remote).await.map(RemoteOpening::Lent)
         };
-        self.ask_in_turn(member, holders, request, ask).await
+        self.ask_in_turn(member, request, ask).await
     }
 
     /// Has another gateway run a statement on one of its connections. A statement that may have
     /// reached a member is not sent again here: whether it may be is for the caller to know.
     pub(crate) async fn run_remote(
         self: &Rc<Self>,
-        member: &MemberName,
-        holders: &[Holder],
+        member: &RemoteMember,
         request: &ConnectionRequest<'_>,
         statement: LoneStatement<'_>,
         deadline: Instant,
-    ) -> Result<(Result<Answer, Unanswered>, Option<ReadPosition>), AcquireError> {
-        let _place = RemoteUse::new(self, member);
+    ) -> Result<RanRemotely, AcquireError> {
+        let _use = RemoteUse::new(self, &member.name);
         let ask = async |tunnel, remote| {
-            self.ask_to_run(member, tunnel, remote, statement, deadline).await
+            self.ask_to_run(&member.name, tunnel, remote, statement, deadline).await
         };
-        self.ask_in_turn(member, holders, request, ask).await
+        self.ask_in_turn(member, request, ask).await
     }
 
     /// Asks the holders one after the other until one answers.
     async fn ask_in_turn<T>(
         &self,
-        member: &MemberName,
-        holders: &[Holder],
+        member: &RemoteMember,
         request: &ConnectionRequest<'_>,
         ask: impl AsyncFn(TunnelClient, RemoteRequest) -> HolderReply<T>,
     ) -> Result<T, AcquireError> {
-        let mut left = holders.to_vec();
+        let mut left = member.holders.clone();
         let mut room_after = None;
         while let Some((tunnel, wait)) = self.next_tunnel(&mut left, request).await {
-            let remote = self.remote_request(member, request, wait);
+            let remote = self.remote_request(&member.name, request, wait);
             match ask(tunnel, remote).await {
                 HolderReply::Answered(answer) => return Ok(answer),
                 HolderReply::AskNext(retry_after) => {
-                    room_after = room_after.into_iter().chain(retry_after).min()
+                    room_after = room_after.into_iter().chain(retry_after).min();
                 }
                 HolderReply::GiveUp(error) => return Err(error),
             }
         }
-        Err(self.none_serves(member.clone(), request, room_after))
+        Err(self.note_none_served(member.name.clone(), request, room_after))
     }
 
     async fn ask_to_lend(
@@ -177,7 +185,7 @@
         remote: RemoteRequest,
         statement: LoneStatement<'_>,
         deadline: Instant,
-    ) -> HolderReply<(Result<Answer, Unanswered>, Option<ReadPosition>)> {
+    ) -> HolderReply<RanRemotely> {
         let holder = tunnel.holder();
         let sent = RequestSent { asked_at: self.now(), instant: Instant::now() };
         let limit = deadline.saturating_duration_since(sent.instant);
--- a/crates/gateway/src/group/elsewhere/told.rs
+++ b/crates/gateway/src/group/remote/outcome.rs
@@ -1,4 +1,8 @@
-//! What other gateways say where they are asked, and what is remembered of it.
+//! What other gateways have said where they were asked, and what is remembered of it.
+//!
+//! It is for [`remote`](super), which asks. It owns what each reply means for the member, for the gateway
+//! that sent it and for the request; the rule for a request that none served is [`RemoteAttempt`]. It relies
+//! on the group's members and on its freshness to keep what was learnt.
 
 use super::{HolderReply, RequestSent};
 use crate::answer::Unanswered;
@@ -7,7 +11,7 @@
 use crate::metrics::RemoteOutcome;
 use crate::tunnel::RanAtHolder;
 use crate::wire::Wire;
-use corktack_core::gateway::Holder;
+use corktack_core::gateway::{Holder, RemoteAttempt, RemoteFailure};
 use corktack_core::identity::MemberName;
 use corktack_core::position::Position;
 use corktack_core::time::Timestamp;
@@ -15,6 +19,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Target of the log lines of this module, by which operators may filter.
+const LOG_TARGET: &str = "corktack_gateway::group::elsewhere::told";
+
 /// When a caller should come back where no gateway has said when it may have room: a few times as long as
 /// the users' statements last.
 const UNREPORTED_RETRY: Duration = Duration::from_millis(100);
@@ -61,41 +68,46 @@
         HolderReply::AskNext(None)
     }
 
-    /// No gateway that was asked serves the request; `room_after` is when the first may have room.
-    pub(super) fn none_serves(
+    /// No gateway that was asked served the request; `room_after` is when the first may have room.
+    pub(super) fn note_none_served(
         &self,
         member: MemberName,
         request: &ConnectionRequest<'_>,
         room_after: Option<Duration>,
     ) -> AcquireError {
-        let none_free =
-            AcquireError::NoneFree { retry_after: room_after.unwrap_or(UNREPORTED_RETRY) };
         let now = Instant::now();
         let steady = self.now();
-        let (mut reached, mut holds) = (false, false);
+        let (mut is_reached, mut holds_connections) = (false, false);
         self.with_member(&member, |it| {
-            reached = it.detour.is_open();
-            holds = it.holds_connections();
-            if !reached {
+            is_reached = it.detour.is_open();
+            holds_connections = it.holds_connections();
+            if !is_reached {
                 it.detour.failed(steady);
             }
         });
-        if now >= request.give_up {
-            return none_free;
-        }
-        if !holds && self.all_are_silent(&member) {
-            self.begin_fallback(&member);
-            return AcquireError::NoHolder(member);
-        }
-        if reached {
-            return none_free;
+        let attempt = RemoteAttempt {
+            is_time_over: now >= request.give_up,
+            holds_connections,
+            is_reached,
+            no_holder_left: self.no_holder_left(&member),
+        };
+        match attempt.failure() {
+            RemoteFailure::NoneFree => {
+                AcquireError::NoneFree { retry_after: room_after.unwrap_or(UNREPORTED_RETRY) }
+            }
+            RemoteFailure::NoHolder => {
+                self.begin_fallback(&member);
+                AcquireError::NoHolder(member)
+            }
+            RemoteFailure::Unreachable => {
+                self.with_member(&member, |it| it.pauses.note_busy(now));
+                AcquireError::Unreachable(member)
+            }
         }
-        self.with_member(&member, |it| it.pauses.note_busy(now));
-        AcquireError::Unreachable(member)
     }
 
     /// Whether there is no holder of a member left to ask.
-    fn all_are_silent(&self, member: &MemberName) -> bool {
+    fn no_holder_left(&self, member: &MemberName) -> bool {
         let mut none_left = false;
         self.with_member(member, |it| none_left = self.tunnels.to_ask(&it.holders, 1).is_empty());
         none_left
@@ -104,7 +116,7 @@
     /// Opens connections of its own to a member for some time.
     pub(in crate::group) fn begin_fallback(&self, member: &MemberName) {
         log::info!(
-            group:% = self.name, member:% = member;
+            target: LOG_TARGET, group:% = self.name, member:% = member;
             "no gateway that holds connections answers: this one opens its own"
         );
         let now = Instant::now();
@@ -123,7 +135,8 @@
         self.metrics.note_reported_position(noted.is_ok());
         if let Err(error) = noted {
             log::debug!(
-                group:% = self.name, holder:% = holder.address, position:% = position,
+                target: LOG_TARGET, group:% = self.name, holder:% = holder.address,
+                position:% = position,
                 error:% = error;
                 "position of another gateway not used"
             );
--- a/crates/gateway/src/session/alone.rs
+++ b/crates/gateway/src/session/alone.rs
@@ -157,11 +157,10 @@
                 let member = lease.member.clone();
                 (member, statement.run(lease, position, deadline).await, position)
             }
-            Location::Remote(member, holders) => {
-                let ran =
-                    group.run_remote(&member, &holders, &connection_request, statement, deadline);
+            Location::Remote(member) => {
+                let ran = group.run_remote(&member, &connection_request, statement, deadline);
                 let (result, position) = ran.await?;
-                (member, result, position)
+                (member.name, result, position)
             }
         };
         self.decision.borrow_mut().needs(position);
--- a/crates/gateway/src/session/opening.rs
+++ b/crates/gateway/src/session/opening.rs
@@ -7,12 +7,12 @@
 use super::transaction::OpenTransaction;
 use crate::answer::{Answer, Failure, Unanswered};
 use crate::error::{AcquireError, LinkError};
-use crate::group::{ConnectionRequest, Located, Location, RemoteOpening, Target};
+use crate::group::{ConnectionRequest, Located, Location, RemoteMember, RemoteOpening, Target};
 use crate::lone_statement::{LoneStatement, PassedStatement};
 use crate::routes::{Admitted, Route};
 use crate::run::{align, begin_as_primary, begin_reading};
 use crate::wire::Wire;
-use corktack_core::gateway::{Holder, ReadBound};
+use corktack_core::gateway::ReadBound;
 use corktack_core::identity::MemberName;
 use corktack_core::scheduling::StatementKind;
 use corktack_core::statement::{Access, ErrorCode, PreparedShape, Request, TransactionState};
@@ -165,19 +165,12 @@
     ) -> Result<Tried<W>, AcquireError> {
         let located = match (route.group.locate(connection_request).await?, first) {
             (Location::Local(located), _) => *located,
-            (Location::Remote(member, holders), None) => {
-                route.group.acquire_remote(member, &holders, connection_request).await?
+            (Location::Remote(member), None) => {
+                route.group.acquire_remote(&member, connection_request).await?
             }
-            (Location::Remote(member, holders), Some(first)) => {
-                return self
-                    .open_remote_transaction(
-                        route,
-                        connection_request,
-                        (member, holders),
-                        bounds,
-                        first,
-                    )
-                    .await;
+            (Location::Remote(member), Some(first)) => {
+                let opening = self.open_remote(route, connection_request, member, bounds, first);
+                return opening.await;
             }
         };
         Ok(self.begin_on(route, located, bounds.deadline).await)
@@ -208,11 +201,11 @@
     }
 
     /// Has another gateway begin it and run its first statement.
-    async fn open_remote_transaction(
+    async fn open_remote(
         &self,
         route: &Route<W>,
         connection_request: &ConnectionRequest<'_>,
-        (member, holders): (MemberName, Vec<Holder>),
+        member: RemoteMember,
         bounds: Bounds,
         First { request, shape }: First<'_>,
     ) -> Result<Tried<W>, AcquireError> {
@@ -226,9 +219,7 @@
                 .map_or(LoneKind::Write, |bound| LoneKind::Read { bound }),
         };
         let group = &route.group;
-        let opened = group
-            .open_remote(&member, &holders, connection_request, first, bounds.deadline)
-            .await?;
+        let opened = group.open_remote(&member, connection_request, first, bounds.deadline).await?;
         Ok(match opened {
             RemoteOpening::Lent(located) => self.begin_on(route, located, bounds.deadline).await,
             RemoteOpening::Open(Located { lease, position }, result) => {
@@ -236,8 +227,8 @@
                 let open = Box::new(OpenTransaction::new(route.clone(), lease));
                 Tried::Opened(Opened::Ran(open, result))
             }
-            RemoteOpening::NotBegun(why) => Tried::NotBegun(member, why),
-            RemoteOpening::Lost(error) => Tried::Opened(Opened::Lost(lost(&member, &error))),
+            RemoteOpening::NotBegun(why) => Tried::NotBegun(member.name, why),
+            RemoteOpening::Lost(error) => Tried::Opened(Opened::Lost(lost(&member.name, &error))),
         })
     }
 
