--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -51,48 +51,56 @@
 async fn ask<W: Wire>(
     wire: &W,
     settings: &GatewaySettings,
-    (group, member, address): (&GroupName, &MemberName, SocketAddr),
+    at: (&GroupName, &MemberName, SocketAddr),
     statement: &OwnStatement,
 ) -> MemberAnswer {
     let deadline = Instant::now() + QUESTION_LIMIT;
     loop {
-        let destination = Destination { group, member, address, principal: &Principal::Unnamed };
-        let dialed = dial(wire, settings, destination).await;
-        let mut connection = match dialed {
-            Ok((connection, _)) => connection,
-            Err(error) if error.failure() == DialFailure::Full => {
-                tokio::time::sleep(BUSY_PAUSE).await;
-                continue;
-            }
-            Err(error) => {
-                log::info!(group:% = group, member:% = member, error:% = error; "no status");
-                return match error.failure() {
-                    DialFailure::Unreachable => MemberAnswer::Unreachable,
-                    _ => MemberAnswer::Silent,
-                };
-            }
-        };
-        let Ok(answer) = connection.run_own(statement, deadline).await else {
-            return MemberAnswer::Silent;
-        };
-        connection.terminate();
-        match answer.outcome {
-            Ok(_) => {
-                let row = answer.rows.first();
-                let status = row.and_then(|row| wire.decode_status(row).ok());
-                return status.map_or(MemberAnswer::Silent, MemberAnswer::Status);
-            }
-            Err(failure) if failure.code == ErrorCode::Busy && Instant::now() < deadline => {
-                tokio::time::sleep(BUSY_PAUSE).await;
-            }
-            Err(failure) => {
-                log::info!(
-                    group:% = group, member:% = member, code:? = failure.code,
-                    why = failure.text.as_str();
-                    "no status"
-                );
-                return MemberAnswer::Silent;
-            }
+        match ask_once(wire, settings, at, statement, deadline).await {
+            Some(answer) => return answer,
+            None => tokio::time::sleep(BUSY_PAUSE).await,
+        }
+    }
+}
+
+/// Asks on a connection of its own; none where the member had no room and is to be asked again.
+async fn ask_once<W: Wire>(
+    wire: &W,
+    settings: &GatewaySettings,
+    (group, member, address): (&GroupName, &MemberName, SocketAddr),
+    statement: &OwnStatement,
+    deadline: Instant,
+) -> Option<MemberAnswer> {
+    let destination = Destination { group, member, address, principal: &Principal::Unnamed };
+    let mut connection = match dial(wire, settings, destination).await {
+        Ok((connection, _)) => connection,
+        Err(error) if error.failure() == DialFailure::Full => return None,
+        Err(error) => {
+            log::info!(group:% = group, member:% = member, error:% = error; "no status");
+            return Some(match error.failure() {
+                DialFailure::Unreachable => MemberAnswer::Unreachable,
+                _ => MemberAnswer::Silent,
+            });
+        }
+    };
+    let Ok(answer) = connection.run_own(statement, deadline).await else {
+        return Some(MemberAnswer::Silent);
+    };
+    connection.terminate();
+    match answer.outcome {
+        Ok(_) => {
+            let row = answer.rows.first();
+            let status = row.and_then(|row| wire.decode_status(row).ok());
+            Some(status.map_or(MemberAnswer::Silent, MemberAnswer::Status))
+        }
+        Err(failure) if failure.code == ErrorCode::Busy && Instant::now() < deadline => None,
+        Err(failure) => {
+            log::info!(
+                group:% = group, member:% = member, code:? = failure.code,
+                why = failure.text.as_str();
+                "no status"
+            );
+            Some(MemberAnswer::Silent)
         }
     }
 }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,5 +1,6 @@
 //! Why a gateway could not start or serve.
 
+use crate::retry_after;
 use corktack_core::identity::MemberName;
 use corktack_core::statement::ErrorCode;
 use std::time::Duration;
@@ -170,10 +171,6 @@
     }
 }
 
-/// When a caller should come back where a member is out of reach or there is none: half of the time in which
-/// a primary of the users' deployments is replaced (0.3 to 1 s and what it takes to be sure).
-const PASSING_RETRY: Duration = Duration::from_millis(250);
-
 impl AcquireError {
     /// When a caller should come back.
     pub(crate) const fn retry_after(&self) -> Duration {
@@ -183,7 +180,7 @@
             | Self::Unreachable(_)
             | Self::Full(_)
             | Self::NoHolder(_)
-            | Self::NoPosition => PASSING_RETRY,
+            | Self::NoPosition => retry_after::UNREACHED_MEMBER,
         }
     }
 
--- a/crates/gateway/src/group/remote/outcome.rs
+++ b/crates/gateway/src/group/remote/outcome.rs
@@ -9,6 +9,7 @@
 use crate::error::AcquireError;
 use crate::group::{ConnectionRequest, Group};
 use crate::metrics::RemoteOutcome;
+use crate::retry_after;
 use crate::tunnel::RanAtHolder;
 use crate::wire::Wire;
 use corktack_core::gateway::{Holder, RemoteAttempt, RemoteFailure};
@@ -22,10 +23,6 @@
 /// Target of the log lines of this module, by which operators may filter.
 const LOG_TARGET: &str = "corktack_gateway::group::elsewhere::told";
 
-/// When a caller should come back where no gateway has said when it may have room: a few times as long as
-/// the users' statements last.
-const UNREPORTED_RETRY: Duration = Duration::from_millis(100);
-
 impl<W: Wire> Group<W> {
     /// A gateway served.
     pub(super) fn note_holder_served(&self, member: &MemberName, holder: Holder) {
@@ -93,7 +90,8 @@
         };
         match attempt.failure() {
             RemoteFailure::NoneFree => {
-                AcquireError::NoneFree { retry_after: room_after.unwrap_or(UNREPORTED_RETRY) }
+                let retry_after = room_after.unwrap_or(retry_after::NO_ROOM_REPORTED);
+                AcquireError::NoneFree { retry_after }
             }
             RemoteFailure::NoHolder => {
                 self.begin_fallback(&member);
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -16,7 +16,7 @@
 use crate::shared::Shared;
 use crate::tunnel::{OperationsRequest, RemoteRequest, link_error};
 use crate::wire::Wire;
-use corktack_core::identity::GroupName;
+use corktack_core::identity::{GroupName, MemberName};
 use corktack_protocol::frame::FrameCodec;
 use corktack_protocol::liveness::Liveness;
 use corktack_protocol::tunnel::{LoneRequest, TunnelRefusal, TunnelReply, TunnelRequest};
@@ -96,13 +96,7 @@
             send(frames, TunnelReply::Returned).await
         }
         TunnelRequest::Position { group, member, max_age, wait } => {
-            let reporting = async {
-                shared.wait_for_document_until(Instant::now() + wait).await;
-                let group = find_group(shared, &group)?;
-                Ok(group.report_position(member, max_age, wait).await)
-            };
-            let reported = with_heartbeats(frames, reporting).await?;
-            send(frames, reported.map_or_else(TunnelReply::Refused, TunnelReply::Position)).await
+            report_position(shared, frames, &group, member, (max_age, wait)).await
         }
         // Nothing is lent.
         TunnelRequest::Bytes(_) | TunnelRequest::Release { .. } => Err(LinkError::Closed),
@@ -140,6 +134,23 @@
     }
 }
 
+/// Reports the newest position of a group's primary that is known here, or can be learnt in time.
+async fn report_position<W: Wire>(
+    shared: &Shared<W>,
+    frames: &mut HolderFrames,
+    group: &GroupName,
+    member: MemberName,
+    (max_age, wait): (Duration, Duration),
+) -> Result<(), LinkError> {
+    let reporting = async {
+        shared.wait_for_document_until(Instant::now() + wait).await;
+        let group = find_group(shared, group)?;
+        Ok(group.report_position(member, max_age, wait).await)
+    };
+    let reported = with_heartbeats(frames, reporting).await?;
+    send(frames, reported.map_or_else(TunnelReply::Refused, TunnelReply::Position)).await
+}
+
 fn find_group<W: Wire>(
     shared: &Shared<W>,
     group: &GroupName,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -19,6 +19,7 @@
 mod lone_statement;
 mod member;
 mod metrics;
+mod retry_after;
 mod routes;
 mod run;
 mod session;
--- a/crates/gateway/src/limits/question.rs
+++ b/crates/gateway/src/limits/question.rs
@@ -5,6 +5,7 @@
 //! question in that time, however many operations it begins.
 
 use super::{AskedOperations, Limits};
+use crate::retry_after;
 use crate::tunnel::{OperationsRequest, TunnelError};
 use corktack_core::gateway::Holder;
 use corktack_core::limits::{AdmittedOperations, OverLimit};
@@ -20,8 +21,6 @@
 const QUESTION_SPACING: Duration = Duration::from_millis(5);
 /// How much longer than an operation may wait its answer is waited for: the way from the home in the zone.
 const ANSWER_SLACK: Duration = Duration::from_millis(20);
-/// When to come back where the home has not said so.
-const UNANSWERED_RETRY: Duration = Duration::from_millis(500);
 
 /// An operation that a home has counted.
 #[derive(Debug)]
@@ -96,7 +95,9 @@
         match timeout_at(until + ANSWER_SLACK, answer).await {
             Ok(Ok(outcome)) => outcome,
             // The task that asks ends only with the process.
-            Ok(Err(_)) | Err(_) => Err(OverLimit { allowance: 0, retry_after: UNANSWERED_RETRY }),
+            Ok(Err(_)) | Err(_) => {
+                Err(OverLimit { allowance: 0, retry_after: retry_after::HOME_UNANSWERED })
+            }
         }
     }
 
--- a/crates/gateway/src/routes/mod.rs
+++ b/crates/gateway/src/routes/mod.rs
@@ -5,6 +5,7 @@
 use crate::clock::SteadyClock;
 use crate::group::{Group, MemberReach};
 use crate::metrics::{Holdings, Metrics};
+use crate::retry_after::{self, not_run};
 use crate::settings::GatewaySettings;
 use crate::tunnel::Tunnels;
 use crate::wire::Wire;
@@ -53,16 +54,12 @@
     UnknownKey,
     /// Nothing has proved for too long that the configuration is current.
     #[error(
-        "not run: nothing proves that the configuration is current; \
-         retry_after_ms={UNPROVED_RETRY_MILLIS}"
+        "{}",
+        not_run("nothing proves that the configuration is current", retry_after::UNPROVED)
     )]
     Unproved,
 }
 
-/// When a caller should come back that was refused for lack of a proof: gateways change their control
-/// replica in that time.
-const UNPROVED_RETRY_MILLIS: u64 = 1_000;
-
 impl NotAdmitted {
     pub(crate) const fn code(&self) -> ErrorCode {
         match self {
--- a/crates/gateway/src/session/alone.rs
+++ b/crates/gateway/src/session/alone.rs
@@ -10,6 +10,7 @@
 use crate::lone_statement::{LoneStatement, PassedStatement};
 use crate::routes::{Admitted, Route};
 use crate::wire::Wire;
+use corktack_core::gateway::SessionProfile;
 use corktack_core::identity::MemberName;
 use corktack_core::scheduling::StatementKind;
 use corktack_core::statement::{Access, ErrorCode, PreparedShape, Request, TransactionState};
@@ -133,22 +134,8 @@
         target: Target,
         kind: LoneKind,
     ) -> Result<(MemberName, Offer), AcquireError> {
-        let connection_request = ConnectionRequest {
-            target,
-            session: &self.profile,
-            principal: Some(lone.principal),
-            kind: StatementKind { priority: lone.route.rule.priority, writes: !kind.is_read() },
-            bound: kind.bound(),
-            needs_slot: true,
-            give_up: lone.bounds.give_up,
-        };
-        let statement = LoneStatement {
-            passed: PassedStatement::from(lone.request),
-            shape: lone.shape,
-            session: &self.profile,
-            priority: lone.route.rule.priority,
-            kind,
-        };
+        let connection_request = lone.connection_request(&self.profile, target, kind);
+        let statement = lone.statement(&self.profile, kind);
         let deadline = lone.bounds.deadline;
         let group = &lone.route.group;
         let (member, result, position) = match group.locate(&connection_request).await? {
@@ -198,6 +185,35 @@
 }
 
 impl<W: Wire> Lone<'_, W> {
+    /// What it needs of the group to run at a member.
+    fn connection_request<'r>(
+        &'r self,
+        session: &'r SessionProfile,
+        target: Target,
+        kind: LoneKind,
+    ) -> ConnectionRequest<'r> {
+        ConnectionRequest {
+            target,
+            session,
+            principal: Some(self.principal),
+            kind: StatementKind { priority: self.route.rule.priority, writes: !kind.is_read() },
+            bound: kind.bound(),
+            needs_slot: true,
+            give_up: self.bounds.give_up,
+        }
+    }
+
+    /// What is run at the member.
+    fn statement<'r>(&'r self, session: &'r SessionProfile, kind: LoneKind) -> LoneStatement<'r> {
+        LoneStatement {
+            passed: PassedStatement::from(self.request),
+            shape: self.shape,
+            session,
+            priority: self.route.rule.priority,
+            kind,
+        }
+    }
+
     /// Whether waiting for a connection has ended.
     pub(super) fn may_wait_no_more(&self) -> bool {
         Instant::now() >= self.bounds.give_up
--- a/crates/gateway/src/session/opening.rs
+++ b/crates/gateway/src/session/opening.rs
@@ -55,6 +55,10 @@
 }
 
 impl Tries {
+    fn kind(&self, priority: u32) -> StatementKind {
+        StatementKind { priority, writes: self.bound.is_none() }
+    }
+
     fn target(&self) -> Target {
         match self.bound {
             Some(_) => Target::Reader { refused: self.refused.clone() },
@@ -130,10 +134,7 @@
                 target: tries.target(),
                 session: &self.profile,
                 principal: Some(principal),
-                kind: StatementKind {
-                    priority: route.rule.priority,
-                    writes: tries.bound.is_none(),
-                },
+                kind: tries.kind(route.rule.priority),
                 bound: tries.bound,
                 needs_slot: true,
                 give_up: bounds.give_up,
--- a/crates/gateway/src/session/response.rs
+++ b/crates/gateway/src/session/response.rs
@@ -2,6 +2,7 @@
 
 use crate::answer::{Answer, Failure};
 use crate::error::{AcquireError, RefusalReason};
+use crate::retry_after::not_run;
 use crate::wire::Wire;
 use bytes::BytesMut;
 use corktack_core::limits::OverLimit;
@@ -40,15 +41,13 @@
     /// member said to it, empty where none was asked.
     pub(crate) fn refused(error: &AcquireError, refusal: &str, state: TransactionState) -> Self {
         let said = if refusal.is_empty() { String::new() } else { format!(" ({refusal})") };
-        let retry_after = error.retry_after().as_millis();
-        let text = format!("not run: {error}{said}; retry_after_ms={retry_after}");
+        let text = not_run(format_args!("{error}{said}"), error.retry_after());
         Self { refusal: Some(error.reason()), ..Self::failure(ErrorCode::Busy, &text, state) }
     }
 
     /// A refusal of an operation that its tenant's limit does not allow now.
     pub(crate) fn over_limit(over: &OverLimit, state: TransactionState) -> Self {
-        let retry_after = over.retry_after.as_millis();
-        let text = format!("not run: {over}; retry_after_ms={retry_after}");
+        let text = not_run(over, over.retry_after);
         let refusal = Some(RefusalReason::OverLimit);
         Self { refusal, ..Self::failure(ErrorCode::OverLimit, &text, state) }
     }
--- a/crates/gateway/src/session/serve.rs
+++ b/crates/gateway/src/session/serve.rs
@@ -3,6 +3,7 @@
 use super::Session;
 use super::response::Response;
 use super::transaction::Transaction;
+use crate::retry_after::{self, not_run};
 use crate::shared::Shared;
 use crate::wire::Wire;
 use bytes::BytesMut;
@@ -71,8 +72,8 @@
             return self.refuse(ErrorCode::Malformed, "a session begins with its start").await;
         };
         if !self.shared.wait_for_document().await {
-            let text = "not run: no configuration yet; retry_after_ms=500";
-            return self.refuse(ErrorCode::Busy, text).await;
+            let text = not_run("no configuration yet", retry_after::NO_CONFIGURATION);
+            return self.refuse(ErrorCode::Busy, &text).await;
         }
         match self.shared.routes.admit(&database, &key) {
             Ok(admitted) => self.shared.limits.expect(&admitted.principal),
--- a/crates/gateway/src/session/transaction.rs
+++ b/crates/gateway/src/session/transaction.rs
@@ -159,7 +159,16 @@
             Some(answer) => answer,
             None => self.run_open(&mut open, request, shape).await,
         };
-        let wrote = access_of(request, shape) == Access::Write;
+        self.take_answer(open, access_of(request, shape) == Access::Write, answer)
+    }
+
+    /// Takes the outcome of a statement inside the transaction, which goes on where it succeeded.
+    fn take_answer(
+        &mut self,
+        mut open: Box<OpenTransaction<W>>,
+        wrote: bool,
+        answer: Result<Answer, Unanswered>,
+    ) -> Response {
         match answer {
             Ok(answer) if answer.outcome.is_ok() => {
                 open.wrote |= wrote;
@@ -250,6 +259,16 @@
                 return Response::member_failure(failure, TransactionState::Idle);
             }
         };
+        self.take_commit(open, asked_at, answer)
+    }
+
+    /// Takes a member's answer to the commit.
+    fn take_commit(
+        &mut self,
+        mut open: Box<OpenTransaction<W>>,
+        asked_at: Timestamp,
+        answer: Answer,
+    ) -> Response {
         if answer.outcome.is_ok() {
             open.lease.in_transaction = false;
             if open.wrote {
--- a/crates/gateway/tests/metric_names.rs
+++ b/crates/gateway/tests/metric_names.rs
@@ -7,6 +7,8 @@
 mod error;
 #[path = "../src/metrics.rs"]
 mod metrics;
+#[path = "../src/retry_after.rs"]
+mod retry_after;
 
 use corktack_core::statement::ErrorCode;
 use error::RefusalReason;
--- /dev/null
+++ b/crates/gateway/tests/retry_after.rs
@@ -0,0 +1,28 @@
+//! What callers are told of something that did not run. The module is taken in by its path, since it is not
+//! public.
+
+#![allow(missing_docs)]
+
+#[path = "../src/retry_after.rs"]
+mod retry_after;
+
+use retry_after::not_run;
+
+#[test]
+fn a_refusal_says_that_nothing_ran_why_and_when_to_come_back_in_milliseconds() {
+    let texts = [
+        not_run("no member can be reached", retry_after::UNREACHED_MEMBER),
+        not_run("no connection is free in time", retry_after::NO_ROOM_REPORTED),
+        not_run("the limit is reached", retry_after::HOME_UNANSWERED),
+        not_run("nothing proves that the configuration is current", retry_after::UNPROVED),
+        not_run("no configuration yet", retry_after::NO_CONFIGURATION),
+    ];
+    let expected = [
+        "not run: no member can be reached; retry_after_ms=250",
+        "not run: no connection is free in time; retry_after_ms=100",
+        "not run: the limit is reached; retry_after_ms=500",
+        "not run: nothing proves that the configuration is current; retry_after_ms=1000",
+        "not run: no configuration yet; retry_after_ms=500",
+    ];
+    assert_eq!(texts, expected);
+}
