--- /dev/null
+++ b/crates/gateway/tests/dial_failure.rs
@@ -0,0 +1,38 @@
+//! What a failed attempt to connect says of a member. The modules are taken in by their path, since none of
+//! their types is public.
+
+#![allow(dead_code, missing_docs)]
+
+#[path = "../src/error.rs"]
+mod error;
+#[path = "../src/retry_after.rs"]
+mod retry_after;
+
+use corktack_core::statement::ErrorCode;
+use error::{DialError, DialFailure, LinkError};
+use rstest::rstest;
+
+fn refused(code: ErrorCode) -> DialError {
+    DialError::Refused { code, text: String::new() }
+}
+
+#[rstest]
+#[case::no_connection_left(refused(ErrorCode::TooManyConnections), DialFailure::Full)]
+#[case::another_member(refused(ErrorCode::WrongMember), DialFailure::Unreachable)]
+#[case::nobody(DialError::Unreachable(LinkError::TimedOut), DialFailure::Unreachable)]
+#[case::slow(DialError::Link(LinkError::TimedOut), DialFailure::NoAnswer)]
+#[case::another_refusal(refused(ErrorCode::Busy), DialFailure::Other)]
+#[case::closed(DialError::Link(LinkError::Closed), DialFailure::Other)]
+fn each_failure_has_its_meaning(#[case] error: DialError, #[case] expected: DialFailure) {
+    assert_eq!(error.failure(), expected);
+}
+
+#[rstest]
+#[case::closed(LinkError::Closed, DialFailure::Unreachable)]
+#[case::slow(LinkError::TimedOut, DialFailure::NoAnswer)]
+fn a_connection_that_ends_before_it_is_ready_is_none(
+    #[case] error: LinkError,
+    #[case] expected: DialFailure,
+) {
+    assert_eq!(DialError::Link(error).of_opening().failure(), expected);
+}
