--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -49,7 +49,7 @@
     member: &MemberName,
     address: SocketAddr,
 ) {
-    // A member that does not hear it is released by the next promotion or restart.
+    // A member that does not get it is released by the next promotion or restart.
     let _ = ask(wire, settings, (group, member, address), &OwnStatement::Resume).await;
 }
 
--- a/crates/gateway/src/group/mod.rs
+++ b/crates/gateway/src/group/mod.rs
@@ -54,7 +54,7 @@
 /// Target of the log lines of `connect`, `wait` and `reach`, by which operators may filter.
 const LOG_TARGET: &str = module_path!();
 
-/// Whether a member could be reached when it was used as primary; told once on change.
+/// Whether a member could be reached when it was used as primary; reported once on change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberReach {
     /// Its group.
--- a/crates/gateway/src/group/reach.rs
+++ b/crates/gateway/src/group/reach.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 impl<W: Wire> Group<W> {
-    /// A member answered; control hears of it if it counted as unreachable.
+    /// A member answered; that is reported to control if it counted as unreachable.
     pub(crate) fn note_reached(&self, name: &MemberName) {
         let now = self.clock.now();
         let mut news = false;
@@ -19,17 +19,17 @@
             news = member.pauses.note_reached();
         });
         if news {
-            self.tell(name, true);
+            self.report(name, true);
         }
     }
 
-    /// A member gave no answer; control hears of it if it counted as reachable.
+    /// A member gave no answer; that is reported to control if it counted as reachable.
     pub(crate) fn note_unreachable(&self, name: &MemberName) {
         let now = Instant::now();
         let mut news = false;
         self.with_member(name, |member| news = member.note_unreachable(now));
         if news {
-            self.tell(name, false);
+            self.report(name, false);
         }
     }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    fn tell(&self, member: &MemberName, reached: bool) {
+    fn report(&self, member: &MemberName, reached: bool) {
         let (group, member) = (self.name.clone(), member.clone());
         // Nobody listens at the end of the process only.
         let _ = self.reach.send(MemberReach { group, member, reached });
--- a/crates/gateway/src/group/remote/outcome.rs
+++ b/crates/gateway/src/group/remote/outcome.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A gateway did not hear what was asked.
+    /// A gateway was not reached, or gave no answer, where nothing can have run.
     pub(super) fn note_holder_unreached<T>(&self) -> HolderReply<T> {
         self.metrics.note_remote(RemoteOutcome::NotReached);
         HolderReply::AskNext(None)
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -41,7 +41,7 @@
     pub peers: std::net::TcpListener,
 }
 
-/// How a gateway and control hear of each other.
+/// The links between a gateway and control.
 #[derive(Debug)]
 pub struct GatewayLinks {
     /// The configuration in force.
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -2,18 +2,18 @@
 //!
 //! Each tenant has a home among the gateways of a zone, which counts what is begun in that zone. What may
 //! begin there is decided by [`GatewayLimits`]; the home asks the leader for allowances in the background.
-//! The other gateways ask the home, through tunnels. One that does not answer is stood in for by the next
-//! in the tenant's order, at last by the gateway that asks: each begins only what the leader has given it.
+//! The other gateways ask the home, through tunnels. Where one does not answer, the next
+//! in the tenant's order counts in its place, at last the gateway that asks: each begins only what the leader has given it.
 //!
 //! This is for sessions and for other gateways of the zone. It owns the books of this gateway and who waits in
 //! them. It relies on [`tunnel`](crate::tunnel) to ask homes ([`question`]) and on control for the way to the
 //! leader ([`report`]).
 
-mod pass;
+mod permit;
 mod question;
 mod report;
 
-pub(crate) use pass::Pass;
+pub(crate) use permit::OperationPermit;
 pub(crate) use report::keep_allowances;
 pub use report::{LimitNews, LimitsLink};
 
@@ -39,7 +39,7 @@
 /// waits, more spare operations and expected sessions together), not by itself: lower refuses more, higher
 /// leaves too little time for the member.
 const LIMIT_WAIT_PART: f64 = 0.8;
-/// Gateways of the zone that are asked for a tenant before this one stands in. Chosen, not measured: fewer
+/// Gateways of the zone that are asked for a tenant before this one counts itself. Chosen, not measured: fewer
 /// split a tenant's count sooner, more make its callers wait for gateways that are gone.
 const HOMES_ASKED: usize = 3;
 
@@ -130,9 +130,9 @@
         principal: &Principal,
         priority: u32,
         give_up: Instant,
-    ) -> Result<Pass, OverLimit> {
+    ) -> Result<OperationPermit, OverLimit> {
         let limited = principal.tenant().filter(|tenant| self.books.borrow().is_limited(tenant));
-        let Some(tenant) = limited else { return Ok(Pass::unlimited()) };
+        let Some(tenant) = limited else { return Ok(OperationPermit::unlimited()) };
         let now = Instant::now();
         let until = now + give_up.saturating_duration_since(now).mul_f64(LIMIT_WAIT_PART);
         self.begin_by(tenant, priority, until).await
@@ -143,7 +143,7 @@
         tenant: &TenantName,
         priority: u32,
         until: Instant,
-    ) -> Result<Pass, OverLimit> {
+    ) -> Result<OperationPermit, OverLimit> {
         let (home, begun) = if self.homes(tenant).is_empty() {
             let asked = AskedOperations { operations: 1, priority, until };
             (None, self.count_here(tenant, asked).await?)
@@ -151,8 +151,8 @@
             let counted = self.ask_home(tenant, priority, until).await?;
             (counted.home, Some(counted.begun))
         };
-        let Some(begun) = begun else { return Ok(Pass::unlimited()) };
-        Ok(Pass::counted(Rc::clone(self), tenant.clone(), priority, home, begun))
+        let Some(begun) = begun else { return Ok(OperationPermit::unlimited()) };
+        Ok(OperationPermit::counted(Rc::clone(self), tenant.clone(), priority, home, begun))
     }
 
     /// The gateways to ask for a tenant's operations now, its home first; none where this one counts.
--- a/crates/gateway/src/limits/permit.rs
+++ b/crates/gateway/src/limits/permit.rs
@@ -1,4 +1,4 @@
-//! Leave for one operation to run.
+//! Permission for one operation to run.
 //!
 //! It is for the session that runs it. It owns what was counted, and who counted it. It relies on the limits to
 //! take back what did not run.
@@ -21,14 +21,14 @@
     begun: AdmittedOperations,
 }
 
-/// Leave for one operation to run.
+/// Permission for one operation to run.
 #[derive(Debug, Default)]
-pub(crate) struct Pass {
+pub(crate) struct OperationPermit {
     /// None where nothing is limited.
     counted: Option<Counted>,
 }
 
-impl Pass {
+impl OperationPermit {
     pub(super) fn unlimited() -> Self {
         Self::default()
     }
--- a/crates/gateway/src/limits/question.rs
+++ b/crates/gateway/src/limits/question.rs
@@ -30,7 +30,7 @@
 /// An operation that a home has counted.
 #[derive(Debug)]
 pub(super) struct CountedAtHome {
-    /// The gateway that counted it; none where this one stood in.
+    /// The gateway that counted it; none where this one counted in its place.
     pub(super) home: Option<Holder>,
     pub(super) begun: AdmittedOperations,
 }
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Refuses operations; each is told a time of its own, so that their callers do not come together.
+    /// Refuses operations; each gets a time of its own, so that their callers do not come together.
     fn refuse(&self, over: OverLimit, askers: Vec<Asker>) {
         let interval = self.books.borrow().place_interval(&over);
         let mut retry_after = over.retry_after;
--- a/crates/gateway/src/limits/report.rs
+++ b/crates/gateway/src/limits/report.rs
@@ -21,7 +21,7 @@
 /// What control says of limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LimitNews {
-    /// A leader of this term has been elected, or is told by another replica.
+    /// A leader of this term has been elected, or is reported by another replica.
     Led(Term),
     /// The leader gives allowances.
     Granted(AllowanceGrant),
@@ -30,7 +30,7 @@
 /// How a gateway and control speak of limits.
 #[derive(Debug)]
 pub struct LimitsLink {
-    /// Takes what the leader should hear.
+    /// Takes what goes to the leader.
     pub reports: mpsc::UnboundedSender<AllowanceReport>,
     /// What control says.
     pub news: mpsc::UnboundedReceiver<LimitNews>,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -190,7 +190,7 @@
         self.remote.get_or_create(&Outcome { outcome: outcome.to_owned() }).inc();
     }
 
-    /// Another gateway told a position; one from before this gateway's clock began is too old.
+    /// Another gateway reported a position; one from before this gateway's clock began is too old.
     pub(crate) fn note_reported_position(&self, used: bool) {
         let outcome = if used { "used" } else { "too_old" };
         self.reported_positions.get_or_create(&Outcome { outcome: outcome.to_owned() }).inc();
--- a/crates/gateway/src/session/alone.rs
+++ b/crates/gateway/src/session/alone.rs
@@ -10,7 +10,7 @@
 use crate::answer::{Answer, Unanswered};
 use crate::error::{AcquireError, LinkError};
 use crate::group::{ConnectionRequest, Located, Location, Target};
-use crate::limits::Pass;
+use crate::limits::OperationPermit;
 use crate::lone_statement::{LoneStatement, PassedStatement};
 use crate::routes::{Admitted, Route};
 use crate::wire::Wire;
@@ -91,7 +91,7 @@
 pub(super) struct Lone<'s, W: Wire> {
     route: &'s Route<W>,
     principal: &'s Principal,
-    pass: &'s Pass,
+    permit: &'s OperationPermit,
     request: &'s Request,
     shape: Option<&'s PreparedShape>,
     bounds: Bounds,
@@ -109,14 +109,15 @@
         let rule = &route.rule;
         let group = route.group.name.as_str();
         self.decision.borrow_mut().routed(rule, principal, group);
-        let pass = match self.shared.limits.begin(principal, rule.priority, bounds.give_up).await {
-            Ok(pass) => pass,
+        let permit = match self.shared.limits.begin(principal, rule.priority, bounds.give_up).await
+        {
+            Ok(permit) => permit,
             Err(over) => return Response::over_limit(&over, TransactionState::Idle),
         };
-        let lone = Lone { route, principal, pass: &pass, request, shape, bounds };
+        let lone = Lone { route, principal, permit: &permit, request, shape, bounds };
         let response = self.run_counted(&lone).await;
         if response.did_not_run() {
-            pass.return_operations();
+            permit.return_operations();
         }
         response
     }
@@ -229,6 +230,6 @@
     pub(super) async fn is_over(&self, sent: u32) -> bool {
         sent >= self.route.rule.attempts
             || Instant::now() >= self.bounds.deadline
-            || !self.pass.count_again().await
+            || !self.permit.count_again().await
     }
 }
--- a/crates/gateway/src/session/opening.rs
+++ b/crates/gateway/src/session/opening.rs
@@ -97,7 +97,7 @@
 
 impl<W: Wire> Session<W> {
     /// Begins the transaction at a member that may serve it. How fresh it must be counts from now: the
-    /// caller may have rested since its begin.
+    /// caller may have been idle since its begin.
     pub(super) async fn open_transaction(
         &self,
         access: Access,
@@ -108,14 +108,15 @@
         let group = route.group.name.as_str();
         let rule = &route.rule;
         self.decision.borrow_mut().routed(rule, &principal, group);
-        let pass = match self.shared.limits.begin(&principal, rule.priority, bounds.give_up).await {
-            Ok(pass) => pass,
+        let permit = match self.shared.limits.begin(&principal, rule.priority, bounds.give_up).await
+        {
+            Ok(permit) => permit,
             Err(over) => return Err(Response::over_limit(&over, TransactionState::Failed)),
         };
         let opened = self.open_counted(access, (&route, &principal), bounds, first).await;
         if opened.is_err() {
             // No statement of the caller's was sent.
-            pass.return_operations();
+            permit.return_operations();
         }
         opened
     }
