--- a/crates/gateway/src/limits/question.rs
+++ b/crates/gateway/src/limits/question.rs
@@ -39,7 +39,7 @@
 
 /// An operation that waits for an answer.
 #[derive(Debug)]
-struct Asker {
+struct Waiter {
     until: Instant,
     answered: oneshot::Sender<Outcome>,
 }
@@ -47,10 +47,10 @@
 /// Operations that one question asks for: of a tenant and a priority class.
 type Subject = (TenantName, u32);
 
-/// The operations of one subject that no question was asked for yet.
+/// The operations of one subject that no question has gone out for yet.
 #[derive(Debug, Default)]
-struct Unasked {
-    askers: Vec<Asker>,
+struct Unsent {
+    waiters: Vec<Waiter>,
     /// Whether a question is about to be asked.
     is_due: bool,
     asked_at: Option<Instant>,
@@ -59,7 +59,7 @@
 /// Operations that homes are to be asked for, by subject.
 #[derive(Debug, Default)]
 pub(super) struct Questions {
-    unasked: HashMap<Subject, Unasked>,
+    unsent: HashMap<Subject, Unsent>,
 }
 
 impl Questions {
@@ -67,23 +67,23 @@
     fn add(
         &mut self,
         subject: &Subject,
-        askers: impl IntoIterator<Item = Asker>,
+        waiters: impl IntoIterator<Item = Waiter>,
     ) -> Option<Instant> {
-        let unasked = self.unasked.entry(subject.clone()).or_default();
-        unasked.askers.extend(askers);
-        if unasked.askers.is_empty() || std::mem::replace(&mut unasked.is_due, true) {
+        let unsent = self.unsent.entry(subject.clone()).or_default();
+        unsent.waiters.extend(waiters);
+        if unsent.waiters.is_empty() || std::mem::replace(&mut unsent.is_due, true) {
             return None;
         }
         let now = Instant::now();
-        Some(unasked.asked_at.map_or(now, |at| (at + QUESTION_SPACING).max(now)))
+        Some(unsent.asked_at.map_or(now, |at| (at + QUESTION_SPACING).max(now)))
     }
 
     /// Takes what a question is asked for now.
-    fn take(&mut self, subject: &Subject) -> Vec<Asker> {
-        let Some(unasked) = self.unasked.get_mut(subject) else { return Vec::new() };
-        unasked.is_due = false;
-        unasked.asked_at = Some(Instant::now());
-        std::mem::take(&mut unasked.askers)
+    fn take(&mut self, subject: &Subject) -> Vec<Waiter> {
+        let Some(unsent) = self.unsent.get_mut(subject) else { return Vec::new() };
+        unsent.is_due = false;
+        unsent.asked_at = Some(Instant::now());
+        std::mem::take(&mut unsent.waiters)
     }
 }
 
@@ -96,7 +96,7 @@
         until: Instant,
     ) -> Outcome {
         let (answered, answer) = oneshot::channel();
-        self.add_askers(&(tenant.clone(), priority), [Asker { until, answered }]);
+        self.add_waiters(&(tenant.clone(), priority), [Waiter { until, answered }]);
         match timeout_at(until + ANSWER_SLACK, answer).await {
             Ok(Ok(outcome)) => outcome,
             // The task that asks ends only with the process.
@@ -106,28 +106,28 @@
         }
     }
 
-    fn add_askers(self: &Rc<Self>, subject: &Subject, askers: impl IntoIterator<Item = Asker>) {
-        let due = self.questions.borrow_mut().add(subject, askers);
+    fn add_waiters(self: &Rc<Self>, subject: &Subject, waiters: impl IntoIterator<Item = Waiter>) {
+        let due = self.questions.borrow_mut().add(subject, waiters);
         let Some(due) = due else { return };
         let (limits, subject) = (Rc::clone(self), subject.clone());
         actix_rt::spawn(async move {
             sleep_until(due).await;
-            let askers = limits.questions.borrow_mut().take(&subject);
-            limits.ask_for(&subject, askers).await;
+            let waiters = limits.questions.borrow_mut().take(&subject);
+            limits.ask_for(&subject, waiters).await;
         });
     }
 
     /// Asks one question for operations, and hands out what it brings.
-    async fn ask_for(self: &Rc<Self>, subject: &Subject, mut askers: Vec<Asker>) {
-        askers.retain(|asker| !asker.answered.is_closed());
-        let Some(until) = askers.iter().map(|asker| asker.until).max() else { return };
+    async fn ask_for(self: &Rc<Self>, subject: &Subject, mut waiters: Vec<Waiter>) {
+        waiters.retain(|waiter| !waiter.answered.is_closed());
+        let Some(until) = waiters.iter().map(|waiter| waiter.until).max() else { return };
         let (tenant, priority) = subject;
-        let operations = askers.len() as u64;
+        let operations = waiters.len() as u64;
         let asked = AskedOperations { operations, priority: *priority, until };
         let (home, outcome) = self.question(tenant, asked).await;
         match outcome {
-            Ok(begun) => self.hand_out(subject, home, begun, askers),
-            Err(over) => self.refuse(over, askers),
+            Ok(begun) => self.hand_out(subject, home, begun, waiters),
+            Err(over) => self.refuse(over, waiters),
         }
     }
 
@@ -136,15 +136,15 @@
         subject: &Subject,
         home: Option<Holder>,
         begun: AdmittedOperations,
-        askers: Vec<Asker>,
+        waiters: Vec<Waiter>,
     ) {
         let one = AdmittedOperations { operations: 1, ..begun };
         let mut left = begun.operations;
         let mut unserved = Vec::new();
-        for asker in askers {
+        for waiter in waiters {
             if left == 0 {
-                unserved.push(asker);
-            } else if asker.answered.send(Ok(CountedAtHome { home, begun: one })).is_ok() {
+                unserved.push(waiter);
+            } else if waiter.answered.send(Ok(CountedAtHome { home, begun: one })).is_ok() {
                 left -= 1;
             }
         }
@@ -152,17 +152,17 @@
             self.give_back(&subject.0, home, AdmittedOperations { operations: left, ..begun });
         }
         if !unserved.is_empty() {
-            self.add_askers(subject, unserved);
+            self.add_waiters(subject, unserved);
         }
     }
 
     /// Refuses operations; each gets a time of its own, so that their callers do not come together.
-    fn refuse(&self, over: OverLimit, askers: Vec<Asker>) {
+    fn refuse(&self, over: OverLimit, waiters: Vec<Waiter>) {
         let interval = self.books.borrow().place_interval(&over);
         let mut retry_after = over.retry_after;
-        for asker in askers {
+        for waiter in waiters {
             // A caller that has gone needs no answer.
-            let _ = asker.answered.send(Err(OverLimit { retry_after, ..over }));
+            let _ = waiter.answered.send(Err(OverLimit { retry_after, ..over }));
             retry_after += interval;
         }
     }
