--- a/crates/gateway/src/group/positions.rs
+++ b/crates/gateway/src/group/positions.rs
@@ -20,9 +20,9 @@
 use tokio::time::{Instant, timeout};
 
 /// Part of a staleness bound after which the primary is asked again, so that reads find a position
-/// young enough, and one that is not much younger than it must be. 0.4 before; lowered together with other
-/// changes, not measured by itself: lower asks the primary more often, higher sends reads to it that found
-/// only an old position.
+/// young enough, and one that is not much younger than it must be. Set together with other
+/// changes, not measured by itself: lower asks the primary more often, higher lets the position grow too old for
+/// some reads.
 const REFRESH_PART: f64 = 0.15;
 /// Part of that time which an answer that another gateway knows may be old. Chosen, not measured: lower asks
 /// the primary itself more often, higher makes positions older by that part.
