--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,4 +1,7 @@
-//! A member's whole answer to one statement.
+//! A member's whole answer to one statement, or why there is none.
+//!
+//! It is for everything that runs statements. It owns these forms and the collecting of messages into an
+//! answer. It decides nothing.
 
 use crate::error::LinkError;
 use corktack_core::statement::{ErrorCode, ReadyState, Reply};
@@ -10,6 +13,17 @@
     pub(crate) text: String,
 }
 
+/// Why a statement has no whole answer.
+#[derive(Debug)]
+pub(crate) enum Unanswered {
+    /// It was not sent: the connection could not be brought to the session's state.
+    NotSent(LinkError),
+    /// It was sent and may have run.
+    Sent(LinkError),
+    /// A member refused what had to come before it; it was not sent.
+    Refused(Failure),
+}
+
 /// A member's whole answer: only one that is complete counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Answer {
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -1,7 +1,10 @@
 //! Questions to members on behalf of control, each on a connection of its own.
+//!
+//! It is for the process that answers control. It owns the time that a question may take. It relies on no
+//! group: control asks as well where the gateway serves nothing.
 
 use crate::dial::{Destination, dial};
-use crate::error::DialError;
+use crate::error::DialFailure;
 use crate::settings::GatewaySettings;
 use crate::wire::Wire;
 use corktack_core::identity::{GroupName, MemberName};
@@ -12,9 +15,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause before a member without a free slot is asked again.
+/// Pause before a member without a free slot is asked again. Chosen, not measured: lower loads a member that is
+/// full already, higher leaves fewer attempts in the time of a question.
 const BUSY_PAUSE: Duration = Duration::from_millis(25);
-/// Longest time for one question.
+/// Longest time for one question. Chosen, not measured: lower, a member with much to do counts as silent;
+/// higher, control decides later.
 const QUESTION_LIMIT: Duration = Duration::from_millis(400);
 
 /// Asks a member for its status; with `hold`, keeps it from receiving first, in the term after its
@@ -44,58 +49,63 @@
     member: &MemberName,
     address: SocketAddr,
 ) {
-    // A member that does not hear it is released by the next promotion or restart.
+    // A member that does not get it is released by the next promotion or restart.
     let _ = ask(wire, settings, (group, member, address), &OwnStatement::Resume).await;
 }
 
 async fn ask<W: Wire>(
     wire: &W,
     settings: &GatewaySettings,
-    (group, member, address): (&GroupName, &MemberName, SocketAddr),
+    at: (&GroupName, &MemberName, SocketAddr),
     statement: &OwnStatement,
 ) -> MemberAnswer {
     let deadline = Instant::now() + QUESTION_LIMIT;
     loop {
-        let destination = Destination { group, member, address, principal: &Principal::Unnamed };
-        let dialed = dial(wire, settings, destination).await;
-        let mut connection = match dialed {
-            Ok((connection, _)) => connection,
-            Err(DialError::Refused { code: ErrorCode::TooManyConnections, .. }) => {
-                tokio::time::sleep(BUSY_PAUSE).await;
-                continue;
-            }
-            Err(error) => {
-                log::info!(group:% = group, member:% = member, error:% = error; "no status");
-                return match error {
-                    DialError::Unreachable(_)
-                    | DialError::Refused { code: ErrorCode::WrongMember, .. } => {
-                        MemberAnswer::Unreachable
-                    }
-                    _ => MemberAnswer::Silent,
-                };
-            }
-        };
-        let Ok(answer) = connection.run_own(statement, deadline).await else {
-            return MemberAnswer::Silent;
-        };
-        connection.terminate();
-        match answer.outcome {
-            Ok(_) => {
-                let row = answer.rows.first();
-                let status = row.and_then(|row| wire.decode_status(row).ok());
-                return status.map_or(MemberAnswer::Silent, MemberAnswer::Status);
-            }
-            Err(failure) if failure.code == ErrorCode::Busy && Instant::now() < deadline => {
-                tokio::time::sleep(BUSY_PAUSE).await;
-            }
-            Err(failure) => {
-                log::info!(
-                    group:% = group, member:% = member, code:? = failure.code,
-                    why = failure.text.as_str();
-                    "no status"
-                );
-                return MemberAnswer::Silent;
-            }
+        match ask_once(wire, settings, at, statement, deadline).await {
+            Some(answer) => return answer,
+            None => tokio::time::sleep(BUSY_PAUSE).await,
+        }
+    }
+}
+
+/// Asks on a connection of its own; none where the member had no room and is to be asked again.
+async fn ask_once<W: Wire>(
+    wire: &W,
+    settings: &GatewaySettings,
+    (group, member, address): (&GroupName, &MemberName, SocketAddr),
+    statement: &OwnStatement,
+    deadline: Instant,
+) -> Option<MemberAnswer> {
+    let destination = Destination { group, member, address, principal: &Principal::Unnamed };
+    let mut connection = match dial(wire, settings, destination).await {
+        Ok((connection, _)) => connection,
+        Err(error) if error.failure() == DialFailure::Full => return None,
+        Err(error) => {
+            log::info!(group:% = group, member:% = member, error:% = error; "no status");
+            return Some(match error.failure() {
+                DialFailure::Unreachable => MemberAnswer::Unreachable,
+                _ => MemberAnswer::Silent,
+            });
+        }
+    };
+    let Ok(answer) = connection.run_own(statement, deadline).await else {
+        return Some(MemberAnswer::Silent);
+    };
+    connection.terminate();
+    match answer.outcome {
+        Ok(_) => {
+            let row = answer.rows.first();
+            let status = row.and_then(|row| wire.decode_status(row).ok());
+            Some(status.map_or(MemberAnswer::Silent, MemberAnswer::Status))
+        }
+        Err(failure) if failure.code == ErrorCode::Busy && Instant::now() < deadline => None,
+        Err(failure) => {
+            log::info!(
+                group:% = group, member:% = member, code:? = failure.code,
+                why = failure.text.as_str();
+                "no status"
+            );
+            Some(MemberAnswer::Silent)
         }
     }
 }
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -1,6 +1,9 @@
 //! A planned stop: sessions end when they are quiet, transactions get their time.
+//!
+//! It is for [`handle`](crate::handle). It owns the order and the times of a stop. It relies on the sessions to
+//! follow the signs in [`shared`](crate::shared).
 
-use crate::handle::Shared;
+use crate::shared::Shared;
 use crate::wire::Wire;
 use std::rc::Rc;
 use tokio::time::{Instant, timeout_at};
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,5 +1,9 @@
 //! Why a gateway could not start or serve.
+//!
+//! It is for every module that fails or refuses. It owns the typed reasons and their names for operators. What
+//! callers are told with them is in [`retry_after`] and in the session's responses.
 
+use crate::retry_after;
 use corktack_core::identity::MemberName;
 use corktack_core::statement::ErrorCode;
 use std::time::Duration;
@@ -74,7 +78,32 @@
     },
 }
 
+/// What a failed attempt to connect says of a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum DialFailure {
+    /// It takes no more connections.
+    Full,
+    /// Nothing answers at its address, or another member does.
+    Unreachable,
+    /// It was reached and was not ready in time.
+    NoAnswer,
+    /// It was reached, and may serve a moment later.
+    Other,
+}
+
 impl DialError {
+    /// What it says of the member.
+    pub(crate) const fn failure(&self) -> DialFailure {
+        match self {
+            Self::Refused { code: ErrorCode::TooManyConnections, .. } => DialFailure::Full,
+            Self::Unreachable(_) | Self::Refused { code: ErrorCode::WrongMember, .. } => {
+                DialFailure::Unreachable
+            }
+            Self::Link(LinkError::TimedOut) => DialFailure::NoAnswer,
+            Self::Link(_) | Self::Refused { .. } => DialFailure::Other,
+        }
+    }
+
     /// A connection that ends before it is ready is none: whoever accepted it stands before the
     /// member, or the member went away. One that is slow may only have too much to do.
     pub(crate) fn of_opening(self) -> Self {
@@ -145,10 +174,6 @@
     }
 }
 
-/// When a caller should come back where a member is out of reach or there is none: half of the time in which
-/// a primary of the users' deployments is replaced (0.3 to 1 s and what it takes to be sure).
-const PASSING_RETRY: Duration = Duration::from_millis(250);
-
 impl AcquireError {
     /// When a caller should come back.
     pub(crate) const fn retry_after(&self) -> Duration {
@@ -158,7 +183,7 @@
             | Self::Unreachable(_)
             | Self::Full(_)
             | Self::NoHolder(_)
-            | Self::NoPosition => PASSING_RETRY,
+            | Self::NoPosition => retry_after::UNREACHED_MEMBER,
         }
     }
 
--- a/crates/gateway/src/group/notes.rs
+++ b/crates/gateway/src/group/notes.rs
@@ -1,9 +1,11 @@
 //! What statements say of a member, remembered for those that come.
+//!
+//! It is for the outcome of statements at a member. It owns what each outcome means for the member. It
+//! relies on the member to keep it and on [`reach`](super::reach) where it may be gone.
 
 use super::Group;
-use crate::answer::Answer;
+use crate::answer::{Answer, Unanswered};
 use crate::error::LinkError;
-use crate::run::Unanswered;
 use crate::wire::Wire;
 use corktack_core::identity::MemberName;
 use corktack_core::position::Position;
@@ -26,7 +28,7 @@
         self.settings.begin_timeout
     }
 
-    /// A member acted as only the primary can, in answer to a question asked at this time, and told
+    /// A member acted as only the primary can, in answer to a question asked at this time, and reported
     /// its position.
     pub(crate) fn note_lead(
         &self,
@@ -40,11 +42,15 @@
         }
     }
 
+    /// Age and position of the newest answer of the primary that is known here.
+    pub(crate) fn newest_position(&self) -> Option<(Duration, Position)> {
+        self.freshness.borrow().newest(self.now())
+    }
+
     /// How busy a member is, for the gateway whose statement has just taken this long.
     pub(crate) fn load_report(&self, name: &MemberName, spent: Duration) -> MemberLoadReport {
         let state = self.state.borrow();
-        let may_lead = state.proven_primary.as_ref().is_none_or(|lead| lead == name);
-        let waiting = state.waiting.len_at(name, may_lead);
+        let waiting = state.waiting.len_at(name, state.may_lead(name));
         let member = state.members.get(name);
         member.map_or_else(MemberLoadReport::default, |it| it.load_report(spent, waiting))
     }
--- a/crates/gateway/src/group/reach.rs
+++ b/crates/gateway/src/group/reach.rs
@@ -1,34 +1,35 @@
 //! Notes which members answer and which do not, and reports changes to control.
+//!
+//! It is for the outcome of attempts to connect and of statements. It owns the change from reached to
+//! unreached and back. It relies on [`connect`](super::connect) to find out whether a silent member is gone.
 
 use super::{Group, LOG_TARGET, MemberReach};
 use crate::wire::Wire;
 use corktack_core::identity::MemberName;
-use corktack_core::registry::RegisteredBackEnd;
 use std::rc::Rc;
-use std::sync::Arc;
 use tokio::time::Instant;
 
 impl<W: Wire> Group<W> {
-    /// A member answered; control hears of it if it counted as unreachable.
+    /// A member answered; that is reported to control if it counted as unreachable.
     pub(crate) fn note_reached(&self, name: &MemberName) {
         let now = self.clock.now();
         let mut news = false;
         self.with_member(name, |member| {
             member.silence.answered(now);
-            news = member.note_reached();
+            news = member.pauses.note_reached();
         });
         if news {
-            self.tell(name, true);
+            self.report(name, true);
         }
     }
 
-    /// A member gave no answer; control hears of it if it counted as reachable.
+    /// A member gave no answer; that is reported to control if it counted as reachable.
     pub(crate) fn note_unreachable(&self, name: &MemberName) {
         let now = Instant::now();
         let mut news = false;
         self.with_member(name, |member| news = member.note_unreachable(now));
         if news {
-            self.tell(name, false);
+            self.report(name, false);
         }
     }
 
@@ -37,7 +38,7 @@
         let now = self.clock.now();
         let mut gone = false;
         // Through another gateway, it is that one that may be slow.
-        self.with_member(name, |it| gone = it.limit > 0 && it.silence.unanswered(now));
+        self.with_member(name, |it| gone = it.holds_connections() && it.silence.unanswered(now));
         if gone {
             log::warn!(
                 target: LOG_TARGET, group:% = self.name, member:% = name;
@@ -60,16 +61,7 @@
         }
     }
 
-    /// Connects to a member in the background; its place counts as open already.
-    pub(super) fn check(self: &Rc<Self>, name: &MemberName, back_end: Arc<RegisteredBackEnd>) {
-        let (group, name) = (Rc::clone(self), name.clone());
-        actix_rt::spawn(async move {
-            // The connection goes to the idle ones, or says that the member cannot be reached.
-            drop(group.open(name, &back_end, None).await);
-        });
-    }
-
-    fn tell(&self, member: &MemberName, reached: bool) {
+    fn report(&self, member: &MemberName, reached: bool) {
         let (group, member) = (self.name.clone(), member.clone());
         // Nobody listens at the end of the process only.
         let _ = self.reach.send(MemberReach { group, member, reached });
--- a/crates/gateway/src/group/elsewhere/told.rs
+++ b/crates/gateway/src/group/remote/outcome.rs
@@ -1,13 +1,18 @@
-//! What other gateways say where they are asked, and what is remembered of it.
+//! What other gateways have said where they were asked, and what is remembered of it.
+//!
+//! It is for [`remote`](super), which asks. It owns what each reply means for the member, for the gateway
+//! that sent it and for the request; the rule for a request that none served is [`RemoteAttempt`]. It relies
+//! on the group's members and on its freshness to keep what was learnt.
 
-use super::{Asked, RequestSent};
+use super::{HolderReply, RequestSent};
+use crate::answer::Unanswered;
 use crate::error::AcquireError;
-use crate::group::{Group, Wish};
-use crate::metrics::ElsewhereOutcome;
-use crate::run::Unanswered;
-use crate::tunnel::RanElsewhere;
+use crate::group::{ConnectionRequest, Group};
+use crate::metrics::RemoteOutcome;
+use crate::retry_after;
+use crate::tunnel::RanAtHolder;
 use crate::wire::Wire;
-use corktack_core::gateway::Holder;
+use corktack_core::gateway::{Holder, RemoteAttempt, RemoteFailure};
 use corktack_core::identity::MemberName;
 use corktack_core::position::Position;
 use corktack_core::time::Timestamp;
@@ -15,14 +20,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When a caller should come back where no gateway has said when it may have room: a few times as long as
-/// the users' statements last.
-const UNTOLD_RETRY: Duration = Duration::from_millis(100);
+/// Target of the log lines of this module, by which operators may filter.
+const LOG_TARGET: &str = "corktack_gateway::group::elsewhere::told";
 
 impl<W: Wire> Group<W> {
     /// A gateway served.
-    pub(super) fn heard(&self, member: &MemberName, holder: Holder) {
-        self.metrics.note_elsewhere(ElsewhereOutcome::Served);
+    pub(super) fn note_holder_served(&self, member: &MemberName, holder: Holder) {
+        self.metrics.note_remote(RemoteOutcome::Served);
         self.with_member(member, |it| {
             it.detour.reached();
             it.holders.served(holder.address);
@@ -30,84 +34,91 @@
     }
 
     /// A gateway said that it does not serve.
-    pub(super) fn refused<T>(
+    pub(super) fn note_holder_refused<T>(
         &self,
         member: &MemberName,
         holder: Holder,
         refusal: TunnelRefusal,
-    ) -> Asked<T> {
+    ) -> HolderReply<T> {
         match refusal {
             TunnelRefusal::NoneFree { retry_after } => {
-                self.metrics.note_elsewhere(ElsewhereOutcome::NoneFree);
+                self.metrics.note_remote(RemoteOutcome::NoneFree);
                 self.with_member(member, |it| it.detour.reached());
-                Asked::Next(Some(retry_after))
+                HolderReply::AskNext(Some(retry_after))
             }
             TunnelRefusal::NoPosition => {
-                self.metrics.note_elsewhere(ElsewhereOutcome::NoPosition);
-                Asked::Over(AcquireError::NoPosition)
+                self.metrics.note_remote(RemoteOutcome::NoPosition);
+                HolderReply::GiveUp(AcquireError::NoPosition)
             }
             TunnelRefusal::Unreachable | TunnelRefusal::NotHeld => {
-                self.metrics.note_elsewhere(ElsewhereOutcome::NotReached);
+                self.metrics.note_remote(RemoteOutcome::NotReached);
                 let now = self.now();
                 self.with_member(member, |it| it.holders.refused(holder.address, now));
-                Asked::Next(None)
+                HolderReply::AskNext(None)
             }
         }
     }
 
-    /// A gateway did not hear what was asked.
-    pub(super) fn unheard<T>(&self) -> Asked<T> {
-        self.metrics.note_elsewhere(ElsewhereOutcome::NotReached);
-        Asked::Next(None)
+    /// A gateway was not reached, or gave no answer, where nothing can have run.
+    pub(super) fn note_holder_unreached<T>(&self) -> HolderReply<T> {
+        self.metrics.note_remote(RemoteOutcome::NotReached);
+        HolderReply::AskNext(None)
     }
 
-    /// No gateway that was asked serves the wish; `room` is when the first may have room.
-    pub(super) fn none_elsewhere(
+    /// No gateway that was asked served the request; `room_after` is when the first may have room.
+    pub(super) fn note_none_served(
         &self,
         member: MemberName,
-        wish: &Wish<'_>,
-        room: Option<Duration>,
+        request: &ConnectionRequest<'_>,
+        room_after: Option<Duration>,
     ) -> AcquireError {
-        let none_free = AcquireError::NoneFree { retry_after: room.unwrap_or(UNTOLD_RETRY) };
         let now = Instant::now();
         let steady = self.now();
-        let (mut reached, mut holds) = (false, false);
+        let (mut is_reached, mut holds_connections) = (false, false);
         self.with_member(&member, |it| {
-            reached = it.detour.is_open();
-            holds = it.limit > 0;
-            if !reached {
+            is_reached = it.detour.is_open();
+            holds_connections = it.holds_connections();
+            if !is_reached {
                 it.detour.failed(steady);
             }
         });
-        if now >= wish.give_up {
-            return none_free;
-        }
-        if !holds && self.all_are_silent(&member) {
-            self.stand_in(&member);
-            return AcquireError::NoHolder(member);
-        }
-        if reached {
-            return none_free;
+        let attempt = RemoteAttempt {
+            is_time_over: now >= request.give_up,
+            holds_connections,
+            is_reached,
+            no_holder_left: self.no_holder_left(&member),
+        };
+        match attempt.failure() {
+            RemoteFailure::NoneFree => {
+                let retry_after = room_after.unwrap_or(retry_after::NO_ROOM_REPORTED);
+                AcquireError::NoneFree { retry_after }
+            }
+            RemoteFailure::NoHolder => {
+                self.begin_fallback(&member);
+                AcquireError::NoHolder(member)
+            }
+            RemoteFailure::Unreachable => {
+                self.with_member(&member, |it| it.pauses.note_busy(now));
+                AcquireError::Unreachable(member)
+            }
         }
-        self.with_member(&member, |it| it.note_busy(now));
-        AcquireError::Unreachable(member)
     }
 
     /// Whether there is no holder of a member left to ask.
-    fn all_are_silent(&self, member: &MemberName) -> bool {
+    fn no_holder_left(&self, member: &MemberName) -> bool {
         let mut none_left = false;
         self.with_member(member, |it| none_left = self.tunnels.to_ask(&it.holders, 1).is_empty());
         none_left
     }
 
     /// Opens connections of its own to a member for some time.
-    pub(in crate::group) fn stand_in(&self, member: &MemberName) {
+    pub(in crate::group) fn begin_fallback(&self, member: &MemberName) {
         log::info!(
-            group:% = self.name, member:% = member;
+            target: LOG_TARGET, group:% = self.name, member:% = member;
             "no gateway that holds connections answers: this one opens its own"
         );
         let now = Instant::now();
-        self.with_member(member, |it| it.stand_in(now));
+        self.with_member(member, |it| it.begin_fallback(now));
     }
 
     /// Takes over the newest position that a holder knows, which was asked at `asked_at`.
@@ -119,10 +130,11 @@
     ) {
         let Some((age, position)) = newest else { return };
         let noted = self.freshness.borrow_mut().note_reported(asked_at, age, position);
-        self.metrics.note_told_position(noted.is_ok());
+        self.metrics.note_reported_position(noted.is_ok());
         if let Err(error) = noted {
             log::debug!(
-                group:% = self.name, holder:% = holder.address, position:% = position,
+                target: LOG_TARGET, group:% = self.name, holder:% = holder.address,
+                position:% = position,
                 error:% = error;
                 "position of another gateway not used"
             );
@@ -131,11 +143,11 @@
 
     /// Remembers what a statement that another gateway ran says of the member. What it says of the
     /// connection is the holder's to remember.
-    pub(super) fn note_ran_elsewhere(
+    pub(super) fn note_ran_remotely(
         &self,
         member: &MemberName,
         kind: LoneKind,
-        ran: &RanElsewhere,
+        ran: &RanAtHolder,
         sent: RequestSent,
     ) {
         let taken = sent.instant.elapsed();
--- a/crates/gateway/src/limits/report.rs
+++ b/crates/gateway/src/limits/report.rs
@@ -1,4 +1,7 @@
 //! Tells the leader what is held and wanted here, and takes what it gives.
+//!
+//! It is for the books of [`limits`](super). It owns when a report goes out. It relies on the link for the way
+//! to the leader, whoever that is.
 
 use super::Limits;
 use corktack_core::limits::{AllowanceGrant, AllowanceReport};
@@ -8,15 +11,17 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Time between two looks at what the leader should hear.
+/// Time between two reports to the leader. Chosen, not measured: lower costs messages, higher makes what the
+/// leader knows older.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Shortest time between two reports: what is asked for together goes out together.
+/// Shortest time between two reports: what is asked for together goes out together. Chosen, not measured:
+/// lower costs messages, higher makes operations wait for the leader.
 const REPORT_SPACING: Duration = Duration::from_millis(20);
 
 /// What control says of limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LimitNews {
-    /// A leader of this term has been elected, or is told by another replica.
+    /// A leader of this term has been elected, or is reported by another replica.
     Led(Term),
     /// The leader gives allowances.
     Granted(AllowanceGrant),
@@ -25,7 +30,7 @@
 /// How a gateway and control speak of limits.
 #[derive(Debug)]
 pub struct LimitsLink {
-    /// Takes what the leader should hear.
+    /// Takes what goes to the leader.
     pub reports: mpsc::UnboundedSender<AllowanceReport>,
     /// What control says.
     pub news: mpsc::UnboundedReceiver<LimitNews>,
@@ -51,7 +56,7 @@
         self.books.borrow_mut().report(self.clock.now())
     }
 
-    /// When the operations that wait here are to be looked at.
+    /// When the operations that wait here are to be evaluated.
     fn settle_due(&self) -> Option<Instant> {
         let now = self.clock.now();
         let due = self.books.borrow().settle_due(now)?;
--- a/crates/gateway/src/routes/mod.rs
+++ b/crates/gateway/src/routes/mod.rs
@@ -1,10 +1,15 @@
-//! The configuration in force, as sessions look it up.
+//! The configuration in force, as sessions use it.
+//!
+//! It is for sessions and for other gateways' requests. It owns the document, the routes by database, the
+//! groups and the tenants. It relies on [`membership`] for what a change of the view touches, and on
+//! [`handle`](crate::handle) to bring each view.
 
 mod membership;
 
 use crate::clock::SteadyClock;
 use crate::group::{Group, MemberReach};
 use crate::metrics::{Holdings, Metrics};
+use crate::retry_after::{self, not_run};
 use crate::settings::GatewaySettings;
 use crate::tunnel::Tunnels;
 use crate::wire::Wire;
@@ -22,9 +27,9 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long a transaction may rest where the document sets no limit, before another gateway's connection
-/// is taken back from it.
-const UNLIMITED_REST: Duration = Duration::from_secs(3_600);
+/// How long a transaction may be idle where the document sets no limit, before another gateway's connection
+/// is taken back from it. Chosen, not measured: an hour ends only those that were forgotten.
+const UNLIMITED_IDLE: Duration = Duration::from_secs(3_600);
 
 /// How a session's statements are served.
 #[derive(Clone)]
@@ -53,16 +58,12 @@
     UnknownKey,
     /// Nothing has proved for too long that the configuration is current.
     #[error(
-        "not run: nothing proves that the configuration is current; \
-         retry_after_ms={UNPROVED_RETRY_MILLIS}"
+        "{}",
+        not_run("nothing proves that the configuration is current", retry_after::UNPROVED)
     )]
     Unproved,
 }
 
-/// When a caller should come back that was refused for lack of a proof: gateways change their control
-/// replica in that time.
-const UNPROVED_RETRY_MILLIS: u64 = 1_000;
-
 impl NotAdmitted {
     pub(crate) const fn code(&self) -> ErrorCode {
         match self {
@@ -119,12 +120,12 @@
         }
     }
 
-    /// How long a transaction may rest between two statements, by the document in force; for long where
+    /// How long a transaction may be idle between two statements, by the document in force; for long where
     /// that is not limited.
     pub(crate) fn transaction_idle(&self) -> Duration {
         let document = self.document.borrow();
         let limit = document.as_ref().map(|document| document.limits.transaction_idle);
-        limit.filter(|limit| !limit.is_zero()).unwrap_or(UNLIMITED_REST)
+        limit.filter(|limit| !limit.is_zero()).unwrap_or(UNLIMITED_IDLE)
     }
 
     /// Whether there is a document to go by.
--- a/crates/gateway/src/session/alone.rs
+++ b/crates/gateway/src/session/alone.rs
@@ -1,15 +1,20 @@
 //! Statements outside a transaction.
+//!
+//! It is for [`session`](super). It owns the bounds of one statement and the offer of it to one member, on a
+//! connection of this gateway's or another's. A write is offered until a member has got it; reads are in
+//! [`read`](super::read). It relies on the limits to count and on the group to find a member.
 
 use super::Session;
 use super::response::Response;
 use super::statement::access_of;
-use crate::answer::Answer;
+use crate::answer::{Answer, Unanswered};
 use crate::error::{AcquireError, LinkError};
-use crate::group::{Located, Place, Target, Wish};
-use crate::limits::Pass;
+use crate::group::{ConnectionRequest, Located, Location, Target};
+use crate::limits::OperationPermit;
+use crate::lone_statement::{LoneStatement, PassedStatement};
 use crate::routes::{Admitted, Route};
-use crate::run::{LoneStatement, PassedStatement, Unanswered};
 use crate::wire::Wire;
+use corktack_core::gateway::SessionProfile;
 use corktack_core::identity::MemberName;
 use corktack_core::scheduling::StatementKind;
 use corktack_core::statement::{Access, ErrorCode, PreparedShape, Request, TransactionState};
@@ -18,7 +23,8 @@
 use tokio::time::Instant;
 
 /// Part of the latency objective that a statement may wait without being offered to a member: a
-/// quarter, less what the way to the caller takes.
+/// quarter, less what the way to the caller takes. Chosen by that, not measured: lower refuses statements that
+/// would have been served, higher answers refused ones so late that their callers have no time for another try.
 const WAIT_PART: f64 = 0.22;
 
 /// The bounds of one statement.
@@ -40,7 +46,7 @@
     }
 }
 
-/// What became of one offer of a statement to a member.
+/// The outcome of one offer of a statement to a member.
 pub(super) enum Offer {
     /// The caller has its answer.
     Done(Response),
@@ -57,7 +63,7 @@
 }
 
 impl Offer {
-    /// Sorts what came of a statement at a member.
+    /// Sorts the result of a statement at a member.
     fn of(member: &MemberName, result: Result<Answer, Unanswered>) -> Self {
         match result {
             Ok(answer) => match &answer.outcome {
@@ -85,7 +91,7 @@
 pub(super) struct Lone<'s, W: Wire> {
     route: &'s Route<W>,
     principal: &'s Principal,
-    pass: &'s Pass,
+    permit: &'s OperationPermit,
     request: &'s Request,
     shape: Option<&'s PreparedShape>,
     bounds: Bounds,
@@ -103,14 +109,15 @@
         let rule = &route.rule;
         let group = route.group.name.as_str();
         self.decision.borrow_mut().routed(rule, principal, group);
-        let pass = match self.shared.limits.begin(principal, rule.priority, bounds.give_up).await {
-            Ok(pass) => pass,
+        let permit = match self.shared.limits.begin(principal, rule.priority, bounds.give_up).await
+        {
+            Ok(permit) => permit,
             Err(over) => return Response::over_limit(&over, TransactionState::Idle),
         };
-        let lone = Lone { route, principal, pass: &pass, request, shape, bounds };
+        let lone = Lone { route, principal, permit: &permit, request, shape, bounds };
         let response = self.run_counted(&lone).await;
         if response.did_not_run() {
-            pass.return_operations();
+            permit.return_operations();
         }
         response
     }
@@ -133,34 +140,20 @@
         target: Target,
         kind: LoneKind,
     ) -> Result<(MemberName, Offer), AcquireError> {
-        let wish = Wish {
-            target,
-            session: &self.profile,
-            principal: Some(lone.principal),
-            kind: StatementKind { priority: lone.route.rule.priority, writes: !kind.is_read() },
-            bound: kind.bound(),
-            needs_slot: true,
-            give_up: lone.bounds.give_up,
-        };
-        let statement = LoneStatement {
-            passed: PassedStatement::from(lone.request),
-            shape: lone.shape,
-            session: &self.profile,
-            priority: lone.route.rule.priority,
-            kind,
-        };
+        let connection_request = lone.connection_request(&self.profile, target, kind);
+        let statement = lone.statement(&self.profile, kind);
         let deadline = lone.bounds.deadline;
         let group = &lone.route.group;
-        let (member, result, position) = match group.place(&wish).await? {
-            Place::Here(located) => {
+        let (member, result, position) = match group.locate(&connection_request).await? {
+            Location::Local(located) => {
                 let Located { lease, position } = *located;
                 let member = lease.member.clone();
                 (member, statement.run(lease, position, deadline).await, position)
             }
-            Place::Elsewhere(member, holders) => {
-                let ran = group.run_elsewhere(&member, &holders, &wish, statement, deadline);
+            Location::Remote(member) => {
+                let ran = group.run_remote(&member, &connection_request, statement, deadline);
                 let (result, position) = ran.await?;
-                (member, result, position)
+                (member.name, result, position)
             }
         };
         self.decision.borrow_mut().needs(position);
@@ -198,6 +191,35 @@
 }
 
 impl<W: Wire> Lone<'_, W> {
+    /// What it needs of the group to run at a member.
+    fn connection_request<'r>(
+        &'r self,
+        session: &'r SessionProfile,
+        target: Target,
+        kind: LoneKind,
+    ) -> ConnectionRequest<'r> {
+        ConnectionRequest {
+            target,
+            session,
+            principal: Some(self.principal),
+            kind: StatementKind { priority: self.route.rule.priority, writes: !kind.is_read() },
+            bound: kind.bound(),
+            needs_slot: true,
+            give_up: self.bounds.give_up,
+        }
+    }
+
+    /// What is run at the member.
+    fn statement<'r>(&'r self, session: &'r SessionProfile, kind: LoneKind) -> LoneStatement<'r> {
+        LoneStatement {
+            passed: PassedStatement::from(self.request),
+            shape: self.shape,
+            session,
+            priority: self.route.rule.priority,
+            kind,
+        }
+    }
+
     /// Whether waiting for a connection has ended.
     pub(super) fn may_wait_no_more(&self) -> bool {
         Instant::now() >= self.bounds.give_up
@@ -208,6 +230,6 @@
     pub(super) async fn is_over(&self, sent: u32) -> bool {
         sent >= self.route.rule.attempts
             || Instant::now() >= self.bounds.deadline
-            || !self.pass.count_again().await
+            || !self.permit.count_again().await
     }
 }
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -1,4 +1,9 @@
 //! One caller's session: its values, its own commits, its transaction.
+//!
+//! It is for the statements of one caller, one after the other. It owns what lasts between them. [`serve`] is
+//! the caller's connection; [`alone`] and [`read`] run statements outside a transaction, [`opening`] and
+//! [`transaction`] those inside; [`response`] is what the caller is answered, [`decision`] the line that
+//! explains it. It relies on the routes for what the caller may do and on the group for connections.
 
 mod alone;
 mod decision;
@@ -11,8 +16,8 @@
 
 pub(crate) use serve::serve_caller;
 
-use crate::handle::Shared;
 use crate::routes::{Admitted, Route};
+use crate::shared::Shared;
 use crate::wire::Wire;
 use corktack_core::gateway::{KnownPosition, OwnPosition, ReadBound, SessionProfile};
 use corktack_core::identity::GroupName;
@@ -33,7 +38,7 @@
     /// At this position.
     At(KnownPosition),
     /// The member did not tell its position: only the primary surely has it.
-    Untold,
+    Unreported,
 }
 
 /// One caller's session.
@@ -154,7 +159,7 @@
             Consistency::BoundedStaleness(staleness) => Some(ReadBound { staleness, own: None }),
             Consistency::ReadYourWrites(staleness) => {
                 match self.own_commits.get(&route.group.name) {
-                    Some(OwnCommit::Untold) => None,
+                    Some(OwnCommit::Unreported) => None,
                     Some(OwnCommit::At(commit)) => {
                         Some(ReadBound { staleness, own: Some(own(*commit)) })
                     }
@@ -167,6 +172,6 @@
     fn note_own_commit(&mut self, group: &GroupName, position: Option<Position>) {
         let known_at = self.shared.now();
         let at = |position| OwnCommit::At(KnownPosition { position, known_at });
-        self.own_commits.insert(group.clone(), position.map_or(OwnCommit::Untold, at));
+        self.own_commits.insert(group.clone(), position.map_or(OwnCommit::Unreported, at));
     }
 }
--- a/crates/gateway/src/session/opening.rs
+++ b/crates/gateway/src/session/opening.rs
@@ -1,19 +1,21 @@
 //! How a transaction is begun at a member, with its first statement where another gateway holds the
 //! connection: beginning and statement are one round trip to it, which may be one between regions.
+//!
+//! It is for [`transaction`](super::transaction). It owns which members were tried. It relies on the limits to
+//! count the transaction as one operation and on the group to find a member.
 
 use super::Session;
 use super::alone::Bounds;
 use super::response::Response;
 use super::transaction::OpenTransaction;
-use crate::answer::{Answer, Failure};
+use crate::answer::{Answer, Failure, Unanswered};
 use crate::error::{AcquireError, LinkError};
-use crate::group::{Located, OpenedThere, Place, Target, Wish};
+use crate::group::{ConnectionRequest, Located, Location, RemoteMember, RemoteOpening, Target};
+use crate::lone_statement::{LoneStatement, PassedStatement};
 use crate::routes::{Admitted, Route};
-use crate::run::{
-    LoneStatement, PassedStatement, Unanswered, align, begin_as_primary, begin_reading,
-};
+use crate::run::{align, begin_as_primary, begin_reading};
 use crate::wire::Wire;
-use corktack_core::gateway::{Holder, ReadBound};
+use corktack_core::gateway::ReadBound;
 use corktack_core::identity::MemberName;
 use corktack_core::scheduling::StatementKind;
 use corktack_core::statement::{Access, ErrorCode, PreparedShape, Request, TransactionState};
@@ -29,7 +31,7 @@
     pub(super) shape: Option<&'s PreparedShape>,
 }
 
-/// What came of beginning a transaction.
+/// The outcome of beginning a transaction.
 pub(super) enum Opened<W: Wire> {
     /// It is open; its first statement is still to be run.
     Begun(Box<OpenTransaction<W>>),
@@ -56,6 +58,10 @@
 }
 
 impl Tries {
+    fn kind(&self, priority: u32) -> StatementKind {
+        StatementKind { priority, writes: self.bound.is_none() }
+    }
+
     fn target(&self) -> Target {
         match self.bound {
             Some(_) => Target::Reader { refused: self.refused.clone() },
@@ -91,7 +97,7 @@
 
 impl<W: Wire> Session<W> {
     /// Begins the transaction at a member that may serve it. How fresh it must be counts from now: the
-    /// caller may have rested since its begin.
+    /// caller may have been idle since its begin.
     pub(super) async fn open_transaction(
         &self,
         access: Access,
@@ -102,14 +108,15 @@
         let group = route.group.name.as_str();
         let rule = &route.rule;
         self.decision.borrow_mut().routed(rule, &principal, group);
-        let pass = match self.shared.limits.begin(&principal, rule.priority, bounds.give_up).await {
-            Ok(pass) => pass,
+        let permit = match self.shared.limits.begin(&principal, rule.priority, bounds.give_up).await
+        {
+            Ok(permit) => permit,
             Err(over) => return Err(Response::over_limit(&over, TransactionState::Failed)),
         };
         let opened = self.open_counted(access, (&route, &principal), bounds, first).await;
         if opened.is_err() {
             // No statement of the caller's was sent.
-            pass.return_operations();
+            permit.return_operations();
         }
         opened
     }
@@ -127,19 +134,16 @@
         };
         let mut tries = Tries { bound, refused: BTreeSet::new(), why: String::new() };
         loop {
-            let wish = Wish {
+            let connection_request = ConnectionRequest {
                 target: tries.target(),
                 session: &self.profile,
                 principal: Some(principal),
-                kind: StatementKind {
-                    priority: route.rule.priority,
-                    writes: tries.bound.is_none(),
-                },
+                kind: tries.kind(route.rule.priority),
                 bound: tries.bound,
                 needs_slot: true,
                 give_up: bounds.give_up,
             };
-            let error = match self.try_open(route, &wish, bounds, first).await {
+            let error = match self.try_open(route, &connection_request, bounds, first).await {
                 Ok(Tried::Opened(opened)) => return Ok(opened),
                 Ok(Tried::NotBegun(member, why)) => {
                     tries.why = Self::note_unanswered(route, &member, &why);
@@ -160,17 +164,18 @@
     async fn try_open(
         &self,
         route: &Route<W>,
-        wish: &Wish<'_>,
+        connection_request: &ConnectionRequest<'_>,
         bounds: Bounds,
         first: Option<First<'_>>,
     ) -> Result<Tried<W>, AcquireError> {
-        let located = match (route.group.place(wish).await?, first) {
-            (Place::Here(located), _) => *located,
-            (Place::Elsewhere(member, holders), None) => {
-                route.group.forward(member, &holders, wish).await?
+        let located = match (route.group.locate(connection_request).await?, first) {
+            (Location::Local(located), _) => *located,
+            (Location::Remote(member), None) => {
+                route.group.acquire_remote(&member, connection_request).await?
             }
-            (Place::Elsewhere(member, holders), Some(first)) => {
-                return self.open_there(route, wish, (member, holders), bounds, first).await;
+            (Location::Remote(member), Some(first)) => {
+                let opening = self.open_remote(route, connection_request, member, bounds, first);
+                return opening.await;
             }
         };
         Ok(self.begin_on(route, located, bounds.deadline).await)
@@ -201,11 +206,11 @@
     }
 
     /// Has another gateway begin it and run its first statement.
-    async fn open_there(
+    async fn open_remote(
         &self,
         route: &Route<W>,
-        wish: &Wish<'_>,
-        (member, holders): (MemberName, Vec<Holder>),
+        connection_request: &ConnectionRequest<'_>,
+        member: RemoteMember,
         bounds: Bounds,
         First { request, shape }: First<'_>,
     ) -> Result<Tried<W>, AcquireError> {
@@ -214,19 +219,21 @@
             shape,
             session: &self.profile,
             priority: route.rule.priority,
-            kind: wish.bound.map_or(LoneKind::Write, |bound| LoneKind::Read { bound }),
+            kind: connection_request
+                .bound
+                .map_or(LoneKind::Write, |bound| LoneKind::Read { bound }),
         };
         let group = &route.group;
-        let opened = group.open_elsewhere(&member, &holders, wish, first, bounds.deadline).await?;
+        let opened = group.open_remote(&member, connection_request, first, bounds.deadline).await?;
         Ok(match opened {
-            OpenedThere::Lent(located) => self.begin_on(route, located, bounds.deadline).await,
-            OpenedThere::Open(Located { lease, position }, result) => {
+            RemoteOpening::Lent(located) => self.begin_on(route, located, bounds.deadline).await,
+            RemoteOpening::Open(Located { lease, position }, result) => {
                 self.decision.borrow_mut().needs(position);
                 let open = Box::new(OpenTransaction::new(route.clone(), lease));
                 Tried::Opened(Opened::Ran(open, result))
             }
-            OpenedThere::NotBegun(why) => Tried::NotBegun(member, why),
-            OpenedThere::Lost(error) => Tried::Opened(Opened::Lost(lost(&member, &error))),
+            RemoteOpening::NotBegun(why) => Tried::NotBegun(member.name, why),
+            RemoteOpening::Lost(error) => Tried::Opened(Opened::Lost(lost(&member.name, &error))),
         })
     }
 
--- a/crates/gateway/src/session/serve.rs
+++ b/crates/gateway/src/session/serve.rs
@@ -1,9 +1,14 @@
 //! The connection of a caller.
+//!
+//! It is for one caller from its first message to its last. It owns the socket, its buffers and the reasons for
+//! which it ends. It relies on [`session`](super) to answer and on [`shared`](crate::shared) for the signs of a
+//! planned stop.
 
 use super::Session;
 use super::response::Response;
 use super::transaction::Transaction;
-use crate::handle::Shared;
+use crate::retry_after::{self, not_run};
+use crate::shared::Shared;
 use crate::wire::Wire;
 use bytes::BytesMut;
 use corktack_core::statement::TransactionState;
@@ -15,12 +20,17 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
+/// First size of the buffers, in bytes; they grow with what is sent. Chosen, not measured: lower costs
+/// allocations, higher memory for each session.
 const BUFFER_BYTES: usize = 1024;
-/// Longest wait for the first message of a connection.
+/// Longest wait for the first message of a connection. Chosen, not measured: it only bounds how long a
+/// connection that says nothing takes a place.
 const START_LIMIT: Duration = Duration::from_secs(5);
-/// Longest wait for a caller to take an answer.
+/// Longest wait for a caller to take an answer. Chosen, not measured: it only bounds how long a caller that
+/// reads nothing keeps its session.
 const SEND_LIMIT: Duration = Duration::from_secs(10);
-/// How long a statement must stay away before a session is closed at a planned stop.
+/// How long a statement must stay away before a session is closed at a planned stop. Chosen, not measured:
+/// lower cuts off statements that are on their way, higher lengthens the stop.
 const QUIET_BEFORE_CLOSE: Duration = Duration::from_millis(30);
 
 /// Why a caller's connection ends. None of them is a fault of this process.
@@ -70,9 +80,9 @@
         let CallerMessage::Start { database, key } = first else {
             return self.refuse(ErrorCode::Malformed, "a session begins with its start").await;
         };
-        if !self.shared.document_there().await {
-            let text = "not run: no configuration yet; retry_after_ms=500";
-            return self.refuse(ErrorCode::Busy, text).await;
+        if !self.shared.wait_for_document().await {
+            let text = not_run("no configuration yet", retry_after::NO_CONFIGURATION);
+            return self.refuse(ErrorCode::Busy, &text).await;
         }
         match self.shared.routes.admit(&database, &key) {
             Ok(admitted) => self.shared.limits.expect(&admitted.principal),
@@ -126,7 +136,7 @@
         }
     }
 
-    /// The next message; a transaction that rests too long is rolled back, and a planned stop
+    /// The next message; a transaction that is idle for too long is rolled back, and a planned stop
     /// ends a session that is outside one.
     async fn next_message(&mut self, session: &mut Session<W>) -> Result<CallerMessage, Ended> {
         let shared = Rc::clone(&self.shared);
--- a/crates/gateway/src/session/transaction.rs
+++ b/crates/gateway/src/session/transaction.rs
@@ -1,13 +1,16 @@
 //! Transactions: begun at a member with their first statement, ended there.
+//!
+//! It is for [`session`](super). It owns the state of a transaction and what its failure means for the caller.
+//! It relies on [`opening`](super::opening) to begin it and on the lease to roll back what is dropped.
 
 use super::Session;
 use super::opening::{First, Opened};
 use super::response::Response;
 use super::statement::access_of;
-use crate::answer::Answer;
-use crate::lease::Lease;
+use crate::answer::{Answer, Unanswered};
+use crate::group::Lease;
 use crate::routes::{Admitted, Route};
-use crate::run::{ROLLBACK_LIMIT, Unanswered, align, pass_on, roll_back_later};
+use crate::run::{ROLLBACK_LIMIT, align, pass_on, roll_back_later};
 use crate::wire::Wire;
 use corktack_core::position::Position;
 use corktack_core::statement::{Access, ErrorCode, PreparedShape, Request, TransactionState};
@@ -72,7 +75,7 @@
         }
     }
 
-    /// How long it may rest between two statements; none outside a transaction.
+    /// How long it may be idle between two statements; none outside a transaction.
     pub(super) fn idle_limit(&self) -> Option<Duration> {
         let route = match self {
             Self::Begun { admitted, .. } => &admitted.route,
@@ -159,11 +162,20 @@
             Some(answer) => answer,
             None => self.run_open(&mut open, request, shape).await,
         };
-        let wrote = access_of(request, shape) == Access::Write;
+        self.take_answer(open, access_of(request, shape) == Access::Write, answer)
+    }
+
+    /// Takes the outcome of a statement inside the transaction, which goes on where it succeeded.
+    fn take_answer(
+        &mut self,
+        mut open: Box<OpenTransaction<W>>,
+        wrote: bool,
+        answer: Result<Answer, Unanswered>,
+    ) -> Response {
         match answer {
             Ok(answer) if answer.outcome.is_ok() => {
                 open.wrote |= wrote;
-                open.lease.set_resting(true);
+                open.lease.set_idle_in_transaction(true);
                 self.transaction = Transaction::Open(open);
                 Response::of(answer, TransactionState::Open)
             }
@@ -192,7 +204,7 @@
         request: &Request,
         shape: Option<&PreparedShape>,
     ) -> Result<Answer, Unanswered> {
-        open.lease.set_resting(false);
+        open.lease.set_idle_in_transaction(false);
         let deadline = Instant::now() + open.route.rule.statement_timeout;
         let before = open.lease.connection().profile.clone();
         let prepared = align(&mut open.lease, &self.profile, shape, deadline).await?;
@@ -234,7 +246,7 @@
             }
         };
         self.note_route(&mut open);
-        open.lease.set_resting(false);
+        open.lease.set_idle_in_transaction(false);
         let asked_at = self.shared.now();
         let deadline = Instant::now() + open.route.rule.statement_timeout;
         let answer = pass_on(&mut open.lease, request.into(), None, None, deadline).await;
@@ -250,6 +262,16 @@
                 return Response::member_failure(failure, TransactionState::Idle);
             }
         };
+        self.take_commit(open, asked_at, answer)
+    }
+
+    /// Takes a member's answer to the commit.
+    fn take_commit(
+        &mut self,
+        mut open: Box<OpenTransaction<W>>,
+        asked_at: Timestamp,
+        answer: Answer,
+    ) -> Response {
         if answer.outcome.is_ok() {
             open.lease.in_transaction = false;
             if open.wrote {
--- a/crates/gateway/src/tunnel/client.rs
+++ b/crates/gateway/src/tunnel/client.rs
@@ -1,10 +1,12 @@
 //! One tunnel as the gateway sees it that needs a connection.
+//!
+//! It is for [`Tunnels`](super::Tunnels) and, on a lent connection, for [`transport`](crate::transport). It owns
+//! the socket and how long a silent holder is waited for. It relies on the holder's heartbeats.
 
+use super::link::{HEARTBEAT_INTERVAL, HEARTBEAT_SLACK, link_error};
 use super::outcome::result_of;
-use super::{SIGN_INTERVAL, SIGN_SLACK, link_error};
-use crate::answer::Answer;
+use crate::answer::{Answer, Unanswered};
 use crate::error::LinkError;
-use crate::run::Unanswered;
 use bytes::BytesMut;
 use corktack_core::gateway::{ConnectionProfile, Holder, ReadBound, ReadPosition};
 use corktack_core::identity::{GroupName, MemberName};
@@ -22,14 +24,15 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// Longest wait for a gateway to take the end of a lease.
+/// Longest wait for a gateway to take the end of a lease. Chosen, not measured: it runs in the background and
+/// only bounds how long a tunnel that takes nothing is kept.
 const RELEASE_LIMIT: Duration = Duration::from_millis(500);
 
 type ClientFrames = Framed<TcpStream, FrameCodec<TunnelRequest, TunnelReply>>;
 
 /// What is asked of a holder.
 #[derive(Clone, Debug)]
-pub(crate) struct TunnelWish {
+pub(crate) struct RemoteRequest {
     pub(crate) group: GroupName,
     pub(crate) member: MemberName,
     /// On whose behalf.
@@ -43,7 +46,7 @@
 
 /// Operations of a tenant that are to be counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct OperationsWish {
+pub(crate) struct OperationsRequest {
     pub(crate) operations: u64,
     pub(crate) priority: u32,
     /// How long they may wait.
@@ -64,7 +67,7 @@
 
 /// What a holder made of the beginning of a transaction.
 #[derive(Debug)]
-pub(crate) enum OpenedElsewhere {
+pub(crate) enum OpenedAtHolder {
     /// It is open, and its first statement was run.
     Open(Granted, Result<Answer, Unanswered>),
     /// It could not be begun, and nothing else was sent. The tunnel is free again.
@@ -73,7 +76,7 @@
 
 /// What a holder made of a statement.
 #[derive(Debug)]
-pub(crate) struct RanElsewhere {
+pub(crate) struct RanAtHolder {
     pub(crate) result: Result<Answer, Unanswered>,
     /// The position that a read had to see.
     pub(crate) position: Option<ReadPosition>,
@@ -111,7 +114,7 @@
     ) -> std::io::Result<Self> {
         Liveness::WITHIN_DEPLOYMENT.apply(&stream)?;
         let frames = Framed::new(stream, FrameCodec::default());
-        let silence_limit = round_trip + SIGN_INTERVAL + SIGN_SLACK;
+        let silence_limit = round_trip + HEARTBEAT_INTERVAL + HEARTBEAT_SLACK;
         Ok(Self { frames, holder, silence_limit, silent: false })
     }
 
@@ -119,7 +122,7 @@
         self.holder
     }
 
-    /// Whether the holder gave no sign when it should have.
+    /// Whether the holder sent no heartbeat when it should have.
     pub(crate) const fn is_silent(&self) -> bool {
         self.silent
     }
@@ -133,8 +136,8 @@
     }
 
     /// Asks for a connection. A tunnel on which none was granted ends.
-    pub(super) async fn acquire(mut self, wish: &TunnelWish) -> Result<Granted, TunnelError> {
-        let TunnelWish { group, member, principal, priority, wait, bound } = wish.clone();
+    pub(super) async fn acquire(mut self, remote: &RemoteRequest) -> Result<Granted, TunnelError> {
+        let RemoteRequest { group, member, principal, priority, wait, bound } = remote.clone();
         let request = TunnelRequest::Acquire { group, member, principal, priority, wait, bound };
         self.send(request).await?;
         let until = Instant::now() + wait + self.silence_limit;
@@ -150,28 +153,23 @@
     /// tunnel it rolls back.
     pub(super) async fn open(
         mut self,
-        wish: &TunnelWish,
+        remote: &RemoteRequest,
         statement: LoneRequest,
         limit: Duration,
-    ) -> Result<OpenedElsewhere, TunnelError> {
-        let request = TunnelRequest::Open {
-            group: wish.group.clone(),
-            member: wish.member.clone(),
-            principal: wish.principal.clone(),
-            priority: wish.priority,
-            wait: wish.wait,
-            limit,
-            statement: Box::new(statement),
-        };
+    ) -> Result<OpenedAtHolder, TunnelError> {
+        let RemoteRequest { group, member, principal, priority, wait, .. } = remote.clone();
+        let statement = Box::new(statement);
+        let request =
+            TunnelRequest::Open { group, member, principal, priority, wait, limit, statement };
         self.send(request).await?;
-        let until = Instant::now() + wish.wait + limit + self.silence_limit;
+        let until = Instant::now() + wait + limit + self.silence_limit;
         match self.reply(until, true).await? {
             TunnelReply::Opened { profile, position, newest, outcome } => {
                 let granted = Granted { tunnel: Box::new(self), profile, position, newest };
-                Ok(OpenedElsewhere::Open(granted, result_of(outcome)))
+                Ok(OpenedAtHolder::Open(granted, result_of(outcome)))
             }
             TunnelReply::NotOpened { outcome, newest } => match result_of(outcome) {
-                Err(why) => Ok(OpenedElsewhere::Not(Box::new(self), why, newest)),
+                Err(why) => Ok(OpenedAtHolder::Not(Box::new(self), why, newest)),
                 Ok(_) => Err(TunnelError::Sent(LinkError::Closed)),
             },
             other => Err(unexpected(other)),
@@ -182,25 +180,20 @@
     /// silent is waited for to its end: nobody else may run it.
     pub(super) async fn run(
         &mut self,
-        wish: &TunnelWish,
+        remote: &RemoteRequest,
         statement: LoneRequest,
         limit: Duration,
-    ) -> Result<RanElsewhere, TunnelError> {
+    ) -> Result<RanAtHolder, TunnelError> {
         let gives_up_on_silence = statement.kind.is_read();
-        let request = TunnelRequest::Run {
-            group: wish.group.clone(),
-            member: wish.member.clone(),
-            principal: wish.principal.clone(),
-            priority: wish.priority,
-            wait: wish.wait,
-            limit,
-            statement: Box::new(statement),
-        };
+        let RemoteRequest { group, member, principal, priority, wait, .. } = remote.clone();
+        let statement = Box::new(statement);
+        let request =
+            TunnelRequest::Run { group, member, principal, priority, wait, limit, statement };
         self.send(request).await?;
         let until = Instant::now() + limit + self.silence_limit;
         match self.reply(until, gives_up_on_silence).await? {
             TunnelReply::Ran { outcome, position, newest, load } => {
-                Ok(RanElsewhere { result: result_of(outcome), position, newest, load })
+                Ok(RanAtHolder { result: result_of(outcome), position, newest, load })
             }
             other => Err(unexpected(other)),
         }
@@ -209,10 +202,10 @@
     /// Asks for the newest position of the primary.
     pub(super) async fn ask_position(
         &mut self,
-        wish: &TunnelWish,
+        remote: &RemoteRequest,
         max_age: Duration,
     ) -> Result<Option<(Duration, Position)>, TunnelError> {
-        let TunnelWish { group, member, wait, .. } = wish.clone();
+        let RemoteRequest { group, member, wait, .. } = remote.clone();
         self.send(TunnelRequest::Position { group, member, max_age, wait }).await?;
         let until = Instant::now() + wait + self.silence_limit;
         match self.reply(until, true).await? {
@@ -225,7 +218,7 @@
     pub(super) async fn begin_operations(
         &mut self,
         tenant: &TenantName,
-        OperationsWish { operations, priority, wait }: OperationsWish,
+        OperationsRequest { operations, priority, wait }: OperationsRequest,
     ) -> Result<Result<AdmittedOperations, OverLimit>, TunnelError> {
         let tenant = tenant.clone();
         self.send(TunnelRequest::BeginOperations { tenant, operations, priority, wait }).await?;
@@ -254,15 +247,15 @@
         sent.map_err(|error| TunnelError::NotSent(link_error(error)))
     }
 
-    /// The next reply that is more than a sign of work.
+    /// The next reply that is more than a heartbeat.
     async fn reply(
         &mut self,
         until: Instant,
         gives_up_on_silence: bool,
     ) -> Result<TunnelReply, TunnelError> {
         loop {
-            let sign_due = Instant::now() + self.silence_limit;
-            let wait = if gives_up_on_silence { until.min(sign_due) } else { until };
+            let heartbeat_due = Instant::now() + self.silence_limit;
+            let wait = if gives_up_on_silence { until.min(heartbeat_due) } else { until };
             let Ok(reply) = timeout_at(wait, self.frames.next()).await else {
                 self.silent = true;
                 let error =
