--- a/crates/control/src/back_end.rs
+++ b/crates/control/src/back_end.rs
@@ -1,6 +1,6 @@
 //! Statements to back ends on behalf of the leader: probes, fences, promotions.
 
-use crate::node::{NodeHandle, NodeInput};
+use crate::consensus::{ConsensusHandle, ConsensusInput};
 use crate::stop::StopSignal;
 use actix_rt::ArbiterHandle;
 use corktack_core::backend::{
@@ -81,19 +81,19 @@
 #[derive(Clone)]
 pub(crate) struct BackEnds {
     pub(crate) arbiter: ArbiterHandle,
-    pub(crate) node: NodeHandle,
+    pub(crate) consensus: ConsensusHandle,
     pub(crate) stop: StopSignal,
 }
 
 impl BackEnds {
     /// Starts a call; its result reaches the consensus thread as an input.
     pub(crate) fn start(&self, call: BackEndCall, limit: Duration) {
-        let Self { node, stop, .. } = self.clone();
+        let Self { consensus, stop, .. } = self.clone();
         self.arbiter.spawn(async move {
             tokio::select! {
                 answer = ask(&call, limit) => {
                     // An error says that the thread has ended: no one waits for the answer.
-                    let _ = node.send(NodeInput::BackEnd(BackEndResult { call, answer }));
+                    let _ = consensus.send(ConsensusInput::BackEnd(BackEndResult { call, answer }));
                 }
                 () = stop.stopped() => (),
             }
--- a/crates/control/src/cell/inbound.rs
+++ b/crates/control/src/cell/inbound.rs
@@ -2,8 +2,8 @@
 
 use super::PeerMessage;
 use super::disks::{DiskCheck, Disks};
+use crate::consensus::{ConsensusHandle, ConsensusInput};
 use crate::metrics::Metrics;
-use crate::node::{NodeHandle, NodeInput};
 use crate::stop::StopSignal;
 use corktack_core::identity::{Incarnation, ReplicaId};
 use corktack_protocol::cell::CellName;
@@ -59,7 +59,7 @@
 pub(crate) async fn accept_replicas(
     listener: TcpListener,
     settings: InboundSettings,
-    node: NodeHandle,
+    consensus: ConsensusHandle,
     stop: StopSignal,
 ) {
     loop {
@@ -69,7 +69,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let serving = serve_replica(stream, settings.clone(), node.clone());
+                let serving = serve_replica(stream, settings.clone(), consensus.clone());
                 actix_rt::spawn(until_stopped(serving, stop.clone()));
             }
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
@@ -107,21 +107,21 @@
     }
 }
 
-async fn serve_replica(stream: TcpStream, settings: InboundSettings, node: NodeHandle) {
+async fn serve_replica(stream: TcpStream, settings: InboundSettings, consensus: ConsensusHandle) {
     // The options only save time: a connection without them still works.
     drop(Liveness::WITHIN_DEPLOYMENT.apply(&stream));
     let (read_half, write_half) = stream.into_split();
     let mut connection = FramedRead::new(read_half, FrameCodec::default());
     let mut answers = Answers { write_half, due: Instant::now() };
     let Some(from) = receive_hello(&mut connection, &settings).await else { return };
-    if node.send(NodeInput::Connected(from)).is_err() {
+    if consensus.send(ConsensusInput::Connected(from)).is_err() {
         return;
     }
     loop {
         match connection.next().await {
             Some(Ok(message)) => {
                 answers.note_read();
-                if node.send(NodeInput::Cell { from, message }).is_err() {
+                if consensus.send(ConsensusInput::Cell { from, message }).is_err() {
                     return;
                 }
             }
--- a/crates/control/src/node/apply.rs
+++ b/crates/control/src/consensus/apply.rs
@@ -2,7 +2,7 @@
 
 use super::handle::ProposalAnswer;
 use super::pending::{ForwardedProposal, ProposalKind, ProposalOrigin};
-use super::thread::{NodeError, NodeThread};
+use super::thread::{ConsensusError, ConsensusThread};
 use crate::cell::PeerMessage;
 use crate::error::RequestError;
 use crate::state_codec::{decode_state, encode_state};
@@ -13,12 +13,12 @@
 use corktack_storage::LogStore;
 use std::time::Instant;
 
-impl NodeThread {
+impl ConsensusThread {
     pub(super) fn persist(
         &mut self,
         hard_state: Option<HardState>,
         entries: &[Entry],
-    ) -> Result<(), NodeError> {
+    ) -> Result<(), ConsensusError> {
         let begin = Instant::now();
         self.parts.log.persist(hard_state, entries)?;
         self.note_sync(begin);
@@ -30,7 +30,7 @@
         self.parts.metrics.sync_seconds.observe(begin.elapsed().as_secs_f64());
     }
 
-    pub(super) fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), NodeError> {
+    pub(super) fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), ConsensusError> {
         let state = decode_state(&snapshot.data)?;
         let begin = Instant::now();
         self.parts.log.install_snapshot(snapshot)?;
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    pub(super) fn apply(&mut self, entries: Vec<Entry>) -> Result<(), NodeError> {
+    pub(super) fn apply(&mut self, entries: Vec<Entry>) -> Result<(), ConsensusError> {
         for entry in entries {
             if let Payload::Command(command) = &entry.payload {
                 self.apply_command(entry.index, decode(command)?);
@@ -138,7 +138,7 @@
     }
 
     /// Puts a snapshot in place of a long log.
-    pub(super) fn snapshot_if_due(&mut self) -> Result<(), NodeError> {
+    pub(super) fn snapshot_if_due(&mut self) -> Result<(), ConsensusError> {
         let index = self.parts.applied;
         if index < self.snapshot_index + self.parts.snapshot_entries {
             return Ok(());
--- a/crates/control/src/node/handle.rs
+++ b/crates/control/src/consensus/handle.rs
@@ -55,7 +55,7 @@
 pub(crate) type ProxyRevisions = BTreeMap<ProxyName, (Incarnation, Revision)>;
 
 /// What happens to the consensus thread.
-pub(crate) enum NodeInput {
+pub(crate) enum ConsensusInput {
     /// A message of another replica.
     Cell {
         /// Its sender.
@@ -100,8 +100,8 @@
 
 /// Feeds the consensus thread.
 #[derive(Clone)]
-pub(crate) struct NodeHandle {
-    inputs: mpsc::Sender<NodeInput>,
+pub(crate) struct ConsensusHandle {
+    inputs: mpsc::Sender<ConsensusInput>,
     waiting: Arc<AtomicUsize>,
     request_timeout: Duration,
 }
@@ -130,13 +130,13 @@
     }
 }
 
-impl NodeHandle {
-    pub(crate) fn new(inputs: mpsc::Sender<NodeInput>, request_timeout: Duration) -> Self {
+impl ConsensusHandle {
+    pub(crate) fn new(inputs: mpsc::Sender<ConsensusInput>, request_timeout: Duration) -> Self {
         Self { inputs, waiting: Arc::default(), request_timeout }
     }
 
     /// Hands an input over; fails once the thread has ended.
-    pub(crate) fn send(&self, input: NodeInput) -> Result<(), RequestError> {
+    pub(crate) fn send(&self, input: ConsensusInput) -> Result<(), RequestError> {
         self.inputs.send(input).map_err(|_| RequestError::Stopping)
     }
 
@@ -165,7 +165,7 @@
         self.read_within(self.request_timeout, read).await
     }
 
-    /// As [`NodeHandle::read`], with another limit than that of requests.
+    /// As [`ConsensusHandle::read`], with another limit than that of requests.
     pub(crate) async fn read_within<T, F>(
         &self,
         limit: Duration,
@@ -194,14 +194,14 @@
         F: FnOnce(StateReader<'_>) -> T + Send + 'static,
     {
         let (reply, answer) = oneshot::channel();
-        self.send(NodeInput::Peek(read_task(read, reply)))?;
+        self.send(ConsensusInput::Peek(read_task(read, reply)))?;
         answer.await.map_err(|_| RequestError::Stopping)?
     }
 
     /// Revisions in force on the proxies; none when the leader does not answer.
     pub(crate) async fn proxy_revisions(&self) -> Result<ProxyRevisions, RequestError> {
         let (reply, answer) = oneshot::channel();
-        self.send(NodeInput::ProxyRevisions(reply))?;
+        self.send(ConsensusInput::ProxyRevisions(reply))?;
         let answer = tokio::time::timeout(ATTEMPT_TIMEOUT, answer).await;
         answer.map_err(|_| RequestError::TimedOut)?.map_err(|_| RequestError::Stopping)
     }
@@ -222,7 +222,7 @@
 
     async fn attempt(&self, proposal: Proposal, limit: Duration) -> ProposalAnswer {
         let (reply, answer) = oneshot::channel();
-        self.send(NodeInput::Propose { proposal, reply })?;
+        self.send(ConsensusInput::Propose { proposal, reply })?;
         let answer = tokio::time::timeout(limit, answer).await;
         answer.map_err(|_| RequestError::TimedOut)?.map_err(|_| RequestError::Stopping)?
     }
@@ -233,7 +233,7 @@
         F: FnOnce(StateReader<'_>) -> T + Send + 'static,
     {
         let (reply, answer) = oneshot::channel();
-        self.send(NodeInput::Read(read_task(read, reply)))?;
+        self.send(ConsensusInput::Read(read_task(read, reply)))?;
         let answer = tokio::time::timeout_at(deadline.into(), answer).await;
         answer.map_err(|_| RequestError::TimedOut)?.map_err(|_| RequestError::Stopping)?
     }
--- a/crates/control/src/node/inputs.rs
+++ b/crates/control/src/consensus/inputs.rs
@@ -1,8 +1,8 @@
 //! Takes the inputs of the consensus thread apart.
 
-use super::handle::{NodeInput, Proposal, ProxyRevisions};
+use super::handle::{ConsensusInput, Proposal, ProxyRevisions};
 use super::pending::{ForwardedProposal, ProposalKind, ProposalOrigin, ProposalReply};
-use super::thread::{Batch, NodeThread};
+use super::thread::{Batch, ConsensusThread};
 use crate::cell::PeerMessage;
 use crate::error::RequestError;
 use crate::leader::DutyProposal;
@@ -13,33 +13,35 @@
 use corktack_protocol::frame::{decode, encode};
 use tokio::sync::oneshot;
 
-impl NodeThread {
-    pub(super) fn take_input(&mut self, input: NodeInput, batch: &mut Batch) {
+impl ConsensusThread {
+    pub(super) fn take_input(&mut self, input: ConsensusInput, batch: &mut Batch) {
         match input {
-            NodeInput::Cell { from, message } => self.take_message(from, message, batch),
-            NodeInput::Connected(replica) => {
+            ConsensusInput::Cell { from, message } => self.take_message(from, message, batch),
+            ConsensusInput::Connected(replica) => {
                 self.parts.links.note_reachable(replica);
                 batch.events.push(Event::Reachable { replica });
             }
-            NodeInput::Propose { proposal, reply } => self.take_proposal(proposal, reply, batch),
-            NodeInput::Read(task) => batch.reads.push(task),
-            NodeInput::Peek(task) => self.run_reads(vec![task]),
-            NodeInput::ProxyRevisions(reply) => self.query_revisions(reply),
-            NodeInput::Reports(reports) => self.take_own_reports(reports),
-            NodeInput::Allowances(report) => self.take_own_allowances(report),
-            NodeInput::BackEnd(result) => {
+            ConsensusInput::Propose { proposal, reply } => {
+                self.take_proposal(proposal, reply, batch)
+            }
+            ConsensusInput::Read(task) => batch.reads.push(task),
+            ConsensusInput::Peek(task) => self.run_reads(vec![task]),
+            ConsensusInput::ProxyRevisions(reply) => self.query_revisions(reply),
+            ConsensusInput::Reports(reports) => self.take_own_reports(reports),
+            ConsensusInput::Allowances(report) => self.take_own_allowances(report),
+            ConsensusInput::BackEnd(result) => {
                 self.parts.duties.take_answer(self.parts.clock.now(), result);
             }
-            NodeInput::Platform(list) => {
+            ConsensusInput::Platform(list) => {
                 self.parts.duties.take_platform(self.parts.clock.now(), list)
             }
-            NodeInput::Registry(answer) => {
+            ConsensusInput::Registry(answer) => {
                 self.parts.duties.take_registry_answer(self.parts.clock.now(), answer);
             }
-            NodeInput::Join(member) => self.take_join(member),
-            NodeInput::CellLearned(cell) => self.learn_cell(&cell),
-            NodeInput::TransferLeadership => batch.events.push(Event::TransferLeadership),
-            NodeInput::Stop => batch.stop = true,
+            ConsensusInput::Join(member) => self.take_join(member),
+            ConsensusInput::CellLearned(cell) => self.learn_cell(&cell),
+            ConsensusInput::TransferLeadership => batch.events.push(Event::TransferLeadership),
+            ConsensusInput::Stop => batch.stop = true,
         }
     }
 
--- a/crates/control/src/node/repair.rs
+++ b/crates/control/src/consensus/repair.rs
@@ -1,7 +1,7 @@
 //! Replicas that ask to join, and the leader's repair of the cell.
 
 use super::pending::{ProposalKind, ProposalOrigin};
-use super::thread::NodeThread;
+use super::thread::ConsensusThread;
 use crate::cell::PeerMessage;
 use corktack_core::consensus::{CellChange, CellConfig, CellMember, Event, Message};
 use corktack_core::time::Timestamp;
@@ -28,7 +28,7 @@
     }
 }
 
-impl NodeThread {
+impl ConsensusThread {
     /// Notes a replica that asks to join, or passes the question on to the leader. A lost
     /// question is asked again.
     pub(super) fn take_join(&mut self, member: CellMember) {
--- a/crates/control/src/node/status.rs
+++ b/crates/control/src/consensus/status.rs
@@ -7,7 +7,7 @@
 
 /// What the rest of the process sees of the replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NodeStatus {
+pub struct ReplicaStatus {
     /// Whether the consensus thread runs.
     pub running: bool,
     /// The replica's role.
@@ -26,7 +26,7 @@
     pub cell: CellConfig,
 }
 
-impl NodeStatus {
+impl ReplicaStatus {
     pub(crate) fn of(replica: &Replica, applied_index: u64) -> Self {
         Self {
             running: true,
--- a/crates/control/src/node/thread.rs
+++ b/crates/control/src/consensus/thread.rs
@@ -1,10 +1,10 @@
 //! The loop of the consensus thread.
 
-use super::handle::{NodeInput, ProxyRevisions, ReadTask, StateReader};
+use super::handle::{ConsensusInput, ProxyRevisions, ReadTask, StateReader};
 use super::outcomes::Outcomes;
 use super::pending::Pending;
 use super::repair::RepairState;
-use super::status::NodeStatus;
+use super::status::ReplicaStatus;
 use crate::cell::{Links, PeerMessage};
 use crate::clock::Clock;
 use crate::error::RequestError;
@@ -28,7 +28,7 @@
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What the consensus thread is made of.
-pub(crate) struct NodeParts {
+pub(crate) struct ConsensusParts {
     pub(crate) clock: Clock,
     pub(crate) replica: Replica,
     pub(crate) log: ReplicaLog,
@@ -42,13 +42,13 @@
     /// The proxies that are connected here.
     pub(crate) proxies: ProxyTable,
     pub(crate) cell_repair: Option<CellRepair>,
-    pub(crate) status: watch::Sender<NodeStatus>,
+    pub(crate) status: watch::Sender<ReplicaStatus>,
     pub(crate) metrics: Metrics,
 }
 
 /// Why the thread must end.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum NodeError {
+pub(super) enum ConsensusError {
     /// What was promised cannot be kept: the disk failed.
     #[error("the log cannot be written")]
     Storage(#[from] corktack_storage::StorageError),
@@ -58,8 +58,8 @@
 }
 
 /// The consensus thread.
-pub(crate) struct NodeThread {
-    pub(super) parts: NodeParts,
+pub(crate) struct ConsensusThread {
+    pub(super) parts: ConsensusParts,
     pub(super) pending: Pending,
     pub(super) outcomes: Outcomes,
     pub(super) proxy_revisions: ProxyRevisions,
@@ -80,8 +80,8 @@
     pub(super) stop: bool,
 }
 
-impl NodeThread {
-    pub(crate) fn new(parts: NodeParts) -> Self {
+impl ConsensusThread {
+    pub(crate) fn new(parts: ConsensusParts) -> Self {
         Self {
             pending: Pending::default(),
             outcomes: Outcomes::default(),
@@ -97,7 +97,7 @@
     }
 
     /// Runs until a stop, or until the disk fails.
-    pub(crate) fn run(mut self, inputs: &Receiver<NodeInput>) {
+    pub(crate) fn run(mut self, inputs: &Receiver<ConsensusInput>) {
         // The cell of the log on disk may be another one than the settings name.
         self.follow_cell();
         self.publish_status();
@@ -108,7 +108,7 @@
         self.parts.status.send_modify(|status| status.running = false);
     }
 
-    fn run_batches(&mut self, inputs: &Receiver<NodeInput>) -> Result<(), NodeError> {
+    fn run_batches(&mut self, inputs: &Receiver<ConsensusInput>) -> Result<(), ConsensusError> {
         loop {
             let mut batch = Batch::default();
             self.collect(inputs, &mut batch);
@@ -124,7 +124,7 @@
     }
 
     /// Waits for an input or a deadline, then takes what else is there.
-    fn collect(&mut self, inputs: &Receiver<NodeInput>, batch: &mut Batch) {
+    fn collect(&mut self, inputs: &Receiver<ConsensusInput>, batch: &mut Batch) {
         match inputs.recv_timeout(self.time_to_deadline()) {
             Ok(input) => self.take_input(input, batch),
             Err(RecvTimeoutError::Timeout) => (),
@@ -162,7 +162,7 @@
         &mut self,
         mut events: Vec<Event<Message>>,
         reads: Vec<ReadTask>,
-    ) -> Result<(), NodeError> {
+    ) -> Result<(), ConsensusError> {
         if !reads.is_empty() {
             events.push(Event::ReadIndex { request: self.pending.add_reads(reads) });
         }
@@ -175,7 +175,7 @@
     }
 
     /// Lets the leader's duties see the newest state, and proposes what they want.
-    fn perform_duties(&mut self) -> Result<(), NodeError> {
+    fn perform_duties(&mut self) -> Result<(), ConsensusError> {
         let now = self.parts.clock.now();
         let proposals = self.parts.duties.advance(now, &self.parts.state);
         let events = proposals.into_iter().filter_map(|proposal| self.duty_event(proposal));
@@ -188,7 +188,7 @@
         Ok(())
     }
 
-    fn perform(&mut self, action: Action<Message>) -> Result<(), NodeError> {
+    fn perform(&mut self, action: Action<Message>) -> Result<(), ConsensusError> {
         match action {
             Action::Persist { hard_state, entries } => self.persist(hard_state, &entries)?,
             Action::InstallSnapshot(snapshot) => self.install_snapshot(&snapshot)?,
@@ -238,7 +238,7 @@
 
     /// Publishes what others may see of the replica, and follows its cell.
     pub(super) fn publish_status(&mut self) {
-        let status = NodeStatus::of(&self.parts.replica, self.parts.applied);
+        let status = ReplicaStatus::of(&self.parts.replica, self.parts.applied);
         let status = status.after(&self.parts.status.borrow());
         self.parts.metrics.note_status(&status);
         let cell_changed = self.parts.status.borrow().cell != status.cell;
--- a/crates/control/src/http/cell.rs
+++ b/crates/control/src/http/cell.rs
@@ -14,6 +14,6 @@
     let body = read_body(payload).await?;
     let change: CellChangeBody =
         serde_json::from_slice(&body).map_err(|error| describe("", &error))?;
-    operators.node.change_cell(change.into()).await?;
+    operators.consensus.change_cell(change.into()).await?;
     Ok(HttpResponse::NoContent().finish())
 }
--- a/crates/control/src/http/mod.rs
+++ b/crates/control/src/http/mod.rs
@@ -10,8 +10,8 @@
 mod status;
 mod watch;
 
+use crate::consensus::{ConsensusHandle, ReplicaStatus};
 use crate::feed::Feed;
-use crate::node::{NodeHandle, NodeStatus};
 use crate::proxies::Proofs;
 use crate::stop::StopSignal;
 use actix_web::dev::Server;
@@ -32,10 +32,10 @@
 pub(crate) struct Operators {
     pub(crate) cell: CellName,
     pub(crate) replica: ReplicaId,
-    pub(crate) node: NodeHandle,
+    pub(crate) consensus: ConsensusHandle,
     pub(crate) feed: Feed,
     pub(crate) proofs: Proofs,
-    pub(crate) status: tokio::sync::watch::Receiver<NodeStatus>,
+    pub(crate) status: tokio::sync::watch::Receiver<ReplicaStatus>,
     pub(crate) registry: Arc<Registry>,
     pub(crate) token: Option<Arc<str>>,
     pub(crate) bookmark_interval: Duration,
--- a/crates/control/src/http/resources.rs
+++ b/crates/control/src/http/resources.rs
@@ -21,12 +21,12 @@
     kind: web::Path<String>,
 ) -> Result<HttpResponse, ErrorAnswer> {
     let kind = parse_kind(&kind)?;
-    let read = move |reader: crate::node::StateReader<'_>| {
+    let read = move |reader: crate::consensus::StateReader<'_>| {
         let resources = reader.state.list(kind).into_iter();
         let items = resources.map(|resource| stored_manifest(reader.state, resource)).collect();
         ResourceList { revision: reader.state.view_revision(), items }
     };
-    let list = operators.node.read(read).await?;
+    let list = operators.consensus.read(read).await?;
     Ok(HttpResponse::Ok().json(list))
 }
 
@@ -34,10 +34,10 @@
 pub(super) async fn get(operators: Data, path: KeyPath) -> Result<HttpResponse, ErrorAnswer> {
     let (kind, name) = path.into_inner();
     let key = parse_key(parse_kind(&kind)?, &name)?;
-    let read = move |reader: crate::node::StateReader<'_>| {
+    let read = move |reader: crate::consensus::StateReader<'_>| {
         reader.state.get(&key).map(|resource| stored_manifest(reader.state, resource))
     };
-    match operators.node.read(read).await? {
+    match operators.consensus.read(read).await? {
         Some(manifest) => Ok(HttpResponse::Ok().json(manifest)),
         None => Err(ErrorAnswer::new(ErrorCode::NotFound, "not found")),
     }
@@ -86,7 +86,7 @@
     operation: ResourceOperation,
 ) -> Result<HttpResponse, ErrorAnswer> {
     let change_id = change.0.clone();
-    let outcome = operators.node.propose(Command::Resource { change, operation }).await;
+    let outcome = operators.consensus.propose(Command::Resource { change, operation }).await;
     answer(outcome, &change_id).map_err(|error| error.of_change(&change_id))
 }
 
--- a/crates/control/src/http/status.rs
+++ b/crates/control/src/http/status.rs
@@ -3,8 +3,8 @@
 use super::Operators;
 use super::answer::ErrorAnswer;
 use crate::api::{CellMemberBody, GroupBody, InForceBody, ProxyBody, StatusBody};
+use crate::consensus::{ProxyRevisions, ReplicaStatus, StateReader};
 use crate::error::RequestError;
-use crate::node::{NodeStatus, ProxyRevisions, StateReader};
 use actix_web::{HttpResponse, web};
 use corktack_core::consensus::CellConfig;
 use corktack_core::identity::ProxyName;
@@ -25,14 +25,14 @@
 
 /// What the replica knows; without a proof that it is current it says so.
 pub(super) async fn status(operators: web::Data<Operators>) -> Result<HttpResponse, ErrorAnswer> {
-    let proven = timeout(PROOF_TIMEOUT, operators.node.read(read_state)).await;
+    let proven = timeout(PROOF_TIMEOUT, operators.consensus.read(read_state)).await;
     let (state, current) = match proven {
         Ok(Ok(state)) => (state, true),
-        _ => (operators.node.peek(read_state).await?, false),
+        _ => (operators.consensus.peek(read_state).await?, false),
     };
-    let revisions = operators.node.proxy_revisions().await;
-    let node = operators.status.borrow().clone();
-    let body = assemble(&operators, &node, state, revisions, current);
+    let revisions = operators.consensus.proxy_revisions().await;
+    let status = operators.status.borrow().clone();
+    let body = assemble(&operators, &status, state, revisions, current);
     Ok(HttpResponse::Ok().json(body))
 }
 
@@ -58,7 +58,7 @@
 
 fn assemble(
     operators: &Operators,
-    node: &NodeStatus,
+    status: &ReplicaStatus,
     state: StatePart,
     revisions: Result<ProxyRevisions, RequestError>,
     current: bool,
@@ -69,12 +69,12 @@
     StatusBody {
         cell: operators.cell.0.clone(),
         replica: operators.replica,
-        role: node.role.into(),
-        term: node.term,
-        leader: node.leader,
+        role: status.role.into(),
+        term: status.term,
+        leader: status.leader,
         current,
         revision: state.revision,
-        members: members(&node.cell),
+        members: members(&status.cell),
         in_force: in_force(state.revision, &proxies),
         proxies,
         groups: state.groups,
--- a/crates/control/src/http/watch.rs
+++ b/crates/control/src/http/watch.rs
@@ -43,7 +43,7 @@
         .map_err(|error| ErrorAnswer::new(ErrorCode::BadRequest, error.to_string()))?;
     let kind = query.kind.as_deref().map(parse_kind).transpose()?;
     let from = Revision(query.from);
-    let newest = operators.node.read(|reader| reader.feed.newest()).await?;
+    let newest = operators.consensus.read(|reader| reader.feed.newest()).await?;
     if from > newest || operators.feed.events_after(from, kind).is_err() {
         let message = "the revision is not kept here: list again and watch from there";
         return Err(ErrorAnswer::new(ErrorCode::TooOld, message));
--- a/crates/control/src/joining.rs
+++ b/crates/control/src/joining.rs
@@ -1,6 +1,6 @@
 //! A replica without a cell asks other replicas to be added to theirs.
 
-use crate::node::{NodeHandle, NodeInput, NodeStatus};
+use crate::consensus::{ConsensusHandle, ConsensusInput, ReplicaStatus};
 use crate::stop::StopSignal;
 use corktack_core::consensus::{CellConfig, CellMember};
 use corktack_protocol::control::{ControlMessage, ProxyMessage};
@@ -22,8 +22,8 @@
 pub(crate) struct Joining {
     pub(crate) member: CellMember,
     pub(crate) through: Vec<SocketAddr>,
-    pub(crate) status: watch::Receiver<NodeStatus>,
-    pub(crate) node: NodeHandle,
+    pub(crate) status: watch::Receiver<ReplicaStatus>,
+    pub(crate) consensus: ConsensusHandle,
 }
 
 impl Joining {
@@ -71,7 +71,7 @@
             return;
         };
         // The thread has ended already when it takes no more inputs.
-        let _ = self.node.send(NodeInput::CellLearned(cell));
+        let _ = self.consensus.send(ConsensusInput::CellLearned(cell));
     }
 }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,6 +1,6 @@
 //! The control replica: consensus shell, resource interface, watch and failover.
 //!
-//! One thread owns the replica, its log and its state (see the `node` module);
+//! One thread owns the replica, its log and its state (see the `consensus` module);
 //! arbiters serve the sockets round it and reach it through a channel.
 
 pub mod api;
@@ -8,6 +8,7 @@
 mod backoff;
 mod cell;
 mod clock;
+mod consensus;
 mod error;
 mod feed;
 mod http;
@@ -15,7 +16,6 @@
 mod joining;
 mod leader;
 mod metrics;
-mod node;
 mod platform;
 mod proxies;
 mod recovered;
@@ -28,9 +28,9 @@
 mod state_codec;
 mod stop;
 
+pub use consensus::ReplicaStatus;
 pub use error::{ControlError, RequestError};
 pub use identity::{Identity, find_identity};
-pub use node::NodeStatus;
 pub use registry::{RegistryError, RegistryHandle};
 pub use registry_calls::{MemberCall, RegistryCalls};
 pub use replica::{ControlHandle, ControlReplica};
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of a control replica.
 
-use crate::node::NodeStatus;
+use crate::consensus::ReplicaStatus;
 use corktack_core::consensus::Role;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -81,7 +81,7 @@
     }
 
     /// Follows the replica's status.
-    pub(crate) fn note_status(&self, status: &NodeStatus) {
+    pub(crate) fn note_status(&self, status: &ReplicaStatus) {
         self.leader.set(i64::from(status.role == Role::Leader));
         self.term.set(gauge_value(status.term.0));
         self.commit_index.set(gauge_value(status.commit_index));
--- a/crates/control/src/platform.rs
+++ b/crates/control/src/platform.rs
@@ -1,6 +1,6 @@
 //! Polls the platform's list of live and leaving machines.
 
-use crate::node::{NodeHandle, NodeInput, NodeStatus};
+use crate::consensus::{ConsensusHandle, ConsensusInput, ReplicaStatus};
 use crate::settings::PlatformSource;
 use crate::stop::StopSignal;
 use corktack_core::consensus::Role;
@@ -38,8 +38,8 @@
 /// Polls while this replica leads, until the stop.
 pub(crate) async fn poll_platform(
     source: PlatformSource,
-    status: Receiver<NodeStatus>,
-    node: NodeHandle,
+    status: Receiver<ReplicaStatus>,
+    consensus: ConsensusHandle,
     stop: StopSignal,
 ) {
     let client = awc::Client::builder().timeout(POLL_TIMEOUT).finish();
@@ -56,7 +56,7 @@
         }
         match poll(&client, &url).await {
             Ok(list) => {
-                if node.send(NodeInput::Platform(list)).is_err() {
+                if consensus.send(ConsensusInput::Platform(list)).is_err() {
                     return;
                 }
             }
--- a/crates/control/src/proxies/connection.rs
+++ b/crates/control/src/proxies/connection.rs
@@ -2,9 +2,9 @@
 
 use super::server::ProxyServer;
 use super::table::{ConnectionId, HeartbeatReport, ProxyIdentity};
+use crate::consensus::{ConsensusInput, ReplicaStatus};
 use crate::error::RequestError;
 use crate::feed::{FeedStep, SnapshotFrame, encode_frame};
-use crate::node::{NodeInput, NodeStatus};
 use bytes::Bytes;
 use corktack_core::consensus::{CellConfig, CellMember};
 use corktack_core::identity::ProxyName;
@@ -98,7 +98,7 @@
 
 /// Passes the question on, and tells the joiner whom to expect.
 async fn answer_joiner(member: CellMember, mut write_half: OwnedWriteHalf, server: &ProxyServer) {
-    if server.node.send(NodeInput::Join(member)).is_err() {
+    if server.consensus.send(ConsensusInput::Join(member)).is_err() {
         return;
     }
     let cell = server.status.borrow().cell.clone();
@@ -129,7 +129,7 @@
 }
 
 impl Told {
-    fn of(status: &NodeStatus) -> Self {
+    fn of(status: &ReplicaStatus) -> Self {
         Self { cell: status.cell.clone(), led: status.leader.map(|_| status.term) }
     }
 }
@@ -208,7 +208,7 @@
         // One proof serves both: the next one would cost another round trip over regions.
         let (newest, whole) = self
             .server
-            .node
+            .consensus
             .read(move |reader| (reader.feed.newest(), reader.snapshot_for(from)))
             .await?;
         if from > newest {
@@ -246,7 +246,7 @@
                 Ok(Some(sequence))
             }
             ProxyMessage::Allowances(report) if report.gateway == self.proxy => {
-                self.server.node.send(NodeInput::Allowances(report))?;
+                self.server.consensus.send(ConsensusInput::Allowances(report))?;
                 Ok(None)
             }
             _ => Err(ConnectionError::OutOfPlace),
@@ -264,7 +264,7 @@
     /// returns what it was told.
     async fn send_status(
         &mut self,
-        status: &mut watch::Receiver<NodeStatus>,
+        status: &mut watch::Receiver<ReplicaStatus>,
         told: Told,
     ) -> Result<Told, ConnectionError> {
         let now = Told::of(&status.borrow_and_update());
@@ -294,7 +294,7 @@
     }
 
     async fn send_snapshot(&mut self) -> Result<(), ConnectionError> {
-        let snapshot = self.server.node.read(|reader| reader.snapshot_frame()).await??;
+        let snapshot = self.server.consensus.read(|reader| reader.snapshot_frame()).await??;
         self.send_whole(&snapshot).await
     }
 
--- a/crates/control/src/proxies/proofs.rs
+++ b/crates/control/src/proxies/proofs.rs
@@ -1,6 +1,6 @@
 //! Proofs that this replica is current, shared by all heartbeats of an interval.
 
-use crate::node::NodeHandle;
+use crate::consensus::ConsensusHandle;
 use crate::stop::StopSignal;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -34,25 +34,25 @@
         self,
         spacing: Duration,
         limit: Duration,
-        node: NodeHandle,
+        consensus: ConsensusHandle,
         stop: StopSignal,
     ) {
         let mut ticks = interval(spacing);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = ticks.tick() => self.prove(&node, limit).await,
+                _ = ticks.tick() => self.prove(&consensus, limit).await,
                 () = stop.stopped() => return,
             }
         }
     }
 
-    async fn prove(&self, node: &NodeHandle, limit: Duration) {
+    async fn prove(&self, consensus: &ConsensusHandle, limit: Duration) {
         let waiters = self.take();
         if waiters.is_empty() {
             return;
         }
-        let current = node.read_within(limit, |_| ()).await.is_ok();
+        let current = consensus.read_within(limit, |_| ()).await.is_ok();
         for waiter in waiters {
             // A connection that is gone needs no proof.
             let _ = waiter.send(current);
--- a/crates/control/src/proxies/server.rs
+++ b/crates/control/src/proxies/server.rs
@@ -3,9 +3,9 @@
 use super::connection::serve_proxy;
 use super::proofs::Proofs;
 use super::table::{ConnectionId, ProxyTable};
+use crate::consensus::{ConsensusHandle, ReplicaStatus};
 use crate::feed::Feed;
 use crate::metrics::Metrics;
-use crate::node::{NodeHandle, NodeStatus};
 use crate::stop::StopSignal;
 use actix_rt::ArbiterHandle;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 /// What every connection of a proxy needs.
 #[derive(Clone)]
 pub(crate) struct ProxyServer {
-    pub(crate) node: NodeHandle,
+    pub(crate) consensus: ConsensusHandle,
     pub(crate) feed: Feed,
     pub(crate) table: ProxyTable,
     pub(crate) proofs: Proofs,
@@ -28,7 +28,7 @@
     pub(crate) heartbeat_timeout: Duration,
     pub(crate) connections: Arc<AtomicU64>,
     pub(crate) stop: StopSignal,
-    pub(crate) status: watch::Receiver<NodeStatus>,
+    pub(crate) status: watch::Receiver<ReplicaStatus>,
 }
 
 impl ProxyServer {
--- a/crates/control/src/proxies/table.rs
+++ b/crates/control/src/proxies/table.rs
@@ -1,6 +1,6 @@
 //! The proxies connected to this replica, and their summary for the leader.
 
-use crate::node::{NodeHandle, NodeInput};
+use crate::consensus::{ConsensusHandle, ConsensusInput};
 use crate::stop::StopSignal;
 use corktack_core::identity::{GroupName, Incarnation, MemberName, ProxyName, ZoneName};
 use corktack_core::limits::AllowanceGrant;
@@ -216,16 +216,16 @@
 pub(crate) async fn send_summaries(
     table: ProxyTable,
     spacing: Duration,
-    node: NodeHandle,
+    consensus: ConsensusHandle,
     stop: StopSignal,
 ) {
     tokio::select! {
-        () = run_summaries(table, spacing, node) => (),
+        () = run_summaries(table, spacing, consensus) => (),
         () = stop.stopped() => (),
     }
 }
 
-async fn run_summaries(table: ProxyTable, spacing: Duration, node: NodeHandle) {
+async fn run_summaries(table: ProxyTable, spacing: Duration, consensus: ConsensusHandle) {
     let mut ticks = interval(spacing);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut tick_extents = (0_u64..).map(extent_of_tick);
@@ -238,7 +238,7 @@
         };
         sleep(BATCHING_INTERVAL).await;
         let reports = table.summary(extent);
-        if !reports.is_empty() && node.send(NodeInput::Reports(reports)).is_err() {
+        if !reports.is_empty() && consensus.send(ConsensusInput::Reports(reports)).is_err() {
             return;
         }
     }
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -1,7 +1,7 @@
 //! The registry of back ends and the configuration document, for the interfaces of a deployment.
 
+use crate::consensus::{ConsensusHandle, ReplicaStatus};
 use crate::error::RequestError;
-use crate::node::{NodeHandle, NodeStatus};
 use crate::starting::Starting;
 use corktack_core::identity::MemberName;
 use corktack_core::registry::{
@@ -29,8 +29,8 @@
 /// Changes and reads the registry, whichever replica leads.
 #[derive(Clone)]
 pub struct RegistryHandle {
-    node: NodeHandle,
-    status: watch::Receiver<NodeStatus>,
+    consensus: ConsensusHandle,
+    status: watch::Receiver<ReplicaStatus>,
     voters: usize,
     forming_until: Instant,
 }
@@ -45,7 +45,7 @@
     pub(crate) fn new(starting: &Starting) -> Self {
         let settings = &starting.settings;
         Self {
-            node: starting.node.clone(),
+            consensus: starting.consensus.clone(),
             status: starting.status.clone(),
             voters: settings.cell_repair.map_or(0, |repair| repair.voters),
             forming_until: Instant::now() + settings.formation_grace,
@@ -74,7 +74,7 @@
     /// [`RegistryError::Unavailable`] when this cannot be proved now.
     pub async fn document(&self, limit: Duration) -> Result<Option<StoredDocument>, RegistryError> {
         let read =
-            self.node.read_within(limit, |reader| reader.state.registry().document().cloned());
+            self.consensus.read_within(limit, |reader| reader.state.registry().document().cloned());
         Ok(read.await?)
     }
 
@@ -88,8 +88,10 @@
         report: BackEndReport,
     ) -> Result<(), RegistryError> {
         let (asked, said) = (member.clone(), report.clone());
-        let news =
-            self.node.peek(move |reader| reader.state.registry().is_news(&asked, &said)).await?;
+        let news = self
+            .consensus
+            .peek(move |reader| reader.state.registry().is_news(&asked, &said))
+            .await?;
         if !news {
             return Ok(());
         }
@@ -125,7 +127,7 @@
         if !complete && Instant::now() < self.forming_until {
             return Err(RegistryError::Forming);
         }
-        match self.node.propose(Command::Registry(Box::new(command))).await? {
+        match self.consensus.propose(Command::Registry(Box::new(command))).await? {
             Outcome::Registry(outcome) => Ok(outcome),
             _ => Err(RequestError::OutcomeForgotten.into()),
         }
--- a/crates/control/src/registry_calls.rs
+++ b/crates/control/src/registry_calls.rs
@@ -1,6 +1,6 @@
 //! Calls on behalf of the leader: to registered back ends, and to the authority that promotes them.
 
-use crate::node::{NodeHandle, NodeInput};
+use crate::consensus::{ConsensusHandle, ConsensusInput};
 use crate::stop::StopSignal;
 use actix_rt::ArbiterHandle;
 use corktack_core::identity::{GroupName, MemberName};
@@ -59,7 +59,7 @@
 pub(crate) struct RegistryCaller {
     pub(crate) calls: Arc<dyn RegistryCalls>,
     pub(crate) arbiter: ArbiterHandle,
-    pub(crate) node: NodeHandle,
+    pub(crate) consensus: ConsensusHandle,
     pub(crate) stop: StopSignal,
 }
 
@@ -103,6 +103,6 @@
             PromotionAction::Propose(_) => return,
         };
         // An error says that the thread has ended: no one waits for the answer.
-        let _ = self.node.send(NodeInput::Registry(answer));
+        let _ = self.consensus.send(ConsensusInput::Registry(answer));
     }
 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,10 +1,10 @@
 //! Starts and stops a control replica.
 
 use crate::clock::Clock;
+use crate::consensus::{ConsensusHandle, ConsensusInput, ReplicaStatus};
 use crate::error::ControlError;
 use crate::feed::Feed;
 use crate::metrics::Metrics;
-use crate::node::{NodeHandle, NodeInput, NodeStatus};
 use crate::proxies::{Proofs, ProxyTable};
 use crate::recovered::Recovered;
 use crate::registry::RegistryHandle;
@@ -63,8 +63,8 @@
 /// A running control replica. Dropping it stops it without handing leadership over.
 pub struct ControlHandle {
     registry: RegistryHandle,
-    node: NodeHandle,
-    status: watch::Receiver<NodeStatus>,
+    consensus: ConsensusHandle,
+    status: watch::Receiver<ReplicaStatus>,
     /// Ends what serves proxies and watching operators, and asks back ends.
     trigger: StopTrigger,
     /// Ends the connections of other replicas.
@@ -83,7 +83,7 @@
 impl ControlHandle {
     /// What the replica is doing now.
     #[must_use]
-    pub fn status(&self) -> NodeStatus {
+    pub fn status(&self) -> ReplicaStatus {
         self.status.borrow().clone()
     }
 
@@ -95,7 +95,7 @@
 
     /// Wakes at each change of the status.
     #[must_use]
-    pub fn subscribe(&self) -> watch::Receiver<NodeStatus> {
+    pub fn subscribe(&self) -> watch::Receiver<ReplicaStatus> {
         self.status.clone()
     }
 
@@ -107,7 +107,7 @@
         self.http.stop(true).await;
         self.cell_trigger.stop();
         // The thread has ended already when it takes no more inputs.
-        let _ = self.node.send(NodeInput::Stop);
+        let _ = self.consensus.send(ConsensusInput::Stop);
         let mut status = self.status.clone();
         drop(status.wait_for(|status| !status.running).await);
         self.join();
@@ -116,7 +116,7 @@
     async fn transfer_leadership(&mut self) {
         let alone = self.status.borrow().cell.voters.len() < 2;
         let leads = self.status.borrow().role == Role::Leader;
-        if alone || !leads || self.node.send(NodeInput::TransferLeadership).is_err() {
+        if alone || !leads || self.consensus.send(ConsensusInput::TransferLeadership).is_err() {
             return;
         }
         // Without a successor in time the others hold an election later.
@@ -141,7 +141,7 @@
     fn drop(&mut self) {
         self.trigger.stop();
         self.cell_trigger.stop();
-        let _ = self.node.send(NodeInput::Stop);
+        let _ = self.consensus.send(ConsensusInput::Stop);
         for arbiter in &self.arbiters {
             arbiter.stop();
         }
@@ -158,11 +158,12 @@
     let (inputs, received) = mpsc::channel();
     let (trigger, stop) = stop_channel();
     let (cell_trigger, cell_stop) = stop_channel();
-    let (publisher, status) = watch::channel(NodeStatus::of(&recovered.replica, recovered.applied));
+    let (publisher, status) =
+        watch::channel(ReplicaStatus::of(&recovered.replica, recovered.applied));
     let starting = Starting {
         metrics,
         clock,
-        node: NodeHandle::new(inputs, settings.request_timeout),
+        consensus: ConsensusHandle::new(inputs, settings.request_timeout),
         feed: Feed::new(recovered.state.view_revision(), settings.watch_changes.max(1)),
         proofs: Proofs::default(),
         proxies: ProxyTable::new(),
@@ -177,13 +178,13 @@
     starting.start_proxies(listeners.proxies)?;
     starting.start_platform();
     starting.start_joining();
-    let thread = starting.start_node(recovered, publisher, received)?;
+    let thread = starting.start_consensus(recovered, publisher, received)?;
     let http = starting.start_operators(listeners.operators)?;
     let registry = RegistryHandle::new(&starting);
-    let Starting { node, status, arbiters, .. } = starting;
+    let Starting { consensus, status, arbiters, .. } = starting;
     Ok(ControlHandle {
         registry,
-        node,
+        consensus,
         status,
         trigger,
         cell_trigger,
--- a/crates/control/src/starting.rs
+++ b/crates/control/src/starting.rs
@@ -3,13 +3,15 @@
 use crate::back_end::BackEnds;
 use crate::cell::{Disks, InboundSettings, LinkSettings, Links, accept_replicas};
 use crate::clock::Clock;
+use crate::consensus::{
+    ConsensusHandle, ConsensusInput, ConsensusParts, ConsensusThread, ReplicaStatus,
+};
 use crate::error::ControlError;
 use crate::feed::Feed;
 use crate::http::{Operators, serve};
 use crate::joining::Joining;
 use crate::leader::LeaderDuties;
 use crate::metrics::Metrics;
-use crate::node::{NodeHandle, NodeInput, NodeParts, NodeStatus, NodeThread};
 use crate::platform::poll_platform;
 use crate::proxies::{Proofs, ProxyServer, ProxyTable, accept_proxies, send_summaries};
 use crate::recovered::Recovered;
@@ -33,12 +35,12 @@
     pub(crate) settings: ControlSettings,
     pub(crate) metrics: Metrics,
     pub(crate) clock: Clock,
-    pub(crate) node: NodeHandle,
+    pub(crate) consensus: ConsensusHandle,
     pub(crate) feed: Feed,
     pub(crate) proofs: Proofs,
     pub(crate) proxies: ProxyTable,
     pub(crate) disks: Disks,
-    pub(crate) status: watch::Receiver<NodeStatus>,
+    pub(crate) status: watch::Receiver<ReplicaStatus>,
     pub(crate) arbiters: Vec<Arbiter>,
     pub(crate) stop: StopSignal,
     pub(crate) cell_stop: StopSignal,
@@ -56,13 +58,13 @@
     }
 
     /// Starts the consensus thread.
-    pub(crate) fn start_node(
+    pub(crate) fn start_consensus(
         &self,
         recovered: Recovered,
-        publisher: watch::Sender<NodeStatus>,
-        inputs: mpsc::Receiver<NodeInput>,
+        publisher: watch::Sender<ReplicaStatus>,
+        inputs: mpsc::Receiver<ConsensusInput>,
     ) -> Result<JoinHandle<()>, ControlError> {
-        let parts = NodeParts {
+        let parts = ConsensusParts {
             clock: self.clock,
             replica: recovered.replica,
             log: recovered.log,
@@ -78,7 +80,7 @@
             metrics: self.metrics.clone(),
         };
         let thread = std::thread::Builder::new().name(THREAD_NAME.to_owned());
-        let run = move || NodeThread::new(parts).run(&inputs);
+        let run = move || ConsensusThread::new(parts).run(&inputs);
         thread.spawn(run).map_err(ControlError::Thread)
     }
 
@@ -100,14 +102,14 @@
     fn duties(&self) -> LeaderDuties {
         let back_ends = BackEnds {
             arbiter: self.first_arbiter(),
-            node: self.node.clone(),
+            consensus: self.consensus.clone(),
             stop: self.stop.clone(),
         };
         let calls = self.settings.registry_calls.clone();
         let registry = calls.map(|calls| RegistryCaller {
             calls,
             arbiter: self.first_arbiter(),
-            node: self.node.clone(),
+            consensus: self.consensus.clone(),
             stop: self.stop.clone(),
         });
         LeaderDuties::new(&self.settings, back_ends, registry, self.metrics.clone())
@@ -123,10 +125,10 @@
             disks: self.disks.clone(),
             metrics: self.metrics.clone(),
         };
-        let (node, stop) = (self.node.clone(), self.cell_stop.clone());
+        let (consensus, stop) = (self.consensus.clone(), self.cell_stop.clone());
         self.first_arbiter().spawn(async move {
             match tokio::net::TcpListener::from_std(listener) {
-                Ok(listener) => accept_replicas(listener, settings, node, stop).await,
+                Ok(listener) => accept_replicas(listener, settings, consensus, stop).await,
                 Err(error) => log::error!(error:% = error; "replicas are not accepted"),
             }
         });
@@ -142,9 +144,9 @@
         // A proxy is told that this replica is cut off before it counts as silent.
         let limit = self.settings.proxy_heartbeat_timeout / 2;
         let proofs = self.proofs.clone();
-        first.spawn(proofs.run(interval, limit, self.node.clone(), self.stop.clone()));
+        first.spawn(proofs.run(interval, limit, self.consensus.clone(), self.stop.clone()));
         let table = server.table.clone();
-        first.spawn(send_summaries(table, interval, self.node.clone(), self.stop.clone()));
+        first.spawn(send_summaries(table, interval, self.consensus.clone(), self.stop.clone()));
         let arbiters = self.proxy_arbiters();
         first.spawn(async move {
             match tokio::net::TcpListener::from_std(listener) {
@@ -157,7 +159,7 @@
 
     fn proxy_server(&self) -> ProxyServer {
         ProxyServer {
-            node: self.node.clone(),
+            consensus: self.consensus.clone(),
             feed: self.feed.clone(),
             table: self.proxies.clone(),
             proofs: self.proofs.clone(),
@@ -179,7 +181,7 @@
             member: CellMember { id: self.settings.replica, address },
             through: self.settings.join_through.clone(),
             status: self.status.clone(),
-            node: self.node.clone(),
+            consensus: self.consensus.clone(),
         };
         let stop = self.stop.clone();
         self.first_arbiter().spawn(joining.run(stop));
@@ -188,10 +190,11 @@
     /// Polls the platform's list, where there is one.
     pub(crate) fn start_platform(&self) {
         let Some(source) = self.settings.platform.clone() else { return };
-        let (status, node, stop) = (self.status.clone(), self.node.clone(), self.stop.clone());
+        let (status, consensus, stop) =
+            (self.status.clone(), self.consensus.clone(), self.stop.clone());
         // The HTTP client stays on the thread that made it.
         self.first_arbiter().spawn_fn(move || {
-            actix_rt::spawn(poll_platform(source, status, node, stop));
+            actix_rt::spawn(poll_platform(source, status, consensus, stop));
         });
     }
 
@@ -205,7 +208,7 @@
         let operators = Operators {
             cell: self.settings.cell.clone(),
             replica: self.settings.replica,
-            node: self.node.clone(),
+            consensus: self.consensus.clone(),
             feed: self.feed.clone(),
             proofs: self.proofs.clone(),
             status: self.status.clone(),
