--- a/crates/control/src/consensus/apply.rs
+++ b/crates/control/src/consensus/apply.rs
@@ -1,6 +1,9 @@
 //! Writes, applies and answers: what the core's actions do.
+//!
+//! Owns nothing beside the thread's own state. Order matters here: what is persisted is synced before anything
+//! that rests on it, and a request is answered once its entry is applied.
 
-use super::handle::ProposalAnswer;
+use super::input::ProposalAnswer;
 use super::pending::{ForwardedProposal, ProposalKind, ProposalOrigin};
 use super::thread::{ConsensusError, ConsensusThread};
 use crate::cell::PeerMessage;
@@ -80,7 +83,7 @@
             return;
         }
         let answer = self.outcome_of(index, proposal.kind);
-        // The asker may have given up; there is no one else to tell.
+        // The requester may have given up; there is no one else to answer.
         drop(proposal.reply.send(answer));
     }
 
--- a/crates/control/src/consensus/handle.rs
+++ b/crates/control/src/consensus/handle.rs
@@ -1,103 +1,33 @@
-//! The consensus thread as the rest of the process sees it.
-
-use crate::back_end::BackEndResult;
+//! How the rest of the process reaches the consensus thread.
+//!
+//! Owns the number of requests that wait, and decides how long each waits and when it is made again.
+//! Relies on the thread to answer each input, or to drop its reply when it ends.
+
+use super::input::{
+    ConsensusInput, Proposal, ProposalAnswer, ProxyRevisions, ReadTask, StateReader,
+};
 use crate::backoff::Backoff;
-use crate::cell::PeerMessage;
 use crate::error::RequestError;
-use crate::feed::{Feed, SnapshotFrame};
-use crate::registry_calls::RegistryAnswer;
-use corktack_core::consensus::{CellChange, CellConfig, CellMember, Rejection};
-use corktack_core::identity::{Incarnation, ProxyName, ReplicaId};
-use corktack_core::limits::AllowanceReport;
-use corktack_core::membership::PlatformList;
-use corktack_core::state::ControlState;
+use corktack_core::consensus::{CellChange, Rejection};
 use corktack_core::state::command::{Command, Outcome};
-use corktack_core::view::Revision;
-use corktack_protocol::cell::ProxyReport;
-use corktack_protocol::frame::FrameError;
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Requests that wait for an outcome before further ones are refused.
+/// Requests that wait for an outcome before further ones are refused. Chosen, not measured; it bounds the
+/// memory of a replica that can commit nothing, and a lower value refuses sooner in a burst.
 const REQUEST_LIMIT: usize = 10_000;
+/// First and longest pause before a request is made again, each drawn between half and all of it. Chosen,
+/// not measured; lower values ask more often while there is no leader, higher ones add to the time until
+/// a new leader is found.
 const RETRY_FIRST: Duration = Duration::from_millis(10);
 const RETRY_LAST: Duration = Duration::from_millis(200);
-/// Longest wait for one attempt: a forwarded command or its answer may be lost.
+/// Longest wait for one attempt: a forwarded command or its answer may be lost. Chosen, not measured; a
+/// lower value repeats commands that are only slow, a higher one adds to the time after a loss.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a replica may forward to its leader.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) enum Proposal {
-    /// A command of the log.
-    Command(Command),
-    /// A change of the cell.
-    Cell(CellChange),
-}
-
-/// What a read sees: a state that was current after the read was asked for.
-pub(crate) struct StateReader<'a> {
-    pub(crate) state: &'a ControlState,
-    pub(crate) feed: &'a Feed,
-}
-
-/// A read: runs once on the consensus thread, with a proven state or the reason for none.
-pub(crate) type ReadTask = Box<dyn FnOnce(Result<StateReader<'_>, RequestError>) + Send>;
-
-/// Answer to a proposal; none for a change of the cell.
-pub(crate) type ProposalAnswer = Result<Option<Outcome>, RequestError>;
-
-/// Revisions in force on the proxies, as the leader knows them.
-pub(crate) type ProxyRevisions = BTreeMap<ProxyName, (Incarnation, Revision)>;
-
-/// What happens to the consensus thread.
-pub(crate) enum ConsensusInput {
-    /// A message of another replica.
-    Cell {
-        /// Its sender.
-        from: ReplicaId,
-        /// The message.
-        message: PeerMessage,
-    },
-    /// Another replica has connected.
-    Connected(ReplicaId),
-    /// A proposal of this process.
-    Propose {
-        /// What is proposed.
-        proposal: Proposal,
-        /// Takes the answer.
-        reply: oneshot::Sender<ProposalAnswer>,
-    },
-    /// A read of the state.
-    Read(ReadTask),
-    /// A look at the state as it is here, without a proof that it is current.
-    Peek(ReadTask),
-    /// Asks for the revisions in force on the proxies.
-    ProxyRevisions(oneshot::Sender<ProxyRevisions>),
-    /// Proxies that are connected here.
-    Reports(Vec<ProxyReport>),
-    /// What a proxy that is connected here holds of tenants' limits.
-    Allowances(AllowanceReport),
-    /// A back end's answer to the leader.
-    BackEnd(BackEndResult),
-    /// The platform's list was polled.
-    Platform(PlatformList),
-    /// An answer to the leader about registered back ends.
-    Registry(RegistryAnswer),
-    /// A replica without a cell asks to be added.
-    Join(CellMember),
-    /// Another replica told which cell it belongs to.
-    CellLearned(CellConfig),
-    /// Hand leadership over.
-    TransferLeadership,
-    /// End the thread.
-    Stop,
-}
-
 /// Feeds the consensus thread.
 #[derive(Clone)]
 pub(crate) struct ConsensusHandle {
@@ -115,21 +45,6 @@
     }
 }
 
-impl StateReader<'_> {
-    /// The whole view as one frame.
-    pub(crate) fn snapshot_frame(&self) -> Result<SnapshotFrame, FrameError> {
-        self.feed.snapshot(self.state)
-    }
-
-    /// The whole view for a proxy that has `revision` in force, if deltas do not lead on from there.
-    pub(crate) fn snapshot_for(
-        &self,
-        revision: Revision,
-    ) -> Option<Result<SnapshotFrame, FrameError>> {
-        self.feed.needs_whole(revision).then(|| self.snapshot_frame())
-    }
-}
-
 impl ConsensusHandle {
     pub(crate) fn new(inputs: mpsc::Sender<ConsensusInput>, request_timeout: Duration) -> Self {
         Self { inputs, waiting: Arc::default(), request_timeout }
@@ -252,7 +167,7 @@
     T: Send + 'static,
     F: FnOnce(StateReader<'_>) -> T + Send + 'static,
 {
-    // The asker may have given up; there is no one else to tell.
+    // The requester may have given up; there is no one else to answer.
     Box::new(move |reader| drop(reply.send(reader.map(read))))
 }
 
--- a/crates/control/src/consensus/outcomes.rs
+++ b/crates/control/src/consensus/outcomes.rs
@@ -1,10 +1,13 @@
 //! Outcomes of the last commands, by the index of their log entry.
+//!
+//! Owns a bounded number of them; forgets the oldest first.
 
 use corktack_core::state::command::Outcome;
 use std::collections::BTreeMap;
 
-/// Outcomes that are kept. A forwarded command asks for its outcome one round
-/// trip after it was applied; a later asker sends the command again.
+/// Outcomes that are kept. A forwarded command needs its outcome one round trip after it was applied; a
+/// later requester sends the command again. Chosen, not measured; it bounds the memory, and a lower value has
+/// more commands sent twice in a burst.
 const OUTCOMES_KEPT: usize = 16_384;
 
 /// Outcomes of the last commands applied here.
--- a/crates/control/src/consensus/pending.rs
+++ b/crates/control/src/consensus/pending.rs
@@ -1,6 +1,9 @@
 //! Requests that wait for the core, the leader or the state.
+//!
+//! Owns the numbers of requests and who waits for each. Decides nothing: the thread says when an answer
+//! is due.
 
-use super::handle::{ProposalAnswer, ReadTask};
+use super::input::{ProposalAnswer, ReadTask};
 use crate::error::RequestError;
 use crate::leader::DutyId;
 use corktack_core::consensus::{Rejection, RequestId};
@@ -116,7 +119,7 @@
         ready.into_values().flatten().collect()
     }
 
-    /// Forgets forwarded proposals whose askers have given up.
+    /// Forgets forwarded proposals whose requesters have given up.
     pub(crate) fn forget_abandoned(&mut self) {
         self.forwarded.retain(|_, proposal| !proposal.reply.is_closed());
         for proposals in self.unapplied.values_mut() {
@@ -126,10 +129,10 @@
     }
 
     /// Gives forwarded proposals back, when another replica leads: the answer of
-    /// the one that was asked may never come.
+    /// the former leader may never come.
     pub(crate) fn give_back_forwarded(&mut self) {
         for (_, proposal) in self.forwarded.drain() {
-            // The asker may have given up; there is no one else to tell.
+            // The requester may have given up; there is no one else to answer.
             drop(proposal.reply.send(Err(Rejection::LeadershipLost.into())));
         }
     }
@@ -141,7 +144,7 @@
         for task in reads.chain(unapplied).flatten() {
             task(Err(RequestError::Stopping));
         }
-        // Dropping a reply tells its asker that the replica is stopping.
+        // A dropped reply shows its requester that the replica is stopping.
         self.proposals.clear();
         self.forwarded.clear();
         self.unapplied.clear();
--- a/crates/control/src/consensus/repair.rs
+++ b/crates/control/src/consensus/repair.rs
@@ -1,36 +1,26 @@
-//! Replicas that ask to join, and the leader's repair of the cell.
+//! Replicas that request to join, and the leader's repair of the cell.
+//!
+//! Owns the requests since the last evaluation and when the next is due. The core decides which change of
+//! the cell is due.
 
 use super::pending::{ProposalKind, ProposalOrigin};
 use super::thread::ConsensusThread;
 use crate::cell::PeerMessage;
 use corktack_core::consensus::{CellChange, CellConfig, CellMember, Event, Message};
 use corktack_core::time::Timestamp;
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time between two looks at the cell.
+/// Time between two evaluations of the cell. Chosen, not measured; a lower value wakes the leader more
+/// often, a higher one adds to the time until a lost replica is replaced.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(250);
-/// Replicas that may ask to join between two looks; more of them ask again.
+/// Replicas that may request to join between two evaluations; more of them request it again. Chosen, not
+/// measured; it bounds the memory that strangers can take.
 const JOINER_LIMIT: usize = 32;
 
-/// What the leader's repair of the cell keeps between two looks.
-#[derive(Debug, Default)]
-pub(super) struct RepairState {
-    joiners: BTreeMap<SocketAddr, CellMember>,
-    due: Timestamp,
-}
-
-impl RepairState {
-    pub(super) const fn next_deadline(&self) -> Timestamp {
-        self.due
-    }
-}
-
 impl ConsensusThread {
-    /// Notes a replica that asks to join, or passes the question on to the leader. A lost
-    /// question is asked again.
+    /// Notes a replica that requests to join, or passes the request on to the leader. A lost
+    /// request is made again.
     pub(super) fn take_join(&mut self, member: CellMember) {
         if self.leads() {
             if self.repair.joiners.len() < JOINER_LIMIT {
@@ -71,7 +61,7 @@
 
     fn cell_event(&mut self, change: CellChange) -> Event<Message> {
         log::info!(change:? = change; "the cell changes itself");
-        // Nobody waits for the outcome: the next look sees it.
+        // Nobody waits for the outcome: the next evaluation sees it.
         let (reply, _) = oneshot::channel();
         let origin = ProposalOrigin::Local(ProposalKind::Cell, reply);
         Event::ProposeCell { request: self.pending.add_proposal(origin), change }
--- a/crates/control/src/consensus/status.rs
+++ b/crates/control/src/consensus/status.rs
@@ -1,4 +1,4 @@
-//! What the rest of the process sees of the replica.
+//! What the rest of the process sees of the replica: published by the consensus thread, read by all.
 
 use corktack_core::consensus::{CellConfig, Replica, Role};
 use corktack_core::identity::ReplicaId;
--- a/crates/control/src/consensus/thread.rs
+++ b/crates/control/src/consensus/thread.rs
@@ -1,9 +1,11 @@
-//! The loop of the consensus thread.
+//! The loop of the consensus thread: takes inputs, lets the core decide and performs what it wants.
+//!
+//! Owns the replica, its log, its state and everything that waits for them.
 
-use super::handle::{ConsensusInput, ProxyRevisions, ReadTask, StateReader};
+use super::input::{ConsensusInput, ProxyRevisions, ReadTask, StateReader};
 use super::outcomes::Outcomes;
 use super::pending::Pending;
-use super::repair::RepairState;
+use super::repair_state::RepairState;
 use super::status::ReplicaStatus;
 use crate::cell::{Links, PeerMessage};
 use crate::clock::Clock;
@@ -23,8 +25,11 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Inputs that are handled together, with one sync for all of them.
+/// Inputs that are handled together, with one sync for all of them. Chosen, not measured; a lower value
+/// syncs more often under load, a higher one holds the first answers back for longer.
 const INPUTS_AT_ONCE: usize = 512;
+/// Time between two removals of requests whose requesters have given up. Chosen, not measured; a higher value
+/// keeps their memory for longer.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What the consensus thread is made of.
@@ -65,7 +70,7 @@
     pub(super) proxy_revisions: ProxyRevisions,
     pub(super) revision_queries: HashMap<u64, oneshot::Sender<ProxyRevisions>>,
     pub(super) last_query: u64,
-    /// The replica that each proxy's last word on limits came through; none where it is connected here.
+    /// The replica that each proxy's last report of limits came through; none where it is connected here.
     pub(super) grant_routes: HashMap<ProxyName, Option<ReplicaId>>,
     pub(super) snapshot_index: u64,
     pub(super) repair: RepairState,
@@ -157,7 +162,7 @@
     }
 
     /// Hands events to the core and performs what it wants. All reads of the batch
-    /// share one proof, which begins after each of them was asked for.
+    /// share one proof, which begins after each of them was requested.
     pub(super) fn step(
         &mut self,
         mut events: Vec<Event<Message>>,
@@ -228,7 +233,7 @@
         }
     }
 
-    /// A replica that waits to be added knows no cell yet, only where to ask.
+    /// A replica that waits to be added knows no cell yet, only where to request it.
     fn follow_cell(&mut self) {
         let cell = self.parts.replica.cell().clone();
         if !cell.voters.is_empty() {
