--- a/crates/control/src/leader/convert.rs
+++ b/crates/control/src/leader/convert.rs
@@ -1,4 +1,6 @@
 //! From messages and answers to the core's events.
+//!
+//! Owns nothing and decides nothing; a failure that the core does not tell apart becomes one.
 
 use crate::back_end::{BackEndAnswer, BackEndError, BackEndResult, Operation};
 use corktack_core::backend::MemberStatus;
@@ -6,6 +8,7 @@
 use corktack_core::identity::ProxyName;
 use corktack_core::membership::ProxyHeartbeat;
 use corktack_core::position::Position;
+use corktack_core::registry::ReachReport;
 use corktack_protocol::cell::ProxyReport;
 use corktack_protocol::control::{MemberHealth, Observation};
 
@@ -81,3 +84,13 @@
         _ => CallFailure::Failed,
     }
 }
+
+/// Whether a gateway reached a registered back end.
+pub(super) fn reach_report(gateway: &ProxyName, observation: &Observation) -> ReachReport {
+    ReachReport {
+        gateway: gateway.clone(),
+        group: observation.group.clone(),
+        member: observation.member.clone(),
+        reached: observation.health != MemberHealth::Unreachable,
+    }
+}
--- a/crates/control/src/leader/limits.rs
+++ b/crates/control/src/leader/limits.rs
@@ -1,7 +1,10 @@
-//! The limits of tenants, as the leader keeps their books.
+//! The limits of tenants in one leadership: opens the ledger, feeds it and proposes its ceilings.
 //!
 //! The ledger begins once an entry of the leader's own term is applied: the state then holds everything
 //! that earlier leaders have committed, the ceilings of what they gave among it.
+//!
+//! Owns the ledger, the rates of the document followed last, and the reports that can't be answered yet.
+//! What is given is decided by the core's ledger; the ceilings in force are the state's.
 
 use corktack_core::identity::ProxyName;
 use corktack_core::limits::{
@@ -19,15 +22,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where the ledger stands.
+/// Time between two evaluations whether more can be given, where the state does not change.
+/// Chosen, not measured by itself; a lower value evaluates all who lack operations more often, a higher
+/// one leaves idle for longer what a gateway gave back.
+const OFFER_INTERVAL: Duration = Duration::from_millis(100);
+/// Tenants near their limits that are logged at each expiry. Chosen, not measured; more lines cost room
+/// in the log, fewer hide tenants that are short as well.
+const LOGGED_TENANTS: usize = 8;
+/// Time between two expiries of what has ended by itself. Chosen, not measured; a lower value makes more
+/// log lines, a higher one keeps what ended counted for longer.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
+
+/// How far the ledger is.
 #[derive(Debug)]
-enum Books {
-    /// No tenant of the document is limited, or nothing was asked for yet.
+enum LedgerState {
+    /// No tenant of the document is limited, or nothing is proposed yet.
     Closed,
     /// An entry of the own term is proposed.
-    Opening,
-    /// That entry is applied: the ledger begins with the next look at the state.
+    Proposed,
+    /// That entry is applied: the ledger begins with the next evaluation of the state.
     Applied,
+    /// The ledger serves reports.
     Open(Box<LimitLedger>),
 }
 
@@ -36,12 +51,12 @@
 pub(super) struct LeaderLimits {
     term: Term,
     bounds: LimitBounds,
-    books: Books,
+    ledger: LedgerState,
     /// The rates of the document followed last.
     rates: HashMap<TenantName, TenantRate>,
     document: Option<Arc<Document>>,
     followed: Option<Revision>,
-    /// Ceilings that should be raised.
+    /// Ceilings that should be raised, in operations.
     raises: BTreeMap<TenantName, u64>,
     /// Whether a proposal's outcome is not known yet.
     proposed: bool,
@@ -53,20 +68,12 @@
     changed: bool,
 }
 
-/// Time between two looks whether more can be given, where the state does not change.
-const OFFER_INTERVAL: Duration = Duration::from_millis(100);
-
-/// Tenants near their limits that are told in the log, each second.
-const TOLD_TENANTS: usize = 8;
-/// Time between two looks for what has ended by itself.
-const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
-
 impl LeaderLimits {
     pub(super) fn new(term: Term, bounds: LimitBounds) -> Self {
         Self {
             term,
             bounds,
-            books: Books::Closed,
+            ledger: LedgerState::Closed,
             rates: HashMap::new(),
             document: None,
             followed: None,
@@ -82,40 +89,47 @@
     /// Follows the state; gives what should be proposed.
     pub(super) fn advance(&mut self, now: Timestamp, state: &ControlState) -> Option<Command> {
         self.follow(now, state);
-        if let Books::Open(ledger) = &mut self.books
+        self.expire(now, state);
+        if self.proposed {
+            return None;
+        }
+        let changes = self.changes_due(now, state)?;
+        self.proposed = true;
+        Some(Command::Registry(Box::new(RegistryCommand::ChangeCeilings(changes))))
+    }
+
+    /// Takes back what has ended by itself, and logs the tenants that are nearest their limits.
+    fn expire(&mut self, now: Timestamp, state: &ControlState) {
+        if let LedgerState::Open(ledger) = &mut self.ledger
             && now >= self.expiry_due
         {
             self.expiry_due = now + EXPIRY_INTERVAL;
             ledger.expire(now);
             let ceilings = state.registry().ceilings();
-            tell_nearest(ledger, &Terms { rates: &self.rates, ceilings });
-        }
-        if self.proposed {
-            return None;
+            log_nearest(ledger, &Terms { rates: &self.rates, ceilings });
         }
-        let changes = match &mut self.books {
-            Books::Closed if !self.rates.is_empty() => {
-                self.books = Books::Opening;
-                Vec::new()
+    }
+
+    /// The changes of ceilings to propose. None of them opens the ledger: the entry itself counts.
+    fn changes_due(&mut self, now: Timestamp, state: &ControlState) -> Option<Vec<CeilingChange>> {
+        match &mut self.ledger {
+            LedgerState::Closed if !self.rates.is_empty() => {
+                self.ledger = LedgerState::Proposed;
+                Some(Vec::new())
             }
-            Books::Closed | Books::Applied => return None,
+            LedgerState::Closed | LedgerState::Applied => None,
             // The one before was lost.
-            Books::Opening => Vec::new(),
-            Books::Open(ledger) => {
+            LedgerState::Proposed => Some(Vec::new()),
+            LedgerState::Open(ledger) => {
                 let raises = std::mem::take(&mut self.raises);
                 let raises = raises.into_iter().map(|(name, to)| CeilingChange::Raise(name, to));
                 let ceilings = state.registry().ceilings();
                 let terms = Terms { rates: &self.rates, ceilings };
                 let lowered = ledger.lower_ceilings(now, ceilings, &terms);
                 let changes: Vec<_> = raises.chain(lowered).collect();
-                if changes.is_empty() {
-                    return None;
-                }
-                changes
+                (!changes.is_empty()).then_some(changes)
             }
-        };
-        self.proposed = true;
-        Some(Command::Registry(Box::new(RegistryCommand::ChangeCeilings(changes))))
+        }
     }
 
     fn follow(&mut self, now: Timestamp, state: &ControlState) {
@@ -124,18 +138,19 @@
             self.followed = revision;
             self.changed = true;
             self.follow_document(state);
-            if let Books::Open(ledger) = &mut self.books {
-                ledger.follow_gateways(now, &lives(state));
+            if let LedgerState::Open(ledger) = &mut self.ledger {
+                ledger.follow_gateways(now, &incarnations(state));
             }
         }
-        if matches!(self.books, Books::Applied) {
+        if matches!(self.ledger, LedgerState::Applied) {
             let ceilings = state.registry().ceilings().clone();
             log::info!(
                 term = self.term.0, gateways = state.proxies().count(), ceilings = ceilings.len();
                 "the books of tenants' limits are open"
             );
-            let ledger = LimitLedger::new(now, self.term, self.bounds, lives(state), ceilings);
-            self.books = Books::Open(Box::new(ledger));
+            let ledger =
+                LimitLedger::new(now, self.term, self.bounds, incarnations(state), ceilings);
+            self.ledger = LedgerState::Open(Box::new(ledger));
             self.changed = true;
         }
     }
@@ -159,9 +174,9 @@
     /// Takes whether the last proposal was applied; where that is not known it is made again.
     pub(super) fn take_outcome(&mut self, applied: bool) {
         self.proposed = false;
-        match &mut self.books {
-            Books::Opening if applied => self.books = Books::Applied,
-            Books::Open(ledger) if applied => {
+        match &mut self.ledger {
+            LedgerState::Proposed if applied => self.ledger = LedgerState::Applied,
+            LedgerState::Open(ledger) if applied => {
                 ledger.lowered();
                 self.changed = true;
             }
@@ -169,8 +184,8 @@
         }
     }
 
-    /// Answers a gateway, and tells others what it needs of theirs. Where the books are not open yet, or
-    /// the gateway is not in the state, it is answered once that is so.
+    /// Answers a gateway, and requests of others what it needs of theirs. Where the ledger is not open yet,
+    /// or the gateway is not in the state, it is answered once that is so.
     pub(super) fn take_report(
         &mut self,
         now: Timestamp,
@@ -178,10 +193,10 @@
         state: &ControlState,
     ) -> Vec<AllowanceGrant> {
         self.follow(now, state);
-        // Only lives in the state are given anything: a new leader awaits the reports of those.
+        // Only incarnations in the state are given anything: a new leader awaits the reports of those.
         let stored = state.proxy(&report.gateway);
         let is_stored = stored.is_some_and(|stored| stored.incarnation == report.incarnation);
-        let Books::Open(ledger) = &mut self.books else {
+        let LedgerState::Open(ledger) = &mut self.ledger else {
             self.waiting.insert(report.gateway.clone(), report);
             return Vec::new();
         };
@@ -194,15 +209,15 @@
         self.note_raises(answer)
     }
 
-    /// What gateways are told after a change of the state, or after some time: reports that waited are
-    /// answered, and what has become free is given.
+    /// The grants after a change of the state, or after some time: reports that waited are answered, and
+    /// what has become free is given.
     pub(super) fn grants_due(
         &mut self,
         now: Timestamp,
         state: &ControlState,
     ) -> Vec<AllowanceGrant> {
         self.follow(now, state);
-        if !matches!(self.books, Books::Open(_)) || now < self.offers_due && !self.changed {
+        if !matches!(self.ledger, LedgerState::Open(_)) || now < self.offers_due && !self.changed {
             return Vec::new();
         }
         self.changed = false;
@@ -210,7 +225,7 @@
         let waiting = std::mem::take(&mut self.waiting);
         let mut grants: Vec<_> =
             waiting.into_values().flat_map(|report| self.take_report(now, report, state)).collect();
-        if let Books::Open(ledger) = &mut self.books {
+        if let LedgerState::Open(ledger) = &mut self.ledger {
             let ceilings = state.registry().ceilings();
             let answer = ledger.offer_again(now, &Terms { rates: &self.rates, ceilings });
             grants.extend(self.note_raises(answer));
@@ -233,13 +248,13 @@
 }
 
 /// Writes a line for each tenant that is near its limit.
-fn tell_nearest(ledger: &LimitLedger, terms: &Terms<'_>) {
-    for TenantUse { tenant, limit, given, needed } in ledger.nearest(TOLD_TENANTS, terms) {
+fn log_nearest(ledger: &LimitLedger, terms: &Terms<'_>) {
+    for TenantUse { tenant, limit, given, needed } in ledger.nearest(LOGGED_TENANTS, terms) {
         log::info!(tenant:% = tenant, limit, given, needed; "tenant is near its limit");
     }
 }
 
-/// What the state says of limits.
+/// What is in force of limits: the document's rates and the state's ceilings.
 struct Terms<'s> {
     rates: &'s HashMap<TenantName, TenantRate>,
     ceilings: &'s BTreeMap<TenantName, u64>,
@@ -255,10 +270,10 @@
     }
 }
 
-fn lives(state: &ControlState) -> BTreeSet<GatewayIncarnation> {
-    let life = |(gateway, proxy): (&_, &corktack_core::view::ProxyView)| GatewayIncarnation {
-        gateway: Clone::clone(gateway),
-        incarnation: proxy.incarnation,
+/// The gateways' incarnations that the state knows.
+fn incarnations(state: &ControlState) -> BTreeSet<GatewayIncarnation> {
+    let incarnation = |(gateway, proxy): (&_, &corktack_core::view::ProxyView)| {
+        GatewayIncarnation { gateway: Clone::clone(gateway), incarnation: proxy.incarnation }
     };
-    state.proxies().map(life).collect()
+    state.proxies().map(incarnation).collect()
 }
