--- a/crates/control/src/proxies/connection.rs
+++ b/crates/control/src/proxies/connection.rs
@@ -1,16 +1,25 @@
-//! One proxy's connection.
+//! One proxy's connection: proves that the replica is current, then sends deltas, acknowledgements, the
+//! cell and grants.
+//!
+//! Owns the proxy's place in the feed. Relies on the feed for what is sent next, on the proofs for what
+//! heartbeats are acknowledged with, and on the table, which knows the proxy's newest connection.
+//!
+//! Whether a replica serves a proxy at all is decided in [`Connection::prove_and_catch_up`], by the
+//! cell that the replica knows, the time since when it knows no leader ([`ELECTION_PATIENCE`]) and the
+//! proof. A connection ends when the proxy sends nothing for `heartbeat_timeout`, or takes nothing for
+//! [`SEND_TIMEOUT`].
 
-use super::server::ProxyServer;
-use super::table::{ConnectionId, HeartbeatReport, ProxyIdentity};
+use super::connection_error::ConnectionError;
+use super::hello::{First, Reader, answer_joiner, receive_hello};
+use super::server::{ProxyServer, SEND_TIMEOUT};
+use super::table::{ConnectionId, HeartbeatReport};
 use crate::consensus::{ConsensusInput, ReplicaStatus};
-use crate::error::RequestError;
 use crate::feed::{FeedStep, SnapshotFrame, encode_frame};
 use bytes::Bytes;
-use corktack_core::consensus::{CellConfig, CellMember};
+use corktack_core::consensus::CellConfig;
 use corktack_core::identity::ProxyName;
 use corktack_core::limits::AllowanceGrant;
 use corktack_core::position::Term;
-use corktack_core::view::Revision;
 use corktack_core::watch::WatchCursor;
 use corktack_protocol::control::{ControlMessage, ProxyMessage};
 use corktack_protocol::frame::{FrameCodec, FrameError};
@@ -20,49 +29,20 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
-use tokio::sync::{mpsc, watch};
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{timeout, timeout_at};
 use tokio_util::codec::FramedRead;
 
-const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
-/// A proxy that takes nothing for this long is cut off; it comes back for a snapshot.
-const SEND_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a replica without a leader keeps proxies that come: an election or two. One that is cut
-/// off from the others is left at once.
+/// off from the others is left at once: where replicas of a minority kept a gateway for 1.5 s each, it
+/// served an old configuration for 3.8 s in a simulated cut.
 const ELECTION_PATIENCE: Duration = Duration::from_millis(800);
-/// Heartbeats that may wait for their proof; more of them break the protocol.
+/// Heartbeats that may wait for their proof; more of them break the protocol. Chosen, not measured; a lower
+/// value cuts off proxies that report many observations while a proof is slow, a higher one keeps more of
+/// their acknowledgements in memory.
 const WAITING_HEARTBEATS: usize = 64;
 
-/// Why a proxy's connection ended.
-#[derive(Debug, thiserror::Error)]
-enum ConnectionError {
-    #[error("the connection is closed")]
-    Closed,
-    #[error("nothing was heard in time")]
-    Silent,
-    #[error("the proxy does not take what it is sent")]
-    Slow,
-    #[error("the replica belongs to no cell yet")]
-    Outside,
-    #[error("the replica knows no leader")]
-    Leaderless,
-    #[error("the first message is not a hello, or a later one is")]
-    OutOfPlace,
-    #[error("the proxy has revision {0:?}, which this cell never had")]
-    UnknownRevision(Revision),
-    #[error("a newer connection of the same proxy has taken its place")]
-    Replaced,
-    #[error("too many heartbeats without waiting for answers")]
-    TooManyHeartbeats,
-    #[error("the replica cannot prove that it is current")]
-    NotCurrent(#[from] RequestError),
-    #[error(transparent)]
-    Frame(#[from] FrameError),
-}
-
-type Reader = FramedRead<OwnedReadHalf, FrameCodec<ControlMessage, ProxyMessage>>;
-
 /// Serves a proxy until it goes, fails or the replica stops.
 pub(crate) async fn serve_proxy(stream: TcpStream, id: ConnectionId, server: ProxyServer) {
     // The options only save time: a connection without them still works.
@@ -88,52 +68,25 @@
     }
 }
 
-/// What a connection begins with.
-enum First {
-    /// A proxy and the revision that it has.
-    Proxy(ProxyIdentity, Revision),
-    /// A replica that asks to be added to the cell.
-    Joiner(CellMember),
-}
-
-/// Passes the question on, and tells the joiner whom to expect.
-async fn answer_joiner(member: CellMember, mut write_half: OwnedWriteHalf, server: &ProxyServer) {
-    if server.consensus.send(ConsensusInput::Join(member)).is_err() {
-        return;
-    }
-    let cell = server.status.borrow().cell.clone();
-    let Ok(frame) = encode_frame(ControlMessage::Cell(cell)) else { return };
-    // A joiner that does not hear the answer asks again.
-    drop(timeout(SEND_TIMEOUT, write_half.write_all(&frame)).await);
-}
-
-async fn receive_hello(reader: &mut Reader) -> Result<First, ConnectionError> {
-    let message = timeout(HELLO_TIMEOUT, reader.next()).await;
-    match message.map_err(|_| ConnectionError::Silent)? {
-        Some(Ok(ProxyMessage::Hello { proxy, incarnation, address, zone, revision })) => {
-            Ok(First::Proxy(ProxyIdentity { proxy, incarnation, address, zone }, revision))
-        }
-        Some(Ok(ProxyMessage::Join { member })) => Ok(First::Joiner(member)),
-        Some(Ok(_)) => Err(ConnectionError::OutOfPlace),
-        Some(Err(error)) => Err(error.into()),
-        None => Err(ConnectionError::Closed),
-    }
-}
-
-/// What a proxy was told of the cell.
+/// What a proxy was sent of the cell.
 #[derive(Default)]
-struct Told {
+struct SentStatus {
     cell: CellConfig,
     /// Term of the leader.
     led: Option<Term>,
 }
 
-impl Told {
+impl SentStatus {
     fn of(status: &ReplicaStatus) -> Self {
         Self { cell: status.cell.clone(), led: status.leader.map(|_| status.term) }
     }
 }
 
+/// The answer to a heartbeat, once its proof is there. Without one the replica does not count as current.
+async fn acknowledge(sequence: u64, proof: oneshot::Receiver<bool>) -> ControlMessage {
+    ControlMessage::HeartbeatAck { sequence, current: proof.await.unwrap_or(false) }
+}
+
 struct Connection {
     id: ConnectionId,
     proxy: ProxyName,
@@ -157,7 +110,7 @@
         let mut feed = self.server.feed.subscribe();
         let mut status = self.server.status.clone();
         self.prove_and_catch_up().await?;
-        let mut told = self.send_status(&mut status, Told::default()).await?;
+        let mut sent = self.send_status(&mut status, SentStatus::default()).await?;
         let mut acknowledgements = FuturesOrdered::new();
         loop {
             tokio::select! {
@@ -168,22 +121,17 @@
                         return Err(ConnectionError::TooManyHeartbeats);
                     }
                     let proof = self.server.proofs.request();
-                    acknowledgements.push_back(async move {
-                        ControlMessage::HeartbeatAck {
-                            sequence,
-                            current: proof.await.unwrap_or(false),
-                        }
-                    });
+                    acknowledgements.push_back(acknowledge(sequence, proof));
                 }
                 Some(acknowledgement) = acknowledgements.next() => {
                     // A proof covers what was committed before it: deltas go first, so
-                    // that a proxy told "current" has been sent everything it needs.
+                    // that a proxy which is acknowledged as current has been sent everything.
                     self.send_deltas().await?;
                     self.send(&encode_frame(acknowledgement)?).await?;
                 }
                 changed = status.changed() => {
                     changed.map_err(|_| ConnectionError::Closed)?;
-                    told = self.send_status(&mut status, told).await?;
+                    sent = self.send_status(&mut status, sent).await?;
                 }
                 Some(grant) = self.grants.recv() => {
                     self.send(&encode_frame(ControlMessage::Allowances(grant))?).await?;
@@ -220,8 +168,8 @@
         self.send_deltas().await
     }
 
-    /// Waits while the cell elects a leader: a proof asked for meanwhile is refused, and the time
-    /// until it is asked for again grows.
+    /// Waits while the cell elects a leader: a proof requested meanwhile is refused, and the pause
+    /// before the next request of it grows.
     async fn until_led(&self) -> Result<(), ConnectionError> {
         let mut status = self.server.status.clone();
         let leaderless_since = status.borrow().leaderless_since;
@@ -260,19 +208,19 @@
         }
     }
 
-    /// Tells the proxy which replicas there are and in which term one leads, as far as that changed;
-    /// returns what it was told.
+    /// Sends the proxy which replicas there are and in which term one leads, as far as that changed;
+    /// returns what it was sent.
     async fn send_status(
         &mut self,
         status: &mut watch::Receiver<ReplicaStatus>,
-        told: Told,
-    ) -> Result<Told, ConnectionError> {
-        let now = Told::of(&status.borrow_and_update());
-        if now.cell != told.cell {
+        sent: SentStatus,
+    ) -> Result<SentStatus, ConnectionError> {
+        let now = SentStatus::of(&status.borrow_and_update());
+        if now.cell != sent.cell {
             self.send(&encode_frame(ControlMessage::Cell(now.cell.clone()))?).await?;
         }
-        let Some(term) = now.led else { return Ok(Told { led: told.led, ..now }) };
-        if told.led != now.led {
+        let Some(term) = now.led else { return Ok(SentStatus { led: sent.led, ..now }) };
+        if sent.led != now.led {
             self.send(&encode_frame(ControlMessage::Led { term })?).await?;
         }
         Ok(now)
--- a/crates/control/src/proxies/proofs.rs
+++ b/crates/control/src/proxies/proofs.rs
@@ -1,4 +1,6 @@
 //! Proofs that this replica is current, shared by all heartbeats of an interval.
+//!
+//! Owns those who wait. Relies on a read through the consensus thread for the proof itself.
 
 use crate::consensus::ConsensusHandle;
 use crate::stop::StopSignal;
--- a/crates/control/src/proxies/server.rs
+++ b/crates/control/src/proxies/server.rs
@@ -1,21 +1,19 @@
-//! Accepts proxies and spreads their connections over arbiters.
+//! What the connections of proxies share.
 
-use super::connection::serve_proxy;
 use super::proofs::Proofs;
 use super::table::{ConnectionId, ProxyTable};
 use crate::consensus::{ConsensusHandle, ReplicaStatus};
 use crate::feed::Feed;
 use crate::metrics::Metrics;
 use crate::stop::StopSignal;
-use actix_rt::ArbiterHandle;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Pause after a failed accept (out of file descriptors, most likely).
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// A proxy that takes nothing for this long is cut off; it comes back for a snapshot. Chosen, not measured;
+/// a lower value cuts off proxies behind slow links, a higher one keeps frames for those that are gone.
+pub(super) const SEND_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What every connection of a proxy needs.
 #[derive(Clone)]
@@ -32,37 +30,8 @@
 }
 
 impl ProxyServer {
-    fn next_connection(&self) -> ConnectionId {
+    /// A number for one more connection.
+    pub(super) fn next_connection(&self) -> ConnectionId {
         ConnectionId(self.connections.fetch_add(1, Ordering::Relaxed))
     }
 }
-
-/// Accepts proxies until the stop; each connection stays on one arbiter.
-pub(crate) async fn accept_proxies(
-    listener: TcpListener,
-    server: ProxyServer,
-    arbiters: Vec<ArbiterHandle>,
-) {
-    for arbiter in arbiters.iter().cycle() {
-        let accepted = tokio::select! {
-            accepted = listener.accept() => accepted,
-            () = server.stop.stopped() => return,
-        };
-        match accepted {
-            Ok((stream, _)) => hand_over(stream, &server, arbiter),
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
-        }
-    }
-}
-
-/// The socket moves to the arbiter's own reactor as a plain file descriptor.
-fn hand_over(stream: TcpStream, server: &ProxyServer, arbiter: &ArbiterHandle) {
-    let Ok(stream) = stream.into_std() else { return };
-    let connection = server.next_connection();
-    let server = server.clone();
-    arbiter.spawn(async move {
-        if let Ok(stream) = TcpStream::from_std(stream) {
-            serve_proxy(stream, connection, server).await;
-        }
-    });
-}
--- a/crates/control/src/proxies/table.rs
+++ b/crates/control/src/proxies/table.rs
@@ -1,4 +1,7 @@
 //! The proxies connected to this replica, and their summary for the leader.
+//!
+//! Owns what each proxy reported since the last summary. Relies on the consensus thread to bring summaries
+//! to the leader, here or elsewhere.
 
 use crate::consensus::{ConsensusHandle, ConsensusInput};
 use crate::stop::StopSignal;
@@ -15,20 +18,24 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
+/// Parts of the table with a lock of their own. Chosen, not measured; fewer make connections wait for each
+/// other, more cost a lock each.
 const SHARDS: usize = 16;
 /// Ticks between two summaries that carry every observation, not only the changes:
-/// a new leader, or one that missed a summary, then knows all of them again.
+/// a new leader, or one that missed a summary, then knows all of them again. Chosen, not measured; a lower
+/// value sends more, a higher one adds to the time until such a leader knows them.
 const FULL_SUMMARY_EVERY: u64 = 5;
 /// Wait before every summary, for what arrives together to go out together. Two
-/// summaries are never closer, whatever the proxies send.
+/// summaries are never closer, whatever the proxies send. Chosen, not measured; a lower value sends more
+/// summaries in a burst, a higher one adds to the time until the leader knows of a fault.
 const BATCHING_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a summary carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Extent {
-    /// The observations that no summary has carried yet, between two ticks. The
+    /// Only the observations that no summary has carried yet, between two ticks. The
     /// next tick repeats them, as this summary may be lost to an election.
-    News,
+    Unsent,
     /// The heartbeats since the last tick and the observations they brought.
     Changes,
     /// The heartbeats since the last tick and every observation.
@@ -39,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ConnectionId(pub(crate) u64);
 
-/// Who a proxy says it is.
+/// Who a proxy is, by its hello.
 #[derive(Clone, Debug)]
 pub(crate) struct ProxyIdentity {
     pub(crate) proxy: ProxyName,
@@ -65,12 +72,13 @@
     identity: ProxyIdentity,
     revision: Revision,
     draining: bool,
-    heard: bool,
+    /// Whether a heartbeat came since the last tick.
+    reported: bool,
     health: BTreeMap<MemberKey, MemberHealth>,
     /// Observed since the last tick.
     changed: BTreeSet<MemberKey>,
     /// Those of the changed that no summary has carried yet.
-    news: BTreeSet<MemberKey>,
+    unsent: BTreeSet<MemberKey>,
 }
 
 type Shard = HashMap<ProxyName, ConnectedProxy>;
@@ -107,10 +115,10 @@
             grants,
             revision,
             draining: false,
-            heard: true,
+            reported: true,
             health: BTreeMap::new(),
             changed: BTreeSet::new(),
-            news: BTreeSet::new(),
+            unsent: BTreeSet::new(),
             identity,
         };
         self.shard(&proxy.identity.proxy.clone()).insert(proxy.identity.proxy.clone(), proxy);
@@ -119,7 +127,7 @@
     /// Passes on what the leader gives to a proxy that is still connected here.
     pub(crate) fn grant(&self, grant: AllowanceGrant) {
         if let Some(entry) = self.shard(&grant.gateway).get(&grant.gateway) {
-            // A connection that ends now makes the proxy ask again elsewhere.
+            // A connection that ends now makes the proxy report again through another replica.
             let _ = entry.grants.send(grant);
         }
     }
@@ -132,7 +140,7 @@
         }
     }
 
-    /// Notes a heartbeat; observations make a summary due. Says whether the
+    /// Notes a heartbeat; observations make a summary due. Gives whether the
     /// connection is still the proxy's newest.
     pub(crate) fn heartbeat(
         &self,
@@ -168,24 +176,24 @@
 
 impl ConnectedProxy {
     fn note(&mut self, report: HeartbeatReport) {
-        self.heard = true;
+        self.reported = true;
         self.revision = self.revision.max(report.revision);
         self.draining |= report.draining;
         for observation in report.observations {
             let key = (observation.group, observation.member);
             self.changed.insert(key.clone());
-            self.news.insert(key.clone());
+            self.unsent.insert(key.clone());
             self.health.insert(key, observation.health);
         }
     }
 
     /// The proxy's part of a summary, if it has one.
     fn report(&mut self, extent: Extent) -> Option<ProxyReport> {
-        let news = std::mem::take(&mut self.news);
-        if extent == Extent::News {
-            return (!news.is_empty()).then(|| self.report_of(|key| news.contains(key)));
+        let unsent = std::mem::take(&mut self.unsent);
+        if extent == Extent::Unsent {
+            return (!unsent.is_empty()).then(|| self.report_of(|key| unsent.contains(key)));
         }
-        if !std::mem::take(&mut self.heard) {
+        if !std::mem::take(&mut self.reported) {
             return None;
         }
         let changed = std::mem::take(&mut self.changed);
@@ -211,7 +219,7 @@
     Observation { group: group.clone(), member: member.clone(), health }
 }
 
-/// Sends a summary to the leader every `spacing`, and one of the news soon after
+/// Sends a summary to the leader every `spacing`, and one of what is unsent soon after
 /// observations arrive, until the stop.
 pub(crate) async fn send_summaries(
     table: ProxyTable,
@@ -231,10 +239,10 @@
     let mut tick_extents = (0_u64..).map(extent_of_tick);
     loop {
         let extent = tokio::select! {
-            // A tick carries the news as well, and no flood of them puts it off.
+            // A tick carries what is unsent as well, and no flood of observations puts it off.
             biased;
             _ = ticks.tick() => tick_extents.next().unwrap_or(Extent::Full),
-            () = table.observed.notified() => Extent::News,
+            () = table.observed.notified() => Extent::Unsent,
         };
         sleep(BATCHING_INTERVAL).await;
         let reports = table.summary(extent);
