--- a/crates/control/src/registry_calls.rs
+++ b/crates/control/src/registry_calls/caller.rs
@@ -1,63 +1,26 @@
-//! Calls on behalf of the leader: to registered back ends, and to the authority that promotes them.
+//! Makes the calls that the core's promotion duty wants, on an arbiter, each with its limit.
+//!
+//! Owns how long a call may take; its answer reaches the consensus thread as an input.
 
+use super::call::{MemberCall, RegistryAnswer, RegistryCalls};
 use crate::consensus::{ConsensusHandle, ConsensusInput};
 use crate::stop::StopSignal;
 use actix_rt::ArbiterHandle;
-use corktack_core::identity::{GroupName, MemberName};
 use corktack_core::registry::{MemberAnswer, PromotionAction, PromotionAnswer};
-use futures_util::future::LocalBoxFuture;
-use std::net::SocketAddr;
-use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest wait for a member's status.
+/// Longest wait for a member's status. Chosen, not measured; a lower value takes slow members for silent
+/// ones, a higher one puts a promotion off.
 const STATUS_LIMIT: Duration = Duration::from_millis(600);
-/// Longest wait for the authority: an unanswered call is made again under the same fence.
+/// Longest wait for the authority: an unanswered call is made again under the same fence. Chosen, not
+/// measured; a lower value repeats calls that are only slow, a higher one adds to the time after a lost one.
 const PROMOTION_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// A question to a registered back end.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemberCall {
-    /// Its group.
-    pub group: GroupName,
-    /// The member.
-    pub member: MemberName,
-    /// Where it is.
-    pub address: SocketAddr,
-}
-
-/// How the leader reaches registered back ends and the authority that promotes them.
-pub trait RegistryCalls: Send + Sync + std::fmt::Debug {
-    /// Asks a member for its status; with `hold`, keeps it from receiving first, in a term above
-    /// its own.
-    fn status(&self, call: MemberCall, hold: bool) -> LocalBoxFuture<'static, MemberAnswer>;
-
-    /// Lets a held member receive again.
-    fn release(&self, call: MemberCall) -> LocalBoxFuture<'static, ()>;
-
-    /// Calls the authority, once.
-    fn promote(
-        &self,
-        group: GroupName,
-        target: MemberName,
-        fence: u64,
-    ) -> LocalBoxFuture<'static, PromotionAnswer>;
-}
-
-/// What came of a call.
-#[derive(Debug)]
-pub(crate) enum RegistryAnswer {
-    /// What came of a question to a member.
-    Status(MemberCall, MemberAnswer),
-    /// The authority's answer to the call under a fence.
-    Promotion(GroupName, u64, PromotionAnswer),
-}
-
 /// Makes calls on an arbiter, many at once.
 #[derive(Clone)]
 pub(crate) struct RegistryCaller {
-    pub(crate) calls: Arc<dyn RegistryCalls>,
+    pub(crate) calls: RegistryCalls,
     pub(crate) arbiter: ArbiterHandle,
     pub(crate) consensus: ConsensusHandle,
     pub(crate) stop: StopSignal,
@@ -83,12 +46,13 @@
         let answer = match action {
             PromotionAction::Ask { group, member, address, hold } => {
                 let call = MemberCall { group, member, address };
-                let status = timeout(STATUS_LIMIT, self.calls.status(call.clone(), hold)).await;
+                let status =
+                    timeout(STATUS_LIMIT, self.calls.members.status(call.clone(), hold)).await;
                 RegistryAnswer::Status(call, status.unwrap_or(MemberAnswer::Silent))
             }
             PromotionAction::Call { group, target, fence } => {
                 log::info!(group:% = group, member:% = target, fence; "promotion is called for");
-                let call = self.calls.promote(group.clone(), target, fence);
+                let call = self.calls.authority.promote(group.clone(), target, fence);
                 let answer = timeout(PROMOTION_LIMIT, call).await;
                 let answer = answer.unwrap_or(PromotionAnswer::Unknown);
                 log::info!(group:% = group, fence, answer:? = answer; "promotion answered");
@@ -96,8 +60,8 @@
             }
             PromotionAction::Release { group, member, address } => {
                 let call = MemberCall { group, member, address };
-                // A member that does not hear it is released by the next promotion or restart.
-                drop(timeout(STATUS_LIMIT, self.calls.release(call)).await);
+                // A member that misses it is released by the next promotion or restart.
+                drop(timeout(STATUS_LIMIT, self.calls.members.release(call)).await);
                 return;
             }
             PromotionAction::Propose(_) => return,
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a control replica.
+//! Settings of a control replica, as the process that runs it gives them; no file is read here.
 
 use crate::registry_calls::RegistryCalls;
 use corktack_core::consensus::{CellConfig, CellMember};
@@ -8,18 +8,25 @@
 use corktack_protocol::cell::CellName;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
-use std::sync::Arc;
 use std::time::Duration;
 
+/// Defaults of what is not given, for replicas within one region. Chosen, not measured: an election timeout of
+/// six heartbeats, and a proxy's of three. Lower timeouts replace leaders and proxies that are only slow;
+/// higher ones add to the time after a loss.
 const DEFAULT_ELECTION_TIMEOUT: Duration = Duration::from_millis(300);
 const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 const DEFAULT_PROXY_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const DEFAULT_PROXY_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Chosen, not measured; a lower value writes snapshots more often, a higher one reads a longer log at a start.
 const DEFAULT_SNAPSHOT_ENTRIES: u64 = 4_096;
+/// Chosen, not measured; a lower value sends more snapshots to those who lag, a higher one takes more memory.
 const DEFAULT_WATCH_CHANGES: usize = 8_192;
+/// Limits of a request, a call of a back end and a probe. Chosen, not measured; lower values give up on what is
+/// only slow, higher ones hold up what waits for it.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const DEFAULT_BACK_END_TIMEOUT: Duration = Duration::from_secs(1);
 const DEFAULT_PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Chosen, not measured; more serve more operators and proxies side by side, at a thread each.
 const DEFAULT_WORKERS: usize = 2;
 
 /// How a replica with an empty data folder finds its cell. A replica that finds
@@ -50,7 +57,7 @@
     pub cell: CellName,
     /// This replica. One that lost its disk must come back under a new identity.
     pub replica: ReplicaId,
-    /// Number of this life of the process.
+    /// Incarnation of the process, drawn at its start.
     pub incarnation: Incarnation,
     /// How an empty replica finds its cell.
     pub start: CellStart,
@@ -87,14 +94,14 @@
     /// How the leader grows and repairs the cell by itself; without it operators do.
     pub cell_repair: Option<CellRepairSettings>,
     /// How the leader reaches registered back ends; without it their primaries are not replaced.
-    pub registry_calls: Option<Arc<dyn RegistryCalls>>,
+    pub registry_calls: Option<RegistryCalls>,
     /// By what the limits of tenants are kept.
     pub limits: LimitBounds,
     /// How long after its start a replica leaves registry changes unacknowledged while the
     /// cell has fewer voters than it should have: with few voters, fewer lost disks than
     /// tolerated could lose them.
     pub formation_grace: Duration,
-    /// Where a replica without a cell asks to be added: proxy addresses of other replicas.
+    /// Where a replica without a cell requests to be added: proxy addresses of other replicas.
     pub join_through: Vec<SocketAddr>,
     /// Address at which other replicas reach this one, needed to join a cell.
     pub cell_address: Option<SocketAddr>,
--- /dev/null
+++ b/crates/server/src/deployment/member_calls.rs
@@ -0,0 +1,50 @@
+//! The leader's calls of registered back ends, over the wire of the deployment.
+//!
+//! Owns nothing between calls; the gateway's side of the wire makes them.
+
+use super::{Deployment, DeploymentError};
+use corktack_control::{MemberCall, MemberCalls, PromotionAuthority, RegistryCalls};
+use corktack_core::registry::MemberAnswer;
+use corktack_gateway::{GatewaySettings, Wire, ask_status, release};
+use futures_util::FutureExt;
+use futures_util::future::LocalBoxFuture;
+use std::sync::Arc;
+
+impl Deployment {
+    /// How the leader reaches registered back ends and the authority.
+    pub(super) fn registry_calls<W: Wire + Send + Sync + std::fmt::Debug>(
+        &self,
+        wire: W,
+        authority: Arc<dyn PromotionAuthority>,
+    ) -> Result<RegistryCalls, DeploymentError> {
+        let members = Arc::new(WireCalls { wire, settings: self.gateway_settings()? });
+        Ok(RegistryCalls { members, authority })
+    }
+}
+
+/// Calls over the wire of the deployment.
+#[derive(Debug)]
+struct WireCalls<W> {
+    wire: W,
+    settings: GatewaySettings,
+}
+
+impl<W: Wire + Send + Sync + std::fmt::Debug> MemberCalls for WireCalls<W> {
+    fn status(&self, call: MemberCall, hold: bool) -> LocalBoxFuture<'static, MemberAnswer> {
+        let (wire, settings) = (self.wire.clone(), self.settings.clone());
+        async move {
+            let MemberCall { group, member, address } = call;
+            ask_status(&wire, &settings, &group, &member, address, hold).await
+        }
+        .boxed_local()
+    }
+
+    fn release(&self, call: MemberCall) -> LocalBoxFuture<'static, ()> {
+        let (wire, settings) = (self.wire.clone(), self.settings.clone());
+        async move {
+            let MemberCall { group, member, address } = call;
+            release(&wire, &settings, &group, &member, address).await;
+        }
+        .boxed_local()
+    }
+}
