--- a/crates/control/src/backoff.rs
+++ b/crates/control/src/backoff.rs
@@ -1,4 +1,8 @@
 //! Growing, jittered delays between attempts.
+//!
+//! [`corktack_core::retry::Backoff`] differs: it takes the number of the attempt, draws whole microseconds
+//! and never starts over; this one counts by itself and draws a factor, so that the same seed gives
+//! another sequence.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/control/src/cell/disks.rs
+++ b/crates/control/src/cell/disks.rs
@@ -1,7 +1,7 @@
 //! Which disk each replica of the cell has.
 //!
 //! A vote or an acknowledgement promises to survive a crash. A replica whose data
-//! folder was lost broke its promises, so it must not be heard under its old id
+//! folder was lost broke its promises, so nothing of it may be taken under its old id
 //! again: with its help a majority could be formed that lacks committed entries.
 //! Each data folder draws an id at its first start and shows it in the first
 //! message of every connection. A replica notes the id it saw first, syncs it
--- a/crates/control/src/cell/inbound.rs
+++ b/crates/control/src/cell/inbound.rs
@@ -1,4 +1,10 @@
 //! Incoming connections of other replicas.
+//!
+//! Owns nothing between connections. Relies on the disks' book for whether a replica may still be believed,
+//! and passes everything that was read on to the consensus thread.
+//!
+//! A replica is refused that names another cell, another receiver or another disk than before; a refused
+//! one is not answered.
 
 use super::PeerMessage;
 use super::disks::{DiskCheck, Disks};
@@ -16,8 +22,11 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::FramedRead;
 
+/// Longest wait for the first message. Chosen, not measured; a lower value refuses replicas behind slow
+/// links, a higher one keeps silent connections for longer.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed accept (out of file descriptors, most likely).
+/// Pause after a failed accept (out of file descriptors, most likely). Chosen, not measured; a lower value
+/// spins while none is free, a higher one lets replicas wait for longer.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 /// What incoming connections are checked against.
@@ -86,9 +95,10 @@
 
 type Connection = FramedRead<OwnedReadHalf, FrameCodec<PeerMessage, PeerMessage>>;
 
-/// Shortest time between two answers to what was read: the sender waits four times as long.
+/// Shortest time between two answers to what was read: the sender waits four times as long. Chosen, not
+/// measured; a lower value sends more bytes, a higher one leaves less of the sender's patience.
 const ANSWER_INTERVAL: Duration = Duration::from_millis(500);
-/// What is answered.
+/// What is answered. Its value means nothing: that something comes back is the answer.
 const ANSWER: &[u8] = &[1];
 
 /// Answers what was read, from time to time.
@@ -100,7 +110,7 @@
 impl Answers {
     fn note_read(&mut self) {
         if Instant::now() >= self.due {
-            // Where nothing can be written now, the next answer says the same.
+            // Where nothing can be written now, the next answer does as well.
             let _ = self.write_half.try_write(ANSWER);
             self.due = Instant::now() + ANSWER_INTERVAL;
         }
--- a/crates/control/src/cell/mod.rs
+++ b/crates/control/src/cell/mod.rs
@@ -1,4 +1,7 @@
-//! Connections between the replicas of a cell.
+//! Connections between the replicas of a cell: one for each direction.
+//!
+//! Owns the links out and who may be believed on the way in. Relies on the consensus thread, which takes what
+//! comes in and says what goes out.
 
 mod disks;
 mod inbound;
--- a/crates/control/src/cell/outbound.rs
+++ b/crates/control/src/cell/outbound.rs
@@ -1,4 +1,11 @@
 //! Outgoing connections: one to each other replica, with a bounded queue.
+//!
+//! Owns the links. Relies on the consensus thread for which replicas there are, and on the core to send
+//! again what is dropped here.
+//!
+//! A connection is opened at once, then after growing pauses (see [`Backoff`]), and at once again when the
+//! other replica connects. It is given up when what was sent stays unanswered for [`SILENCE_LIMIT`], when
+//! a flush takes longer than [`SEND_TIMEOUT`], and when the replica leaves the cell.
 
 use super::PeerMessage;
 use crate::backoff::Backoff;
@@ -23,23 +30,30 @@
 
 /// Messages that wait for one replica before further ones are dropped. The
 /// consensus core sends again what it gets no answer to, and so do callers of
-/// forwarded commands.
+/// forwarded commands. Chosen, not measured; a lower value drops more behind slow links, a higher one
+/// sends more that is stale.
 const QUEUE_MESSAGES: usize = 256;
 /// Longest wait for a connection: a machine without power answers nothing, and its first packet
-/// after it came back would be sent again only after seconds.
+/// after it came back would be sent again only after seconds. Chosen, not measured by itself; a lower value
+/// gives up on slow links.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Bytes of answers taken at once.
+/// Bytes of answers taken at once: one answer is one byte, and all that wait mean the same. Chosen, not
+/// measured; a lower value reads more often.
 const ANSWER_BUFFER: usize = 64;
+/// Longest wait for a flush; no answer is read meanwhile. Chosen, not measured; a lower value cuts off slow
+/// links, a higher one keeps a connection that takes nothing for longer.
 const SEND_TIMEOUT: Duration = Duration::from_secs(5);
+/// First and longest pause before a link is opened again. Chosen, not measured; lower values dial machines
+/// that are gone more often, higher ones add to the time until a replica that came back is reached.
 const BACKOFF_FIRST: Duration = Duration::from_millis(20);
 const BACKOFF_LAST: Duration = Duration::from_secs(1);
 
-/// Who this replica says it is on its connections.
+/// Who this replica is, as its connections begin.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkSettings {
     pub(crate) cell: CellName,
     pub(crate) replica: ReplicaId,
-    /// Id of this replica's data folder: its life ends with the disk.
+    /// Id of this replica's data folder, which is drawn anew with each disk.
     pub(crate) disk: Incarnation,
     pub(crate) seed: u64,
 }
@@ -83,7 +97,7 @@
         }
     }
 
-    /// Queues a message; says whether there was room.
+    /// Queues a message; gives whether there was room.
     pub(crate) fn send(&self, to: ReplicaId, message: PeerMessage) -> bool {
         let Some(link) = self.links.get(&to) else { return false };
         let queued = link.queue.try_send(message).is_ok();
@@ -159,7 +173,8 @@
 }
 
 /// How long what was sent may stay unanswered: the far end answers what it reads within
-/// a quarter of that, also where its kernel would acknowledge for a process that takes nothing.
+/// a quarter of that, also where its kernel would acknowledge for a process that takes nothing. Chosen, not
+/// measured; a lower value opens links anew that are only slow, a higher one keeps silent ones for longer.
 const SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Why a connection is given up.
--- a/crates/control/src/clock.rs
+++ b/crates/control/src/clock.rs
@@ -1,4 +1,6 @@
 //! The monotonic clock that the core's timestamps are read from.
+//!
+//! Owns the origin. All parts of a replica share one clock, so that their timestamps compare.
 
 use corktack_core::time::Timestamp;
 use std::time::Instant;
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -4,6 +4,9 @@
 //! module shares them between threads and encodes each frame once, whoever
 //! watches. A watcher keeps its own place, so a slow one costs no memory; one
 //! that falls out of the logs gets a snapshot or lists again.
+//!
+//! Owns the logs and the encoded frames. Only the consensus thread writes; connections of proxies and
+//! operators read.
 
 use bytes::{Bytes, BytesMut};
 use corktack_core::resources::Kind;
@@ -20,7 +23,8 @@
 use tokio::sync::watch;
 use tokio_util::codec::Encoder;
 
-/// Encoded deltas kept; older ones are encoded again for those who lag so far.
+/// Encoded deltas kept; older ones are encoded again for those who lag so far. Chosen, not measured; a lower
+/// value encodes more often, a higher one takes more memory.
 const FRAMES_KEPT: usize = 512;
 const KINDS: [Kind; 3] = [Kind::DatabaseGroup, Kind::PriorityClass, Kind::Binding];
 
--- a/crates/control/src/http/auth.rs
+++ b/crates/control/src/http/auth.rs
@@ -1,7 +1,7 @@
 //! The operators' bearer token.
 
-use super::Operators;
 use super::answer::ErrorAnswer;
+use super::operators::Operators;
 use crate::api::ErrorCode;
 use actix_web::body::MessageBody;
 use actix_web::dev::{ServiceRequest, ServiceResponse};
--- a/crates/control/src/http/cell.rs
+++ b/crates/control/src/http/cell.rs
@@ -1,8 +1,8 @@
 //! Changes of the cell, one replica at a time.
 
-use super::Operators;
 use super::answer::ErrorAnswer;
 use super::body::{describe, read_body};
+use super::operators::Operators;
 use crate::api::CellChangeBody;
 use actix_web::{HttpResponse, web};
 
--- a/crates/control/src/http/health.rs
+++ b/crates/control/src/http/health.rs
@@ -1,13 +1,17 @@
 //! Liveness, readiness and metrics.
+//!
+//! Owns nothing: liveness is the consensus thread's, readiness a proof that the replica is current.
 
-use super::Operators;
 use super::answer::ErrorAnswer;
+use super::operators::Operators;
 use crate::api::ErrorCode;
 use actix_web::{HttpResponse, web};
 use std::time::Duration;
 use tokio::time::timeout;
 
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// Longest wait for the proof. Chosen, not measured; a lower value takes a replica during an election for one
+/// that is not ready, a higher one adds to the time until the platform learns it.
 const READY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Whether the process works: its consensus thread runs and its disk did not fail.
--- a/crates/control/src/http/mod.rs
+++ b/crates/control/src/http/mod.rs
@@ -1,47 +1,30 @@
 //! The operators' resource interface over HTTP.
+//!
+//! Owns the paths and the forms of the answers. Relies on the consensus thread for every read and change, and
+//! on the feed for the watch.
 
 mod answer;
 mod auth;
 mod body;
 mod cell;
 mod health;
+mod operators;
 mod path;
 mod resources;
 mod status;
 mod watch;
 
-use crate::consensus::{ConsensusHandle, ReplicaStatus};
-use crate::feed::Feed;
-use crate::proxies::Proofs;
-use crate::stop::StopSignal;
+pub(crate) use operators::Operators;
+
 use actix_web::dev::Server;
 use actix_web::middleware::from_fn;
 use actix_web::{App, HttpServer, web};
-use corktack_core::identity::ReplicaId;
-use corktack_protocol::cell::CellName;
-use prometheus_client::registry::Registry;
 use std::net::TcpListener;
-use std::sync::Arc;
-use std::time::Duration;
 
-/// Longest wait for requests in flight at a stop, in seconds.
+/// Longest wait for requests in flight at a stop, in seconds. Chosen, not measured; a lower value cuts off
+/// changes that are still being committed, a higher one holds up a stop with a stuck connection.
 const SHUTDOWN_SECONDS: u64 = 2;
 
-/// What the handlers work with.
-#[derive(Clone)]
-pub(crate) struct Operators {
-    pub(crate) cell: CellName,
-    pub(crate) replica: ReplicaId,
-    pub(crate) consensus: ConsensusHandle,
-    pub(crate) feed: Feed,
-    pub(crate) proofs: Proofs,
-    pub(crate) status: tokio::sync::watch::Receiver<ReplicaStatus>,
-    pub(crate) registry: Arc<Registry>,
-    pub(crate) token: Option<Arc<str>>,
-    pub(crate) bookmark_interval: Duration,
-    pub(crate) stop: StopSignal,
-}
-
 /// Starts the server on a bound listener.
 pub(crate) fn serve(
     operators: Operators,
--- a/crates/control/src/http/resources.rs
+++ b/crates/control/src/http/resources.rs
@@ -1,8 +1,8 @@
 //! Lists, reads and changes of resources.
 
-use super::Operators;
 use super::answer::ErrorAnswer;
 use super::body::{parse_put, read_body};
+use super::operators::Operators;
 use super::path::{parse_key, parse_kind};
 use crate::api::{CHANGE_ID_HEADER, ErrorCode, ResourceList, WriteBody};
 use crate::error::RequestError;
--- a/crates/control/src/http/status.rs
+++ b/crates/control/src/http/status.rs
@@ -1,7 +1,10 @@
 //! The status page.
+//!
+//! Owns how long a proof may take before the page is marked as not current. Relies on the leader for the
+//! revisions in force on proxies; where it does not answer, none are shown.
 
-use super::Operators;
 use super::answer::ErrorAnswer;
+use super::operators::Operators;
 use crate::api::{CellMemberBody, GroupBody, InForceBody, ProxyBody, StatusBody};
 use crate::consensus::{ProxyRevisions, ReplicaStatus, StateReader};
 use crate::error::RequestError;
@@ -13,6 +16,8 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
+/// Longest wait for a proof; after it the page shows what the replica has, marked as not current. Chosen, not
+/// measured; a lower value marks more pages during an election, a higher one lets operators wait.
 const PROOF_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What the page takes from the control state.
@@ -81,7 +86,7 @@
     }
 }
 
-/// A revision reported in an earlier life of the process does not count.
+/// A revision reported in an earlier incarnation of the process does not count.
 fn proxy(name: ProxyName, view: ProxyView, revisions: &ProxyRevisions) -> ProxyBody {
     let reported = revisions.get(&name);
     let reported = reported.filter(|(incarnation, _)| *incarnation == view.incarnation);
--- a/crates/control/src/http/watch.rs
+++ b/crates/control/src/http/watch.rs
@@ -1,7 +1,10 @@
 //! The watch: a stream of JSON lines, one a revision.
+//!
+//! Owns a client's place in the feed. Relies on the feed for the events, and on a proof for each line that says
+//! that nothing was missed.
 
-use super::Operators;
 use super::answer::ErrorAnswer;
+use super::operators::Operators;
 use super::path::parse_kind;
 use crate::api::{ErrorCode, WatchLine};
 use crate::feed::Feed;
@@ -21,7 +24,8 @@
 
 const CONTENT_TYPE: &str = "application/x-ndjson";
 
-/// Lines sent at once; the rest follow.
+/// Lines sent at once; the rest follow. Chosen, not measured; a lower value makes more pieces of a body, a
+/// higher one larger ones.
 const LINES_AT_ONCE: usize = 256;
 
 #[derive(Deserialize)]
@@ -110,7 +114,7 @@
         Ok(buffer.freeze())
     }
 
-    /// Says that nothing was missed up to here, once that is proven.
+    /// Sends that nothing was missed up to here, once that is proven.
     async fn bookmark(&mut self) -> Result<Bytes, Ended> {
         self.next_bookmark = Instant::now() + self.bookmark_interval;
         if !self.proofs.request().await.unwrap_or(false) {
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -2,7 +2,7 @@
 //!
 //! The first voters of a cell are the seeds of its first start: their numbers follow from their
 //! addresses, so that all of them begin with the same cell. Every other disk, one that took the
-//! place of a lost one included, draws a number of its own and asks to join: a replica whose disk
+//! place of a lost one included, draws a number of its own and requests to join: a replica whose disk
 //! was lost broke its promises and must never vote under its old number.
 
 use crate::error::ControlError;
--- a/crates/control/src/joining.rs
+++ b/crates/control/src/joining.rs
@@ -1,4 +1,7 @@
-//! A replica without a cell asks other replicas to be added to theirs.
+//! A replica without a cell requests other replicas to add it to theirs.
+//!
+//! Owns whose turn it is. Relies on the status for whether the replica belongs to a cell by now, and on the
+//! leader of the other replicas to add it.
 
 use crate::consensus::{ConsensusHandle, ConsensusInput, ReplicaStatus};
 use crate::stop::StopSignal;
@@ -13,9 +16,11 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Pause between two questions.
-const ASK_INTERVAL: Duration = Duration::from_millis(300);
-/// Longest wait for one answer, its connection included.
+/// Pause between two requests. Chosen, not measured; a lower value sends more of them while a cell forms, a
+/// higher one adds to the time until a new replica counts.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
+/// Longest wait for one answer, its connection included. Chosen, not measured; a lower value gives up on
+/// slow links, a higher one adds to the time that a replica which is gone costs.
 const ANSWER_LIMIT: Duration = Duration::from_millis(700);
 
 /// A replica that wants to belong to a cell.
@@ -27,21 +32,21 @@
 }
 
 impl Joining {
-    /// Asks in turn until the stop, whenever the replica hears of no leader.
+    /// Makes requests in turn until the stop, whenever the replica belongs to no cell.
     pub(crate) async fn run(self, stop: StopSignal) {
         tokio::select! {
-            () = self.ask_all() => (),
+            () = self.request_all() => (),
             () = stop.stopped() => (),
         }
     }
 
-    async fn ask_all(&self) {
+    async fn request_all(&self) {
         for turn in 0.. {
             let targets = self.targets();
             if self.is_outside() && !targets.is_empty() {
-                self.ask(targets[turn % targets.len()]).await;
+                self.request(targets[turn % targets.len()]).await;
             }
-            sleep(ASK_INTERVAL).await;
+            sleep(REQUEST_INTERVAL).await;
         }
     }
 
@@ -56,7 +61,7 @@
         targets
     }
 
-    /// A voter takes part in elections, and a learner that hears a leader is being brought up to
+    /// A voter takes part in elections, and a learner that knows a leader is being brought up to
     /// date: neither needs anyone to add it.
     fn is_outside(&self) -> bool {
         let status = self.status.borrow();
@@ -65,8 +70,8 @@
         !belongs(&status.cell.voters) && !learns
     }
 
-    async fn ask(&self, target: SocketAddr) {
-        let Ok(Some(cell)) = timeout(ANSWER_LIMIT, question(target, &self.member)).await else {
+    async fn request(&self, target: SocketAddr) {
+        let Ok(Some(cell)) = timeout(ANSWER_LIMIT, request_cell(target, &self.member)).await else {
             log::debug!(replica:% = target; "no answer to the question to join");
             return;
         };
@@ -75,7 +80,7 @@
     }
 }
 
-async fn question(target: SocketAddr, member: &CellMember) -> Option<CellConfig> {
+async fn request_cell(target: SocketAddr, member: &CellMember) -> Option<CellConfig> {
     let stream = TcpStream::connect(target).await.ok()?;
     let codec = FrameCodec::<ProxyMessage, ControlMessage>::default();
     let mut frames = Framed::new(stream, codec);
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a control replica.
+//! Metrics of a control replica: their names, and how the status becomes figures.
 
 use crate::consensus::ReplicaStatus;
 use corktack_core::consensus::Role;
@@ -9,6 +9,8 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
+/// Bounds of the histograms' buckets: 18 of them from 0.1 ms, each twice the one before, up to 13 s.
+/// Operators' queries name them.
 const FIRST_BUCKET_SECONDS: f64 = 0.000_1;
 const BUCKET_FACTOR: f64 = 2.0;
 const BUCKETS: u16 = 18;
--- a/crates/control/src/platform.rs
+++ b/crates/control/src/platform.rs
@@ -1,4 +1,6 @@
-//! Polls the platform's list of live and leaving machines.
+//! Polls the platform's list of live and leaving machines, and passes it to the consensus thread.
+//!
+//! Owns nothing between polls; the core's membership decides what the list means.
 
 use crate::consensus::{ConsensusHandle, ConsensusInput, ReplicaStatus};
 use crate::settings::PlatformSource;
@@ -12,7 +14,11 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{MissedTickBehavior, interval};
 
+/// Longest wait for the list. Chosen, not measured; a lower value misses lists behind slow links, a higher
+/// one skips more polls while the list cannot be reached.
 const POLL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest list in bytes. Chosen, not measured: some 100,000 addresses; a lower value refuses large fleets, a
+/// higher one takes more memory for a wrong answer.
 const LIST_BYTES_LIMIT: usize = 4 * 1024 * 1024;
 
 /// The list as it is sent.
--- a/crates/control/src/recovered.rs
+++ b/crates/control/src/recovered.rs
@@ -1,4 +1,7 @@
-//! What a replica found on its disk.
+//! What a replica finds on its disk at its start, and the settings of the core.
+//!
+//! Relies on the storage for what is whole. The state is that of the snapshot; the entries after it come
+//! from the core, as if they had just been committed.
 
 use crate::cell::Disks;
 use crate::clock::Clock;
@@ -9,9 +12,10 @@
 use corktack_core::state::ControlState;
 use corktack_storage::{DataFolder, ReplicaLog};
 
-/// Most entry bytes in one append message.
+/// Most entry bytes in one append message. Chosen, not measured; a lower value takes more round trips to
+/// bring a replica up to date, a higher one holds heartbeats up behind slow links.
 const APPEND_BYTES_LIMIT: usize = 256 * 1024;
-/// Bytes of one piece of a snapshot sent to another replica.
+/// Bytes of one piece of a snapshot sent to another replica. Chosen, not measured, as that of an append.
 const SNAPSHOT_CHUNK_BYTES: usize = 256 * 1024;
 
 /// What a replica found on its disk.
@@ -56,7 +60,7 @@
         heartbeat_interval: settings.heartbeat_interval,
         append_bytes_limit: APPEND_BYTES_LIMIT,
         snapshot_chunk_bytes: SNAPSHOT_CHUNK_BYTES,
-        // Numbers drawn in another life of this replica must not come again.
+        // Numbers drawn in another incarnation of this replica must not come again.
         seed: settings.seed ^ settings.incarnation.0,
     }
 }
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -1,4 +1,7 @@
 //! The registry of back ends and the configuration document, for the interfaces of a deployment.
+//!
+//! Owns nothing of them: changes go through the log and reads through the state. Decides only whether the
+//! cell is complete enough to take changes.
 
 use crate::consensus::{ConsensusHandle, ReplicaStatus};
 use crate::error::RequestError;
@@ -78,21 +81,21 @@
         Ok(read.await?)
     }
 
-    /// Takes a heartbeat. What it says anew is committed before this returns.
+    /// Takes a heartbeat. What it reports anew is committed before this returns.
     ///
     /// # Errors
-    /// [`RegistryError`]; the back end should tell another replica.
+    /// [`RegistryError`]; the back end should report to another replica.
     pub async fn report(
         &self,
         member: MemberName,
         report: BackEndReport,
     ) -> Result<(), RegistryError> {
-        let (asked, said) = (member.clone(), report.clone());
-        let news = self
+        let (name, reported) = (member.clone(), report.clone());
+        let is_news = self
             .consensus
-            .peek(move |reader| reader.state.registry().is_news(&asked, &said))
+            .peek(move |reader| reader.state.registry().is_news(&name, &reported))
             .await?;
-        if !news {
+        if !is_news {
             return Ok(());
         }
         let back_end = &report.back_end;
@@ -107,7 +110,7 @@
     /// Notes that a back end is gone for good; committed before this returns.
     ///
     /// # Errors
-    /// [`RegistryError`]; the back end should tell another replica.
+    /// [`RegistryError`]; the back end should report to another replica.
     pub async fn leave(&self, member: MemberName) -> Result<(), RegistryError> {
         log::info!(member:% = member; "back end leaves");
         self.change(RegistryCommand::Leave { member }).await.map(drop)
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,4 +1,9 @@
 //! Starts and stops a control replica.
+//!
+//! Owns the thread, the arbiters and the HTTP server of a running one. A planned stop ends in one place,
+//! [`ControlHandle::stop`]: leadership goes over first ([`TRANSFER_TIMEOUT`], [`SUCCESSOR_TIMEOUT`]), then
+//! proxies and watching operators are let go, requests under way are answered, and the links to other
+//! replicas and the thread end last.
 
 use crate::clock::Clock;
 use crate::consensus::{ConsensusHandle, ConsensusInput, ReplicaStatus};
@@ -22,9 +27,11 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Longest wait for another replica to take over at a planned stop.
+/// Longest wait for another replica to take over at a planned stop. Chosen, not measured; a lower value
+/// leaves the others to an election behind slow links, a higher one holds up a stop where none can.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for the first heartbeat of the one that took over.
+/// Longest wait for the first heartbeat of the one that took over. Chosen, not measured; a lower value may
+/// take away the vote that it needs, a higher one holds up a stop where it is lost.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A control replica.
@@ -65,7 +72,7 @@
     registry: RegistryHandle,
     consensus: ConsensusHandle,
     status: watch::Receiver<ReplicaStatus>,
-    /// Ends what serves proxies and watching operators, and asks back ends.
+    /// Ends what serves proxies and watching operators, and what calls back ends.
     trigger: StopTrigger,
     /// Ends the connections of other replicas.
     cell_trigger: StopTrigger,
--- a/crates/control/src/starting.rs
+++ b/crates/control/src/starting.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a replica.
+//! Starts the parts of a replica and connects them: which arbiter each runs on, and which stop ends it.
 
 use crate::back_end::BackEnds;
 use crate::cell::{Disks, InboundSettings, LinkSettings, Links, accept_replicas};
@@ -141,7 +141,7 @@
         let server = self.proxy_server();
         let interval = self.settings.proxy_heartbeat_interval;
         let first = self.first_arbiter();
-        // A proxy is told that this replica is cut off before it counts as silent.
+        // A proxy learns that this replica is cut off before it counts as silent.
         let limit = self.settings.proxy_heartbeat_timeout / 2;
         let proofs = self.proofs.clone();
         first.spawn(proofs.run(interval, limit, self.consensus.clone(), self.stop.clone()));
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Asks other replicas to add this one to their cell, as long as it belongs to none.
+    /// Requests other replicas to add this one to their cell, as long as it belongs to none.
     pub(crate) fn start_joining(&self) {
         let Some(address) = self.settings.cell_address else { return };
         if self.settings.join_through.is_empty() {
--- a/crates/control/src/state_codec.rs
+++ b/crates/control/src/state_codec.rs
@@ -9,7 +9,8 @@
 
 /// Most bytes that a decoded state may claim. The memory of resends at its limit
 /// claims about ten million; the rest is for resources. What is claimed bounds
-/// what a damaged length can make the decoder allocate.
+/// what a damaged length can make the decoder allocate. Chosen, not measured; a lower value refuses
+/// states of large fleets.
 const CLAIM_LIMIT: usize = 512 * 1024 * 1024;
 
 /// Encodes a state.
--- a/crates/control/src/stop.rs
+++ b/crates/control/src/stop.rs
@@ -1,4 +1,5 @@
-//! The signal that ends the tasks of a replica.
+//! The signal that ends the tasks of a replica. The replica's handle owns the trigger; every task holds a
+//! signal.
 
 use tokio::sync::watch;
 
