--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -5,10 +5,10 @@
 use crate::flags::Apply;
 use crate::output::{Format, Output};
 use crate::table::{Table, or_dash};
-use corktack_control::api::{AnyManifest, ErrorCode, WriteBody};
+use corktack_control::api::{AnyManifest, ErrorCode, WriteBody, key_parts};
 use corktack_core::resources::{Kind, ResourceSpec, ResourceVersion};
 use corktack_server::client::{ApiClient, ClientError, Request, resource_path};
-use corktack_server::manifest::{Manifest, key_parts, load};
+use corktack_server::manifest::{Manifest, load};
 use serde::Serialize;
 
 /// What became of one manifest.
--- a/crates/cli/src/commands/get.rs
+++ b/crates/cli/src/commands/get.rs
@@ -6,10 +6,9 @@
 use crate::kind::parse_kind;
 use crate::output::{Format, Output};
 use crate::table::{Table, or_dash};
-use corktack_control::api::{AnyManifest, ResourceList};
+use corktack_control::api::{AnyManifest, ResourceList, kind_segment, resource_key};
 use corktack_core::resources::{CallerMatch, Kind, ResourceKey};
-use corktack_server::client::{ApiClient, Request, kind_segment, resource_path};
-use corktack_server::manifest::resource_key;
+use corktack_server::client::{ApiClient, Request, resource_path};
 
 pub(crate) async fn run(
     client: ApiClient,
--- a/crates/cli/src/commands/watch.rs
+++ b/crates/cli/src/commands/watch.rs
@@ -1,17 +1,22 @@
 //! `corktack watch`: follows changes over lost connections and lost replicas.
+//!
+//! Owns the last revision seen: a new connection goes on from there, so that nothing is missed or shown twice.
 
 use super::CommandError;
 use crate::exit::Exit;
 use crate::flags::Watch;
 use crate::kind::parse_kind;
 use crate::output::{Format, Output};
-use corktack_control::api::{ErrorCode, ResourceList, WatchEvent, WatchEventType, WatchLine};
+use corktack_control::api::{
+    ErrorCode, ResourceList, WatchEvent, WatchEventType, WatchLine, kind_segment,
+};
 use corktack_core::resources::Kind;
 use corktack_core::view::Revision;
-use corktack_server::client::{ApiClient, LostAnswer, Request, kind_segment};
+use corktack_server::client::{ApiClient, LostAnswer, Request};
 use std::time::Duration;
 
-/// Wait before the next server is tried.
+/// Wait before the next server is tried. Chosen, not measured; a lower value asks servers that are gone more
+/// often, a higher one lets the operator wait.
 const RETRY_WAIT: Duration = Duration::from_millis(200);
 
 struct Watcher<'a, 'b> {
--- a/crates/control/src/api/mod.rs
+++ b/crates/control/src/api/mod.rs
@@ -4,6 +4,7 @@
 
 mod error;
 mod manifest;
+mod path;
 mod status;
 mod watch;
 
@@ -12,6 +13,7 @@
     AnyManifest, GroupStatus, Manifest, ManifestError, Metadata, PutBody, PutMetadata,
     ResourceList, WriteBody,
 };
+pub use path::{BINDINGS, CLASSES, GROUPS, key_parts, kind_of_segment, kind_segment, resource_key};
 pub use status::{
     CellChangeBody, CellMemberBody, GroupBody, InForceBody, ProxyBody, RoleBody, StatusBody,
 };
@@ -21,12 +23,6 @@
 /// same id gets the first answer. Without one the server draws one and returns it.
 pub const CHANGE_ID_HEADER: &str = "Change-Id";
 
-/// Path segment of the database groups.
-pub const GROUPS: &str = "groups";
-/// Path segment of the priority classes.
-pub const CLASSES: &str = "classes";
-/// Path segment of the bindings.
-pub const BINDINGS: &str = "bindings";
-
-/// Largest request body, in bytes.
+/// Largest request body, in bytes. Chosen, not measured; a lower value refuses groups with many members, a
+/// higher one lets a client take more memory.
 pub const BODY_LIMIT: usize = 256 * 1024;
--- a/crates/control/src/render.rs
+++ b/crates/control/src/render.rs
@@ -1,6 +1,6 @@
-//! The JSON form of what the control state holds.
+//! The JSON form of what the control state holds. Owns nothing; the form itself is that of [`crate::api`].
 
-use crate::api::{AnyManifest, GroupStatus, Metadata, WatchEvent, WatchEventType};
+use crate::api::{AnyManifest, GroupStatus, Metadata, WatchEvent, WatchEventType, key_parts};
 use corktack_core::resources::ResourceKey;
 use corktack_core::state::{ControlState, StoredResource};
 use corktack_core::view::GroupView;
@@ -27,7 +27,7 @@
 
 fn manifest(resource: StoredResource, group: Option<&GroupView>) -> AnyManifest {
     let metadata = Metadata {
-        name: name(&resource.key).to_owned(),
+        name: key_parts(&resource.key).1.to_owned(),
         resource_version: Some(resource.version),
         generation: Some(resource.generation),
     };
@@ -42,11 +42,3 @@
         draining: view.draining.clone(),
     }
 }
-
-fn name(key: &ResourceKey) -> &str {
-    match key {
-        ResourceKey::DatabaseGroup(name) => name.as_str(),
-        ResourceKey::PriorityClass(name) => name.as_str(),
-        ResourceKey::Binding(name) => name.as_str(),
-    }
-}
--- a/crates/server/src/manifest/check.rs
+++ b/crates/server/src/manifest/check.rs
@@ -1,6 +1,10 @@
 //! Checks of manifests that need no server: values, and references between the given files.
+//!
+//! Owns what the documents declare together. Relies on the core for what a value may be by itself.
 
-use super::{Manifest, ManifestError, ManifestValueError, ReferenceProblem, key_parts};
+use super::error::{ManifestError, ManifestValueError, ReferenceProblem};
+use super::load::Manifest;
+use corktack_control::api::key_parts;
 use corktack_core::identity::ClassName;
 use corktack_core::resources::{
     BindingSpec, DatabaseGroupSpec, Kind, PriorityClassSpec, ResourceKey, ResourceSpec,
@@ -91,7 +95,7 @@
         self.refuse(manifest, "metadata.name", key_parts(&manifest.key).1, problem);
     }
 
-    /// What can be told of one document without the others.
+    /// What shows in one document without the others.
     fn check_alone(&mut self, manifest: &Manifest) {
         if let Err(error) = manifest.spec.validate() {
             let key = error.field();
