--- a/crates/server/src/control.rs
+++ b/crates/server/src/control.rs
@@ -1,4 +1,7 @@
 //! Runs a control replica.
+//!
+//! Owns the running replica. Decides whether an empty data folder may found a cell; relies on
+//! `corktack_control` for everything that a replica does, and on the settings for every timer.
 
 use crate::listeners::{ListenError, bind, bound_address};
 use crate::proxy::draw_incarnation;
@@ -133,11 +136,11 @@
     if bootstrap == Bootstrap::Refuse && !settings.join && is_empty(&log_folder) {
         return Err(ControlProcessError::Empty { folder: settings.data_folder });
     }
-    let asked = &settings.addresses;
+    let wanted = &settings.addresses;
     let addresses = ControlBound {
-        cell: bound_address("addresses.cell", asked.cell, &listeners.cell)?,
-        proxies: bound_address("addresses.proxies", asked.proxies, &listeners.proxies)?,
-        operators: bound_address("addresses.operators", asked.operators, &listeners.operators)?,
+        cell: bound_address("addresses.cell", wanted.cell, &listeners.cell)?,
+        proxies: bound_address("addresses.proxies", wanted.proxies, &listeners.proxies)?,
+        operators: bound_address("addresses.operators", wanted.operators, &listeners.operators)?,
     };
     let replica = replica_settings(settings, log_folder);
     // The replica serves its metrics itself, on the operators' address.
--- a/crates/server/src/dev/manifests.rs
+++ b/crates/server/src/dev/manifests.rs
@@ -1,6 +1,6 @@
 //! The built-in resources of `dev`.
 
-use super::{DEMO_GROUP, DEMO_USER, DevError};
+use super::settings::{DEMO_GROUP, DEMO_USER, DevError};
 use crate::client::Request;
 use corktack_core::identity::{BindingName, ClassName, GroupName, ZoneName};
 use corktack_core::resources::{
@@ -15,9 +15,9 @@
 pub(super) const DEFAULT_CLASS: &str = "bronze";
 /// Class of the demo user.
 const DEMO_CLASS: &str = "gold";
-/// Slots of the group.
+/// Slots of the group. Chosen, not measured; fewer make callers wait sooner.
 const SLOTS: u32 = 5;
-/// Server connections of the group.
+/// Server connections of the group. Chosen, not measured; fewer make sessions share them sooner.
 const CONNECTIONS: u32 = 30;
 /// Zone of everything in `dev`.
 pub(super) const ZONE: &str = "local.a";
--- a/crates/server/src/dev/roles.rs
+++ b/crates/server/src/dev/roles.rs
@@ -1,7 +1,9 @@
 //! Starts the roles of `dev` on loopback addresses.
+//!
+//! Relies on a file of the data folder for the replicas' ports: the cell knows its members by them.
 
 use super::manifests::{DEFAULT_CLASS, ZONE};
-use super::{DEMO_GROUP, DevError, DevSettings};
+use super::settings::{DEMO_GROUP, DevError, DevSettings};
 use crate::control::{Bootstrap, ControlProcess, bind_listeners, start_on};
 use crate::proxy::{ProxyHandle, start};
 use crate::settings::control::{ControlAddresses, ControlLimits, ControlMember, ControlTimeouts};
@@ -17,7 +19,8 @@
 
 /// Proxies of `dev`.
 const PROXIES: usize = 2;
-/// Connections that each member of the group takes.
+/// Connections that each member of the group takes. Chosen, not measured; more than the group's connections of
+/// both proxies together.
 const MEMBER_CONNECTIONS: usize = 100;
 /// Name of the cell.
 const CELL: &str = "dev";
--- a/crates/server/src/explain/summary.rs
+++ b/crates/server/src/explain/summary.rs
@@ -1,9 +1,9 @@
 //! How many requests failed, when, why and whose, by log lines alone.
 //!
 //! Every request that failed has a line (see [`crate::telemetry::lines`]); of those that succeeded only a
-//! sample has, so that these are not counted. Lines that a process dropped are told as missing.
+//! sample has, so that these are not counted. Lines that a process dropped are counted as missing.
 
-use super::LogLine;
+use super::line::LogLine;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,19 +16,20 @@
 const NEAR_LIMIT: &str = "tenant is near its limit";
 /// Message of the line that tells of lines that were dropped.
 const DROPPED: &str = "log lines dropped";
-/// Rows of a table that are shown; the rest is told in one.
+/// Rows of a table that are shown; the rest is summed in one. Chosen, not measured; a table should fit a screen.
 const ROWS_SHOWN: usize = 12;
+/// Of the lines' times.
 const MILLIS_PER_SECOND: u64 = 1_000;
 
 /// How a request ended that failed: its outcome, with the reason where it was refused.
 pub type Ends = BTreeMap<String, u64>;
 
-/// What the leader of control has told of a tenant that comes near its limit.
+/// What the lines of control's leader hold of a tenant that comes near its limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitedTenant {
-    /// Times that it was told, at most once a second.
-    pub told: u64,
-    /// Operations that may begin in a window, as told last.
+    /// Lines about it, at most one a second.
+    pub lines: u64,
+    /// Operations that may begin in a window, as the last line has it.
     pub limit: u64,
     /// The most that gateways could let begin of them.
     pub most_given: u64,
@@ -87,7 +88,7 @@
     fn add_limited(&mut self, line: &LogLine) {
         let Some(name) = line.text("tenant") else { return };
         let tenant = self.limited.entry(name.to_owned()).or_default();
-        tenant.told += 1;
+        tenant.lines += 1;
         tenant.limit = line.number("limit").unwrap_or(tenant.limit);
         tenant.most_given = tenant.most_given.max(line.number("given").unwrap_or(0));
         tenant.most_needed = tenant.most_needed.max(line.number("needed").unwrap_or(0));
@@ -139,11 +140,11 @@
         write_most(formatter, "by tenant", &self.tenants)?;
         write_most(formatter, "by group", &self.groups)?;
         writeln!(formatter, "tenants near their limits ({})", self.limited.len())?;
-        for (name, LimitedTenant { told, limit, most_given, most_needed }) in &self.limited {
+        for (name, LimitedTenant { lines, limit, most_given, most_needed }) in &self.limited {
             writeln!(
                 formatter,
                 "  {name:<24} limit {limit}, given at most {most_given}, needed at most \
-                 {most_needed}, told {told} times"
+                 {most_needed}, told {lines} times"
             )?;
         }
         Ok(())
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,4 +1,7 @@
 //! Runs the processes of corktack: settings, telemetry, and the wiring of every role.
+//!
+//! Relies on `corktack_control`, `corktack_edge`, `corktack_owner` and `corktack_gateway` for what the roles do;
+//! owns where their settings come from, how they are connected, and when they start and stop.
 
 pub mod client;
 pub mod control;
--- a/crates/server/src/listeners.rs
+++ b/crates/server/src/listeners.rs
@@ -1,4 +1,6 @@
 //! Binds listeners, so that a taken port is reported once and before anything starts.
+//!
+//! The error names the setting that is at fault.
 
 use std::net::{SocketAddr, TcpListener};
 
--- a/crates/server/src/proxy/mod.rs
+++ b/crates/server/src/proxy/mod.rs
@@ -1,4 +1,7 @@
 //! Runs a proxy: edge, owner, watch of control, telemetry.
+//!
+//! Owns the parts of a running proxy. Decides when callers are served after a start (`wait_until_current`) and
+//! in which order a planned stop ends them ([`ProxyHandle::stop`]); relies on the settings for every limit.
 
 mod wiring;
 
@@ -76,7 +79,7 @@
     _folder: DataFolder,
 }
 
-/// Number of this life of the process: the time of its start, which differs between lives.
+/// Incarnation of this process: the time of its start, which no other run has.
 #[must_use]
 pub fn draw_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -152,11 +155,11 @@
     }
 
     fn addresses(&self, settings: &ProxySettings) -> Result<BoundAddresses, ListenError> {
-        let asked = &settings.addresses;
+        let wanted = &settings.addresses;
         Ok(BoundAddresses {
-            callers: bound_address(CALLERS_SETTING, asked.callers, &self.callers)?,
-            peers: bound_address(PEERS_SETTING, asked.peers, &self.peers)?,
-            telemetry: bound_address(TELEMETRY_SETTING, asked.telemetry, &self.telemetry)?,
+            callers: bound_address(CALLERS_SETTING, wanted.callers, &self.callers)?,
+            peers: bound_address(PEERS_SETTING, wanted.peers, &self.peers)?,
+            telemetry: bound_address(TELEMETRY_SETTING, wanted.telemetry, &self.telemetry)?,
         })
     }
 }
--- a/crates/server/src/proxy/wiring.rs
+++ b/crates/server/src/proxy/wiring.rs
@@ -1,4 +1,6 @@
 //! The settings of a proxy's parts, made from the proxy's.
+//!
+//! Decides nothing: each setting goes to the part that uses it.
 
 use crate::settings::proxy::AuthenticationMode;
 use crate::settings::{ProxySettings, millis};
--- a/crates/server/src/settings/control/check.rs
+++ b/crates/server/src/settings/control/check.rs
@@ -1,12 +1,12 @@
 //! Checks of a control replica's settings.
 
 use super::ControlSettings;
-use crate::settings::TIMEOUT_MAXIMUM_MS;
-use crate::settings::error::{Check, SettingsError, ValueProblem};
+use crate::settings::checks::Check;
+use crate::settings::error::{SettingsError, ValueProblem};
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Fewest characters of an operator token.
+/// Fewest characters of an operator token. Chosen, not measured; a lower value lets tokens be guessed.
 const TOKEN_MINIMUM: usize = 16;
 /// What to do about an address that others can reach.
 const TOKEN_REMEDY: &str = "set operator_token";
@@ -67,8 +67,7 @@
         if !platform.path.starts_with('/') {
             return Err(check.refuse("platform.path", &platform.path, ValueProblem::NoPath));
         }
-        let interval = platform.poll_interval_ms;
-        check.range("platform.poll_interval_ms", interval, 1..=TIMEOUT_MAXIMUM_MS)
+        check.timeouts([("platform.poll_interval_ms", platform.poll_interval_ms)])
     }
 
     fn check_limits(&self, check: &Check<'_>) -> Result<(), SettingsError> {
@@ -81,13 +80,14 @@
 
     fn check_timeouts(&self, check: &Check<'_>) -> Result<(), SettingsError> {
         let timeouts = &self.timeouts;
-        let range = |key, value: u32| check.range(key, value, 1..=TIMEOUT_MAXIMUM_MS);
-        range("timeouts.election_ms", timeouts.election_ms)?;
-        range("timeouts.heartbeat_ms", timeouts.heartbeat_ms)?;
-        range("timeouts.proxy_heartbeat_ms", timeouts.proxy_heartbeat_ms)?;
-        range("timeouts.proxy_silence_ms", timeouts.proxy_silence_ms)?;
-        range("timeouts.request_ms", timeouts.request_ms)?;
-        range("timeouts.back_end_ms", timeouts.back_end_ms)?;
+        check.timeouts([
+            ("timeouts.election_ms", timeouts.election_ms),
+            ("timeouts.heartbeat_ms", timeouts.heartbeat_ms),
+            ("timeouts.proxy_heartbeat_ms", timeouts.proxy_heartbeat_ms),
+            ("timeouts.proxy_silence_ms", timeouts.proxy_silence_ms),
+            ("timeouts.request_ms", timeouts.request_ms),
+            ("timeouts.back_end_ms", timeouts.back_end_ms),
+        ])?;
         check.rising(
             ("timeouts.heartbeat_ms", timeouts.heartbeat_ms),
             ("timeouts.election_ms", timeouts.election_ms),
--- a/crates/server/src/settings/control/mod.rs
+++ b/crates/server/src/settings/control/mod.rs
@@ -1,9 +1,12 @@
 //! Settings of a control replica.
+//!
+//! Owns the form of the file, its defaults and what the command line may set over it.
 
 mod check;
 
+use super::error::SettingsError;
 use super::failover::FailoverTimes;
-use super::{SettingsError, parse_file, replace};
+use super::file::{parse_file, replace};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/server/src/settings/failover.rs
+++ b/crates/server/src/settings/failover.rs
@@ -1,7 +1,10 @@
 //! When and how a control replica replaces a primary.
+//!
+//! Owns the form of the section; the defaults are the core's.
 
-use super::error::{Check, SettingsError, ValueProblem};
-use super::{TIMEOUT_MAXIMUM_MS, millis};
+use super::checks::Check;
+use super::error::{SettingsError, ValueProblem};
+use super::file::millis;
 use corktack_core::failover::FailoverSettings;
 use serde::Deserialize;
 use std::time::Duration;
@@ -55,7 +58,8 @@
     pub quiet_ms: u32,
 }
 
-/// Longest wait for one probe, in milliseconds.
+/// Longest wait for one probe, in milliseconds. Chosen, not measured; a lower value misses members that are only
+/// slow, a higher one adds to the time until a failover.
 const PROBE_MS: u32 = 400;
 
 impl Default for FailoverTimes {
@@ -109,9 +113,7 @@
 
     /// Checks every value; `back_end_ms` is the longest wait for one statement.
     pub(super) fn check(&self, check: &Check<'_>, back_end_ms: u32) -> Result<(), SettingsError> {
-        for (key, value) in self.values() {
-            check.range(key, value, 1..=TIMEOUT_MAXIMUM_MS)?;
-        }
+        check.timeouts(self.values())?;
         check.rising(
             ("failover.retry_minimum_ms", self.retry_minimum_ms),
             ("failover.retry_maximum_ms", self.retry_maximum_ms),
--- a/crates/server/src/settings/mod.rs
+++ b/crates/server/src/settings/mod.rs
@@ -1,48 +1,22 @@
 //! Settings files: TOML, one form a role, unknown keys refused, values checked at start.
+//!
+//! Owns the forms of the files and their defaults. What a value does is decided by the part that takes it.
 
+mod checks;
 pub mod control;
 mod error;
 pub mod failover;
+mod file;
 pub mod proxy;
 
 pub use control::{ControlOverrides, ControlSettings};
 pub use error::{SettingsError, SettingsValueError, ValueProblem};
 pub use failover::FailoverTimes;
+pub use file::millis;
 pub use proxy::{ProxyOverrides, ProxySettings};
 
-use serde::de::DeserializeOwned;
-use std::ops::Range;
+use file::parse_file;
 use std::path::Path;
-use std::time::Duration;
-
-/// Largest time-out, in milliseconds.
-const TIMEOUT_MAXIMUM_MS: u64 = 3_600_000;
-
-/// Reads a file's text and parses it, without a check of the values.
-fn parse_file<T: DeserializeOwned>(file: &Path) -> Result<T, SettingsError> {
-    let read = std::fs::read_to_string(file);
-    let text = read.map_err(|source| SettingsError::Read { file: file.to_owned(), source })?;
-    parse(file, &text)
-}
-
-fn parse<T: DeserializeOwned>(file: &Path, text: &str) -> Result<T, SettingsError> {
-    toml::from_str(text).map_err(|error| {
-        let (line, content) = locate(text, error.span());
-        SettingsError::Form {
-            file: file.to_owned(),
-            line,
-            text: content.to_owned(),
-            reason: error.message().to_owned(),
-        }
-    })
-}
-
-/// Number and content of the line at which a span starts.
-fn locate(text: &str, span: Option<Range<usize>>) -> (usize, &str) {
-    let start = span.map_or(0, |span| span.start).min(text.len());
-    let line = text.as_bytes()[..start].iter().filter(|byte| **byte == b'\n').count();
-    (line + 1, text.lines().nth(line).unwrap_or_default().trim())
-}
 
 /// Keys that only a control replica's file has.
 const CONTROL_KEYS: [&str; 4] = ["replica", "members", "cell", "join"];
@@ -69,16 +43,3 @@
             CONTROL_ADDRESSES.iter().any(|key| addresses.contains_key(*key))
         })
 }
-
-/// A setting in milliseconds as a duration.
-#[must_use]
-pub fn millis(value: u32) -> Duration {
-    Duration::from_millis(u64::from(value))
-}
-
-/// Puts a value given on the command line over the file's.
-fn replace<T>(value: &mut T, by: Option<T>) {
-    if let Some(by) = by {
-        *value = by;
-    }
-}
--- a/crates/server/src/settings/proxy/check.rs
+++ b/crates/server/src/settings/proxy/check.rs
@@ -1,19 +1,20 @@
 //! Checks of a proxy's settings.
 
 use super::{AuthenticationMode, ProxySettings};
-use crate::settings::TIMEOUT_MAXIMUM_MS;
-use crate::settings::error::{Check, SettingsError, ValueProblem};
+use crate::settings::checks::Check;
+use crate::settings::error::{SettingsError, ValueProblem};
 use std::path::Path;
 
-/// Most event loops a role may have.
+/// Most event loops a role may have. Chosen, not measured; each is a thread.
 const ARBITERS_MAXIMUM: u64 = 256;
-/// Largest number of callers of one proxy.
+/// Largest number of callers of one proxy. Chosen, not measured; it refuses values that no machine serves.
 const CALLERS_MAXIMUM: u64 = 1_000_000;
 /// Largest message of a caller, in bytes; it must fit a frame between proxies.
 const MESSAGE_MAXIMUM: u64 = 7 * 1024 * 1024;
 /// What to do about an address that others can reach.
 const SCRAM_REMEDY: &str = "set authentication.mode = \"scram\" and name users";
-/// Largest message of a caller that has not authenticated, in bytes.
+/// Largest message of a caller that has not authenticated, in bytes. Chosen, not measured; it bounds the memory
+/// that strangers can take.
 const STARTUP_MAXIMUM: u64 = 64 * 1024;
 /// What makes users count.
 const SCRAM_MODE: &str = "authentication.mode = \"scram\"";
@@ -73,12 +74,13 @@
     fn check_control(&self, check: &Check<'_>) -> Result<(), SettingsError> {
         let control = &self.control;
         check.addresses("control.replicas", &control.replicas)?;
-        let range = |key, value: u32| check.range(key, value, 1..=TIMEOUT_MAXIMUM_MS);
-        range("control.heartbeat_interval_ms", control.heartbeat_interval_ms)?;
-        range("control.silence_timeout_ms", control.silence_timeout_ms)?;
-        range("control.connect_timeout_ms", control.connect_timeout_ms)?;
-        range("control.retry_minimum_ms", control.retry_minimum_ms)?;
-        range("control.retry_maximum_ms", control.retry_maximum_ms)?;
+        check.timeouts([
+            ("control.heartbeat_interval_ms", control.heartbeat_interval_ms),
+            ("control.silence_timeout_ms", control.silence_timeout_ms),
+            ("control.connect_timeout_ms", control.connect_timeout_ms),
+            ("control.retry_minimum_ms", control.retry_minimum_ms),
+            ("control.retry_maximum_ms", control.retry_maximum_ms),
+        ])?;
         check.rising(
             ("control.heartbeat_interval_ms", control.heartbeat_interval_ms),
             ("control.silence_timeout_ms", control.silence_timeout_ms),
@@ -100,15 +102,16 @@
     }
 
     fn check_timeouts(&self, check: &Check<'_>) -> Result<(), SettingsError> {
-        let range = |key, value: u32| check.range(key, value, 1..=TIMEOUT_MAXIMUM_MS);
-        range("timeouts.startup_ms", self.timeouts.startup_ms)?;
-        range("timeouts.handover_ms", self.timeouts.handover_ms)?;
-        range("timeouts.drain_ms", self.timeouts.drain_ms)?;
-        range("timeouts.authentication_ms", self.timeouts.authentication_ms)?;
-        range("timeouts.request_ms", self.timeouts.request_ms)?;
-        range("timeouts.probe_interval_ms", self.timeouts.probe_interval_ms)?;
-        range("timeouts.probe_ms", self.timeouts.probe_ms)?;
-        range("timeouts.member_silence_ms", self.timeouts.member_silence_ms)?;
+        check.timeouts([
+            ("timeouts.startup_ms", self.timeouts.startup_ms),
+            ("timeouts.handover_ms", self.timeouts.handover_ms),
+            ("timeouts.drain_ms", self.timeouts.drain_ms),
+            ("timeouts.authentication_ms", self.timeouts.authentication_ms),
+            ("timeouts.request_ms", self.timeouts.request_ms),
+            ("timeouts.probe_interval_ms", self.timeouts.probe_interval_ms),
+            ("timeouts.probe_ms", self.timeouts.probe_ms),
+            ("timeouts.member_silence_ms", self.timeouts.member_silence_ms),
+        ])?;
         let retention = self.timeouts.outcome_retention_s;
         check.range("timeouts.outcome_retention_s", retention, 1..=u64::from(u32::MAX))
     }
--- a/crates/server/src/settings/proxy/mod.rs
+++ b/crates/server/src/settings/proxy/mod.rs
@@ -1,4 +1,6 @@
 //! Settings of a proxy.
+//!
+//! Owns the form of the file and what the command line may set over it.
 
 mod check;
 mod sections;
@@ -8,7 +10,8 @@
     ProxyTimeouts, ScramUser,
 };
 
-use super::{SettingsError, parse_file, replace};
+use super::error::SettingsError;
+use super::file::{parse_file, replace};
 use corktack_core::identity::{ClassName, ProxyName, ZoneName};
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/crates/server/src/settings/proxy/sections.rs
+++ b/crates/server/src/settings/proxy/sections.rs
@@ -1,4 +1,6 @@
 //! Sections of a proxy's settings file.
+//!
+//! Owns their defaults.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -1,4 +1,6 @@
 //! Signals of the operating system.
+//!
+//! Owns the streams of signals. From the moment that one is listened for it no longer ends the process.
 
 use crate::telemetry::{EventLog, WriteReason};
 use std::sync::Arc;
--- a/crates/server/src/telemetry/event_log.rs
+++ b/crates/server/src/telemetry/event_log.rs
@@ -1,4 +1,7 @@
 //! Writes the ring to the data folder when something goes wrong.
+//!
+//! Owns the ring, the files' numbers and when each reason last wrote. Old files go as new ones come, so that
+//! the folder stays bounded.
 
 use super::ring::{EventRecord, EventRing};
 use std::fs::File;
@@ -7,9 +10,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Files kept in the data folder; the next one replaces the oldest.
+/// Files kept in the data folder; the next one replaces the oldest. Chosen, not measured; more take more of the
+/// disk, fewer lose the first of several faults.
 pub const FILES_LIMIT: u64 = 8;
-/// Shortest time between two files written for the same reason.
+/// Shortest time between two files written for the same reason. Chosen, not measured; a lower value lets a flood
+/// of errors write more, a higher one loses what led to the later ones.
 pub const WRITE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Why the ring is written out.
@@ -23,6 +28,7 @@
     Signal,
 }
 
+/// Variants of [`WriteReason`].
 const REASONS: usize = 3;
 
 /// Why the ring could not be written out.
@@ -56,12 +62,6 @@
         })
     }
 
-    /// The records in memory.
-    #[must_use]
-    pub const fn ring(&self) -> &EventRing {
-        &self.ring
-    }
-
     /// Keeps a record.
     pub fn push(&self, record: EventRecord) {
         self.ring.push(record);
--- a/crates/server/src/telemetry/http.rs
+++ b/crates/server/src/telemetry/http.rs
@@ -1,4 +1,6 @@
 //! Metrics, liveness and readiness over HTTP.
+//!
+//! Owns the registry that the parts of a process add to, and whether the process may be sent new work.
 
 use actix_web::dev::ServerHandle;
 use actix_web::{App, HttpResponse, HttpServer, web};
@@ -9,7 +11,7 @@
 
 /// Media type of the metrics.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Seconds that open requests may take at a stop.
+/// Seconds that open requests may take at a stop. Chosen, not measured; a higher value holds up the stop.
 const SHUTDOWN_SECONDS: u64 = 1;
 
 /// Metrics of a process; its parts add theirs as they start.
--- a/crates/server/src/telemetry/lines.rs
+++ b/crates/server/src/telemetry/lines.rs
@@ -15,13 +15,16 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Lines that wait to be written before further ones are dropped.
+/// Lines that wait to be written before further ones are dropped. Chosen, not measured; a lower value drops more
+/// in a burst, a higher one takes more memory.
 pub const QUEUE_LINES: usize = 2_048;
-/// Lines of level info and below in one second; warnings and errors are not counted.
+/// Lines of level info and below in one second; warnings and errors are not counted. Chosen, not
+/// measured; a lower value drops more of what explains a request, a higher one writes more in a flood.
 pub const LINES_PER_SECOND: u64 = 400;
-/// Lines written together.
+/// Lines written together. Chosen, not measured; a lower value makes more writes, a higher one larger ones.
 const BATCH_LINES: usize = 128;
-/// Longest wait for the queue to be written at the end of the process.
+/// Longest wait for the queue to be written at the end of the process. Chosen, not measured; a lower value may
+/// lose the last lines, a higher one holds up the end.
 const FLUSH_LIMIT: Duration = Duration::from_millis(200);
 
 enum Item {
@@ -57,9 +60,9 @@
     ) -> std::io::Result<Self> {
         let (queue, items) = sync_channel(QUEUE_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let told = Arc::clone(&dropped);
+        let counted = Arc::clone(&dropped);
         let thread = std::thread::Builder::new().name("log-lines".to_owned());
-        thread.spawn(move || write_lines(sink, &items, &told))?;
+        thread.spawn(move || write_lines(sink, &items, &counted))?;
         Ok(Self { filter, queue, dropped, budget: Mutex::default(), started: Instant::now() })
     }
 
@@ -155,7 +158,7 @@
 
 /// Writes what is queued, many lines at a time. A sink that fails loses the lines.
 fn write_lines(mut sink: impl Write, items: &Receiver<Item>, dropped: &AtomicU64) {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(first) = items.recv() {
         let mut batch = String::new();
         let mut flushed = Vec::new();
@@ -166,9 +169,9 @@
             }
         }
         let lost = dropped.load(Ordering::Relaxed);
-        if lost > told {
-            batch.push_str(&dropped_line(lost - told));
-            told = lost;
+        if lost > reported {
+            batch.push_str(&dropped_line(lost - reported));
+            reported = lost;
         }
         let _ = sink.write_all(batch.as_bytes()).and_then(|()| sink.flush());
         for written in flushed {
--- a/crates/server/src/telemetry/mod.rs
+++ b/crates/server/src/telemetry/mod.rs
@@ -1,4 +1,6 @@
 //! What a process tells about itself: log, ring of recent events, metrics, health.
+//!
+//! Owns the process's logger. Of other libraries only warnings and errors are kept.
 
 pub mod event_log;
 pub mod http;
@@ -36,7 +38,7 @@
 }
 
 /// A logger that prints by `env_logger` and keeps records of all levels in a ring.
-pub struct Tee {
+struct Tee {
     printer: env_logger::Logger,
     events: Arc<EventLog>,
     errors: SyncSender<()>,
@@ -44,10 +46,7 @@
 
 impl Tee {
     /// Joins a printer and a ring; starts the thread that writes the ring out after errors.
-    ///
-    /// # Errors
-    /// [`TelemetryError::Thread`].
-    pub fn new(printer: env_logger::Logger, events: Arc<EventLog>) -> Result<Self, TelemetryError> {
+    fn new(printer: env_logger::Logger, events: Arc<EventLog>) -> Result<Self, TelemetryError> {
         // One waiting request is enough: the write that it causes holds every record till then.
         let (errors, requests) = sync_channel(1);
         let log = Arc::clone(&events);
@@ -130,7 +129,7 @@
 }
 
 /// Adds to the panic hook: the panic becomes a record, and the ring is written out at once.
-pub fn write_on_panic(events: Arc<EventLog>) {
+fn write_on_panic(events: Arc<EventLog>) {
     let earlier = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         let text = format!("{panic}");
--- a/crates/server/src/telemetry/ring.rs
+++ b/crates/server/src/telemetry/ring.rs
@@ -1,11 +1,13 @@
 //! A bounded ring of recent log records in memory.
+//!
+//! Owns the records; the oldest leave first.
 
 use std::collections::VecDeque;
 use std::io::Write;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::SystemTime;
 
-/// Most bytes kept of one record's text.
+/// Most bytes kept of one record's text. Chosen, not measured; it bounds the ring's memory.
 pub const RECORD_BYTES_LIMIT: usize = 1_024;
 
 /// One log record as kept in memory.
--- a/crates/server/src/watch_client/connection.rs
+++ b/crates/server/src/watch_client/connection.rs
@@ -1,4 +1,7 @@
 //! The connection to a control replica, as one of three conditions.
+//!
+//! Owns the socket. Decides how the replicas that it is given are tried beside each other; which ones and for
+//! how long is the state machine's.
 
 use corktack_protocol::control::{ControlMessage, ProxyMessage};
 use corktack_protocol::frame::{FrameCodec, FrameError};
@@ -13,7 +16,8 @@
 use tokio_util::codec::Framed;
 
 /// Time after which the next replica is tried beside one that has not accepted: a round trip between
-/// the users' farthest regions takes 40 ms.
+/// the users' farthest regions takes 40 ms. Chosen, not measured by itself; a lower value connects to more
+/// replicas than are needed, a higher one costs more time where the first is dark.
 const CONNECT_STAGGER: Duration = Duration::from_millis(50);
 
 type Frames = Framed<TcpStream, FrameCodec<ProxyMessage, ControlMessage>>;
--- a/crates/server/src/watch_client/in_force.rs
+++ b/crates/server/src/watch_client/in_force.rs
@@ -1,4 +1,6 @@
 //! What a watch keeps of the configuration in force.
+//!
+//! A configuration only rises: what is not newer is refused here.
 
 use corktack_core::identity::GroupName;
 use corktack_core::view::{Delta, Revision, View, ViewError};
--- a/crates/server/src/watch_client/mod.rs
+++ b/crates/server/src/watch_client/mod.rs
@@ -6,22 +6,22 @@
 
 mod connection;
 mod in_force;
+mod inputs;
 mod metrics;
 pub mod state;
 pub mod store;
 mod task;
 pub mod view_file;
 
+pub use inputs::WatchInputs;
 pub use metrics::WatchMetrics;
 pub use state::WatchSettings;
 pub use store::{NotKept, ViewStore};
 pub use view_file::ViewFile;
 
-use corktack_core::limits::AllowanceReport;
 use corktack_core::view::View;
-use corktack_gateway::LimitNews;
-use corktack_protocol::control::Observation;
 use corktack_storage::StorageError;
+use inputs::Request;
 use prometheus_client::registry::Registry;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -41,38 +41,9 @@
 }
 
 /// Longest wait of a stop for the thread that stores configurations: a disk that hangs must
-/// not hold up the end of the process.
+/// not hold up the end of the process. Chosen, not measured; a lower value gives up on slow disks.
 const STOP_LIMIT: Duration = Duration::from_secs(5);
 
-/// What the owner of a watch may ask of it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Request {
-    /// Report from now on that the proxy is stopping.
-    Drain,
-    /// Close the connection and end.
-    Stop,
-}
-
-/// What the proxy tells the watch, and where the watch tells it what is no configuration.
-#[derive(Debug)]
-pub struct WatchInputs {
-    /// What the proxy sees of back ends.
-    pub observations: mpsc::UnboundedReceiver<Observation>,
-    /// What the proxy says of tenants' limits; closed where it has none.
-    pub allowances: mpsc::UnboundedReceiver<AllowanceReport>,
-    /// Takes what control says of limits.
-    pub limits: mpsc::UnboundedSender<LimitNews>,
-}
-
-impl WatchInputs {
-    /// Of a proxy that knows no tenants.
-    #[must_use]
-    pub fn without_limits(observations: mpsc::UnboundedReceiver<Observation>) -> Self {
-        let (allowances, limits) = (mpsc::unbounded_channel().1, mpsc::unbounded_channel().0);
-        Self { observations, allowances, limits }
-    }
-}
-
 /// A running watch. It ends when the handle is dropped.
 #[derive(Debug)]
 pub struct WatchHandle {
@@ -91,7 +62,7 @@
         self.views.clone()
     }
 
-    /// When a replica was last asked whether the configuration in force is current, and proved it; none
+    /// When the newest heartbeat was sent whose answer proved that the configuration in force is current; none
     /// before the first proof since the start.
     #[must_use]
     pub fn proved(&self) -> watch::Receiver<Option<Instant>> {
@@ -139,7 +110,7 @@
     metrics.revision.set(i64::try_from(stored.revision.0).unwrap_or(i64::MAX));
     let (publish, views) = watch::channel(Arc::new(stored.clone()));
     let (proof, proved) = watch::channel(None);
-    let (requests, asked) = mpsc::unbounded_channel();
+    let (requests, received) = mpsc::unbounded_channel();
     let (running, ended) = mpsc::channel(1);
     let syncer = store::Syncer::start(store, metrics.clone(), running);
     let syncer = syncer.map_err(WatchError::Thread)?;
@@ -149,7 +120,7 @@
         connect_timeout,
         syncer,
         inputs,
-        requests: asked,
+        requests: received,
         publish,
         proved: proof,
         metrics,
--- a/crates/server/src/watch_client/store.rs
+++ b/crates/server/src/watch_client/store.rs
@@ -1,4 +1,7 @@
 //! The last configuration in force, kept on disk over restarts.
+//!
+//! Owns the thread that writes, so that no event loop waits for the disk. Only the newest configuration is
+//! written where several wait.
 
 use super::metrics::WatchMetrics;
 use corktack_core::view::{Revision, View};
--- a/crates/server/src/watch_client/task.rs
+++ b/crates/server/src/watch_client/task.rs
@@ -1,10 +1,13 @@
 //! The task that performs what the watch's state machine decides.
+//!
+//! Owns the connection, what is published and the inputs. Relies on the state machine for every decision, and
+//! on the syncer for what is on disk.
 
 use super::connection::{Arrival, Connection};
+use super::inputs::{Request, WatchInputs};
 use super::metrics::WatchMetrics;
 use super::state::{Action, Event, WatchSettings, WatchState};
 use super::store::Syncer;
-use super::{Request, WatchInputs};
 use corktack_core::limits::AllowanceReport;
 use corktack_core::time::Timestamp;
 use corktack_core::view::View;
@@ -16,7 +19,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// Most messages taken before what they changed is published.
+/// Most messages taken before what they changed is published. Chosen, not measured; a lower value publishes more
+/// often in a burst, a higher one later.
 const MESSAGES_BEFORE_PUBLISH: usize = 256;
 
 /// What the task starts from.
@@ -33,7 +37,7 @@
 }
 
 impl WatchTask {
-    /// Runs until it is told to stop or every handle is gone.
+    /// Runs until a stop is requested or every handle is gone.
     pub(super) async fn run(self) {
         let origin = Instant::now();
         let send_limit = self.settings.silence_timeout;
@@ -70,7 +74,7 @@
     publish: watch::Sender<Arc<View>>,
     proved: watch::Sender<Option<Instant>>,
     metrics: WatchMetrics,
-    /// Takes what control says of limits.
+    /// Takes what control grants of limits.
     limits: mpsc::UnboundedSender<LimitNews>,
     unpublished: bool,
 }
@@ -181,8 +185,8 @@
                 }
             }
             Action::Publish => self.unpublished = true,
-            Action::Led(term) => self.tell(LimitNews::Led(term)),
-            Action::Granted(grant) => self.tell(LimitNews::Granted(grant)),
+            Action::Led(term) => self.pass_on(LimitNews::Led(term)),
+            Action::Granted(grant) => self.pass_on(LimitNews::Granted(grant)),
             Action::Current => {
                 self.publish();
                 let proved_at = self.state.proved_at().map(|at| self.instant(at));
@@ -193,7 +197,7 @@
         }
     }
 
-    fn tell(&self, news: LimitNews) {
+    fn pass_on(&self, news: LimitNews) {
         // A proxy without tenants does not listen.
         let _ = self.limits.send(news);
     }
--- a/crates/server/src/watch_client/view_file.rs
+++ b/crates/server/src/watch_client/view_file.rs
@@ -1,4 +1,6 @@
 //! The last configuration in a file of the data folder.
+//!
+//! Owns the file. A damaged one is passed over: the proxy then waits for control, as at its first start.
 
 use super::store::ViewStore;
 use corktack_core::view::View;
--- a/crates/server/tests/explain.rs
+++ b/crates/server/tests/explain.rs
@@ -103,7 +103,7 @@
 #[test]
 fn a_summary_names_tenants_near_their_limits_and_lines_that_are_missing() {
     let summary = summarize(AFTER_A_LOSS.lines());
-    let limited = LimitedTenant { told: 4, limit: 3_029, most_given: 3_029, most_needed: 3_253 };
+    let limited = LimitedTenant { lines: 4, limit: 3_029, most_given: 3_029, most_needed: 3_253 };
     assert_eq!(summary.limited["cuti170"], limited);
     assert_eq!(summary.dropped, 7);
     let text = summary.to_string();
--- a/crates/server/tests/forms/main.rs
+++ b/crates/server/tests/forms/main.rs
@@ -3,15 +3,15 @@
 //!
 //! `UPDATE_EXPECT=1` writes the expected files anew where a form is changed on purpose.
 
-use corktack_server::settings::{
-    ControlOverrides, ControlSettings, ProxyOverrides, ProxySettings, SettingsError,
-};
+#[path = "../support/mod.rs"]
+mod support;
+
+use corktack_server::settings::{ControlSettings, SettingsError};
 use corktack_server::telemetry::metrics_text;
 use corktack_server::watch_client::WatchMetrics;
 use expect_test::expect_file;
 use prometheus_client::registry::Registry;
-use std::path::PathBuf;
-use tempfile::TempDir;
+use support::{load_control, load_proxy};
 
 /// A key that no section has; the parser answers with the list of those that it has.
 const UNKNOWN: &str = "no_such_key = 1\n";
@@ -117,21 +117,6 @@
 outcome_retention_s = 2013
 "#;
 
-fn file(text: &str) -> (TempDir, PathBuf) {
-    let folder = tempfile::tempdir().expect("temporary folder");
-    let path = folder.path().join("settings.toml");
-    std::fs::write(&path, text).expect("file written");
-    (folder, path)
-}
-
-fn load_control(text: &str) -> Result<ControlSettings, SettingsError> {
-    ControlSettings::load(&file(text).1, ControlOverrides::default())
-}
-
-fn load_proxy(text: &str) -> Result<ProxySettings, SettingsError> {
-    ProxySettings::load(&file(text).1, ProxyOverrides::default())
-}
-
 /// How an unknown key of each section is refused, with the keys that the section has.
 fn refusals<T: std::fmt::Debug>(
     sections: &[&str],
--- a/crates/server/tests/settings.rs
+++ b/crates/server/tests/settings.rs
@@ -3,14 +3,11 @@
 mod support;
 
 use corktack_server::listeners::bind;
-use corktack_server::settings::{
-    ControlOverrides, ControlSettings, ProxyOverrides, ProxySettings, SettingsError, ValueProblem,
-};
+use corktack_server::settings::{ProxyOverrides, ProxySettings, SettingsError, ValueProblem};
 use rstest::rstest;
 use std::io::ErrorKind;
 use std::path::PathBuf;
-use support::{CONTROL, PROXY};
-use tempfile::TempDir;
+use support::{CONTROL, PROXY, file, load_control, load_proxy};
 
 /// Whoever names users expects that others are kept out; `trust` would let everybody in.
 const USERS_WITHOUT_SCRAM: &str =
@@ -18,21 +15,6 @@
 const USER_WITHOUT_PASSWORD: &str =
     "mode = \"scram\"\n[[authentication.users]]\nname = \"app\"\npassword = \"\"";
 
-fn file(text: &str) -> (TempDir, PathBuf) {
-    let folder = tempfile::tempdir().expect("temporary folder");
-    let path = folder.path().join("settings.toml");
-    std::fs::write(&path, text).expect("file written");
-    (folder, path)
-}
-
-fn load_proxy(text: &str) -> Result<ProxySettings, SettingsError> {
-    ProxySettings::load(&file(text).1, ProxyOverrides::default())
-}
-
-fn load_control(text: &str) -> Result<ControlSettings, SettingsError> {
-    ControlSettings::load(&file(text).1, ControlOverrides::default())
-}
-
 #[test]
 fn flags_override_the_file() {
     let overrides = ProxyOverrides {
--- a/crates/server/tests/settings_in_use.rs
+++ b/crates/server/tests/settings_in_use.rs
@@ -7,29 +7,10 @@
 use corktack_protocol::cell::CellName;
 use corktack_server::control::replica_settings;
 use corktack_server::proxy::{edge_settings, owner_settings};
-use corktack_server::settings::{
-    ControlOverrides, ControlSettings, ProxyOverrides, ProxySettings, SettingsError,
-};
 use rstest::rstest;
 use std::path::PathBuf;
 use std::time::Duration;
-use support::{CONTROL, PROXY};
-use tempfile::TempDir;
-
-fn file(text: &str) -> (TempDir, PathBuf) {
-    let folder = tempfile::tempdir().expect("temporary folder");
-    let path = folder.path().join("settings.toml");
-    std::fs::write(&path, text).expect("file written");
-    (folder, path)
-}
-
-fn load_proxy(text: &str) -> Result<ProxySettings, SettingsError> {
-    ProxySettings::load(&file(text).1, ProxyOverrides::default())
-}
-
-fn load_control(text: &str) -> Result<ControlSettings, SettingsError> {
-    ControlSettings::load(&file(text).1, ControlOverrides::default())
-}
+use support::{CONTROL, PROXY, load_control, load_proxy};
 
 /// Every key of the section, as the parser itself lists them.
 const FAILOVER_KEYS: [&str; 15] = [
--- a/crates/server/tests/support/mod.rs
+++ b/crates/server/tests/support/mod.rs
@@ -1,4 +1,11 @@
-//! Settings files that the tests start from.
+//! Settings files that the tests start from, and how they are loaded.
+#![allow(dead_code, reason = "each test file uses its own part")]
+
+use corktack_server::settings::{
+    ControlOverrides, ControlSettings, ProxyOverrides, ProxySettings, SettingsError,
+};
+use std::path::PathBuf;
+use tempfile::TempDir;
 
 /// A proxy's.
 pub const PROXY: &str = r#"
@@ -29,3 +36,19 @@
 id = 1
 address = "127.0.0.1:7100"
 "#;
+
+/// A settings file of this text.
+pub fn file(text: &str) -> (TempDir, PathBuf) {
+    let folder = tempfile::tempdir().expect("temporary folder");
+    let path = folder.path().join("settings.toml");
+    std::fs::write(&path, text).expect("file written");
+    (folder, path)
+}
+
+pub fn load_proxy(text: &str) -> Result<ProxySettings, SettingsError> {
+    ProxySettings::load(&file(text).1, ProxyOverrides::default())
+}
+
+pub fn load_control(text: &str) -> Result<ControlSettings, SettingsError> {
+    ControlSettings::load(&file(text).1, ControlOverrides::default())
+}
