--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,7 @@
 //! The commands of the program, one a module.
+//!
+//! Each takes its flags and the client, writes to the output and gives the exit code. What a change means is
+//! decided by the servers.
 
 pub(crate) mod apply;
 pub(crate) mod cell;
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,4 +1,6 @@
 //! `corktack status`: the control cell, proxies and groups, and what is in force.
+//!
+//! Owns how often it reads again while it waits.
 
 use super::CommandError;
 use crate::exit::Exit;
@@ -10,9 +12,11 @@
 use corktack_server::client::{ApiClient, Request};
 use std::time::{Duration, Instant};
 
-/// Time between two looks.
+/// Time between two reads of the status. Chosen, not measured; a lower value asks the servers more often, a
+/// higher one adds to the wait.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait unless the flag says otherwise, in milliseconds.
+/// Longest wait unless the flag says otherwise, in milliseconds. Chosen, not measured; as in the help of the
+/// command.
 const DEFAULT_WAIT_MS: u64 = 60_000;
 
 pub(crate) async fn run(
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -10,7 +10,6 @@
 mod table;
 
 pub use exit::Exit;
-pub use kind::{KindError, parse_kind};
 
 use corktack_server::client::{ApiClient, ClientSettings};
 use flags::{Corktack, CorktackCmd};
--- a/crates/storage/src/checked_file.rs
+++ b/crates/storage/src/checked_file.rs
@@ -1,10 +1,13 @@
 //! A file that is replaced as a whole, with a checksum.
+//!
+//! Owns the form: magic, checksum, content. Relies on the disk to sync content before names.
 
 use crate::disk::Disk;
 use crate::error::{Damage, StorageError};
 
 /// First bytes of the file: what it is and its version.
 const MAGIC: [u8; 8] = *b"corkfil1";
+/// A CRC-32, in little-endian order.
 const CHECKSUM_BYTES: usize = 4;
 const HEADER_BYTES: usize = MAGIC.len() + CHECKSUM_BYTES;
 const TEMPORARY_SUFFIX: &str = ".tmp";
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,7 +1,9 @@
 //! One flat folder of files, as the log and the small files need it.
+//!
+//! Owns the open file that was appended to last. What is not synced may be lost at a crash.
 
 use crate::error::{Operation, StorageError};
-use crate::folder::FolderLock;
+use crate::lock::FolderLock;
 use std::fs::{self, File, OpenOptions};
 use std::io::{ErrorKind, Write};
 use std::path::{Path, PathBuf};
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,23 +1,20 @@
 //! The data folder of a process and its lock.
+//!
+//! Owns the lock. Every disk of the folder keeps it locked, until the last of them is dropped.
 
 use crate::disk::{Disk, FolderDisk, sync_path};
 use crate::error::{Operation, StorageError};
+use crate::lock::FolderLock;
 use fs4::fs_std::FileExt;
-use std::fs::{self, File, OpenOptions};
-use std::path::{Path, PathBuf};
-use std::sync::Arc;
+use std::fs::{self, OpenOptions};
+use std::path::PathBuf;
 
 /// Name of the file that carries the lock.
 const LOCK_FILE: &str = "LOCK";
-/// Longest name of a file or folder below the data folder.
+/// Longest name of a file or folder below the data folder, in bytes. Chosen, not measured; file systems take 255,
+/// and suffixes are added.
 const NAME_LIMIT: usize = 100;
 
-/// Keeps the data folder locked; the system drops the lock when the process ends.
-#[derive(Clone, Debug)]
-pub(crate) struct FolderLock {
-    _file: Arc<File>,
-}
-
 /// The data folder of one process, locked against others.
 #[derive(Debug)]
 pub struct DataFolder {
@@ -42,13 +39,7 @@
             return Err(StorageError::InUse { path });
         }
         sync_path(&path)?;
-        Ok(Self { path, lock: FolderLock { _file: Arc::new(file) } })
-    }
-
-    /// Where it is.
-    #[must_use]
-    pub fn path(&self) -> &Path {
-        &self.path
+        Ok(Self { path, lock: FolderLock::new(file) })
     }
 
     /// The files at the top of the folder.
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -9,6 +9,7 @@
 mod disk;
 mod error;
 mod folder;
+mod lock;
 mod memory;
 mod record;
 mod recovery;
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,4 +1,6 @@
 //! A folder in memory that loses unsynced bytes at a crash.
+//!
+//! Owns what each file would hold after a crash beside what it holds now. For tests and simulations.
 
 use crate::disk::Disk;
 use crate::error::{Operation, StorageError};
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -11,9 +11,12 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Largest content of a record, and largest value of a small file.
+/// Largest content of a record, and largest value of a small file, in bytes. Chosen, not measured; it bounds what
+/// a damaged length can make a reader allocate, and a lower value refuses large configurations.
 pub(crate) const RECORD_LIMIT: usize = 64 * 1024 * 1024;
+/// First bytes of a record, which hardly stand anywhere else.
 const MAGIC: [u8; 4] = *b"\xC0rkR";
+/// Magic, length and checksum.
 const HEADER_BYTES: usize = 12;
 
 /// The entry before the first one that may follow.
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,4 +1,7 @@
 //! What a log holds when it is opened: segments replayed, a torn tail cut.
+//!
+//! Owns the order in which segments are replayed, and decides what is damage and what a crash left. Relies on
+//! the segments' records for their own checksums.
 
 use crate::disk::Disk;
 use crate::error::{Damage, StorageError};
--- a/crates/storage/src/replica_log.rs
+++ b/crates/storage/src/replica_log.rs
@@ -1,4 +1,7 @@
 //! The durable log of a control replica.
+//!
+//! Owns the segments, the snapshot's file and the end of the log. Relies on the core to write entries that follow
+//! each other, and on the disk to keep what it has synced.
 
 use crate::checked_file;
 use crate::disk::{Disk, FolderDisk};
@@ -11,7 +14,8 @@
 use serde::{Deserialize, Serialize};
 
 const SNAPSHOT_FILE: &str = "snapshot";
-/// Entry bytes after which another record is begun.
+/// Entry bytes after which another record is begun. Chosen, not measured; a lower value syncs more often for one
+/// batch, a higher one loses more of it to a crash.
 const RECORD_TARGET_BYTES: usize = 1024 * 1024;
 
 /// Settings of a [`ReplicaLog`].
@@ -23,6 +27,7 @@
 
 impl Default for ReplicaLogSettings {
     fn default() -> Self {
+        // Chosen, not measured: smaller segments make more files, larger ones keep void entries for longer.
         Self { segment_bytes: 8 * 1024 * 1024 }
     }
 }
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -1,4 +1,6 @@
 //! Files of a log: names, and what stands in one.
+//!
+//! Owns the form of their names. Only the last segment may end in a torn record.
 
 use crate::error::{Damage, StorageError};
 use crate::record::{Record, any_record_from, decode_record};
@@ -6,6 +8,7 @@
 
 const PREFIX: &str = "segment-";
 const SUFFIX: &str = ".log";
+/// Digits of the largest number, so that names sort by number.
 const DIGITS: usize = 20;
 
 /// File name of a segment.
--- a/crates/storage/src/synced_file.rs
+++ b/crates/storage/src/synced_file.rs
@@ -1,4 +1,6 @@
 //! Small values that survive a restart: a proxy's last view, an identity.
+//!
+//! Owns one file; its content is replaced as a whole.
 
 use crate::checked_file;
 use crate::disk::{Disk, FolderDisk};
