--- a/crates/control/src/cell/inbound.rs
+++ b/crates/control/src/cell/inbound.rs
@@ -6,8 +6,8 @@
 //! A replica is refused that names another cell, another receiver or another disk than before; a refused
 //! one is not answered.
 
-use super::PeerMessage;
 use super::disks::{DiskCheck, Disks};
+use super::message::PeerMessage;
 use crate::consensus::{ConsensusHandle, ConsensusInput};
 use crate::metrics::Metrics;
 use crate::stop::StopSignal;
--- a/crates/control/src/cell/mod.rs
+++ b/crates/control/src/cell/mod.rs
@@ -5,14 +5,10 @@
 
 mod disks;
 mod inbound;
+mod message;
 mod outbound;
 
 pub(crate) use disks::Disks;
 pub(crate) use inbound::{InboundSettings, accept_replicas};
+pub(crate) use message::PeerMessage;
 pub(crate) use outbound::{LinkSettings, Links};
-
-use corktack_core::consensus::Message;
-use corktack_protocol::cell::CellMessage;
-
-/// A message between replicas.
-pub(crate) type PeerMessage = CellMessage<Message>;
--- a/crates/control/src/cell/outbound.rs
+++ b/crates/control/src/cell/outbound.rs
@@ -7,7 +7,7 @@
 //! other replica connects. It is given up when what was sent stays unanswered for [`SILENCE_LIMIT`], when
 //! a flush takes longer than [`SEND_TIMEOUT`], and when the replica leaves the cell.
 
-use super::PeerMessage;
+use super::message::PeerMessage;
 use crate::backoff::Backoff;
 use crate::metrics::Metrics;
 use actix_rt::ArbiterHandle;
