--- a/crates/control/src/cell/inbound.rs
+++ b/crates/control/src/cell/inbound.rs
@@ -1,9 +1,15 @@
 //! Incoming connections of other replicas.
+//!
+//! Owns nothing between connections. Relies on the disks' book for whether a replica may still be believed,
+//! and passes everything that was read on to the consensus thread.
+//!
+//! A replica is refused that names another cell, another receiver or another disk than before; a refused
+//! one is not answered.
 
-use super::PeerMessage;
 use super::disks::{DiskCheck, Disks};
+use super::message::PeerMessage;
+use crate::consensus::{ConsensusHandle, ConsensusInput};
 use crate::metrics::Metrics;
-use crate::node::{NodeHandle, NodeInput};
 use crate::stop::StopSignal;
 use corktack_core::identity::{Incarnation, ReplicaId};
 use corktack_protocol::cell::CellName;
@@ -16,8 +22,11 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::FramedRead;
 
+/// Longest wait for the first message. Chosen, not measured; a lower value refuses replicas behind slow
+/// links, a higher one keeps silent connections for longer.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed accept (out of file descriptors, most likely).
+/// Pause after a failed accept (out of file descriptors, most likely). Chosen, not measured; a lower value
+/// spins while none is free, a higher one lets replicas wait for longer.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 /// What incoming connections are checked against.
@@ -59,7 +68,7 @@
 pub(crate) async fn accept_replicas(
     listener: TcpListener,
     settings: InboundSettings,
-    node: NodeHandle,
+    consensus: ConsensusHandle,
     stop: StopSignal,
 ) {
     loop {
@@ -69,7 +78,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let serving = serve_replica(stream, settings.clone(), node.clone());
+                let serving = serve_replica(stream, settings.clone(), consensus.clone());
                 actix_rt::spawn(until_stopped(serving, stop.clone()));
             }
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
@@ -86,9 +95,10 @@
 
 type Connection = FramedRead<OwnedReadHalf, FrameCodec<PeerMessage, PeerMessage>>;
 
-/// Shortest time between two answers to what was read: the sender waits four times as long.
+/// Shortest time between two answers to what was read: the sender waits four times as long. Chosen, not
+/// measured; a lower value sends more bytes, a higher one leaves less of the sender's patience.
 const ANSWER_INTERVAL: Duration = Duration::from_millis(500);
-/// What is answered.
+/// What is answered. Its value means nothing: that something comes back is the answer.
 const ANSWER: &[u8] = &[1];
 
 /// Answers what was read, from time to time.
@@ -100,28 +110,28 @@
 impl Answers {
     fn note_read(&mut self) {
         if Instant::now() >= self.due {
-            // Where nothing can be written now, the next answer says the same.
+            // Where nothing can be written now, the next answer does as well.
             let _ = self.write_half.try_write(ANSWER);
             self.due = Instant::now() + ANSWER_INTERVAL;
         }
     }
 }
 
-async fn serve_replica(stream: TcpStream, settings: InboundSettings, node: NodeHandle) {
+async fn serve_replica(stream: TcpStream, settings: InboundSettings, consensus: ConsensusHandle) {
     // The options only save time: a connection without them still works.
     drop(Liveness::WITHIN_DEPLOYMENT.apply(&stream));
     let (read_half, write_half) = stream.into_split();
     let mut connection = FramedRead::new(read_half, FrameCodec::default());
     let mut answers = Answers { write_half, due: Instant::now() };
     let Some(from) = receive_hello(&mut connection, &settings).await else { return };
-    if node.send(NodeInput::Connected(from)).is_err() {
+    if consensus.send(ConsensusInput::Connected(from)).is_err() {
         return;
     }
     loop {
         match connection.next().await {
             Some(Ok(message)) => {
                 answers.note_read();
-                if node.send(NodeInput::Cell { from, message }).is_err() {
+                if consensus.send(ConsensusInput::Cell { from, message }).is_err() {
                     return;
                 }
             }
--- a/crates/control/src/node/apply.rs
+++ b/crates/control/src/consensus/apply.rs
@@ -1,8 +1,11 @@
 //! Writes, applies and answers: what the core's actions do.
+//!
+//! Owns nothing beside the thread's own state. Order matters here: what is persisted is synced before anything
+//! that rests on it, and a request is answered once its entry is applied.
 
-use super::handle::ProposalAnswer;
+use super::input::ProposalAnswer;
 use super::pending::{ForwardedProposal, ProposalKind, ProposalOrigin};
-use super::thread::{NodeError, NodeThread};
+use super::thread::{ConsensusError, ConsensusThread};
 use crate::cell::PeerMessage;
 use crate::error::RequestError;
 use crate::state_codec::{decode_state, encode_state};
@@ -13,12 +16,12 @@
 use corktack_storage::LogStore;
 use std::time::Instant;
 
-impl NodeThread {
+impl ConsensusThread {
     pub(super) fn persist(
         &mut self,
         hard_state: Option<HardState>,
         entries: &[Entry],
-    ) -> Result<(), NodeError> {
+    ) -> Result<(), ConsensusError> {
         let begin = Instant::now();
         self.parts.log.persist(hard_state, entries)?;
         self.note_sync(begin);
@@ -30,7 +33,7 @@
         self.parts.metrics.sync_seconds.observe(begin.elapsed().as_secs_f64());
     }
 
-    pub(super) fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), NodeError> {
+    pub(super) fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), ConsensusError> {
         let state = decode_state(&snapshot.data)?;
         let begin = Instant::now();
         self.parts.log.install_snapshot(snapshot)?;
@@ -45,7 +48,7 @@
         Ok(())
     }
 
-    pub(super) fn apply(&mut self, entries: Vec<Entry>) -> Result<(), NodeError> {
+    pub(super) fn apply(&mut self, entries: Vec<Entry>) -> Result<(), ConsensusError> {
         for entry in entries {
             if let Payload::Command(command) = &entry.payload {
                 self.apply_command(entry.index, decode(command)?);
@@ -80,7 +83,7 @@
             return;
         }
         let answer = self.outcome_of(index, proposal.kind);
-        // The asker may have given up; there is no one else to tell.
+        // The requester may have given up; there is no one else to answer.
         drop(proposal.reply.send(answer));
     }
 
@@ -138,7 +141,7 @@
     }
 
     /// Puts a snapshot in place of a long log.
-    pub(super) fn snapshot_if_due(&mut self) -> Result<(), NodeError> {
+    pub(super) fn snapshot_if_due(&mut self) -> Result<(), ConsensusError> {
         let index = self.parts.applied;
         if index < self.snapshot_index + self.parts.snapshot_entries {
             return Ok(());
--- a/crates/control/src/http/status.rs
+++ b/crates/control/src/http/status.rs
@@ -1,10 +1,13 @@
 //! The status page.
+//!
+//! Owns how long a proof may take before the page is marked as not current. Relies on the leader for the
+//! revisions in force on proxies; where it does not answer, none are shown.
 
-use super::Operators;
 use super::answer::ErrorAnswer;
+use super::operators::Operators;
 use crate::api::{CellMemberBody, GroupBody, InForceBody, ProxyBody, StatusBody};
+use crate::consensus::{ProxyRevisions, ReplicaStatus, StateReader};
 use crate::error::RequestError;
-use crate::node::{NodeStatus, ProxyRevisions, StateReader};
 use actix_web::{HttpResponse, web};
 use corktack_core::consensus::CellConfig;
 use corktack_core::identity::ProxyName;
@@ -13,6 +16,8 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
+/// Longest wait for a proof; after it the page shows what the replica has, marked as not current. Chosen, not
+/// measured; a lower value marks more pages during an election, a higher one lets operators wait.
 const PROOF_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What the page takes from the control state.
@@ -25,14 +30,14 @@
 
 /// What the replica knows; without a proof that it is current it says so.
 pub(super) async fn status(operators: web::Data<Operators>) -> Result<HttpResponse, ErrorAnswer> {
-    let proven = timeout(PROOF_TIMEOUT, operators.node.read(read_state)).await;
+    let proven = timeout(PROOF_TIMEOUT, operators.consensus.read(read_state)).await;
     let (state, current) = match proven {
         Ok(Ok(state)) => (state, true),
-        _ => (operators.node.peek(read_state).await?, false),
+        _ => (operators.consensus.peek(read_state).await?, false),
     };
-    let revisions = operators.node.proxy_revisions().await;
-    let node = operators.status.borrow().clone();
-    let body = assemble(&operators, &node, state, revisions, current);
+    let revisions = operators.consensus.proxy_revisions().await;
+    let status = operators.status.borrow().clone();
+    let body = assemble(&operators, &status, state, revisions, current);
     Ok(HttpResponse::Ok().json(body))
 }
 
@@ -58,7 +63,7 @@
 
 fn assemble(
     operators: &Operators,
-    node: &NodeStatus,
+    status: &ReplicaStatus,
     state: StatePart,
     revisions: Result<ProxyRevisions, RequestError>,
     current: bool,
@@ -69,19 +74,19 @@
     StatusBody {
         cell: operators.cell.0.clone(),
         replica: operators.replica,
-        role: node.role.into(),
-        term: node.term,
-        leader: node.leader,
+        role: status.role.into(),
+        term: status.term,
+        leader: status.leader,
         current,
         revision: state.revision,
-        members: members(&node.cell),
+        members: members(&status.cell),
         in_force: in_force(state.revision, &proxies),
         proxies,
         groups: state.groups,
     }
 }
 
-/// A revision reported in an earlier life of the process does not count.
+/// A revision reported in an earlier incarnation of the process does not count.
 fn proxy(name: ProxyName, view: ProxyView, revisions: &ProxyRevisions) -> ProxyBody {
     let reported = revisions.get(&name);
     let reported = reported.filter(|(incarnation, _)| *incarnation == view.incarnation);
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Metrics of a control replica.
+//! Metrics of a control replica: their names, and how the status becomes figures.
 
-use crate::node::NodeStatus;
+use crate::consensus::ReplicaStatus;
 use corktack_core::consensus::Role;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -9,6 +9,8 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
+/// Bounds of the histograms' buckets: 18 of them from 0.1 ms, each twice the one before, up to 13 s.
+/// Operators' queries name them.
 const FIRST_BUCKET_SECONDS: f64 = 0.000_1;
 const BUCKET_FACTOR: f64 = 2.0;
 const BUCKETS: u16 = 18;
@@ -81,7 +83,7 @@
     }
 
     /// Follows the replica's status.
-    pub(crate) fn note_status(&self, status: &NodeStatus) {
+    pub(crate) fn note_status(&self, status: &ReplicaStatus) {
         self.leader.set(i64::from(status.role == Role::Leader));
         self.term.set(gauge_value(status.term.0));
         self.commit_index.set(gauge_value(status.commit_index));
--- a/crates/control/src/platform.rs
+++ b/crates/control/src/platform.rs
@@ -1,6 +1,8 @@
-//! Polls the platform's list of live and leaving machines.
+//! Polls the platform's list of live and leaving machines, and passes it to the consensus thread.
+//!
+//! Owns nothing between polls; the core's membership decides what the list means.
 
-use crate::node::{NodeHandle, NodeInput, NodeStatus};
+use crate::consensus::{ConsensusHandle, ConsensusInput, ReplicaStatus};
 use crate::settings::PlatformSource;
 use crate::stop::StopSignal;
 use corktack_core::consensus::Role;
@@ -12,7 +14,11 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{MissedTickBehavior, interval};
 
+/// Longest wait for the list. Chosen, not measured; a lower value misses lists behind slow links, a higher
+/// one skips more polls while the list cannot be reached.
 const POLL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest list in bytes. Chosen, not measured: some 100,000 addresses; a lower value refuses large fleets, a
+/// higher one takes more memory for a wrong answer.
 const LIST_BYTES_LIMIT: usize = 4 * 1024 * 1024;
 
 /// The list as it is sent.
@@ -38,8 +44,8 @@
 /// Polls while this replica leads, until the stop.
 pub(crate) async fn poll_platform(
     source: PlatformSource,
-    status: Receiver<NodeStatus>,
-    node: NodeHandle,
+    status: Receiver<ReplicaStatus>,
+    consensus: ConsensusHandle,
     stop: StopSignal,
 ) {
     let client = awc::Client::builder().timeout(POLL_TIMEOUT).finish();
@@ -56,7 +62,7 @@
         }
         match poll(&client, &url).await {
             Ok(list) => {
-                if node.send(NodeInput::Platform(list)).is_err() {
+                if consensus.send(ConsensusInput::Platform(list)).is_err() {
                     return;
                 }
             }
