--- a/crates/control/src/leader/contacts.rs
+++ b/crates/control/src/leader/contacts.rs
@@ -44,6 +44,6 @@
         self.last_reports.retain(|_, at| now.saturating_since(*at) < REMEMBERED_FOR);
         let silent = |at: &&Timestamp| now.saturating_since(**at) >= SILENT_AFTER;
         let silent = self.last_reports.values().filter(silent).count();
-        GatewayContact { heard: self.last_reports.len() - silent, silent }
+        GatewayContact { reporting: self.last_reports.len() - silent, silent }
     }
 }
--- a/crates/core/src/limits/gateway.rs
+++ b/crates/core/src/limits/gateway.rs
@@ -141,7 +141,7 @@
 
     /// Takes operations that are asked for together. Those that wait are settled by
     /// [`GatewayLimits::settle`].
-    pub fn ask(
+    pub fn request(
         &mut self,
         now: Timestamp,
         tenant: &TenantName,
@@ -183,7 +183,7 @@
     }
 
     /// Drops a request that waits: who made it has gone.
-    pub fn leave(&mut self, tenant: &TenantName, number: OperationRequestNumber) {
+    pub fn withdraw(&mut self, tenant: &TenantName, number: OperationRequestNumber) {
         if let Some(account) = self.accounts.get_mut(tenant) {
             account.withdraw(number);
         }
--- a/crates/core/src/registry/promotion/evaluation.rs
+++ b/crates/core/src/registry/promotion/evaluation.rs
@@ -82,11 +82,11 @@
             duty.suspected_since = None;
             return;
         }
-        let GatewayContact { heard, silent } = gateways;
-        let enough = ((heard + silent) as f64 * SUSPECTING_PART).ceil() as usize;
+        let GatewayContact { reporting, silent } = gateways;
+        let enough = ((reporting + silent) as f64 * SUSPECTING_PART).ceil() as usize;
         if suspecting >= enough.max(FEWEST_SUSPECTING) {
             log::warn!(
-                target: LOG_TARGET, group:% = group, member:% = primary, suspecting, heard, silent;
+                target: LOG_TARGET, group:% = group, member:% = primary, suspecting, heard = reporting, silent;
                 "primary cannot be reached: it is replaced"
             );
             duty.phase = Self::asking(None);
@@ -98,7 +98,7 @@
             return;
         }
         log::info!(
-            target: LOG_TARGET, group:% = group, member:% = primary, suspecting, heard, silent;
+            target: LOG_TARGET, group:% = group, member:% = primary, suspecting, heard = reporting, silent;
             "primary is suspected"
         );
         duty.phase = Self::asking(Some(primary));
--- a/crates/core/src/registry/promotion/messages.rs
+++ b/crates/core/src/registry/promotion/messages.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GatewayContact {
     /// That reported within the last moments.
-    pub heard: usize,
+    pub reporting: usize,
     /// That don't report now, but did not long ago.
     pub silent: usize,
 }
--- a/crates/core/src/scheduling/queue.rs
+++ b/crates/core/src/scheduling/queue.rs
@@ -58,7 +58,7 @@
     pub fn wait_on(&mut self, request: SlotRequest, waker: W) -> SlotTicket {
         self.tickets += 1;
         let ticket = SlotTicket(self.tickets);
-        let SlotRequest { wish: target, priority, tenant, cost, give_up } = request;
+        let SlotRequest { target, priority, tenant, cost, give_up } = request;
         let waiting = Waiting { ticket, target, cost, give_up, waker };
         self.classes.entry(priority).or_default().push(tenant, waiting);
         ticket
--- a/crates/core/src/scheduling/request.rs
+++ b/crates/core/src/scheduling/request.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
     /// Where.
-    pub wish: SlotTarget,
+    pub target: SlotTarget,
     /// Priority class; 0 is served first.
     pub priority: u32,
     /// On whose behalf; those without a tenant count as one.
--- a/crates/core/tests/limits/admission.rs
+++ b/crates/core/tests/limits/admission.rs
@@ -20,7 +20,7 @@
 fn a_tenant_without_a_rate_is_not_limited() {
     let mut gateway = GatewayLimits::new(at(0), name(0), Incarnation(1), bounds());
     gateway.follow(None);
-    assert_eq!(gateway.ask(at(0), &tenant(), request(1, at(0))), OperationOutcome::Unlimited);
+    assert_eq!(gateway.request(at(0), &tenant(), request(1, at(0))), OperationOutcome::Unlimited);
 }
 
 #[test]
@@ -79,16 +79,16 @@
     assert_eq!(pair.begin(0, at(11_100), 98), 98);
     let gateway = &mut pair.gateways[0];
     assert!(matches!(
-        gateway.ask(at(15_000), &tenant(), request(2, at(15_900))),
+        gateway.request(at(15_000), &tenant(), request(2, at(15_900))),
         OperationOutcome::Admitted(_)
     ));
     let OperationOutcome::Waiting(first) =
-        gateway.ask(at(15_900), &tenant(), request(3, at(16_500)))
+        gateway.request(at(15_900), &tenant(), request(3, at(16_500)))
     else {
         panic!("98 places become free within 0.4 s");
     };
     let OperationOutcome::Waiting(second) =
-        gateway.ask(at(15_900), &tenant(), request(4, at(16_500)))
+        gateway.request(at(15_900), &tenant(), request(4, at(16_500)))
     else {
         panic!("there are places for these as well");
     };
@@ -112,7 +112,7 @@
     let gateway = &mut pair.gateways[0];
     let mut wait = |priority, operations| {
         let ask = OperationRequest { operations, priority, until: at(16_600) };
-        match gateway.ask(at(16_100), &tenant(), ask) {
+        match gateway.request(at(16_100), &tenant(), ask) {
             OperationOutcome::Waiting(number) => number,
             other => panic!("places become free in time: {other:?}"),
         }
@@ -136,7 +136,7 @@
     let gateway = &mut pair.gateways[0];
     // The leader may still allow more: it has not been asked.
     assert!(matches!(
-        gateway.ask(at(12_000), &tenant(), request(1, at(12_200))),
+        gateway.request(at(12_000), &tenant(), request(1, at(12_200))),
         OperationOutcome::Waiting(_)
     ));
     let report = gateway.report(at(12_010)).expect("it is told that one waits");
@@ -146,7 +146,7 @@
     let settled = gateway.settle(at(12_030));
     assert!(matches!(settled[..], [SettledRequest { outcome: Err(_), .. }]), "{settled:?}");
     assert!(matches!(
-        gateway.ask(at(12_040), &tenant(), request(1, at(12_300))),
+        gateway.request(at(12_040), &tenant(), request(1, at(12_300))),
         OperationOutcome::Refused(_)
     ));
 }
--- a/crates/core/tests/limits/retry_time.rs
+++ b/crates/core/tests/limits/retry_time.rs
@@ -65,8 +65,8 @@
     };
     refuse(&mut gateway, at(10_000));
     allow_half(&mut gateway, at(10_000), 1);
-    gateway.ask(at(10_100), &tenant(), request(25, at(10_100)));
-    gateway.ask(at(12_100), &tenant(), request(25, at(12_100)));
+    gateway.request(at(10_100), &tenant(), request(25, at(10_100)));
+    gateway.request(at(12_100), &tenant(), request(25, at(12_100)));
     refuse(&mut gateway, at(12_200));
     // The leader says that there is no more: the next place is known.
     allow_half(&mut gateway, at(12_250), 2);
--- a/crates/core/tests/limits/support.rs
+++ b/crates/core/tests/limits/support.rs
@@ -81,7 +81,7 @@
     gateway: &mut GatewayLimits,
     now: Timestamp,
 ) -> Result<AdmittedOperations, OverLimit> {
-    match gateway.ask(now, &tenant(), request(1, now)) {
+    match gateway.request(now, &tenant(), request(1, now)) {
         OperationOutcome::Admitted(begun) => Ok(begun),
         OperationOutcome::Refused(over) => Err(over),
         OperationOutcome::Unlimited | OperationOutcome::Waiting(_) => {
--- a/crates/core/tests/limits_load/world/callers.rs
+++ b/crates/core/tests/limits_load/world/callers.rs
@@ -100,7 +100,7 @@
         let now = at(self.now);
         let name = &self.tenants[caller.tenant].0;
         let ask = OperationRequest { operations: 1, priority: 1, until: at(self.now + WAIT) };
-        let asked = self.counters[counter].ask(now, name, ask);
+        let asked = self.counters[counter].request(now, name, ask);
         if caller.retries == 0 {
             self.note(caller.tenant, |served| served.asked += 1);
             self.returned.callers += usize::from(self.is_observed(caller));
--- a/crates/core/tests/registry/promotion.rs
+++ b/crates/core/tests/registry/promotion.rs
@@ -45,7 +45,7 @@
         Self {
             registry: Registry::with_group(synchronous_replicas),
             duty: PromotionDuty::new(PromotionSettings::default()),
-            gateways: GatewayContact { heard: GATEWAYS, silent: 0 },
+            gateways: GatewayContact { reporting: GATEWAYS, silent: 0 },
             now: Timestamp::from_millis(1_000),
         }
     }
@@ -187,7 +187,7 @@
 #[test]
 fn a_primary_that_silent_gateways_may_reach_is_kept_for_long() {
     let mut world = World::new(0);
-    world.gateways = GatewayContact { heard: 1, silent: 5 };
+    world.gateways = GatewayContact { reporting: 1, silent: 5 };
     world.unreached(1, 1);
     assert!(world.advance().is_empty());
     assert!(world.after(6_999).is_empty(), "those on its side of the cut are served");
@@ -197,7 +197,7 @@
 #[test]
 fn a_cut_that_heals_leaves_the_primary_where_it_is() {
     let mut world = World::new(0);
-    world.gateways = GatewayContact { heard: 2, silent: 4 };
+    world.gateways = GatewayContact { reporting: 2, silent: 4 };
     world.unreached(2, 1);
     assert!(world.advance().is_empty());
     assert!(world.after(5_000).is_empty());
@@ -213,7 +213,7 @@
 #[test]
 fn a_few_silent_gateways_hold_nothing_up() {
     let mut world = World::new(0);
-    world.gateways = GatewayContact { heard: 4, silent: 2 };
+    world.gateways = GatewayContact { reporting: 4, silent: 2 };
     world.unreached(2, 1);
     assert!(world.advance().is_empty());
     assert_eq!(asked(&world.after(SUSPICION_PAUSE)), names(&[1, 2, 3]));
@@ -222,13 +222,13 @@
 #[test]
 fn two_gateways_are_enough_where_there_are_no_more() {
     let mut world = World::new(0);
-    world.gateways = GatewayContact { heard: 2, silent: 0 };
+    world.gateways = GatewayContact { reporting: 2, silent: 0 };
     world.unreached(2, 1);
     assert_eq!(asked(&world.advance()), names(&[2, 3]));
 }
 
 #[test]
-fn gateways_that_are_gone_are_not_heard() {
+fn gateways_that_are_gone_do_not_count_as_reporting() {
     let mut world = World::new(0);
     world.unreached(ENOUGH, 1);
     world.duty.retain_gateways(&BTreeSet::from([gateway(5)]));
--- a/crates/core/tests/scheduling.rs
+++ b/crates/core/tests/scheduling.rs
@@ -27,7 +27,7 @@
 /// A request at the first member that may wait for long.
 fn request(priority: u32, name: &str) -> SlotRequest {
     SlotRequest {
-        wish: SlotTarget::At(member(1)),
+        target: SlotTarget::At(member(1)),
         priority,
         tenant: tenant(name),
         cost: MILLISECOND * 10,
@@ -55,11 +55,11 @@
 #[test]
 fn a_slot_goes_only_to_who_can_use_it() {
     let mut queue = SlotQueue::default();
-    let wish = |wish| SlotRequest { wish, ..request(1, "alfa") };
-    put(&mut queue, wish(SlotTarget::Primary), "writer");
-    put(&mut queue, wish(SlotTarget::At(member(2))), "at the second");
+    let target = |target| SlotRequest { target, ..request(1, "alfa") };
+    put(&mut queue, target(SlotTarget::Primary), "writer");
+    put(&mut queue, target(SlotTarget::At(member(2))), "at the second");
     let refused = BTreeSet::from([member(3)]);
-    put(&mut queue, wish(SlotTarget::AnyBut(refused)), "reader");
+    put(&mut queue, target(SlotTarget::AnyBut(refused)), "reader");
     assert_eq!(queue.next(at(0), &member(3), false), None);
     assert_eq!(queue.len_at(&member(2), false), 2);
     assert_eq!(queue.next(at(0), &member(2), false), Some("at the second"));
--- a/crates/core/tests/scheduling_load.rs
+++ b/crates/core/tests/scheduling_load.rs
@@ -107,7 +107,7 @@
     fn wait(&mut self, now: u64, number: usize, arrival: &Arrival) -> bool {
         let tenant = TenantName::new(&format!("t{}", arrival.tenant)).expect("a valid name");
         let request = SlotRequest {
-            wish: SlotTarget::At(Self::member()),
+            target: SlotTarget::At(Self::member()),
             priority: arrival.class as u32,
             tenant: Some(tenant),
             cost: self.times.estimate(kind(arrival)),
--- a/crates/gateway/src/group/wait.rs
+++ b/crates/gateway/src/group/wait.rs
@@ -69,7 +69,7 @@
     fn slot_request(&self, request: &ConnectionRequest<'_>) -> (SlotRequest, Capacity) {
         let state = self.state.borrow();
         let slot_request = SlotRequest {
-            wish: match &request.target {
+            target: match &request.target {
                 Target::Primary => SlotTarget::Primary,
                 Target::Reader { refused } => SlotTarget::AnyBut(refused.clone()),
                 Target::Held(member) => SlotTarget::At(member.clone()),
@@ -79,7 +79,7 @@
             cost: state.service_times.estimate(request.kind),
             give_up: self.clock.at(request.give_up),
         };
-        let capacity = state.capacity(&slot_request.wish);
+        let capacity = state.capacity(&slot_request.target);
         (slot_request, capacity)
     }
 
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -177,7 +177,7 @@
         AskedOperations { operations, priority, until }: AskedOperations,
     ) -> Result<Option<AdmittedOperations>, OverLimit> {
         let ask = OperationRequest { operations, priority, until: self.clock.at(until) };
-        let asked = self.books.borrow_mut().ask(self.clock.now(), tenant, ask);
+        let asked = self.books.borrow_mut().request(self.clock.now(), tenant, ask);
         let number = match asked {
             OperationOutcome::Unlimited => return Ok(None),
             OperationOutcome::Admitted(begun) => return Ok(Some(begun)),
@@ -233,7 +233,7 @@
 impl Drop for WaitingPlace<'_> {
     fn drop(&mut self) {
         if self.limits.waiting.borrow_mut().remove(&self.number).is_some() {
-            self.limits.books.borrow_mut().leave(self.tenant, self.number);
+            self.limits.books.borrow_mut().withdraw(self.tenant, self.number);
         }
     }
 }
--- a/crates/sim/src/limits/gateway.rs
+++ b/crates/sim/src/limits/gateway.rs
@@ -88,7 +88,7 @@
     pub(super) fn try_begin(&mut self, now: u64) -> bool {
         let now = self.clock.at(now);
         let ask = OperationRequest { operations: 1, priority: 1, until: now };
-        matches!(self.limits.ask(now, &tenant(), ask), OperationOutcome::Admitted(_))
+        matches!(self.limits.request(now, &tenant(), ask), OperationOutcome::Admitted(_))
     }
 
     pub(super) fn hear_of_leader(&mut self, now: u64, term: Term) {
--- a/crates/sim/src/limits/leader.rs
+++ b/crates/sim/src/limits/leader.rs
@@ -20,16 +20,7 @@
 
 impl Committed {
     pub(super) fn change(&mut self, change: CeilingChange) {
-        match change {
-            CeilingChange::Raise(tenant, operations) => {
-                let ceiling = self.ceilings.entry(tenant).or_default();
-                *ceiling = operations.max(*ceiling);
-            }
-            CeilingChange::Lower(tenant, Some(operations)) => {
-                self.ceilings.insert(tenant, operations);
-            }
-            CeilingChange::Lower(tenant, None) => drop(self.ceilings.remove(&tenant)),
-        }
+        change.apply(&mut self.ceilings);
     }
 
     /// A life takes the place of the one before it on its machine.
