--- a/crates/standin/src/applier.rs
+++ b/crates/standin/src/applier.rs
@@ -1,4 +1,7 @@
 //! Applies committed entries to the engine, after the adjustable lag.
+//!
+//! Owns when a commit index was learned; relies on the replication for what is committed and on the writing
+//! connection for applying it.
 
 use crate::replication::Role;
 use crate::shared::Shared;
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,7 @@
 //! The embedded SQL engine: connections, functions, applied position and replay.
+//!
+//! Owns one connection to the engine and the time and random seed that its functions see, so that a statement
+//! gives the same on each member. Relies on the caller for order: who holds the writing connection may write.
 
 use crate::entry::{Circumstances, LogEntry, Value};
 use crate::functions::{self, Circumstance};
--- a/crates/standin/src/functions.rs
+++ b/crates/standin/src/functions.rs
@@ -1,4 +1,6 @@
 //! Functions of the embedded engine: those it lacks, and those that must be the same on each member.
+//!
+//! Relies on the circumstances that the log entry carries for time and random numbers.
 
 use crate::entry::Circumstances;
 use rusqlite::Connection;
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -1,4 +1,6 @@
 //! A whole stand-in group of three members in one process.
+//!
+//! Owns the members, their ports and folders; a member that was stopped starts again on the same ports.
 
 use crate::error::MemberError;
 use crate::member::{Member, MemberHandle, MemberSettings, Peer, bind_loopback};
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -26,8 +26,7 @@
 pub use group::{GROUP_SIZE, Group, GroupSettings};
 pub use log_file::LOG_FILE_NAME;
 pub use member::{
-    DEFAULT_CONNECTION_COST, DEFAULT_CONNECTION_LIMIT, FIRST_TERM, Member, MemberHandle,
-    MemberSettings, Peer, bind_loopback,
+    DEFAULT_CONNECTION_COST, DEFAULT_CONNECTION_LIMIT, Member, MemberHandle, MemberSettings, Peer,
 };
 pub use promise::Promise;
 pub use replication::message::{AppendOutcome, AppendRequest, AppendResponse};
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,12 +1,9 @@
 //! Runs one member of a stand-in group.
 
 use corktack_core::identity::{MemberName, NameError};
-use corktack_standin::{
-    DEFAULT_CONNECTION_COST, DEFAULT_CONNECTION_LIMIT, Member, MemberError, MemberSettings, Peer,
-};
+use corktack_standin::{DEFAULT_CONNECTION_LIMIT, Member, MemberError, MemberSettings, Peer};
 use std::net::{AddrParseError, SocketAddr, TcpListener};
 use std::path::PathBuf;
-use std::time::Duration;
 
 mod flags {
     use std::net::SocketAddr;
@@ -29,10 +26,6 @@
             optional --initial-primary
             /// Most connections of callers.
             optional --connection-limit count: usize
-            /// Cost of a new connection in milliseconds.
-            optional --connection-cost milliseconds: u64
-            /// Lag of application as a replica in milliseconds.
-            optional --replication-lag milliseconds: u64
         }
     }
 }
@@ -74,9 +67,6 @@
     settings.peers = flags.peer.iter().map(|text| peer(text)).collect::<Result<_, _>>()?;
     settings.initial_primary = flags.initial_primary;
     settings.connection_limit = flags.connection_limit.unwrap_or(DEFAULT_CONNECTION_LIMIT);
-    let cost = flags.connection_cost.map(Duration::from_millis);
-    settings.connection_cost = cost.unwrap_or(DEFAULT_CONNECTION_COST);
-    settings.replication_lag = Duration::from_millis(flags.replication_lag.unwrap_or(0));
     Ok(settings)
 }
 
--- a/crates/standin/src/member.rs
+++ b/crates/standin/src/member.rs
@@ -1,11 +1,14 @@
 //! One running member of a stand-in group.
+//!
+//! Owns the member's threads, its listeners and what its parts share; it relies on the data folder for what
+//! outlives it. Dropping the handle ends the member without finishing what is in flight.
 
 use crate::applier::apply_committed;
 use crate::entry::LogEntry;
 use crate::error::{DurableError, MemberError};
 use crate::log_file::{self, DurableLog};
 use crate::promise::DurablePromise;
-use crate::replication::{Replication, ReplicationStatus, sender, server};
+use crate::replication::{Replication, ReplicationError, ReplicationStatus, State, sender, server};
 use crate::session::grouped::WriteQueue;
 use crate::shared::{Shared, open_engine};
 use crate::wire::cancel::CancelRegistry;
@@ -21,7 +24,7 @@
 use tokio::sync::{Mutex, oneshot, watch};
 
 /// Term of the first primary of a fresh group.
-pub const FIRST_TERM: Term = Term(1);
+const FIRST_TERM: Term = Term(1);
 /// Cost of a new connection unless set otherwise.
 pub const DEFAULT_CONNECTION_COST: Duration = Duration::from_millis(10);
 /// Connection limit unless set otherwise.
@@ -49,7 +52,7 @@
     pub replication: TcpListener,
     /// The other members of the group.
     pub peers: Vec<Peer>,
-    /// Primary of [`FIRST_TERM`] if the data folder is fresh.
+    /// Primary of term 1 if the data folder is fresh.
     pub initial_primary: bool,
     /// Most connections of callers.
     pub connection_limit: usize,
@@ -97,7 +100,6 @@
 pub struct MemberHandle {
     shared: Arc<Shared>,
     postgres: SocketAddr,
-    replication: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -109,7 +111,6 @@
     /// Its files, its engine or its listeners cannot be used.
     pub fn start(settings: MemberSettings) -> Result<MemberHandle, MemberError> {
         let postgres = settings.postgres.local_addr().map_err(MemberError::Listener)?;
-        let replication = settings.replication.local_addr().map_err(MemberError::Listener)?;
         let shared = Arc::new(open_shared(&settings)?);
         let (stop, stopped) = oneshot::channel();
         let (report, started) = mpsc::channel();
@@ -120,7 +121,7 @@
         let thread = thread.map_err(MemberError::Thread)?;
         started.recv().map_err(|_| MemberError::Ended)??;
         let (stop, thread) = (Some(stop), Some(thread));
-        Ok(MemberHandle { shared, postgres, replication, stop, thread })
+        Ok(MemberHandle { shared, postgres, stop, thread })
     }
 
     /// Reads the log that a member left in its data folder.
@@ -139,18 +140,6 @@
         self.postgres
     }
 
-    /// Where peers connect.
-    #[must_use]
-    pub fn replication_address(&self) -> SocketAddr {
-        self.replication
-    }
-
-    /// The member's name.
-    #[must_use]
-    pub fn name(&self) -> &MemberName {
-        &self.shared.name
-    }
-
     /// Term, role and positions now.
     #[must_use]
     pub fn status(&self) -> ReplicationStatus {
@@ -163,11 +152,6 @@
         self.shared.applied_position()
     }
 
-    /// Sets how long the member, as a replica, waits before it applies an entry.
-    pub fn set_replication_lag(&self, lag: Duration) {
-        self.shared.lag.send_replace(lag);
-    }
-
     /// Ends the member without finishing what is in flight, and waits for its threads.
     pub fn stop(mut self) {
         self.end();
@@ -200,7 +184,8 @@
     let log = DurableLog::open(folder)?;
     let (engine, applied) = open_engine(folder)?;
     let peers = settings.peers.iter().map(|peer| peer.name.clone()).collect();
-    let replication = Replication::new(settings.name.clone(), log, promise, peers, applied);
+    let state = State::new(settings.name.clone(), log, promise, peers, applied);
+    let replication = Replication::new(state);
     if settings.initial_primary && !existed {
         replication.bootstrap(FIRST_TERM).map_err(bootstrap_error)?;
     }
@@ -219,9 +204,9 @@
     })
 }
 
-fn bootstrap_error(error: crate::replication::ReplicationError) -> MemberError {
+fn bootstrap_error(error: ReplicationError) -> MemberError {
     match error {
-        crate::replication::ReplicationError::Durable(error) => MemberError::Durable(error),
+        ReplicationError::Durable(error) => MemberError::Durable(error),
         _ => MemberError::Ended,
     }
 }
--- a/crates/standin/src/promise.rs
+++ b/crates/standin/src/promise.rs
@@ -1,4 +1,6 @@
 //! The term a member promised, kept in a file that is replaced atomically.
+//!
+//! Owns the promise file of a member; nothing is acknowledged under a term before it is synced here.
 
 use crate::codec;
 use crate::error::DurableError;
--- a/crates/standin/src/replication/sender.rs
+++ b/crates/standin/src/replication/sender.rs
@@ -1,4 +1,6 @@
 //! Sends a primary's entries and heartbeats to one peer.
+//!
+//! Owns one connection to the peer while this member leads; relies on the state for what to send next.
 
 use super::link::{Link, LinkError};
 use super::state::{Replication, ReplicationStatus};
--- a/crates/standin/src/replication/state.rs
+++ b/crates/standin/src/replication/state.rs
@@ -1,11 +1,12 @@
 //! The replication state of a member under one lock, and what others see of it.
+//!
+//! Owns the lock and the published status; every step runs under the lock and publishes what it leaves.
+//! Relies on `steps` for the decisions.
 
 use super::message::{AppendRequest, AppendResponse};
 use super::steps::State;
 use crate::entry::{LogEntry, WriteStatement};
 use crate::error::DurableError;
-use crate::log_file::DurableLog;
-use crate::promise::DurablePromise;
 use corktack_core::identity::MemberName;
 use corktack_core::position::{Position, Term};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -89,16 +90,9 @@
 }
 
 impl Replication {
-    /// Starts from durable state. `applied_index` is known committed.
+    /// Shares a state.
     #[must_use]
-    pub fn new(
-        member: MemberName,
-        log: DurableLog,
-        promise: DurablePromise,
-        peers: Vec<MemberName>,
-        applied_index: u64,
-    ) -> Self {
-        let state = State::new(member, log, promise, peers, applied_index);
+    pub fn new(state: State) -> Self {
         let (status, _) = watch::channel(state.status());
         Self { state: Mutex::new(state), status }
     }
--- a/crates/standin/src/replication/steps.rs
+++ b/crates/standin/src/replication/steps.rs
@@ -1,4 +1,7 @@
 //! The steps of replication: term, role, log and commit index of one member.
+//!
+//! Owns the decisions: who may lead, what is committed, what a log takes from a primary. No input or output
+//! but the synced log and promise.
 
 use super::message::{AppendOutcome, AppendRequest, AppendResponse};
 use super::progress::GroupProgress;
@@ -33,7 +36,7 @@
 }
 
 impl State {
-    /// Starts from durable state.
+    /// Starts from durable state; `applied_index` is known committed.
     pub fn new(
         member: MemberName,
         log: DurableLog,
--- a/crates/standin/src/session/admin.rs
+++ b/crates/standin/src/session/admin.rs
@@ -1,4 +1,6 @@
 //! Statements that the member answers itself: settings, status, fence and promotion.
+//!
+//! Relies on the contract of `corktack_core::backend` for the statements and their columns.
 
 use super::{Reply, Session};
 use crate::entry::Value;
--- a/crates/standin/src/session/commit.rs
+++ b/crates/standin/src/session/commit.rs
@@ -1,4 +1,8 @@
 //! Opening, committing and rolling back write transactions.
+//!
+//! Order of a commit: log synced here, held by a majority, applied by the engine, answered. Relies on the
+//! term under which the transaction began: if it was lost meanwhile the outcome is refused or unknown, never
+//! done.
 
 use super::Session;
 use super::block::{Holder, WriteTransaction};
--- a/crates/standin/src/session/execute.rs
+++ b/crates/standin/src/session/execute.rs
@@ -1,4 +1,6 @@
 //! Runs statements inside and outside transaction blocks.
+//!
+//! Decides where a statement runs: alone or in the open block, on the reading or the writing connection.
 
 use super::block::{Block, Holder, WriteTransaction};
 use super::{Reply, Session, grouped};
--- a/crates/standin/src/session/mod.rs
+++ b/crates/standin/src/session/mod.rs
@@ -1,4 +1,7 @@
 //! A caller's session: transactions, statements and administration.
+//!
+//! Owns the open transaction block, the prepared statements and the reading connection of one session. Writes
+//! go through the member's one writing connection; a commit is answered once a majority holds its log entry.
 
 pub mod admin;
 pub mod block;
--- a/crates/standin/src/shared.rs
+++ b/crates/standin/src/shared.rs
@@ -1,4 +1,7 @@
 //! State that the threads and connections of one member share.
+//!
+//! Owns nothing by itself: it binds replication, the writing connection, the queue of writes and the registry
+//! of running statements of one member.
 
 use crate::engine::Engine;
 use crate::error::MemberError;
--- a/crates/standin/src/wire/connection.rs
+++ b/crates/standin/src/wire/connection.rs
@@ -1,4 +1,7 @@
 //! One connection of a caller, from startup to its end.
+//!
+//! Owns the order of answers of one connection and its end; relies on the session for what each statement
+//! gives.
 
 use super::cancel::CancelHandle;
 use super::encode::{data_rows, row_description};
