--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,8 +3,7 @@
 //! Everything here is a deterministic state machine: it takes events and an
 //! explicit [`time::Timestamp`], and returns actions for a shell to perform.
 //! Nothing blocks, reads a clock, opens a file or draws ambient randomness,
-//! so the same code runs in the server, in the simulator and in bulk inside
-//! hollow nodes.
+//! so the same code runs in the server and in the simulator.
 
 pub mod admission;
 pub mod backend;
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: what is run, measured and written down together.
+//! Experiments: what is run and checked together, and the figures that it prints.
 
 pub mod failover;
 pub mod profile_load;
--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -1,4 +1,7 @@
 //! Names, addresses and files of a fleet before it is started.
+//!
+//! Owns the names, zones and loopback addresses of all processes and the text of their settings files. Relies
+//! on the profile for numbers and regions; starts nothing.
 
 use super::ports::free_address;
 use crate::profile::Profile;
--- a/crates/lab/src/fleet/verify.rs
+++ b/crates/lab/src/fleet/verify.rs
@@ -1,4 +1,7 @@
 //! Checks what callers were told against what the databases hold.
+//!
+//! Relies on the primary of the highest term for what is stored and on its log on disk for whole
+//! transactions; the rules themselves are in `load::history`.
 
 use super::ready::connect;
 use super::{Fleet, FleetError, RunningMember};
--- a/crates/lab/src/load/history.rs
+++ b/crates/lab/src/load/history.rs
@@ -1,10 +1,12 @@
 //! What callers wrote and were told, for the check against the databases.
+//!
+//! Owns the rules: what was acknowledged is there once, what was refused is not, a transaction is whole.
+//! Pure; relies on nothing but the two lists.
 
-use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What the caller was told of a write.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Told {
     /// Acknowledged: it must be there, once.
     Acknowledged,
@@ -15,7 +17,7 @@
 }
 
 /// Kind of a write.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteKind {
     /// One row of `flag`.
     Flag,
@@ -29,7 +31,7 @@
 pub const BOOKING_PARTS: i64 = 3;
 
 /// One write with its verdict.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+#[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
     /// Its kind.
     pub kind: WriteKind,
@@ -40,7 +42,7 @@
 }
 
 /// A rule that an answer or the databases broke.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+#[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A session did not see its own write.
     StaleRead {
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -10,3 +10,4 @@
 pub mod outcome;
 pub mod run;
 pub mod schema;
+mod session;
--- a/crates/lab/src/load/operation.rs
+++ b/crates/lab/src/load/operation.rs
@@ -1,4 +1,6 @@
 //! What callers ask, drawn from a profile.
+//!
+//! Owns the shares of each kind of operation. The order of draws is part of a seed's meaning.
 
 use crate::profile::Profile;
 use rand::Rng;
--- a/crates/server/src/watch_client/in_force.rs
+++ b/crates/server/src/watch_client/in_force.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Keeps no more than the revision; for hollow nodes.
+/// Keeps no more than the revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RevisionOnly(pub Revision);
 
--- a/crates/server/src/watch_client/state.rs
+++ b/crates/server/src/watch_client/state.rs
@@ -2,7 +2,7 @@
 //!
 //! The shell feeds [`Event`]s with the time and performs the [`Action`]s in order. The
 //! machine keeps the configuration in anything that is [`InForce`]: a proxy keeps the whole
-//! [`View`], a hollow node only its revision, so that thousands fit in one process.
+//! [`View`].
 
 pub use super::in_force::{InForce, RevisionOnly};
 use corktack_core::consensus::CellConfig;
