--- a/crates/sim/src/limits/check.rs
+++ b/crates/sim/src/limits/check.rs
@@ -1,4 +1,7 @@
 //! Counts operations in every window.
+//!
+//! Owns the operations begun in the newest window and the limits in force in it, in true time; it knows no
+//! gateway and no leader.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/sim/src/limits/gateway.rs
+++ b/crates/sim/src/limits/gateway.rs
@@ -1,4 +1,7 @@
 //! A gateway: the core's books and a clock of its own.
+//!
+//! Owns one incarnation's clock and the core's `GatewayLimits`; broken variants change what goes in and comes
+//! out of the core, never the core.
 
 use super::variant::LimitsVariant;
 use corktack_core::identity::{Incarnation, ProxyName};
@@ -15,7 +18,7 @@
     TenantName::new("alfa").expect("a valid name")
 }
 
-/// By how much a life of the variant overstates how long it has been running.
+/// By how much an incarnation of the variant overstates how long it has been running.
 const OVERSTATED_BY: Duration = Duration::from_secs(3);
 
 /// A clock with an origin and a rate of its own.
@@ -33,7 +36,7 @@
     }
 }
 
-/// One life of a gateway.
+/// One incarnation of a gateway.
 pub(super) struct Gateway {
     pub(super) name: ProxyName,
     pub(super) incarnation: Incarnation,
@@ -45,7 +48,7 @@
     /// Term and number of the grant taken last, for the variant that takes any.
     taken: (Term, u64),
     grants_taken: u64,
-    /// Reports of the lives before, for the variant that goes on as they did.
+    /// Reports of the incarnations before, for the variant that goes on as they did.
     sequence_before: u64,
 }
 
@@ -91,7 +94,7 @@
         matches!(self.limits.ask(now, &tenant(), ask), OperationOutcome::Admitted(_))
     }
 
-    pub(super) fn hear_of_leader(&mut self, now: u64, term: Term) {
+    pub(super) fn learn_leader(&mut self, now: u64, term: Term) {
         self.newest_term = self.newest_term.max(Some(term));
         self.limits.follow_leader(self.clock.at(now), term);
     }
--- a/crates/sim/src/limits/leader.rs
+++ b/crates/sim/src/limits/leader.rs
@@ -1,4 +1,7 @@
 //! A leader of one term: the core's ledger over the state that was committed.
+//!
+//! Owns the core's `LimitLedger` of one term and what the leader has applied; several leaders may be up at
+//! once.
 
 use super::gateway::{Clock, tenant};
 use super::variant::LimitsVariant;
@@ -13,7 +16,7 @@
 /// What the cell has committed.
 #[derive(Clone, Debug)]
 pub(super) struct Committed {
-    pub(super) lives: BTreeSet<GatewayIncarnation>,
+    pub(super) gateways: BTreeSet<GatewayIncarnation>,
     pub(super) ceilings: BTreeMap<TenantName, u64>,
     pub(super) rate: TenantRate,
 }
@@ -32,10 +35,10 @@
         }
     }
 
-    /// A life takes the place of the one before it on its machine.
-    pub(super) fn register(&mut self, life: &GatewayIncarnation) {
-        self.lives.retain(|it| it.gateway != life.gateway);
-        self.lives.insert(life.clone());
+    /// An incarnation takes the place of the one before it on its machine.
+    pub(super) fn register(&mut self, started: &GatewayIncarnation) {
+        self.gateways.retain(|it| it.gateway != started.gateway);
+        self.gateways.insert(started.clone());
     }
 }
 
@@ -80,7 +83,7 @@
     ) -> Self {
         let known = match variant {
             LimitsVariant::LeaderForgets => (BTreeSet::new(), BTreeMap::from([(tenant(), 0)])),
-            _ => (state.lives.clone(), state.ceilings.clone()),
+            _ => (state.gateways.clone(), state.ceilings.clone()),
         };
         let ledger = LimitLedger::new(clock.at(now), term, bounds, known.0, known.1);
         Self { term, clock, state, ledger, changing: false }
@@ -89,7 +92,7 @@
     /// Takes what was committed since.
     pub(super) fn apply(&mut self, now: u64, state: &Committed) {
         self.state = state.clone();
-        self.ledger.follow_gateways(self.clock.at(now), &state.lives);
+        self.ledger.follow_gateways(self.clock.at(now), &state.gateways);
     }
 
     pub(super) fn changes_applied(&mut self) {
@@ -104,9 +107,9 @@
         report: &AllowanceReport,
         variant: LimitsVariant,
     ) -> LedgerAnswer {
-        let life =
+        let reporting =
             GatewayIncarnation { gateway: report.gateway.clone(), incarnation: report.incarnation };
-        if !self.state.lives.contains(&life) {
+        if !self.state.gateways.contains(&reporting) {
             return LedgerAnswer::default();
         }
         let now = self.clock.at(now);
--- a/crates/sim/src/limits/mod.rs
+++ b/crates/sim/src/limits/mod.rs
@@ -5,9 +5,11 @@
 mod check;
 mod gateway;
 mod leader;
+mod report;
 mod variant;
 mod world;
 
 pub use check::WindowExceeded;
+pub use report::{LimitsCounts, LimitsReport};
 pub use variant::LimitsVariant;
-pub use world::{LimitsCounts, LimitsReport, run};
+pub use world::run;
--- a/crates/sim/src/limits/variant.rs
+++ b/crates/sim/src/limits/variant.rs
@@ -5,7 +5,7 @@
 pub enum LimitsVariant {
     /// As built.
     Correct,
-    /// The life of an allowance counts from when it arrives.
+    /// The time for which an allowance lasts counts from when it arrives.
     LifeFromArrival,
     /// A new leader takes it that earlier ones gave nothing.
     LeaderForgets,
@@ -17,7 +17,7 @@
     LifeNotNew,
     /// A report says that every grant before it was taken.
     TakenNotTold,
-    /// A life says that it has been running for longer than it has.
+    /// An incarnation says that it has been running for longer than it has.
     RunningOverstated,
 }
 
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,7 +1,6 @@
 //! Command line of the simulator and the model checker.
 
 mod flags;
-mod limit_seeds;
 mod seeds;
 
 use corktack_sim::model::scenario::{self, Scenario};
@@ -25,8 +24,8 @@
     let flags = CorktackSim::from_env_or_exit();
     let passed = match flags.subcommand {
         CorktackSimCmd::Model(model) => check_models(&model)?,
-        CorktackSimCmd::Run(run) => seeds::run(&run)?,
-        CorktackSimCmd::Limits(limits) => limit_seeds::run(&limits)?,
+        CorktackSimCmd::Run(run) => seeds::run_core(&run)?,
+        CorktackSimCmd::Limits(limits) => seeds::run_limits(&limits)?,
     };
     Ok(if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/sim/src/model/cell/transitions.rs
+++ b/crates/sim/src/model/cell/transitions.rs
@@ -1,4 +1,6 @@
 //! Transitions of the specification of a cell.
+//!
+//! Owns which steps a state has and what each does to it; the invariants are beside the state.
 
 use super::{
     CellInvariant, CellReplica, CellRole, CellSpecification, CellState, CellStep, CellVariant,
--- a/crates/sim/src/model/group/transitions.rs
+++ b/crates/sim/src/model/group/transitions.rs
@@ -1,4 +1,6 @@
 //! Transitions of the specification of a database group.
+//!
+//! Owns which steps a state has and what each does to it; the invariants are beside the state.
 
 use super::{
     ALL_MEMBERS, Attempt, FIRST_TERM, GroupInvariant, GroupMember, GroupRole, GroupSpecification,
--- a/crates/sim/src/model/scenario.rs
+++ b/crates/sim/src/model/scenario.rs
@@ -1,4 +1,7 @@
 //! The named explorations: each specification within its bounds, and each broken variant.
+//!
+//! Owns the bounds of every exploration and the invariant that each broken variant must violate; tests and
+//! the command line run the same lists.
 
 use super::cell::{CellBounds, CellInvariant, CellSpecification, CellVariant};
 use super::group::{GroupBounds, GroupInvariant, GroupSpecification, GroupVariant};
--- a/crates/sim/src/run/client.rs
+++ b/crates/sim/src/run/client.rs
@@ -1,4 +1,7 @@
 //! A session of a caller: writes its own row, reads it back and reads those of others.
+//!
+//! Owns what the session remembers (token, row, request under way) and draws its next request; it notes what
+//! it was answered for the checker.
 
 use super::event::{Address, Context, Packet, Write, WriteOutcome};
 use super::history::Note;
--- a/crates/sim/src/run/control.rs
+++ b/crates/sim/src/run/control.rs
@@ -1,5 +1,8 @@
 //! A control machine: the core's replica on the log of `corktack-storage`, the control
 //! state, and the duties of a leader.
+//!
+//! Owns the machine's disk and, while it runs, its process; performs the replica's actions in order as the
+//! product's shell does. A crash drops the process and a drawn part of what was not synced.
 
 mod disk;
 mod duties;
--- a/crates/sim/src/run/event.rs
+++ b/crates/sim/src/run/event.rs
@@ -1,4 +1,6 @@
 //! Who takes part in a run, and what they send each other.
+//!
+//! The text of each packet is part of a run's hash: renaming a variant or a field changes it.
 
 use super::history::Note;
 use super::variant::Variant;
--- a/crates/sim/src/run/faults.rs
+++ b/crates/sim/src/run/faults.rs
@@ -1,4 +1,7 @@
 //! Faults drawn by seed, alone and in pairs, the same one also twice.
+//!
+//! Owns which faults there are and how a run's rounds are drawn; what a fault does is in `world::inject`. The
+//! order of draws is part of a seed's meaning.
 
 use super::client::CLIENTS;
 use super::control::MACHINES;
--- a/crates/sim/src/run/health.rs
+++ b/crates/sim/src/run/health.rs
@@ -1,4 +1,6 @@
 //! Whether the system works again after the last fault.
+//!
+//! Reads the participants and decides nothing; relies on the leader's state for what should hold.
 
 use super::control::MACHINES;
 use super::names::{group_name, member_index};
--- a/crates/sim/src/run/history.rs
+++ b/crates/sim/src/run/history.rs
@@ -1,4 +1,7 @@
 //! What a run noted, and the checker over it.
+//!
+//! Owns everything noted in a run and the violations found so far; participants only add notes. Checks that
+//! need the whole run compare with the final state at its end.
 
 use super::event::Write;
 use corktack_core::identity::ReplicaId;
--- a/crates/sim/src/run/member.rs
+++ b/crates/sim/src/run/member.rs
@@ -1,5 +1,7 @@
 //! A member of the database group, modelled after the stand-in and the contract
 //! of `corktack_core::backend`: promises, log, replication and read index.
+//!
+//! Owns the member's log, promise and role, in memory and on its disk; what is not synced is lost in a crash.
 
 mod replication;
 
--- a/crates/sim/src/run/network.rs
+++ b/crates/sim/src/run/network.rs
@@ -1,4 +1,7 @@
 //! Links between participants, and what they do to packets.
+//!
+//! Owns the cuts and the loss, duplication and delay that hold for all links at a time; draws come from the
+//! run's one generator.
 
 use super::event::{Address, Packet};
 use rand::Rng;
--- a/crates/sim/src/run/operator.rs
+++ b/crates/sim/src/run/operator.rs
@@ -1,5 +1,7 @@
 //! Operators that race: each changes the same classes from the version it knows, and
 //! sends a change without an answer again under the same id, to another machine.
+//!
+//! Owns the changes sent and not answered; relies on the version in each answer for the next change.
 
 use super::control::MACHINES;
 use super::event::{Address, Context, Packet};
--- a/crates/sim/src/run/world.rs
+++ b/crates/sim/src/run/world.rs
@@ -1,4 +1,7 @@
 //! The virtual clock, the queue and the participants of one run.
+//!
+//! Owns the time, the queue of what is due, the one generator and everyone who takes part; hands each event
+//! to one participant and takes the packets and notes that it leaves. Nothing else draws or sends.
 
 mod inject;
 
--- a/crates/sim/src/run/world/inject.rs
+++ b/crates/sim/src/run/world/inject.rs
@@ -1,4 +1,6 @@
 //! Brings faults about and ends them.
+//!
+//! Relies on the drawn rounds for when and what; aims faults on a role at whoever has it in that moment.
 
 use super::{World, everyone};
 use crate::run::event::Address;
--- a/crates/sim/src/seeds.rs
+++ b/crates/sim/src/seeds.rs
@@ -1,56 +1,83 @@
 //! Runs many seeds, and tells how to repeat one that failed.
+//!
+//! Owns what the commands `run` and `limits` have in common: the range of seeds, the threads, the broken
+//! variant by its name and the list of failed seeds. Relies on the library for what one seed does.
 
 use crate::CommandError;
-use crate::flags::Run;
-use corktack_sim::run::{Report, Variant, run as run_seed, run_traced};
+use crate::flags::{Limits, Run};
+use corktack_sim::limits::{self, LimitsVariant};
+use corktack_sim::run::{self, Report, Variant};
+use std::fmt::Debug;
 use std::io::Write;
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// Sums over the seeds run.
-#[derive(Debug, Default)]
-struct Totals {
+/// Runs the seeds of the core; tells whether all passed.
+pub fn run_core(flags: &Run) -> eyre::Result<bool> {
+    let variant = variant(flags.variant.as_deref(), Variant::Correct, &Variant::BROKEN)?;
+    check_seeds(&flags.seeds, flags.threads, |seed| {
+        let run = if flags.trace { run::run_traced } else { run::run };
+        let report = run(seed, variant);
+        let failed = !report.violations.is_empty();
+        print(&report, variant, failed || flags.verbose);
+        Checked { failed, events: report.events }
+    })
+}
+
+/// Runs the seeds of the limits; tells whether all passed.
+pub fn run_limits(flags: &Limits) -> eyre::Result<bool> {
+    let variant =
+        variant(flags.variant.as_deref(), LimitsVariant::Correct, &LimitsVariant::BROKEN)?;
+    check_seeds(&flags.seeds, flags.threads, |seed| {
+        let report = limits::run(seed, variant);
+        let failed = report.exceeded.is_some();
+        if flags.verbose || failed {
+            // A closed output ends the printing, not the runs.
+            let _ = writeln!(std::io::stdout(), "{report}");
+        }
+        Checked { failed, events: report.counts.begun }
+    })
+}
+
+/// What one seed came to.
+struct Checked {
+    failed: bool,
+    /// Packets, ticks and faults handled, or operations begun.
     events: u64,
-    virtual_micros: u64,
-    writes: u64,
-    reads: u64,
-    changes: u64,
-    failed: Vec<u64>,
 }
 
-/// Runs the seeds; tells whether all passed.
-pub fn run(flags: &Run) -> eyre::Result<bool> {
-    let seeds = parse_seeds(&flags.seeds)?;
-    let variant = parse_variant(flags.variant.as_deref())?;
+/// Checks every seed, prints those that failed, and tells whether there are none.
+fn check_seeds(
+    seeds: &str,
+    threads: Option<usize>,
+    check: impl Fn(u64) -> Checked + Sync,
+) -> eyre::Result<bool> {
+    let seeds = parse_seeds(seeds)?;
     let begin = Instant::now();
-    let totals = Mutex::new(Totals::default());
-    for_each_seed(&seeds, flags.threads, |seed| {
-        let report = if flags.trace { run_traced(seed, variant) } else { run_seed(seed, variant) };
-        let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
-        totals.add(&report);
-        print(flags, &report, variant);
+    let failed = Mutex::new(Vec::new());
+    let events = AtomicU64::new(0);
+    for_each_seed(&seeds, threads, |seed| {
+        let checked = check(seed);
+        events.fetch_add(checked.events, Ordering::Relaxed);
+        if checked.failed {
+            failed.lock().unwrap_or_else(PoisonError::into_inner).push(seed);
+        }
     });
-    let totals = totals.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let failed = failed.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let (count, seconds) = (seeds.end - seeds.start, begin.elapsed().as_secs_f64());
     writeln!(
         std::io::stdout(),
-        "{} seeds, {} failed {:?}; {} events, {} virtual s, {} writes, {} reads, {} changes; {:.1} s",
-        seeds.end - seeds.start,
-        totals.failed.len(),
-        totals.failed,
-        totals.events,
-        totals.virtual_micros / 1_000_000,
-        totals.writes,
-        totals.reads,
-        totals.changes,
-        begin.elapsed().as_secs_f64()
+        "{count} seeds, {} failed {failed:?}; {} events; {seconds:.1} s",
+        failed.len(),
+        events.into_inner()
     )?;
-    Ok(totals.failed.is_empty())
+    Ok(failed.is_empty())
 }
 
 /// Runs seeds on so many threads, one if not said.
-pub fn for_each_seed(seeds: &Range<u64>, threads: Option<usize>, run: impl Fn(u64) + Sync) {
+fn for_each_seed(seeds: &Range<u64>, threads: Option<usize>, run: impl Fn(u64) + Sync) {
     let next = AtomicU64::new(seeds.start);
     std::thread::scope(|scope| {
         for _ in 0..threads.unwrap_or(1).max(1) {
@@ -67,30 +94,16 @@
     });
 }
 
-impl Totals {
-    fn add(&mut self, report: &Report) {
-        self.events += report.events;
-        self.virtual_micros += report.length;
-        self.writes += report.counts.writes;
-        self.reads += report.counts.reads;
-        self.changes += report.counts.changes;
-        if !report.violations.is_empty() {
-            self.failed.push(report.seed);
-        }
-    }
-}
-
-fn print(flags: &Run, report: &Report, variant: Variant) {
+fn print(report: &Report, variant: Variant, whole: bool) {
     let mut out = std::io::stdout().lock();
-    let failed = !report.violations.is_empty();
     // A closed output ends the printing, not the runs.
     for line in &report.lines {
         let _ = writeln!(out, "{line}");
     }
-    if failed || flags.verbose {
+    if whole {
         let _ = writeln!(out, "{report}");
     }
-    if failed {
+    if !report.violations.is_empty() {
         let variant = match variant {
             Variant::Correct => String::new(),
             broken => format!(" --variant {broken:?}"),
@@ -102,7 +115,7 @@
 }
 
 /// Reads `FIRST..END` or one seed.
-pub fn parse_seeds(text: &str) -> Result<Range<u64>, CommandError> {
+fn parse_seeds(text: &str) -> Result<Range<u64>, CommandError> {
     let parsed = || match text.split_once("..") {
         Some((first, end)) => Some(first.parse().ok()?..end.parse().ok()?),
         None => text.parse::<u64>().ok().map(|seed| seed..seed.saturating_add(1)),
@@ -110,9 +123,14 @@
     parsed().filter(|seeds| !seeds.is_empty()).ok_or_else(|| CommandError::Seeds(text.to_owned()))
 }
 
-fn parse_variant(name: Option<&str>) -> Result<Variant, CommandError> {
-    let Some(name) = name else { return Ok(Variant::Correct) };
-    let known = || Variant::BROKEN.iter().map(|variant| format!("{variant:?}"));
-    let found = Variant::BROKEN.into_iter().find(|variant| format!("{variant:?}") == name);
-    found.ok_or_else(|| CommandError::UnknownVariant(name.to_owned(), known().collect()))
+/// The broken variant of that name, or the correct one where none is named.
+fn variant<V: Copy + Debug>(
+    name: Option<&str>,
+    correct: V,
+    broken: &[V],
+) -> Result<V, CommandError> {
+    let Some(name) = name else { return Ok(correct) };
+    let known = || broken.iter().map(|variant| format!("{variant:?}")).collect();
+    let found = broken.iter().copied().find(|variant| format!("{variant:?}") == name);
+    found.ok_or_else(|| CommandError::UnknownVariant(name.to_owned(), known()))
 }
