--- a/crates/lab/src/experiment/profile_load.rs
+++ b/crates/lab/src/experiment/profile_load.rs
@@ -4,6 +4,7 @@
 //! fleet, the load and the links; ends with an error if a rule was broken.
 
 use crate::fleet::plan::FleetPlan;
+use crate::fleet::verify::Verification;
 use crate::fleet::{Fleet, Programs};
 use crate::link::{Link, LinkState};
 use crate::load::run::{LoadResult, LoadSettings, run};
@@ -62,24 +63,19 @@
 
     let mut verification = fleet.verify(&through.written).await?;
     verification.violations.extend(through.violations.iter().cloned());
-    let (broken, mixed) = (verification.violations.len(), verification.mixed_entries);
-    println!(
-        "{} for {} s, rate {}, seed {}",
-        profile.name,
-        settings.duration.as_secs(),
-        settings.rate,
-        settings.seed
-    );
-    print_load("straight", &baseline);
-    print_load("fleet", &through);
+    print_run(settings, &baseline, &through);
     match fleet.replica_read_share().await {
         Some(share) => println!("  reads served by replicas: {:.1} %", share * 100.0),
         None => println!("  reads served by replicas: not known"),
     }
-    println!(
-        "  checked {} writes: {broken} rules broken, {mixed} mixed entries",
-        verification.writes
-    );
+    judge(&verification)
+}
+
+/// Prints what the check against the databases found; an error if a rule was broken.
+fn judge(verification: &Verification) -> eyre::Result<()> {
+    let (broken, mixed) = (verification.violations.len(), verification.mixed_entries);
+    let writes = verification.writes;
+    println!("  checked {writes} writes: {broken} rules broken, {mixed} mixed entries");
     for violation in verification.violations.iter().take(VIOLATIONS_PRINTED) {
         println!("    {violation:?}");
     }
@@ -125,6 +121,13 @@
     Ok(links)
 }
 
+fn print_run(settings: &ProfileLoadSettings, baseline: &LoadResult, through: &LoadResult) {
+    let (profile, seconds) = (&settings.profile.name, settings.duration.as_secs());
+    println!("{profile} for {seconds} s, rate {}, seed {}", settings.rate, settings.seed);
+    print_load("straight", baseline);
+    print_load("fleet", through);
+}
+
 fn print_load(name: &str, result: &LoadResult) {
     let seconds = result.duration.as_secs_f64().max(f64::MIN_POSITIVE);
     let rate = result.statements as f64 / seconds;
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -241,10 +241,10 @@
         let latency = LinkState::delayed(plan.profile.zone_latency);
         control_links.push(Link::start(control.proxies, latency).await?);
     }
-    let controls = control_links.iter().map(Link::address).collect();
+    let controls: Vec<SocketAddr> = control_links.iter().map(Link::address).collect();
     let settings = plan.folder.join(format!("{}.toml", proxy.name));
     let data_folder = plan.folder.join(&proxy.name);
-    let text = plan.proxy_file(proxy, &data_folder, peer_link.address(), controls)?;
+    let text = plan.proxy_file(proxy, &data_folder, peer_link.address(), &controls)?;
     write_file(&settings, &text)?;
     let arguments = ["proxy", "--settings", &settings.to_string_lossy()].map(str::to_owned);
     let process =
--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -5,7 +5,7 @@
 
 use super::ports::free_address;
 use crate::profile::Profile;
-use serde::Serialize;
+use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -135,60 +135,8 @@
     Ok(GroupPlan { name, members })
 }
 
-/// Settings file of a control replica, in the form that `corktack control` reads.
-#[derive(Debug, Serialize)]
-struct ControlFile<'a> {
-    replica: u64,
-    data_folder: &'a Path,
-    addresses: ControlFileAddresses,
-    members: Vec<ControlFileMember>,
-}
-
-#[derive(Debug, Serialize)]
-struct ControlFileAddresses {
-    cell: SocketAddr,
-    proxies: SocketAddr,
-    operators: SocketAddr,
-}
-
-#[derive(Debug, Serialize)]
-struct ControlFileMember {
-    id: u64,
-    address: SocketAddr,
-}
-
-/// Settings file of a proxy, in the form that `corktack proxy` reads.
-#[derive(Debug, Serialize)]
-struct ProxyFile<'a> {
-    name: &'a str,
-    zone: &'a str,
-    data_folder: &'a Path,
-    addresses: ProxyFileAddresses,
-    control: ProxyFileControl,
-    timeouts: ProxyFileTimeouts,
-}
-
-#[derive(Debug, Serialize)]
-struct ProxyFileTimeouts {
-    #[serde(skip_serializing_if = "Option::is_none")]
-    probe_interval_ms: Option<u32>,
-}
-
-#[derive(Debug, Serialize)]
-struct ProxyFileAddresses {
-    callers: SocketAddr,
-    peers: SocketAddr,
-    peers_announced: SocketAddr,
-    telemetry: SocketAddr,
-}
-
-#[derive(Debug, Serialize)]
-struct ProxyFileControl {
-    replicas: Vec<SocketAddr>,
-}
-
 impl FleetPlan {
-    /// Text of a control replica's settings file.
+    /// Text of a control replica's settings file, as `corktack control` reads it.
     ///
     /// # Errors
     /// The library's error when a value has no TOML form.
@@ -197,21 +145,21 @@
         control: &ControlPlan,
         data_folder: &Path,
     ) -> Result<String, toml::ser::Error> {
-        let members = self.controls.iter();
-        toml::to_string(&ControlFile {
-            replica: control.id,
-            data_folder,
-            addresses: ControlFileAddresses {
-                cell: control.cell,
-                proxies: control.proxies,
-                operators: control.operators,
+        let member = |it: &ControlPlan| json!({ "id": it.id, "address": it.cell });
+        toml::to_string(&json!({
+            "replica": control.id,
+            "data_folder": data_folder,
+            "addresses": {
+                "cell": control.cell,
+                "proxies": control.proxies,
+                "operators": control.operators,
             },
-            members: members.map(|m| ControlFileMember { id: m.id, address: m.cell }).collect(),
-        })
+            "members": self.controls.iter().map(member).collect::<Vec<_>>(),
+        }))
     }
 
-    /// Text of a proxy's settings file. Other proxies reach it at `announced`, and it
-    /// reaches the control replicas at `controls`.
+    /// Text of a proxy's settings file, as `corktack proxy` reads it. Other proxies reach it at
+    /// `announced`, and it reaches the control replicas at `controls`.
     ///
     /// # Errors
     /// The library's error when a value has no TOML form.
@@ -220,20 +168,24 @@
         proxy: &ProxyPlan,
         data_folder: &Path,
         announced: SocketAddr,
-        controls: Vec<SocketAddr>,
+        controls: &[SocketAddr],
     ) -> Result<String, toml::ser::Error> {
-        toml::to_string(&ProxyFile {
-            name: &proxy.name,
-            zone: &proxy.zone,
-            data_folder,
-            addresses: ProxyFileAddresses {
-                callers: proxy.callers,
-                peers: proxy.peers,
-                peers_announced: announced,
-                telemetry: proxy.telemetry,
+        let mut timeouts = json!({});
+        if let Some(interval) = self.probe_interval_ms {
+            timeouts["probe_interval_ms"] = json!(interval);
+        }
+        toml::to_string(&json!({
+            "name": proxy.name,
+            "zone": proxy.zone,
+            "data_folder": data_folder,
+            "addresses": {
+                "callers": proxy.callers,
+                "peers": proxy.peers,
+                "peers_announced": announced,
+                "telemetry": proxy.telemetry,
             },
-            control: ProxyFileControl { replicas: controls },
-            timeouts: ProxyFileTimeouts { probe_interval_ms: self.probe_interval_ms },
-        })
+            "control": { "replicas": controls },
+            "timeouts": timeouts,
+        }))
     }
 }
