--- a/crates/lab/src/experiment/failover.rs
+++ b/crates/lab/src/experiment/failover.rs
@@ -19,6 +19,8 @@
 const BEFORE_FAULT: Duration = Duration::from_secs(3);
 /// Time of load after the fault.
 const AFTER_FAULT: Duration = Duration::from_secs(12);
+/// Broken rules that are printed.
+const VIOLATIONS_PRINTED: usize = 5;
 /// The target's budget for a change of primary.
 const GAP_BUDGET: Duration = Duration::from_secs(8);
 
@@ -105,27 +107,15 @@
 }
 
 async fn run_once(settings: &FailoverSettings, number: u32) -> eyre::Result<FailoverRun> {
-    let profile = Profile {
-        groups: 1,
-        write_share: 1.0,
-        arrivals_per_second: WRITES_PER_SECOND,
-        roaming_share: 0.0,
-        ..settings.profile.clone()
-    };
-    let folder = settings.folder.join(format!("failover-{number}"));
-    let plan = FleetPlan::new(profile.clone(), &folder, 3, 3)?
-        .with_probe_interval(settings.probe_interval_ms);
-    let mut fleet = Fleet::start(plan, Programs::beside_this_one()?).await?;
-    fleet.create_tables().await?;
+    let mut fleet = start_fleet(settings, number).await?;
     let group = fleet.plan.groups[0].name.clone();
-    let (client, primary) = fleet.find_primary(&group, &fleet.groups[0]).await?;
-    drop(client);
+    let (_, primary) = fleet.find_primary(&group, &fleet.groups[0]).await?;
     let primary = primary.plan.name.clone();
     let leader =
         if settings.with_control_leader { Some(fleet.control_leader().await?) } else { None };
 
     let load = tokio::spawn(run(LoadSettings {
-        profile,
+        profile: fleet.plan.profile.clone(),
         targets: fleet.targets(),
         proxied: true,
         duration: BEFORE_FAULT + AFTER_FAULT,
@@ -139,26 +129,42 @@
     if let Some(leader) = leader {
         fleet.controls[leader].kill()?;
     }
-    let member = fleet.groups[0].iter_mut().find(|member| member.plan.name == primary);
-    let Some(member) = member else { bail!("the primary is not a member") };
-    strike(member, settings.fault)?;
+    strike(member_named(&mut fleet, &primary)?, settings.fault)?;
     let result = load.await?;
-    let member = fleet.groups[0].iter_mut().find(|member| member.plan.name == primary);
-    heal(member, settings.fault)?;
+    heal(member_named(&mut fleet, &primary)?, settings.fault)?;
 
-    let times = result.acknowledged_micros.get(&group).cloned().unwrap_or_default();
     let verification = fleet.verify(&result.written).await?;
-    let violations = verification.violations.len() + result.violations.len();
-    for violation in verification.violations.iter().chain(&result.violations).take(5) {
-        println!("  {violation:?}");
-    }
+    let violations = verification.violations.iter().chain(&result.violations);
+    violations.clone().take(VIOLATIONS_PRINTED).for_each(|it| println!("  {it:?}"));
+    let times = result.acknowledged_micros.get(&group).map_or(&[][..], Vec::as_slice);
     Ok(FailoverRun {
-        gap_millis: gap_after(&times, fault_micros),
+        gap_millis: gap_after(times, fault_micros),
         writes_checked: verification.writes,
-        violations: violations + verification.mixed_entries,
+        violations: violations.count() + verification.mixed_entries,
     })
 }
 
+/// Starts a fleet of one group whose callers only write and stay at their proxy.
+async fn start_fleet(settings: &FailoverSettings, number: u32) -> eyre::Result<Fleet> {
+    let profile = Profile {
+        groups: 1,
+        write_share: 1.0,
+        arrivals_per_second: WRITES_PER_SECOND,
+        roaming_share: 0.0,
+        ..settings.profile.clone()
+    };
+    let folder = settings.folder.join(format!("failover-{number}"));
+    let plan = FleetPlan::new(profile, &folder)?.with_probe_interval(settings.probe_interval_ms);
+    let fleet = Fleet::start(plan, Programs::beside_this_one()?).await?;
+    fleet.create_tables().await?;
+    Ok(fleet)
+}
+
+fn member_named<'a>(fleet: &'a mut Fleet, name: &str) -> eyre::Result<&'a mut RunningMember> {
+    let found = fleet.groups[0].iter_mut().find(|member| member.plan.name == name);
+    found.ok_or_else(|| eyre!("{name} is not a member"))
+}
+
 fn strike(member: &mut RunningMember, fault: Fault) -> eyre::Result<()> {
     match fault {
         Fault::Kill => drop(member.process.kill()?),
@@ -171,8 +177,7 @@
     Ok(())
 }
 
-fn heal(member: Option<&mut RunningMember>, fault: Fault) -> eyre::Result<()> {
-    let Some(member) = member else { return Ok(()) };
+fn heal(member: &mut RunningMember, fault: Fault) -> eyre::Result<()> {
     match fault {
         Fault::Kill => member.process.restart()?,
         Fault::Freeze => member.process.signal(Signal::CONT)?,
--- a/crates/lab/src/experiment/profile_load.rs
+++ b/crates/lab/src/experiment/profile_load.rs
@@ -13,10 +13,6 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Control replicas of the fleet.
-const CONTROLS: u64 = 3;
-/// Proxies of the fleet.
-const PROXIES: usize = 3;
 /// Metric of reads, by who served them.
 const READS_METRIC: &str = "corktack_edge_reads_total";
 /// Broken rules that are printed.
@@ -48,8 +44,8 @@
 pub async fn run_profile(settings: &ProfileLoadSettings) -> eyre::Result<()> {
     let profile = &settings.profile;
     let folder = settings.folder.join(&profile.name);
-    let plan = FleetPlan::new(profile.clone(), &folder, CONTROLS, PROXIES)?
-        .with_probe_interval(settings.probe_interval_ms);
+    let plan =
+        FleetPlan::new(profile.clone(), &folder)?.with_probe_interval(settings.probe_interval_ms);
     let fleet = Fleet::start(plan, Programs::beside_this_one()?).await?;
     fleet.create_tables().await?;
     eprintln!("{}: the fleet serves", profile.name);
--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -9,6 +9,11 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+/// Control replicas of a fleet, the fewest that bear a loss.
+const CONTROLS: u64 = 3;
+/// Proxies of a fleet, one a region of both profiles.
+const PROXIES: usize = 3;
+
 /// A control replica.
 #[derive(Clone, Debug)]
 pub struct ControlPlan {
@@ -78,18 +83,13 @@
 }
 
 impl FleetPlan {
-    /// Plans a fleet of `controls` control replicas and `proxies` proxies for a profile.
+    /// Plans a fleet for a profile.
     ///
     /// # Errors
     /// The system's error when ports cannot be had.
-    pub fn new(
-        profile: Profile,
-        folder: &Path,
-        controls: u64,
-        proxies: usize,
-    ) -> std::io::Result<Self> {
-        let controls = (1..=controls).map(plan_control).collect::<Result<_, _>>()?;
-        let proxies = (0..proxies).map(|n| plan_proxy(&profile, n)).collect::<Result<_, _>>()?;
+    pub fn new(profile: Profile, folder: &Path) -> std::io::Result<Self> {
+        let controls = (1..=CONTROLS).map(plan_control).collect::<Result<_, _>>()?;
+        let proxies = (0..PROXIES).map(|n| plan_proxy(&profile, n)).collect::<Result<_, _>>()?;
         let groups = (0..profile.groups as usize).map(|n| plan_group(&profile, n));
         let groups = groups.collect::<Result<_, _>>()?;
         let folder = folder.to_owned();
