--- a/crates/sim/src/limits/world/messages.rs
+++ b/crates/sim/src/limits/world/messages.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Leaders look from time to time whether they can give more.
+    /// Leaders evaluate from time to time whether they can give more.
     pub(super) fn offer_again(&mut self) {
         for place in 0..self.leaders.len() {
             if self.draws.random_bool(0.2) {
--- a/crates/sim/src/run/world.rs
+++ b/crates/sim/src/run/world.rs
@@ -25,7 +25,7 @@
 
 /// Between two ticks of a participant, in microseconds.
 const TICK: u64 = 10_000;
-/// Between two looks of the operator who repairs the cell.
+/// Between two steps of the operator who repairs the cell.
 const REPAIR_INTERVAL: u64 = 200_000;
 /// Work between the return to health and the end.
 const WORK: u64 = 1_500_000;
