--- a/crates/lab/src/experiment/failover.rs
+++ b/crates/lab/src/experiment/failover.rs
@@ -1,13 +1,14 @@
 //! The failover gap: how long writes cannot complete after a primary is lost.
+//!
+//! Owns the fault and the figure; each run has a fleet of its own. Relies on the load for the times of
+//! acknowledged writes, and on the check of callers' writes against the databases.
 
 use crate::fleet::plan::FleetPlan;
 use crate::fleet::{Fleet, Programs, RunningMember};
 use crate::load::run::{LoadSettings, run};
 use crate::profile::Profile;
-use crate::report;
 use eyre::{bail, eyre};
 use rustix::process::Signal;
-use serde::Serialize;
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -18,11 +19,13 @@
 const BEFORE_FAULT: Duration = Duration::from_secs(3);
 /// Time of load after the fault.
 const AFTER_FAULT: Duration = Duration::from_secs(12);
+/// Broken rules that are printed.
+const VIOLATIONS_PRINTED: usize = 5;
 /// The target's budget for a change of primary.
 const GAP_BUDGET: Duration = Duration::from_secs(8);
 
 /// How a process is lost.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// Killed without warning.
     Kill,
@@ -58,12 +61,12 @@
     pub runs: u32,
     /// Time between an owner's probes of a member, in milliseconds, other than the default.
     pub probe_interval_ms: Option<u32>,
-    /// Folder of the processes and the report.
+    /// Folder of the processes.
     pub folder: PathBuf,
 }
 
 /// What one run gave.
-#[derive(Clone, Debug, Serialize)]
+#[derive(Clone, Debug)]
 pub struct FailoverRun {
     /// Gap in acknowledged writes, milliseconds.
     pub gap_millis: f64,
@@ -73,7 +76,7 @@
     pub violations: usize,
 }
 
-/// Runs the experiment, prints the distribution and writes it down.
+/// Runs the experiment and prints the distribution.
 ///
 /// # Errors
 /// A fleet that does not start, or rules that were broken.
@@ -97,8 +100,6 @@
         gaps.last().copied().unwrap_or(0.0),
         GAP_BUDGET.as_millis(),
     );
-    let name = format!("failover-{:?}-{}", settings.fault, settings.with_control_leader);
-    report::write_json(&settings.folder.join(format!("{}.json", name.to_lowercase())), &runs)?;
     if broken > 0 {
         bail!("{broken} rules broken");
     }
@@ -106,33 +107,20 @@
 }
 
 async fn run_once(settings: &FailoverSettings, number: u32) -> eyre::Result<FailoverRun> {
-    let profile = Profile {
-        groups: 1,
-        write_share: 1.0,
-        arrivals_per_second: WRITES_PER_SECOND,
-        roaming_share: 0.0,
-        ..settings.profile.clone()
-    };
-    let folder = settings.folder.join(format!("failover-{number}"));
-    let plan = FleetPlan::new(profile.clone(), &folder, 3, 3)?
-        .with_probe_interval(settings.probe_interval_ms);
-    let mut fleet = Fleet::start(plan, Programs::beside_this_one()?).await?;
-    fleet.create_tables().await?;
+    let mut fleet = start_fleet(settings, number).await?;
     let group = fleet.plan.groups[0].name.clone();
-    let (client, primary) = fleet.find_primary(&group, &fleet.groups[0]).await?;
-    drop(client);
+    let (_, primary) = fleet.find_primary(&group, &fleet.groups[0]).await?;
     let primary = primary.plan.name.clone();
     let leader =
         if settings.with_control_leader { Some(fleet.control_leader().await?) } else { None };
 
     let load = tokio::spawn(run(LoadSettings {
-        profile,
+        profile: fleet.plan.profile.clone(),
         targets: fleet.targets(),
         proxied: true,
         duration: BEFORE_FAULT + AFTER_FAULT,
         rate: 1.0,
         seed: u64::from(number),
-        label: format!("failover {number}"),
         run_name: "failover".to_owned(),
     }));
     let start = Instant::now();
@@ -141,26 +129,42 @@
     if let Some(leader) = leader {
         fleet.controls[leader].kill()?;
     }
-    let member = fleet.groups[0].iter_mut().find(|member| member.plan.name == primary);
-    let Some(member) = member else { bail!("the primary is not a member") };
-    strike(member, settings.fault)?;
+    strike(member_named(&mut fleet, &primary)?, settings.fault)?;
     let result = load.await?;
-    let member = fleet.groups[0].iter_mut().find(|member| member.plan.name == primary);
-    heal(member, settings.fault)?;
+    heal(member_named(&mut fleet, &primary)?, settings.fault)?;
 
-    let times = result.acknowledged_micros.get(&group).cloned().unwrap_or_default();
     let verification = fleet.verify(&result.written).await?;
-    let violations = verification.violations.len() + result.violations.len();
-    for violation in verification.violations.iter().chain(&result.violations).take(5) {
-        println!("  {violation:?}");
-    }
+    let violations = verification.violations.iter().chain(&result.violations);
+    violations.clone().take(VIOLATIONS_PRINTED).for_each(|it| println!("  {it:?}"));
+    let times = result.acknowledged_micros.get(&group).map_or(&[][..], Vec::as_slice);
     Ok(FailoverRun {
-        gap_millis: gap_after(&times, fault_micros),
+        gap_millis: gap_after(times, fault_micros),
         writes_checked: verification.writes,
-        violations: violations + verification.mixed_entries,
+        violations: violations.count() + verification.mixed_entries,
     })
 }
 
+/// Starts a fleet of one group whose callers only write and stay at their proxy.
+async fn start_fleet(settings: &FailoverSettings, number: u32) -> eyre::Result<Fleet> {
+    let profile = Profile {
+        groups: 1,
+        write_share: 1.0,
+        arrivals_per_second: WRITES_PER_SECOND,
+        roaming_share: 0.0,
+        ..settings.profile.clone()
+    };
+    let folder = settings.folder.join(format!("failover-{number}"));
+    let plan = FleetPlan::new(profile, &folder)?.with_probe_interval(settings.probe_interval_ms);
+    let fleet = Fleet::start(plan, Programs::beside_this_one()?).await?;
+    fleet.create_tables().await?;
+    Ok(fleet)
+}
+
+fn member_named<'a>(fleet: &'a mut Fleet, name: &str) -> eyre::Result<&'a mut RunningMember> {
+    let found = fleet.groups[0].iter_mut().find(|member| member.plan.name == name);
+    found.ok_or_else(|| eyre!("{name} is not a member"))
+}
+
 fn strike(member: &mut RunningMember, fault: Fault) -> eyre::Result<()> {
     match fault {
         Fault::Kill => drop(member.process.kill()?),
@@ -173,8 +177,7 @@
     Ok(())
 }
 
-fn heal(member: Option<&mut RunningMember>, fault: Fault) -> eyre::Result<()> {
-    let Some(member) = member else { return Ok(()) };
+fn heal(member: &mut RunningMember, fault: Fault) -> eyre::Result<()> {
     match fault {
         Fault::Kill => member.process.restart()?,
         Fault::Freeze => member.process.signal(Signal::CONT)?,
--- a/crates/sim/src/run/world.rs
+++ b/crates/sim/src/run/world.rs
@@ -1,4 +1,7 @@
 //! The virtual clock, the queue and the participants of one run.
+//!
+//! Owns the time, the queue of what is due, the one generator and everyone who takes part; hands each event
+//! to one participant and takes the packets and notes that it leaves. Nothing else draws or sends.
 
 mod inject;
 
@@ -22,7 +25,7 @@
 
 /// Between two ticks of a participant, in microseconds.
 const TICK: u64 = 10_000;
-/// Between two looks of the operator who repairs the cell.
+/// Between two steps of the operator who repairs the cell.
 const REPAIR_INTERVAL: u64 = 200_000;
 /// Work between the return to health and the end.
 const WORK: u64 = 1_500_000;
