--- a/crates/server/src/watch_client/mod.rs
+++ b/crates/server/src/watch_client/mod.rs
@@ -5,7 +5,6 @@
 //! A configuration is published at once and reported as in force once it is on disk.
 
 mod connection;
-mod in_force;
 mod inputs;
 mod metrics;
 pub mod state;
--- a/crates/server/src/watch_client/state/mod.rs
+++ b/crates/server/src/watch_client/state/mod.rs
@@ -1,8 +1,6 @@
 //! Decisions of the proxy's watch of control, as a state machine without I/O.
 //!
-//! The shell feeds [`Event`]s with the time and performs the [`Action`]s in order. The
-//! machine keeps the configuration in anything that is [`InForce`]: a proxy keeps the whole
-//! [`View`].
+//! The shell feeds [`Event`]s with the time and performs the [`Action`]s in order.
 //!
 //! Owns the phase of the connection, the configuration, and what is unacknowledged and unsent. Which replica
 //! is tried next is decided in `replicas`; that one is left in [`WatchState::handle`], when nothing has proved
@@ -12,9 +10,9 @@
 mod observations;
 mod replicas;
 
-pub use super::in_force::{InForce, RevisionOnly};
 pub use messages::{Action, Event, WatchSettings};
 
+use corktack_core::identity::GroupName;
 use corktack_core::time::Timestamp;
 use corktack_core::view::{Revision, View, ViewError};
 use corktack_protocol::control::{ControlMessage, ProxyMessage};
@@ -39,9 +37,9 @@
 
 /// The state machine.
 #[derive(Debug)]
-pub struct WatchState<C = View> {
+pub struct WatchState {
     settings: WatchSettings,
-    in_force: C,
+    in_force: View,
     synced: Revision,
     phase: Phase,
     replicas: Replicas,
@@ -60,13 +58,13 @@
     observations: Observations,
 }
 
-impl<C: InForce> WatchState<C> {
+impl WatchState {
     /// A watch that goes on from `in_force`, which is on disk or empty. The first
     /// [`Event::Tick`] makes it connect.
     #[must_use]
-    pub fn new(settings: WatchSettings, in_force: C, now: Timestamp) -> Self {
+    pub fn new(settings: WatchSettings, in_force: View, now: Timestamp) -> Self {
         Self {
-            synced: in_force.revision(),
+            synced: in_force.revision,
             replicas: Replicas::new(&settings),
             settings,
             in_force,
@@ -85,7 +83,7 @@
 
     /// The configuration in force.
     #[must_use]
-    pub const fn in_force(&self) -> &C {
+    pub const fn in_force(&self) -> &View {
         &self.in_force
     }
 
@@ -176,7 +174,7 @@
     }
 
     fn hello(&self) -> ProxyMessage {
-        let in_force = self.in_force.revision();
+        let in_force = self.in_force.revision;
         ProxyMessage::Hello {
             proxy: self.settings.proxy.clone(),
             incarnation: self.settings.incarnation,
@@ -192,7 +190,7 @@
         self.unacknowledged.insert(self.sequence, now);
         let message = ProxyMessage::Heartbeat {
             sequence: self.sequence,
-            revision: self.synced.min(self.in_force.revision()),
+            revision: self.synced.min(self.in_force.revision),
             draining: self.draining,
             observations: self.observations.take_unsent(),
         };
@@ -246,7 +244,7 @@
             }
         }
         let in_force = &self.in_force;
-        self.observations.retain_groups(|group| in_force.has_group(group));
+        self.observations.retain_groups(|group| is_served(in_force, group));
         vec![Action::Publish]
     }
 
@@ -280,3 +278,9 @@
         self.phase = Phase::Waiting(now + self.replicas.pause_after_failure());
     }
 }
+
+/// Whether the configuration has the group: declared by operators, or by the document.
+fn is_served(view: &View, group: &GroupName) -> bool {
+    let in_document = view.document.as_ref().and_then(|document| document.service(group));
+    view.groups.contains_key(group) || in_document.is_some()
+}
--- a/crates/server/tests/watch_state.rs
+++ b/crates/server/tests/watch_state.rs
@@ -8,9 +8,7 @@
 use corktack_core::time::Timestamp;
 use corktack_core::view::{Delta, Revision, View, ViewChange};
 use corktack_protocol::control::{ControlMessage, MemberHealth, Observation, ProxyMessage};
-use corktack_server::watch_client::state::{
-    Action, Event, InForce, RevisionOnly, WatchSettings, WatchState,
-};
+use corktack_server::watch_client::state::{Action, Event, WatchSettings, WatchState};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -41,7 +39,7 @@
     Timestamp::from_millis(millis)
 }
 
-fn connected<C: InForce>(in_force: C) -> WatchState<C> {
+fn connected(in_force: View) -> WatchState {
     let mut state = WatchState::new(settings(1), in_force, at(0));
     assert!(matches!(state.handle(at(0), Event::Tick)[..], [Action::Connect(_)]));
     let actions = state.handle(at(1), Event::Connected);
@@ -116,7 +114,8 @@
 
 #[test]
 fn the_hello_carries_the_stored_revision() {
-    let mut state = WatchState::new(settings(1), RevisionOnly(Revision(42)), at(0));
+    let mut state =
+        WatchState::new(settings(1), View { revision: Revision(42), ..View::default() }, at(0));
     let _ = state.handle(at(0), Event::Tick);
     let actions = state.handle(at(1), Event::Connected);
     let Action::Send(ProxyMessage::Hello { revision, .. }) = &actions[0] else { panic!() };
@@ -127,7 +126,7 @@
 #[case::silent(None)]
 #[case::cut_off(Some(false))]
 fn a_replica_without_proof_is_left(#[case] answer: Option<bool>) {
-    let mut state = connected(RevisionOnly::default());
+    let mut state = connected(View::default());
     for second in 1..3 {
         let (sequence, ..) = sent_heartbeat(&state.handle(at(second * 1_000 + 1), Event::Tick))
             .expect("a heartbeat");
@@ -143,7 +142,7 @@
 
 #[test]
 fn a_replica_with_proof_is_kept() {
-    let mut state = connected(RevisionOnly::default());
+    let mut state = connected(View::default());
     for second in 1..60 {
         let actions = state.handle(at(second * 1_000 + 1), Event::Tick);
         let (sequence, ..) = sent_heartbeat(&actions).expect("a heartbeat");
@@ -154,7 +153,7 @@
 
 #[test]
 fn an_answer_to_an_earlier_connection_proves_nothing() {
-    let mut state = connected(RevisionOnly::default());
+    let mut state = connected(View::default());
     let _ = state.handle(at(10), Event::Disconnected);
     let _ = state.handle(at(200), Event::Tick);
     let _ = state.handle(at(201), Event::Connected);
@@ -164,7 +163,7 @@
 
 #[rstest]
 fn every_replica_is_tried_with_rising_waits(#[values(1, 2, 3)] seed: u64) {
-    let mut state = WatchState::new(settings(seed), RevisionOnly::default(), at(0));
+    let mut state = WatchState::new(settings(seed), View::default(), at(0));
     let mut now = at(0);
     let mut tried = BTreeSet::new();
     let mut waits = Vec::new();
@@ -200,7 +199,7 @@
     #[values(1, 2, 3, 4, 5, 6)] seed: u64,
 ) {
     let settings = WatchSettings { follows_cell: true, ..settings(seed) };
-    let mut state = WatchState::new(settings, RevisionOnly::default(), at(0));
+    let mut state = WatchState::new(settings, View::default(), at(0));
     let mut now = at(0);
     let _ = state.handle(now, Event::Tick);
     let _ = state.handle(now, Event::Connected);
@@ -224,7 +223,7 @@
         member: MemberName::new(member).expect("valid name"),
         health: MemberHealth::Primary(Term(3)),
     };
-    let mut state = connected(RevisionOnly::default());
+    let mut state = connected(View::default());
     let observed = Event::Observed(vec![observation("a"), observation("b")]);
     let sent = sent_heartbeat(&state.handle(at(100), observed)).expect("a heartbeat");
     assert_eq!(sent.3, 2);
@@ -238,7 +237,7 @@
 
 #[test]
 fn draining_is_reported_at_once_and_from_then_on() {
-    let mut state = connected(RevisionOnly::default());
+    let mut state = connected(View::default());
     assert!(sent_heartbeat(&state.handle(at(10), Event::Draining)).expect("a heartbeat").2);
     assert!(sent_heartbeat(&state.handle(at(1_010), Event::Tick)).expect("a heartbeat").2);
 }
