--- a/crates/gateway/src/member/mod.rs
+++ b/crates/gateway/src/member/mod.rs
@@ -81,7 +81,8 @@
     /// Takes what the registry says now.
     pub(crate) fn follow(&mut self, back_end: &Arc<RegisteredBackEnd>, now: Instant) {
         if self.back_end.address != back_end.address {
-            self.pool.forget_idle();
+            // They lead to an address that the member has left.
+            self.pool.drop_idle();
         }
         self.back_end = Arc::clone(back_end);
         if back_end.state == BackEndState::Draining {
--- a/crates/gateway/src/member/pool.rs
+++ b/crates/gateway/src/member/pool.rs
@@ -186,12 +186,7 @@
 
     /// Drops idle connections without a word: they may be as dead as one without an answer.
     pub(super) fn drop_idle(&mut self) {
-        self.open -= self.idle.len();
-        self.idle.clear();
-    }
-
-    /// Drops idle connections to an address that the member has left. They still count as open.
-    pub(super) fn forget_idle(&mut self) {
+        self.open = self.open.saturating_sub(self.idle.len());
         self.idle.clear();
     }
 }
--- a/crates/gateway/tests/sessions/main.rs
+++ b/crates/gateway/tests/sessions/main.rs
@@ -1,5 +1,6 @@
 //! Sessions against stand-in members over real sockets.
 
+mod addresses;
 mod caller;
 mod doubt;
 mod draining;
--- a/crates/gateway/tests/sessions/member.rs
+++ b/crates/gateway/tests/sessions/member.rs
@@ -52,6 +52,10 @@
     pub opened_for: Vec<String>,
     /// Who asked for a connection beyond the limit.
     pub refused_for: Vec<String>,
+    /// Where it listens; connections to another address are closed, new ones before they are ready.
+    pub address: SocketAddr,
+    /// Connections accepted at any address.
+    pub accepted: usize,
     pub ran: Vec<Ran>,
 }
 
@@ -64,8 +68,7 @@
 
 impl Member {
     pub async fn start(name: &str, primary: bool, at: &str) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a free port");
-        let address = listener.local_addr().expect("a bound listener has an address");
+        let (listener, address) = bind();
         let state = MemberState {
             primary,
             at: position(at).expect("a position"),
@@ -83,17 +86,31 @@
             open: 0,
             opened_for: Vec::new(),
             refused_for: Vec::new(),
+            address,
+            accepted: 0,
             ran: Vec::new(),
         };
         let member = Self { name: name.to_owned(), address, state: Rc::new(RefCell::new(state)) };
-        let serving = member.clone();
+        member.listen(listener);
+        member
+    }
+
+    /// Listens at a new address from now on, and no longer serves connections to the one before.
+    pub fn change_address(&mut self) {
+        let (listener, address) = bind();
+        self.address = address;
+        self.state.borrow_mut().address = address;
+        self.listen(listener);
+    }
+
+    fn listen(&self, listener: TcpListener) {
+        let serving = self.clone();
         actix_rt::spawn(async move {
-            for connection in 0.. {
-                let Ok((stream, _)) = listener.accept().await else { return };
+            while let Ok((stream, _)) = listener.accept().await {
+                let connection = serving.state.borrow_mut().next_connection();
                 actix_rt::spawn(serving.clone().serve(stream, connection));
             }
         });
-        member
     }
 
     /// Waits until a gateway has asked for its position, which it does before the first statement, and
@@ -174,7 +191,7 @@
         let mut state = self.state.borrow_mut();
         let fields: Vec<&str> = line.split('|').collect();
         let (id, after, text) = match fields.as_slice() {
-            _ if state.gone => return None,
+            _ if state.gone || state.address != self.address => return None,
             ["start", _, who, ..] if state.open > state.connection_limit => {
                 state.refused_for.push((*who).to_owned());
                 return Some("error|toomany|no more\n".to_owned());
@@ -229,7 +246,22 @@
     }
 }
 
+fn bind() -> (TcpListener, SocketAddr) {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
+    listener.set_nonblocking(true).expect("a socket of the runtime");
+    let listener = TcpListener::from_std(listener).expect("a socket of the runtime");
+    let address = listener.local_addr().expect("a bound listener has an address");
+    (listener, address)
+}
+
 impl MemberState {
+    /// The number of a connection that was accepted.
+    fn next_connection(&mut self) -> usize {
+        let connection = self.accepted;
+        self.accepted += 1;
+        connection
+    }
+
     /// Whether a statement is one of those that are to fail.
     fn takes_failure(&mut self, text: &str) -> bool {
         let left = match text {
--- a/crates/gateway/tests/sessions/world.rs
+++ b/crates/gateway/tests/sessions/world.rs
@@ -545,6 +545,27 @@
         });
     }
 
+    /// Control says that a member is at the address where it listens now. The gateways follow as for
+    /// [`World::drain`].
+    pub fn change_address(&self, member: &Member) {
+        let name = MemberName::new(member.name.as_str()).expect("a valid name");
+        self.change(|view| {
+            let back_end = view.back_ends.get_mut(&name).expect("a registered member");
+            Arc::make_mut(back_end).address = member.address;
+        });
+    }
+
+    /// Control says that a member has left. The gateways follow as for [`World::drain`].
+    pub fn remove(&self, member: &Member) {
+        let name = MemberName::new(member.name.as_str()).expect("a valid name");
+        self.change(|view| drop(view.back_ends.remove(&name)));
+    }
+
+    /// Control says that a member has come. The gateways follow as for [`World::drain`].
+    pub fn add(&self, member: &Member) {
+        self.change(|view| register(view, &group(), &[member]));
+    }
+
     fn change(&self, change: impl FnOnce(&mut View)) {
         self.views.send_modify(|view| {
             let mut next = View::clone(view);
