--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -79,7 +79,9 @@
     let destination = Destination { group, member, address, principal: &Principal::Unnamed };
     let mut connection = match dial(wire, settings, destination).await {
         Ok((connection, _)) => connection,
-        Err(error) if error.failure() == DialFailure::Full => return None,
+        Err(error) if error.failure() == DialFailure::Full && Instant::now() < deadline => {
+            return None;
+        }
         Err(error) => {
             log::info!(group:% = group, member:% = member, error:% = error; "no status");
             return Some(match error.failure() {
--- a/crates/gateway/tests/sessions/main.rs
+++ b/crates/gateway/tests/sessions/main.rs
@@ -8,6 +8,7 @@
 mod limits;
 mod member;
 mod openings;
+mod questions;
 mod restarts;
 mod routing;
 mod state;
--- a/crates/gateway/tests/sessions/world.rs
+++ b/crates/gateway/tests/sessions/world.rs
@@ -121,7 +121,7 @@
 /// The listeners of a gateway, for callers and for other gateways.
 type Bound = ((TcpListener, SocketAddr), (TcpListener, SocketAddr));
 
-fn group() -> GroupName {
+pub fn group() -> GroupName {
     GroupName::new("calls").expect("a valid name")
 }
 
@@ -174,7 +174,7 @@
     tenants.iter().map(rule).collect()
 }
 
-fn settings(place: usize, peers: SocketAddr) -> GatewaySettings {
+pub fn settings(place: usize, peers: SocketAddr) -> GatewaySettings {
     GatewaySettings {
         name: gateway_name(place),
         incarnation: Incarnation(1),
