--- a/crates/gateway/tests/sessions/main.rs
+++ b/crates/gateway/tests/sessions/main.rs
@@ -1,5 +1,6 @@
 //! Sessions against stand-in members over real sockets.
 
+mod addresses;
 mod caller;
 mod doubt;
 mod draining;
@@ -7,6 +8,7 @@
 mod limits;
 mod member;
 mod openings;
+mod questions;
 mod restarts;
 mod routing;
 mod state;
