--- a/crates/core/src/gateway/remote_attempt.rs
+++ b/crates/core/src/gateway/remote_attempt.rs
@@ -12,8 +12,6 @@
     pub holds_connections: bool,
     /// Whether a gateway reached the member when last asked, with or without room.
     pub is_reached: bool,
-    /// Whether no gateway that holds connections to it is left to ask.
-    pub no_holder_left: bool,
 }
 
 /// Why none served.
@@ -28,12 +26,12 @@
 }
 
 impl RemoteAttempt {
-    /// Why none served.
-    #[must_use]
-    pub const fn failure(self) -> RemoteFailure {
+    /// Why none served. `no_holder_left` says whether no gateway that holds connections to the member is left
+    /// to ask; it is asked only where that decides.
+    pub fn failure(self, no_holder_left: impl FnOnce() -> bool) -> RemoteFailure {
         if self.is_time_over {
             RemoteFailure::NoneFree
-        } else if !self.holds_connections && self.no_holder_left {
+        } else if !self.holds_connections && no_holder_left() {
             RemoteFailure::NoHolder
         } else if self.is_reached {
             RemoteFailure::NoneFree
--- a/crates/core/tests/gateway_choice.rs
+++ b/crates/core/tests/gateway_choice.rs
@@ -101,16 +101,16 @@
             is_time_over: case & 1 != 0,
             holds_connections: case & 2 != 0,
             is_reached: case & 4 != 0,
-            no_holder_left: case & 8 != 0,
         };
+        let no_holder_left = case & 8 != 0;
         let expected = match attempt {
             RemoteAttempt { is_time_over: true, .. } => RemoteFailure::NoneFree,
-            RemoteAttempt { holds_connections: false, no_holder_left: true, .. } => {
+            RemoteAttempt { holds_connections: false, .. } if no_holder_left => {
                 RemoteFailure::NoHolder
             }
             RemoteAttempt { is_reached: true, .. } => RemoteFailure::NoneFree,
             _ => RemoteFailure::Unreachable,
         };
-        assert_eq!(attempt.failure(), expected, "{attempt:?}");
+        assert_eq!(attempt.failure(|| no_holder_left), expected, "{attempt:?} {no_holder_left}");
     }
 }
--- a/crates/gateway/src/group/remote/outcome.rs
+++ b/crates/gateway/src/group/remote/outcome.rs
@@ -82,13 +82,9 @@
                 it.detour.failed(steady);
             }
         });
-        let attempt = RemoteAttempt {
-            is_time_over: now >= request.give_up,
-            holds_connections,
-            is_reached,
-            no_holder_left: self.no_holder_left(&member),
-        };
-        match attempt.failure() {
+        let attempt =
+            RemoteAttempt { is_time_over: now >= request.give_up, holds_connections, is_reached };
+        match attempt.failure(|| self.no_holder_left(&member)) {
             RemoteFailure::NoneFree => {
                 let retry_after = room_after.unwrap_or(retry_after::NO_ROOM_REPORTED);
                 AcquireError::NoneFree { retry_after }
--- a/crates/gateway/src/holder/lent.rs
+++ b/crates/gateway/src/holder/lent.rs
@@ -38,7 +38,7 @@
 }
 
 /// A connection that another gateway uses.
-pub(super) struct LentConnection<'f, W: Wire> {
+struct LentConnection<'f, W: Wire> {
     frames: &'f mut HolderFrames,
     lease: Lease<W>,
     /// When anything last passed, either way.
@@ -49,32 +49,35 @@
     buffer: BytesMut,
 }
 
+/// Tells the gateway that it has the connection, and passes bytes both ways until it is given back. An
+/// error says that the tunnel is over; a member's connection in the middle of something is then closed,
+/// which rolls back.
+pub(super) async fn serve_lent<W: Wire>(
+    shared: &Shared<W>,
+    frames: &mut HolderFrames,
+    mut lease: Lease<W>,
+    lent: TunnelReply,
+) -> Result<(), LinkError> {
+    // Until it is given back, something may be under way on it.
+    lease.in_transaction = true;
+    send(frames, lent).await?;
+    LentConnection::new(frames, lease).serve(shared).await
+}
+
 impl<'f, W: Wire> LentConnection<'f, W> {
-    pub(super) fn new(frames: &'f mut HolderFrames, mut lease: Lease<W>) -> Self {
-        // Until it is given back, something may be under way on it.
-        lease.in_transaction = true;
-        let now = Instant::now();
+    fn new(frames: &'f mut HolderFrames, lease: Lease<W>) -> Self {
         Self {
             frames,
             lease,
-            passed_at: now,
+            passed_at: Instant::now(),
             asked_at: None,
-            heartbeat_due: now,
+            heartbeat_due: Instant::now(),
             buffer: BytesMut::with_capacity(BUFFER_BYTES),
         }
     }
 
-    /// Tells the gateway that it has the connection, and passes bytes both ways until it is given back. An
-    /// error says that the tunnel is over; a member's connection in the middle of something is then closed,
-    /// which rolls back.
-    pub(super) async fn serve(
-        mut self,
-        shared: &Shared<W>,
-        lent: TunnelReply,
-    ) -> Result<(), LinkError> {
-        send(self.frames, lent).await?;
+    async fn serve(mut self, shared: &Shared<W>) -> Result<(), LinkError> {
         let idle_limit = shared.routes.transaction_idle() + IDLE_SLACK;
-        self.passed_at = Instant::now();
         loop {
             match self.next_event(idle_limit).await {
                 LentEvent::Request(Some(Ok(TunnelRequest::Bytes(bytes)))) => {
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -22,7 +22,7 @@
 use corktack_protocol::tunnel::{LoneRequest, TunnelReply, TunnelRequest};
 use frames::{HolderFrames, LOG_TARGET, send, with_heartbeats};
 use futures_util::StreamExt;
-use lent::LentConnection;
+use lent::serve_lent;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -106,7 +106,7 @@
     match with_heartbeats(frames, statement::acquire(shared, remote, writes)).await? {
         Ok(Located { mut lease, position }) => {
             let granted = statement::granted(&mut lease, position);
-            LentConnection::new(frames, lease).serve(shared, granted).await
+            serve_lent(shared, frames, lease, granted).await
         }
         Err(refusal) => send(frames, TunnelReply::Refused(refusal)).await,
     }
@@ -121,7 +121,7 @@
     limit: Duration,
 ) -> Result<(), LinkError> {
     match with_heartbeats(frames, statement::open(shared, remote, first, limit)).await? {
-        Ok((Some(lease), opened)) => LentConnection::new(frames, lease).serve(shared, opened).await,
+        Ok((Some(lease), opened)) => serve_lent(shared, frames, lease, opened).await,
         Ok((None, not_opened)) => send(frames, not_opened).await,
         Err(refusal) => send(frames, TunnelReply::Refused(refusal)).await,
     }
