--- a/crates/gateway/tests/sessions/world.rs
+++ b/crates/gateway/tests/sessions/world/mod.rs
@@ -1,46 +1,34 @@
 //! Gateways before one group of stand-in members.
 
+mod changes;
+mod document;
+mod limits_control;
+
+pub use document::{
+    BOUNDED, BRIEFLY_BOUNDED, HASTY, LINEARIZABLE, ONE_SHARE, OWN_WRITES, SHORT_STALENESS, group,
+    settings,
+};
+pub use limits_control::LimitsControl;
+
 use crate::member::Member;
 use crate::wire::TestWire;
 use corktack_core::gateway::home_weight;
 use corktack_core::gateway::{GatewayPlace, HolderTable, MemberNeeds};
-use corktack_core::identity::{GroupName, Incarnation, MemberName, ProxyName, ZoneName};
-use corktack_core::limits::{
-    AllowanceDemand, AllowanceGrant, AllowanceReport, LimitBounds, TenantAllowance,
-};
-use corktack_core::position::Term;
-use corktack_core::registry::{
-    BackEndRole, BackEndState, Consistency, Document, DocumentLimits, RegisteredBackEnd, RouteRule,
-    ServiceRule,
-};
-use corktack_core::tenancy::{ApiKey, TenantName, TenantRate, TenantRule};
+use corktack_core::identity::{Incarnation, MemberName};
+use corktack_core::registry::ServiceRule;
+use corktack_core::tenancy::TenantName;
 use corktack_core::view::{ProxyState, ProxyView, Revision, View};
 use corktack_gateway::{
-    Gateway, GatewayHandle, GatewayLinks, GatewayListeners, GatewaySettings, LimitNews, LimitsLink,
-    MemberReach,
+    Gateway, GatewayHandle, GatewayLinks, GatewayListeners, GatewaySettings, MemberReach,
 };
+use document::{LONG, document, gateway_name, other_group, register, tenant_rules, zone};
+use limits_control::{TENANT_RATE, limits_link};
 use prometheus_client::registry::Registry;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-pub const LINEARIZABLE: &str = "linearizable";
-pub const BOUNDED: &str = "bounded";
-pub const OWN_WRITES: &str = "own";
-/// Bounded by [`SHORT_STALENESS`].
-pub const BRIEFLY_BOUNDED: &str = "brief";
-/// Linearizable; waits for no member for long.
-pub const HASTY: &str = "hasty";
-/// Objective of [`HASTY`], a part of which a statement may wait.
-const HASTE: Duration = Duration::from_secs(1);
-/// Short, so that a test can let a position grow older than it.
-pub const SHORT_STALENESS: Duration = Duration::from_millis(500);
-/// Members take this many connections: one share, so one holder among several gateways.
-pub const ONE_SHARE: u32 = 4;
-/// Long enough for any machine; nothing in these tests waits for it to pass.
-const LONG: Duration = Duration::from_secs(60);
-
 pub struct World {
     pub gateways: Vec<SocketAddr>,
     /// Where the gateways reach each other.
@@ -59,165 +47,15 @@
     pub controls: Vec<LimitsControl>,
 }
 
-/// Control's end of what a gateway says of limits.
-pub struct LimitsControl {
-    reports: mpsc::UnboundedReceiver<AllowanceReport>,
-    news: mpsc::UnboundedSender<LimitNews>,
-    grants: u64,
-}
-
-impl LimitsControl {
-    /// A leader has been elected.
-    fn lead(&self) {
-        self.news.send(LimitNews::Led(TERM)).expect("the gateway listens");
-    }
-
-    /// Leads, waits until something of a tenant's limit is asked for, and gives so many operations in a
-    /// window.
-    pub async fn allow(&mut self, tenant: &str, operations: u64) {
-        self.lead();
-        loop {
-            let report = self.reports.recv().await.expect("the gateway runs");
-            if let Some(wish) = report.demands.iter().find(|wish| wish.tenant.as_str() == tenant) {
-                return self.grant(&report, wish, operations);
-            }
-        }
-    }
-
-    fn grant(&mut self, report: &AllowanceReport, wish: &AllowanceDemand, operations: u64) {
-        self.grants += 1;
-        let allowance = TenantAllowance {
-            tenant: wish.tenant.clone(),
-            operations,
-            window_limit: TENANT_RATE.per_second as u64 * 5,
-            more_follows: false,
-            more_after: None,
-        };
-        let grant = AllowanceGrant {
-            gateway: report.gateway.clone(),
-            incarnation: report.incarnation,
-            term: report.term,
-            number: self.grants,
-            answers: report.sequence,
-            wants_whole: false,
-            allowances: vec![allowance],
-            recalls: Vec::new(),
-        };
-        self.news.send(LimitNews::Granted(grant)).expect("the gateway listens");
-    }
-}
-
-/// Term of the leader of the tests.
-const TERM: Term = Term(1);
-/// Rate of tenants that are limited: far more than the tests ask for.
-const TENANT_RATE: TenantRate = TenantRate { per_second: 1_000.0, burst: 0.0 };
-
-fn limits_link() -> (LimitsLink, LimitsControl) {
-    let (reports, reported) = mpsc::unbounded_channel();
-    let (said, news) = mpsc::unbounded_channel();
-    (LimitsLink { reports, news }, LimitsControl { reports: reported, news: said, grants: 0 })
-}
-
 /// The listeners of a gateway, for callers and for other gateways.
 type Bound = ((TcpListener, SocketAddr), (TcpListener, SocketAddr));
 
-pub fn group() -> GroupName {
-    GroupName::new("calls").expect("a valid name")
-}
-
-/// A second group, for routes that move from one to the other.
-fn other_group() -> GroupName {
-    GroupName::new("archive").expect("a valid name")
-}
-
-fn zone() -> ZoneName {
-    ZoneName::new("north.a").expect("a valid name")
-}
-
-fn route(name: &str, consistency: Consistency) -> RouteRule {
-    RouteRule {
-        name: name.to_owned(),
-        database: name.to_owned(),
-        path_prefix: "/".to_owned(),
-        consistency,
-        statement_timeout: LONG,
-        latency_objective: LONG,
-        priority: 1,
-        group: group(),
-        attempts: 2,
-        public: false,
-    }
-}
-
-fn document(max_connections: u32, transaction_idle: Duration) -> Document {
-    Document {
-        version: 1,
-        routes: vec![
-            route(LINEARIZABLE, Consistency::Linearizable),
-            route(BOUNDED, Consistency::BoundedStaleness(LONG)),
-            route(OWN_WRITES, Consistency::ReadYourWrites(LONG)),
-            route(BRIEFLY_BOUNDED, Consistency::BoundedStaleness(SHORT_STALENESS)),
-            RouteRule { latency_objective: HASTE, ..route(HASTY, Consistency::Linearizable) },
-        ],
-        services: vec![ServiceRule { name: group(), max_connections, synchronous_replicas: 0 }],
-        limits: DocumentLimits { transaction_idle },
-        tenants: None,
-    }
-}
-
-fn tenant_rules(tenants: &[(&str, &[&str])]) -> Vec<TenantRule> {
-    let rule = |(name, keys): &(&str, &[&str])| TenantRule {
-        name: TenantName::new(name).expect("a valid name"),
-        keys: keys.iter().map(|key| ApiKey::new(key)).collect(),
-        rate: None,
-    };
-    tenants.iter().map(rule).collect()
-}
-
-pub fn settings(place: usize, peers: SocketAddr) -> GatewaySettings {
-    GatewaySettings {
-        name: gateway_name(place),
-        incarnation: Incarnation(1),
-        limits: LimitBounds::default(),
-        unproved_limit: None,
-        peers,
-        zone: zone(),
-        connect_timeout: LONG,
-        dial_timeout: LONG,
-        begin_timeout: LONG,
-        drain_limit: LONG,
-        notice: Duration::ZERO,
-        transaction_grace: LONG,
-    }
-}
-
-fn gateway_name(place: usize) -> ProxyName {
-    ProxyName::new(format!("g{place}")).expect("a valid name")
-}
-
 fn bind() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
     let address = listener.local_addr().expect("a bound listener has an address");
     (listener, address)
 }
 
-/// Adds members of a group to what control says.
-fn register(view: &mut View, group: &GroupName, members: &[&Member]) {
-    for member in members {
-        let primary = member.state.borrow().primary;
-        let back_end = RegisteredBackEnd {
-            group: group.clone(),
-            address: member.address,
-            zone: zone(),
-            capacity: 3,
-            state: BackEndState::Ready,
-            role: if primary { BackEndRole::Primary } else { BackEndRole::Replica },
-        };
-        let name = MemberName::new(member.name.as_str()).expect("a valid name");
-        view.back_ends.insert(name, Arc::new(back_end));
-    }
-}
-
 impl World {
     pub fn with_one_gateway(members: &[&Member]) -> Self {
         Self::start(members, 1, 36)
@@ -284,52 +122,6 @@
         (home, (home + 1) % self.peers.len())
     }
 
-    /// A gateway listens for the others no longer where the view says.
-    pub fn lose_peer(&mut self, place: usize) {
-        let lost = bind().1;
-        self.peers[place] = lost;
-        self.change(|view| {
-            let name = gateway_name(place);
-            view.proxies.get_mut(&name).expect("a gateway in the view").address = lost;
-        });
-    }
-
-    /// Another document with other tenants is in force.
-    pub fn change_tenants(&self, tenants: &[(&str, &[&str])]) {
-        self.change_document(|document| document.tenants = Some(tenant_rules(tenants)));
-    }
-
-    /// Members take so many connections from now on.
-    pub fn change_connections(&self, max_connections: u32) {
-        self.change_document(|document| document.services[0].max_connections = max_connections);
-    }
-
-    /// A route asks for no key any more, or does so again.
-    pub fn make_public(&self, name: &str, public: bool) {
-        self.change_document(|document| {
-            let route = document.routes.iter_mut().find(|route| route.name == name);
-            route.expect("a route").public = public;
-        });
-    }
-
-    fn change_document(&self, change: impl FnOnce(&mut Document)) {
-        self.change(|view| {
-            let mut document = Document::clone(view.document.as_ref().expect("a document"));
-            document.version += 1;
-            change(&mut document);
-            view.document = Some(Arc::new(document));
-        });
-    }
-
-    /// The route [`OWN_WRITES`] leads to the other group, or back. The gateways, which share the
-    /// test's thread, follow before they read anything that is sent to them from now on.
-    pub fn move_own_writes(&self, to_other: bool) {
-        self.change_document(|document| {
-            let route = document.routes.iter_mut().find(|route| route.name == OWN_WRITES);
-            route.expect("a route").group = if to_other { other_group() } else { group() };
-        });
-    }
-
     pub fn start(members: &[&Member], gateways: usize, max_connections: u32) -> Self {
         let (bound, view) = Self::prepare(members, gateways, max_connections);
         Self::launch(bound, view)
@@ -534,44 +326,4 @@
             .expect("text takes any figure");
         text
     }
-
-    /// Control says that a member is leaving. The gateways, which share the test's thread, follow
-    /// before they read anything that is sent to them from now on.
-    pub fn drain(&self, member: &Member) {
-        let name = MemberName::new(member.name.as_str()).expect("a valid name");
-        self.change(|view| {
-            let back_end = view.back_ends.get_mut(&name).expect("a registered member");
-            Arc::make_mut(back_end).state = BackEndState::Draining;
-        });
-    }
-
-    /// Control says that a member is at the address where it listens now. The gateways follow as for
-    /// [`World::drain`].
-    pub fn change_address(&self, member: &Member) {
-        let name = MemberName::new(member.name.as_str()).expect("a valid name");
-        self.change(|view| {
-            let back_end = view.back_ends.get_mut(&name).expect("a registered member");
-            Arc::make_mut(back_end).address = member.address;
-        });
-    }
-
-    /// Control says that a member has left. The gateways follow as for [`World::drain`].
-    pub fn remove(&self, member: &Member) {
-        let name = MemberName::new(member.name.as_str()).expect("a valid name");
-        self.change(|view| drop(view.back_ends.remove(&name)));
-    }
-
-    /// Control says that a member has come. The gateways follow as for [`World::drain`].
-    pub fn add(&self, member: &Member) {
-        self.change(|view| register(view, &group(), &[member]));
-    }
-
-    fn change(&self, change: impl FnOnce(&mut View)) {
-        self.views.send_modify(|view| {
-            let mut next = View::clone(view);
-            next.revision = Revision(view.revision.0 + 1);
-            change(&mut next);
-            *view = Arc::new(next);
-        });
-    }
 }
