--- a/crates/server/src/watch_client/state/replicas.rs
+++ b/crates/server/src/watch_client/state/replicas.rs
@@ -53,10 +53,11 @@
         }
     }
 
-    /// The replicas to try for one connection, the first of them first.
+    /// The replicas to try for one connection, the first of them first; none where none is known, which the
+    /// shell answers with a failed attempt.
     pub(super) fn take_next(&mut self) -> Vec<SocketAddr> {
         let mut replicas = self.known.clone();
-        let first = self.next % replicas.len();
+        let Some(first) = self.next.checked_rem(replicas.len()) else { return replicas };
         replicas.rotate_left(first);
         replicas.truncate(REPLICAS_TRIED);
         self.next += 1;
--- a/crates/server/tests/watch_state.rs
+++ b/crates/server/tests/watch_state.rs
@@ -184,6 +184,23 @@
     assert!(waits[11] >= Duration::from_secs(1) && waits[11] <= Duration::from_secs(2));
 }
 
+/// A settings file may name no replica: the attempt fails and is made again, and nothing ends.
+#[test]
+fn a_watch_without_replicas_tries_in_vain_with_rising_waits() {
+    let settings = WatchSettings { replicas: Vec::new(), ..settings(1) };
+    let mut state = WatchState::new(settings, View::default(), at(0));
+    let mut now = at(0);
+    let mut waits = Vec::new();
+    for _ in 0..12 {
+        assert_eq!(state.handle(now, Event::Tick), [Action::Connect(Vec::new())]);
+        assert!(state.handle(now, Event::Disconnected).is_empty());
+        waits.push(state.deadline() - now);
+        now = state.deadline();
+    }
+    assert!(waits[0] <= Duration::from_millis(50));
+    assert!(waits[11] >= Duration::from_secs(1));
+}
+
 /// A cell whose voters are the replicas of the settings.
 fn whole_cell() -> Event {
     let voter = |port: u16| CellMember {
