--- a/crates/core/src/scheduling/likely_wait.rs
+++ b/crates/core/src/scheduling/likely_wait.rs
@@ -18,7 +18,7 @@
 /// Part of its time that a request may be likely to wait for: what comes differs from what is likely. In the
 /// load test 471 of 1,777 requests of a burst waited in vain with the whole of it and 209 with this part, and
 /// as many were served (0.680 and 0.677).
-pub(super) const LIKELY_WAIT_PART: f64 = 0.6;
+const LIKELY_WAIT_PART: f64 = 0.6;
 /// Part of the slots that a class counts on, whatever higher ones have asked for lately. Chosen, not measured:
 /// with less, a class is refused for longer after a burst of higher ones; with more, its requests wait in
 /// vain behind them.
@@ -52,6 +52,11 @@
         by_turn.max(higher_work.div_f64(left) + class.time_of_own(now, tenant, *cost, left))
     }
 
+    /// Whether a likely wait is too long for a request that may wait for `patience`.
+    pub(super) fn is_too_long(wait: Duration, patience: Duration) -> bool {
+        wait >= patience.mul_f64(LIKELY_WAIT_PART)
+    }
+
     /// A refusal that says when there is likely to be room: once as much is served as is too much now,
     /// and after those that were refused before.
     pub(super) fn refuse(
--- a/crates/core/src/scheduling/queue.rs
+++ b/crates/core/src/scheduling/queue.rs
@@ -5,7 +5,6 @@
 //! to refuse and the time to come back in `likely_wait`.
 
 use super::class::ClassQueue;
-use super::likely_wait::LIKELY_WAIT_PART;
 use super::request::{Capacity, NoSlotInTime, SlotRequest, SlotTicket, Waiting};
 use crate::identity::MemberName;
 use crate::time::Timestamp;
@@ -48,7 +47,7 @@
         let is_full =
             self.classes.get(&request.priority).is_some_and(|it| it.length >= LONGEST_CLASS);
         let patience = request.give_up.saturating_since(now);
-        if is_full || wait >= patience.mul_f64(LIKELY_WAIT_PART) {
+        if is_full || Self::is_too_long(wait, patience) {
             return Err(self.refuse(now, &request, wait, capacity));
         }
         Ok(self.wait_on(request, waker))
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -7,6 +7,7 @@
 
 mod alone;
 mod decision;
+mod open_transaction;
 mod opening;
 mod read;
 mod response;
--- a/crates/gateway/src/session/opening.rs
+++ b/crates/gateway/src/session/opening.rs
@@ -6,8 +6,8 @@
 
 use super::Session;
 use super::alone::Bounds;
+use super::open_transaction::OpenTransaction;
 use super::response::Response;
-use super::transaction::OpenTransaction;
 use crate::answer::{Answer, Failure, Unanswered};
 use crate::error::{AcquireError, LinkError};
 use crate::group::{ConnectionRequest, Located, Location, RemoteMember, RemoteOpening, Target};
--- a/crates/gateway/src/session/transaction.rs
+++ b/crates/gateway/src/session/transaction.rs
@@ -4,13 +4,13 @@
 //! It relies on [`opening`](super::opening) to begin it and on the lease to roll back what is dropped.
 
 use super::Session;
+use super::open_transaction::OpenTransaction;
 use super::opening::{First, Opened};
 use super::response::Response;
 use super::statement::access_of;
 use crate::answer::{Answer, Unanswered};
-use crate::group::Lease;
 use crate::routes::{Admitted, Route};
-use crate::run::{ROLLBACK_LIMIT, align, pass_on, roll_back_later};
+use crate::run::{align, pass_on};
 use crate::wire::Wire;
 use corktack_core::position::Position;
 use corktack_core::statement::{Access, ErrorCode, PreparedShape, Request, TransactionState};
@@ -32,32 +32,6 @@
     RolledBack,
 }
 
-/// A transaction that is open at a member.
-pub(super) struct OpenTransaction<W: Wire> {
-    route: Route<W>,
-    lease: Lease<W>,
-    wrote: bool,
-    /// Whether values were set or statements prepared inside it: a rollback may undo them.
-    aligned_inside: bool,
-}
-
-impl<W: Wire> OpenTransaction<W> {
-    /// One in which nothing was written yet.
-    pub(super) fn new(route: Route<W>, lease: Lease<W>) -> Self {
-        Self { route, lease, wrote: false, aligned_inside: false }
-    }
-
-    /// Rolls back behind the caller's back.
-    fn abandon(mut self) {
-        if self.aligned_inside {
-            self.lease.connection().profile.mark_unknown();
-        }
-        if self.lease.connection().is_settled() {
-            roll_back_later(self.lease, ROLLBACK_LIMIT);
-        }
-    }
-}
-
 impl<W: Wire> Transaction<W> {
     pub(super) const fn is_none(&self) -> bool {
         matches!(self, Self::None)
