--- a/crates/core/src/registry/promotion/evaluation.rs
+++ b/crates/core/src/registry/promotion/evaluation.rs
@@ -1,11 +1,12 @@
 //! Decides whether the primary of a group has to be replaced, or the leader has to ask it itself.
 //!
 //! Inputs: the group's registered members, the gateways that report that they don't reach the primary, how many
-//! gateways report at all (`heard`) and how many have gone silent, and times of [`super::PromotionSettings`].
+//! gateways report and how many have gone silent ([`GatewayContact`]), and times of [`super::PromotionSettings`].
 //! Owns nothing but when a suspicion or a vacancy began. The first that applies decides:
 //! 1. No primary is registered for [`super::PromotionSettings::vacancy_limit`]: the members are asked.
 //! 2. The primary is leaving: the members are asked at once.
-//! 3. At least [`SUSPECTING_PART`] of the gateways don't reach it: the members are asked at once.
+//! 3. At least [`SUSPECTING_PART`] of the gateways, silent ones counted in the whole, and no fewer than
+//!    [`FEWEST_SUSPECTING`] don't reach it: the members are asked at once.
 //! 4. Fewer don't reach it, for [`super::PromotionSettings::suspicion_pause`] (and for
 //!    [`super::PromotionSettings::cut_patience`] while more are silent): the leader asks the primary as well.
 
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -12,7 +12,7 @@
 pub struct GatewaySettings {
     /// Who connections to members say they are from.
     pub name: ProxyName,
-    /// Number of this life of the process, which control knows it by.
+    /// Incarnation of the process, which control knows it by.
     pub incarnation: Incarnation,
     /// By what the limits of tenants are kept.
     pub limits: LimitBounds,
--- a/crates/server/src/deployment/mod.rs
+++ b/crates/server/src/deployment/mod.rs
@@ -1,7 +1,7 @@
 //! A deployment whose back ends register themselves and whose configuration is one document.
 //!
 //! Processes of such a deployment know little: their own machine, a few seeds and the bounds that
-//! must be kept. This module owns their addresses; `start` starts their parts, and every timer stands in
+//! must be kept. This module owns their addresses; `start` starts their parts, whose timers stand in
 //! `settings` and `bounds`.
 
 mod bounds;
--- a/crates/server/src/deployment/settings.rs
+++ b/crates/server/src/deployment/settings.rs
@@ -1,7 +1,8 @@
 //! The settings of a deployment's control replicas, watches and gateways.
 //!
-//! Every timer of a deployment stands here: it follows from the deployment's bounds, or is a constant with
-//! its reason.
+//! The timers of these parts stand here: each follows from the deployment's bounds, or is a constant with its
+//! reason. Times of promotions and of control's calls to members stand with their rules
+//! (`core::registry::promotion`, `control::registry_calls`).
 
 use super::bounds::WATCH_SILENCE_LONGEST;
 use super::{Deployment, DeploymentError};
