--- a/crates/core/src/consensus/accessors.rs
+++ b/crates/core/src/consensus/accessors.rs
@@ -1,4 +1,5 @@
-//! What a shell may read of a replica: its role, its leader, its cell, and the health of the others.
+//! Read access for the shell: a replica's role, leader, cell and indexes, and the health of the other
+//! members.
 
 use super::CellConfig;
 use super::Role;
@@ -10,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What the leader knows of another replica.
+/// Health of another member of the cell as seen by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CellMemberHealth {
-    /// Time since it last answered.
+    /// Time since the member last responded to the leader.
     pub silent_for: Duration,
-    /// Whether it holds nearly everything that is committed.
+    /// Whether the member responds and lacks at most a few committed entries.
     pub caught_up: bool,
 }
 
@@ -24,18 +25,18 @@
         matches!(self.role, RoleState::Leader(_))
     }
 
-    /// Whether this replica votes in the cell in force.
+    /// Reports whether this replica is a voter of the cell in force.
     pub(super) fn is_voter(&self) -> bool {
         self.log.cell().voters.iter().any(|member| member.id == self.settings.id)
     }
 
-    /// This replica.
+    /// Returns the id of this replica.
     #[must_use]
     pub fn id(&self) -> ReplicaId {
         self.settings.id
     }
 
-    /// Its role.
+    /// Returns the role; a follower without a vote is a learner.
     #[must_use]
     pub fn role(&self) -> Role {
         match &self.role {
@@ -47,66 +48,68 @@
         }
     }
 
-    /// The current term.
+    /// Returns the current term.
     #[must_use]
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// The leader of the current term, where known.
+    /// Returns the leader of the current term, if known.
     #[must_use]
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// The cell in force: the last one in the log, committed or not.
+    /// Returns the cell in force: the last one in the log, committed or not.
     #[must_use]
     pub fn cell(&self) -> &CellConfig {
         self.log.cell()
     }
 
-    /// Index of the last entry known to be committed.
+    /// Returns the index of the last entry known to be committed.
     #[must_use]
     pub fn commit_index(&self) -> u64 {
         self.hard_state.commit
     }
 
-    /// Index of the last entry handed out for applying.
+    /// Returns the index of the last entry handed out in [`super::Action::Apply`].
     #[must_use]
     pub fn applied_index(&self) -> u64 {
-        self.applied
+        self.applied_index
     }
 
-    /// Index of the last entry of the log.
+    /// Returns the index of the last entry of the log.
     #[must_use]
     pub fn last_index(&self) -> u64 {
         self.log.last_index()
     }
 
-    /// Term and cell that a snapshot of the state at `index` has to carry; none
-    /// when the entry was not handed out for applying or is no longer held.
+    /// Returns the term and cell for a snapshot of the state at `index`; none if the entry
+    /// was not handed out in [`super::Action::Apply`] yet or the log no longer holds it.
     #[must_use]
     pub fn snapshot_header(&self, index: u64) -> Option<(Term, CellConfig)> {
-        let term = self.log.term_at(index).filter(|_| index <= self.applied)?;
+        let term = self.log.term_at(index).filter(|_| index <= self.applied_index)?;
         Some((term, self.log.cell_at(index)?.clone()))
     }
 
-    /// When the replica next needs an [`super::Event::Tick`].
+    /// Returns when the replica next needs an [`super::Event::Tick`].
     #[must_use]
     pub fn next_deadline(&self) -> Timestamp {
-        let own = match &self.role {
+        let role_deadline = match &self.role {
             RoleState::Leader(leader) => leader.next_deadline(),
             _ => self.election_deadline,
         };
-        self.forwarded.next_deadline(&self.settings).map_or(own, |reads| own.min(reads))
+        self.forwarded_reads
+            .next_deadline(&self.settings)
+            .map_or(role_deadline, |read_deadline| role_deadline.min(read_deadline))
     }
 
-    /// What the leader knows of the other replicas of its cell; none elsewhere.
+    /// Returns the health of the other members of the cell; empty if this replica is not the leader.
     #[must_use]
     pub fn member_health(&self, now: Timestamp) -> BTreeMap<ReplicaId, CellMemberHealth> {
         let RoleState::Leader(leader) = &self.role else { return BTreeMap::new() };
         let health = |(id, progress): (&ReplicaId, &Progress)| {
-            let silent_for = now.saturating_since(progress.last_answer);
+            let silent_for = now.saturating_since(progress.last_response);
             (*id, CellMemberHealth { silent_for, caught_up: self.is_caught_up(now, *id) })
         };
         leader.progress.iter().map(health).collect()
--- a/crates/core/src/consensus/election.rs
+++ b/crates/core/src/consensus/election.rs
@@ -1,22 +1,24 @@
-//! Elections: terms, pre-votes, votes and timeouts.
+//! Elections: terms, pre-votes, votes and election timeouts.
 //!
-//! Decides whose term counts, when this replica asks for votes and whom it votes for. Owns the answers while it
-//! asks ([`super::votes`]). Relies on the hard state being synced before any vote leaves.
+//! Checks the term of each received message, starts elections, grants votes and counts them
+//! ([`super::votes`]). Elections are safe only if the hard state is synced before a vote is sent.
 
 use super::leader::Leader;
 use super::message::{LogEnd, Message, MessageBody};
 use super::replica::{Replica, RoleState};
-use super::votes::{Tally, Votes};
+use super::votes::{VoteResult, Votes};
 use super::{CellConfig, Entry, Payload, voter_ids};
 use crate::identity::ReplicaId;
 use crate::position::Term;
 use crate::time::Timestamp;
 
-/// No cell gets here by elections; a message that names a higher term is not one of ours.
+/// Highest term accepted in a message. Elections cannot reach it, so a message with a higher term does not
+/// come from a replica of this cell.
 const TERM_LIMIT: Term = Term(1 << 62);
 
 impl Replica {
-    /// Compares the message's term with ours; returns whether to handle the message.
+    /// Compares the message's term with the current one and steps down if the message requires it. Returns
+    /// whether to handle the message.
     pub(super) fn admit_term(
         &mut self,
         now: Timestamp,
@@ -27,9 +29,9 @@
             return false;
         }
         match &message.body {
-            // Their terms are questions, not facts.
+            // The term of a pre-vote is the term of an intended election; no replica has entered it.
             MessageBody::PreVoteRequest(_) | MessageBody::PreVoteResponse { granted: true } => true,
-            // Reads prove themselves by a heartbeat round.
+            // Reads need no term check: a heartbeat round confirms them.
             MessageBody::ReadRequest { .. } | MessageBody::ReadResponse { .. } => true,
             MessageBody::VoteRequest { transfer, .. } => {
                 self.admit_vote_request(now, from, message.term, *transfer)
@@ -47,8 +49,8 @@
         }
     }
 
-    /// A vote request does not disturb a leader that is alive, unless that
-    /// leader asked for the election.
+    /// Checks the term of a vote request. A request does not disturb a live leader, unless
+    /// the election is part of a leadership transfer.
     fn admit_vote_request(
         &mut self,
         now: Timestamp,
@@ -69,15 +71,19 @@
         true
     }
 
+    /// Checks the term of a leader's message and follows that leader if the term is current.
     fn admit_leader(&mut self, now: Timestamp, from: ReplicaId, term: Term) -> bool {
         if term < self.hard_state.term {
-            // Without this answer a leader of a lower term could hold a replica of
-            // a higher one forever: it keeps others from voting for that replica.
+            // Without this answer, a leader of a lower term could exclude a replica of a
+            // higher term forever: the leader's heartbeats keep others from voting for it.
             self.send(from, MessageBody::StaleTerm);
             return false;
         }
         if self.is_leader() && term == self.hard_state.term {
-            ::log::error!(term = term.0, from = from.0; "second leader in one term");
+            ::log::error!(
+                term = term.0, from = from.0;
+                "another replica leads in the same term: message dropped"
+            );
             return false;
         }
         self.become_follower(now, term, Some(from));
@@ -86,48 +92,50 @@
         true
     }
 
-    /// Answers count only from members of the cell, so that a stranger cannot
-    /// depose a leader by naming a high term.
+    /// Checks the term of a response. Responses count only from members of the cell, so that
+    /// a replica outside the cell cannot depose the leader with a high term.
     fn admit_response(&mut self, now: Timestamp, from: ReplicaId, term: Term) -> bool {
-        let member = self.is_member(from);
-        if member && term > self.hard_state.term {
-            let led = self.is_leader();
+        let is_member = self.is_member(from);
+        if is_member && term > self.hard_state.term {
+            let was_leader = self.is_leader();
             self.become_follower(now, term, None);
-            if led {
-                self.stand_again_soon(now);
+            if was_leader {
+                self.schedule_early_election(now);
             }
             return false;
         }
-        member && term == self.hard_state.term
+        is_member && term == self.hard_state.term
     }
 
-    /// Has a leader that a higher term deposed ask for votes before long. The replica of that term may get
-    /// none: those that still count on this leader vote for nobody else until their timeout is over. Where
-    /// it is elected, its first heartbeat comes before that. Of 400 starts of five replicas after a loss of power
-    /// the longest took 1.0 election timeouts until all followed one leader, and 2.2 without it (core test
+    /// Shortens the election timeout of a leader that a higher term has deposed. The replica of that term may
+    /// get no votes, because the followers of the deposed leader vote for no other candidate until their
+    /// election timeout expires. If that replica is elected, its first heartbeat arrives before the shortened
+    /// timeout expires. Of 400 starts of five replicas after a power loss, the longest took 1.0 election
+    /// timeouts until all followed one leader, and 2.2 without the shortened timeout (core test
     /// `consensus::start`).
-    fn stand_again_soon(&mut self, now: Timestamp) {
+    fn schedule_early_election(&mut self, now: Timestamp) {
         let shortest = self.settings.first_election_timeout.min(self.settings.election_timeout);
         self.set_election_deadline(now, shortest);
     }
 
-    /// Whether a leader of the current term is known to be alive.
+    /// Reports whether a leader of the current term is known to be alive.
     fn has_recent_leader(&self, now: Timestamp) -> bool {
         let recent =
             |contact: Timestamp| now.saturating_since(contact) < self.settings.election_timeout;
-        // A leader that lost its majority steps down by itself, so it may hold on until then.
+        // A leader that lost contact with its majority steps down by itself, so it counts as alive until
+        // then.
         self.is_leader() || (self.leader.is_some() && self.leader_contact.is_some_and(recent))
     }
 
-    /// Whether a leader of the current term other than this candidate is known to be alive: a leader that
-    /// asks for votes has lost its term, and nobody else leads it.
+    /// Reports whether a leader of the current term other than `candidate` is known to be alive. If the known
+    /// leader itself requests votes, it has stepped down and the term has no other leader.
     fn has_other_recent_leader(&self, now: Timestamp, candidate: ReplicaId) -> bool {
         self.leader != Some(candidate) && self.has_recent_leader(now)
     }
 
     pub(super) fn handle_election_timeout(&mut self, now: Timestamp) {
-        self.timeouts = self.timeouts.saturating_add(1);
-        if self.may_stand() {
+        self.election_timeouts = self.election_timeouts.saturating_add(1);
+        if self.may_start_election() {
             self.begin_pre_vote(now);
         } else {
             self.become_follower(now, self.hard_state.term, None);
@@ -135,44 +143,45 @@
         }
     }
 
-    /// Whether this replica may ask for votes: as a voter, or as one that a change takes away which
-    /// is not known to be committed. No other voter may have that entry yet, and then none of them
-    /// can win against this log (Ongaro, Consensus: Bridging Theory and Practice, 4.2.2).
-    fn may_stand(&self) -> bool {
+    /// Reports whether this replica may start an election: it is a voter, or a cell change removes it that is
+    /// not known to be committed. If no other voter has the entry of that change yet, no other voter's log is
+    /// as up-to-date as this one, and only this replica can be elected (Ongaro, Consensus: Bridging Theory
+    /// and Practice, 4.2.2).
+    fn may_start_election(&self) -> bool {
         let commit = self.hard_state.commit;
         let pending = self.log.cell_index() > commit;
-        let voted = |cell: &CellConfig| voter_ids(cell).contains(&self.settings.id);
-        self.is_voter() || (pending && self.log.cell_at(commit).is_some_and(voted))
+        let was_voter = |cell: &CellConfig| voter_ids(cell).contains(&self.settings.id);
+        self.is_voter() || (pending && self.log.cell_at(commit).is_some_and(was_voter))
     }
 
     fn begin_pre_vote(&mut self, now: Timestamp) {
         self.set_leader(None);
         self.reset_election_deadline(now);
-        self.role = RoleState::PreCandidate(self.own_vote());
+        self.role = RoleState::PreCandidate(self.votes_with_own());
         let term = Term(self.hard_state.term.0 + 1);
-        self.ask_voters(term, MessageBody::PreVoteRequest(self.log.last()));
+        self.send_to_voters(term, MessageBody::PreVoteRequest(self.log.end()));
         self.count_votes(now);
     }
 
-    /// Raises the term and asks for votes. `transfer` tells that the leader asked for it.
+    /// Increments the term and requests votes. `transfer` marks an election of a leadership transfer.
     pub(super) fn begin_election(&mut self, now: Timestamp, transfer: bool) {
         self.set_leader(None);
         self.reset_election_deadline(now);
         self.hard_state.term.0 += 1;
         self.hard_state.vote = Some(self.settings.id);
-        self.role = RoleState::Candidate(self.own_vote());
-        let log_end = self.log.last();
-        self.ask_voters(self.hard_state.term, MessageBody::VoteRequest { log_end, transfer });
+        self.role = RoleState::Candidate(self.votes_with_own());
+        let log_end = self.log.end();
+        self.send_to_voters(self.hard_state.term, MessageBody::VoteRequest { log_end, transfer });
         self.count_votes(now);
     }
 
-    fn own_vote(&self) -> Votes {
+    fn votes_with_own(&self) -> Votes {
         let mut votes = Votes::default();
         votes.record(self.settings.id, true);
         votes
     }
 
-    fn ask_voters(&mut self, term: Term, body: MessageBody) {
+    fn send_to_voters(&mut self, term: Term, body: MessageBody) {
         let others = voter_ids(self.log.cell()).into_iter().filter(|id| *id != self.settings.id);
         for to in others {
             let message = Message { term, body: body.clone() };
@@ -180,18 +189,19 @@
         }
     }
 
-    /// Sends the question of an election under way to a voter that may not have received it.
-    pub(super) fn ask_again(&mut self, voter: ReplicaId) {
+    /// Sends the pending pre-vote or vote request again to a voter that may not have received it.
+    pub(super) fn resend_vote_request(&mut self, voter: ReplicaId) {
         if !voter_ids(self.log.cell()).contains(&voter) || voter == self.settings.id {
             return;
         }
-        let log_end = self.log.last();
+        let log_end = self.log.end();
         let (term, body) = match &self.role {
-            RoleState::PreCandidate(votes) if !votes.has_answer_of(voter) => {
+            RoleState::PreCandidate(votes) if !votes.has_response_from(voter) => {
                 (Term(self.hard_state.term.0 + 1), MessageBody::PreVoteRequest(log_end))
             }
-            // Whether a leader asked for the election matters only while messages of that leader come.
-            RoleState::Candidate(votes) if !votes.has_answer_of(voter) => {
+            // `transfer` matters only while the voter still receives messages of the former leader, so the
+            // repeated request does not set it.
+            RoleState::Candidate(votes) if !votes.has_response_from(voter) => {
                 (self.hard_state.term, MessageBody::VoteRequest { log_end, transfer: false })
             }
             _ => return,
@@ -201,16 +211,16 @@
     }
 
     fn count_votes(&mut self, now: Timestamp) {
-        let (tally, pre_vote) = match &self.role {
+        let (result, pre_vote) = match &self.role {
             RoleState::PreCandidate(votes) => (votes.tally(self.log.cell()), true),
             RoleState::Candidate(votes) => (votes.tally(self.log.cell()), false),
             RoleState::Follower | RoleState::Leader(_) => return,
         };
-        match (tally, pre_vote) {
-            (Tally::Open, _) => {}
-            (Tally::Won, true) => self.begin_election(now, false),
-            (Tally::Won, false) => self.become_leader(now),
-            (Tally::Lost, _) => self.become_follower(now, self.hard_state.term, None),
+        match (result, pre_vote) {
+            (VoteResult::Pending, _) => {}
+            (VoteResult::Won, true) => self.begin_election(now, false),
+            (VoteResult::Won, false) => self.become_leader(now),
+            (VoteResult::Lost, _) => self.become_follower(now, self.hard_state.term, None),
         }
     }
 
@@ -218,7 +228,7 @@
         let first_index = self.log.last_index() + 1;
         let leader = Leader::new(&self.log, self.settings.id, first_index, now);
         self.role = RoleState::Leader(Box::new(leader));
-        self.incoming = None;
+        self.incoming_snapshot = None;
         self.set_leader(Some(self.settings.id));
         let term = self.hard_state.term;
         self.log.append(Entry { term, index: first_index, payload: Payload::Empty });
@@ -235,8 +245,8 @@
         if term > self.hard_state.term && self.has_other_recent_leader(now, from) {
             return;
         }
-        if term > self.hard_state.term && self.log.is_covered_by(log_end) {
-            // The grant carries the term asked for: it promises nothing about ours.
+        if term > self.hard_state.term && self.log.is_up_to_date(log_end) {
+            // The grant carries the requested term, not the current one, which does not change.
             let message = Message { term, body: MessageBody::PreVoteResponse { granted: true } };
             self.outbox.push(super::Action::Send { to: from, message });
         } else {
@@ -251,22 +261,22 @@
         term: Term,
         granted: bool,
     ) {
-        let asked = Term(self.hard_state.term.0 + 1);
+        let requested_term = Term(self.hard_state.term.0 + 1);
         if let RoleState::PreCandidate(votes) = &mut self.role
-            && (!granted || term == asked)
+            && (!granted || term == requested_term)
         {
             votes.record(from, granted);
             self.count_votes(now);
         }
     }
 
-    /// The request is of the current term, see [`Replica::admit_term`].
+    /// Handles a vote request of the current term; [`Replica::admit_term`] checked the term.
     pub(super) fn handle_vote_request(&mut self, now: Timestamp, from: ReplicaId, log_end: LogEnd) {
-        let free = match self.hard_state.vote {
+        let can_vote = match self.hard_state.vote {
             Some(candidate) => candidate == from,
             None => self.leader.is_none(),
         };
-        let granted = free && self.log.is_covered_by(log_end);
+        let granted = can_vote && self.log.is_up_to_date(log_end);
         if granted {
             self.hard_state.vote = Some(from);
             self.reset_election_deadline(now);
--- a/crates/core/src/consensus/error.rs
+++ b/crates/core/src/consensus/error.rs
@@ -1,4 +1,4 @@
-//! Why a replica cannot start.
+//! Errors that keep a replica from starting.
 
 use crate::identity::ReplicaId;
 
@@ -6,34 +6,34 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConsensusError {
     /// The persisted log has a gap.
-    #[error("the log holds index {found} where {expected} was due")]
+    #[error("the log has entry {found} where entry {expected} was expected")]
     LogGap {
-        /// Index that was due.
+        /// Index that follows the preceding entry.
         expected: u64,
-        /// Index found.
+        /// Index that was found instead.
         found: u64,
     },
-    /// The persisted log has an entry of a lower term than the one before it.
-    #[error("the entry {index} of the log has a lower term than the one before it")]
+    /// An entry of the persisted log has a lower term than the entry before it.
+    #[error("log entry {index} has a lower term than the entry before it")]
     TermDecreases {
-        /// Index of the entry.
+        /// Index of the entry with the lower term.
         index: u64,
     },
     /// The persisted log ends before an index that was known to be committed.
     ///
-    /// A replica that lost acknowledged entries must not vote under its old identity.
-    #[error("the log ends at {last_index}, but {commit} was committed")]
+    /// A replica that lost acknowledged entries must not vote under its old id.
+    #[error("the log ends at index {last_index}, but index {commit} was committed")]
     CommittedLost {
-        /// Last index of the log.
+        /// Index of the log's last entry.
         last_index: u64,
-        /// Committed index.
+        /// Persisted committed index.
         commit: u64,
     },
-    /// The cell to start with does not have this replica as a voter.
-    #[error("the first cell does not have replica {0} as a voter")]
-    NotInFirstCell(ReplicaId),
-    /// A timeout, interval or size of the settings is zero, or the heartbeat
-    /// interval is not shorter than the election timeout.
-    #[error("the settings {0} cannot work")]
+    /// The bootstrap cell does not have this replica as a voter.
+    #[error("the bootstrap cell does not have replica {0} as a voter")]
+    NotInBootstrapCell(ReplicaId),
+    /// The named setting is invalid: a timeout, interval or size is zero, or the election
+    /// timeout is not longer than the heartbeat interval.
+    #[error("the setting {0} is invalid")]
     Settings(&'static str),
 }
--- a/crates/core/src/consensus/incoming_snapshot.rs
+++ b/crates/core/src/consensus/incoming_snapshot.rs
@@ -1,20 +1,23 @@
-//! A snapshot that a follower receives piece by piece.
+//! A snapshot that a follower receives in chunks.
 
 use super::message::LogEnd;
 use crate::position::Term;
 
-/// A snapshot of which pieces are missing.
+/// A partly received snapshot.
 #[derive(Debug)]
 pub(super) struct IncomingSnapshot {
-    /// Term of the leader that sends it: replicas may encode the same state differently.
+    /// Term of the leader that sends the snapshot. Chunks of different leaders must not be mixed, because
+    /// replicas may encode the same state differently.
     pub(super) leader_term: Term,
-    pub(super) last: LogEnd,
+    /// Last entry that the snapshot covers.
+    pub(super) last_included: LogEnd,
+    /// Bytes received so far, contiguous from the start.
     pub(super) data: Vec<u8>,
 }
 
 impl IncomingSnapshot {
-    /// Whether it is the snapshot that this leader sends.
-    pub(super) fn is_of(&self, leader_term: Term, last: LogEnd) -> bool {
-        self.leader_term == leader_term && self.last == last
+    /// Reports whether this is the snapshot up to `last_included` from the leader of `leader_term`.
+    pub(super) fn is_same_snapshot(&self, leader_term: Term, last_included: LogEnd) -> bool {
+        self.leader_term == leader_term && self.last_included == last_included
     }
 }
--- a/crates/core/src/consensus/leader.rs
+++ b/crates/core/src/consensus/leader.rs
@@ -1,6 +1,5 @@
-//! What only a leader keeps: progress of the others, proposals, reads and a hand-over under way.
-//!
-//! Owns that state for one leadership, and what a majority has reached. Relies on the log for the cell in force.
+//! State of a leader during one term: progress of the other members, pending proposals and reads, and a
+//! leadership transfer. Computes which values a majority has reached; the cell in force comes from the log.
 
 use super::log::Log;
 use super::pending_reads::LeaderReads;
@@ -11,37 +10,37 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// State of a leader; dropped when it steps down.
+/// State of a leader; dropped when the leader steps down.
 #[derive(Debug)]
 pub(super) struct Leader {
-    /// Every other member of the cell in force.
+    /// Progress of every other member of the cell in force, voters and learners.
     pub(super) progress: BTreeMap<ReplicaId, Progress>,
-    /// Index of the first entry of this term; reads and changes of the cell wait for it.
+    /// Index of the first entry of this term. Reads wait for its commit; cell changes are refused until then.
     pub(super) first_index: u64,
-    /// Proposals by the index of their entry.
+    /// Pending proposals by the index of their entry.
     pub(super) proposals: BTreeMap<u64, RequestId>,
     pub(super) reads: LeaderReads,
     pub(super) next_heartbeat: Timestamp,
-    pub(super) transfer: Option<Transfer>,
+    pub(super) transfer: Option<LeadershipTransfer>,
 }
 
-/// A hand-over under way. Proposals are refused meanwhile, so the target can catch up.
+/// A leadership transfer in progress. Proposals are refused meanwhile, so that the target can catch up.
 #[derive(Debug)]
-pub(super) struct Transfer {
+pub(super) struct LeadershipTransfer {
     pub(super) target: ReplicaId,
     deadline: Timestamp,
-    pub(super) asked: bool,
+    pub(super) timeout_now_sent: bool,
 }
 
-impl Transfer {
+impl LeadershipTransfer {
     pub(super) const fn new(target: ReplicaId, deadline: Timestamp) -> Self {
-        Self { target, deadline, asked: false }
+        Self { target, deadline, timeout_now_sent: false }
     }
 }
 
 impl Leader {
-    /// State of a leader whose first entry will stand at `first_index`.
-    pub(super) fn new(log: &Log, own: ReplicaId, first_index: u64, now: Timestamp) -> Self {
+    /// Creates the state of a new leader that appends its first entry at `first_index`.
+    pub(super) fn new(log: &Log, own_id: ReplicaId, first_index: u64, now: Timestamp) -> Self {
         let mut leader = Self {
             progress: BTreeMap::new(),
             first_index,
@@ -50,26 +49,26 @@
             next_heartbeat: now,
             transfer: None,
         };
-        leader.follow_cell(log, own, now);
+        leader.update_tracked_members(log, own_id, now);
         leader
     }
 
-    /// Makes the set of followers that of the cell in force.
-    pub(super) fn follow_cell(&mut self, log: &Log, own: ReplicaId, now: Timestamp) {
+    /// Adds and removes progress so that it covers the other members of the cell in force.
+    pub(super) fn update_tracked_members(&mut self, log: &Log, own_id: ReplicaId, now: Timestamp) {
         let cell = log.cell();
         let members = || cell.voters.iter().chain(&cell.learners).map(|member| member.id);
         self.progress.retain(|id, _| members().any(|member| member == *id));
         let next_index = log.last_index().max(1);
-        for id in members().filter(|id| *id != own) {
+        for id in members().filter(|id| *id != own_id) {
             self.progress.entry(id).or_insert_with(|| Progress::new(next_index, now));
         }
     }
 
-    /// The highest value that a majority of the voters has reached.
+    /// Returns the highest value that a majority of the voters has reached.
     pub(super) fn quorum_value<T: Ord + Copy>(
         &self,
         log: &Log,
-        own: ReplicaId,
+        own_id: ReplicaId,
         own_value: T,
         value: impl Fn(&Progress) -> T,
     ) -> Option<T> {
@@ -77,35 +76,35 @@
         let mut values: Vec<T> = voters
             .iter()
             .filter_map(|id| {
-                if *id == own { Some(own_value) } else { self.progress.get(id).map(&value) }
+                if *id == own_id { Some(own_value) } else { self.progress.get(id).map(&value) }
             })
             .collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
-        // With the values in falling order, a majority has at least the one in the middle.
+        // In descending order, a majority of the voters has at least the value in the middle.
         values.get(voters.len() / 2).copied()
     }
 
-    /// Whether a majority of the voters answered within `timeout`.
+    /// Reports whether a majority of the voters responded within `timeout`.
     pub(super) fn has_recent_quorum(
         &self,
         log: &Log,
-        own: ReplicaId,
+        own_id: ReplicaId,
         now: Timestamp,
         timeout: Duration,
     ) -> bool {
-        self.quorum_value(log, own, now, |progress| progress.last_answer)
-            .is_some_and(|answered| now.saturating_since(answered) <= timeout)
+        self.quorum_value(log, own_id, now, |progress| progress.last_response)
+            .is_some_and(|responded| now.saturating_since(responded) <= timeout)
     }
 
-    /// Gives up a hand-over that took too long.
+    /// Aborts a leadership transfer whose deadline has passed.
     pub(super) fn expire_transfer(&mut self, now: Timestamp) {
         self.transfer.take_if(|transfer| now >= transfer.deadline);
     }
 
-    /// When the leader next has something to do.
+    /// Returns when the leader next needs a tick.
     pub(super) fn next_deadline(&self) -> Timestamp {
-        let transfer = self.transfer.as_ref().map(|transfer| transfer.deadline);
-        let others = [transfer, self.reads.round_due()].into_iter().flatten();
-        others.fold(self.next_heartbeat, Timestamp::min)
+        let transfer_deadline = self.transfer.as_ref().map(|transfer| transfer.deadline);
+        let other_deadlines = [transfer_deadline, self.reads.next_round_at()].into_iter().flatten();
+        other_deadlines.fold(self.next_heartbeat, Timestamp::min)
     }
 }
--- a/crates/core/src/consensus/message.rs
+++ b/crates/core/src/consensus/message.rs
@@ -1,133 +1,134 @@
-//! Messages between the replicas of a cell. They travel: order and number of variants and fields stay.
+//! Messages between the replicas of a cell. The wire encoding is positional: the order and number of variants
+//! and fields must not change.
 
 use super::{CellConfig, Entry, Rejection};
 use crate::position::Term;
 use serde::{Deserialize, Serialize};
 
-/// A message of one replica to another.
+/// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Term of the sender; of a pre-vote and of its grant the term asked for.
+    /// Current term of the sender. In a pre-vote request and in its grant: the term of the intended election.
     pub term: Term,
-    /// What it says.
+    /// Content of the message.
     pub body: MessageBody,
 }
 
-/// What a [`Message`] says.
+/// Content of a [`Message`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks whether a vote in `term` would be granted, without raising any term.
+    /// Asks whether a vote in the message's term would be granted; no replica changes its term.
     PreVoteRequest(LogEnd),
     /// Answer to [`MessageBody::PreVoteRequest`].
     PreVoteResponse {
-        /// Whether it would.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     VoteRequest {
         /// End of the candidate's log.
         log_end: LogEnd,
-        /// Whether the leader itself asked for this election.
+        /// Whether the election is part of a leadership transfer that the leader requested.
         transfer: bool,
     },
     /// Answer to [`MessageBody::VoteRequest`].
     VoteResponse {
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
     /// Entries of the leader's log.
     AppendRequest(AppendRequest),
-    /// Answer to [`MessageBody::AppendRequest`] and to the last piece of a snapshot.
+    /// Answer to [`MessageBody::AppendRequest`] and to the last chunk of a snapshot.
     AppendResponse(AppendOutcome),
-    /// The leader is there.
+    /// Heartbeat of the leader.
     HeartbeatRequest {
-        /// Committed index, no higher than what the receiver is known to hold.
+        /// Committed index of the leader, at most the receiver's known match index.
         commit: u64,
-        /// Number of the round, for reads.
+        /// Number of the heartbeat round; confirms reads.
         round: u64,
     },
     /// Answer to [`MessageBody::HeartbeatRequest`].
     HeartbeatResponse {
-        /// Number of the round.
+        /// Number of the answered heartbeat round.
         round: u64,
     },
-    /// A piece of a snapshot.
+    /// A chunk of a snapshot.
     SnapshotChunk(SnapshotChunk),
-    /// Answer to [`MessageBody::SnapshotChunk`] while pieces are missing.
+    /// Answer to [`MessageBody::SnapshotChunk`] while chunks are missing.
     SnapshotResponse {
-        /// Index of the snapshot.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// Bytes received without a gap.
+        /// Number of contiguous bytes received from the start of the snapshot.
         received: u64,
     },
-    /// Answer to a leader of a lower term, so that it steps down.
+    /// Answer to a leader of a lower term; makes that leader step down.
     StaleTerm,
-    /// A follower asks the leader for a read index for a batch of reads.
+    /// A follower requests a read index from the leader for a batch of reads.
     ReadRequest {
-        /// Number of the batch.
+        /// Id of the batch.
         batch: u64,
     },
     /// Answer to [`MessageBody::ReadRequest`].
     ReadResponse {
-        /// Number of the batch.
+        /// Id of the batch.
         batch: u64,
-        /// The index, or why there is none.
+        /// The read index, or why the leader rejected the batch.
         outcome: Result<u64, Rejection>,
     },
-    /// The leader asks the receiver to hold an election at once.
+    /// The leader asks the receiver to start an election at once, without waiting for its election timeout.
     TimeoutNow,
 }
 
 /// Index and term of the last entry of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEnd {
-    /// Its index.
+    /// Index of that entry; 0 for an empty log.
     pub index: u64,
-    /// Its term.
+    /// Term of that entry.
     pub term: Term,
 }
 
-/// Entries of the leader's log and the place they follow.
+/// Entries of the leader's log and the entry that precedes them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendRequest {
-    /// The entry before the first of `entries`.
+    /// The entry immediately before the first of `entries`.
     pub previous: LogEnd,
-    /// Consecutive entries, possibly none.
+    /// Consecutive entries; may be empty.
     pub entries: Vec<Entry>,
     /// Committed index of the leader.
     pub commit: u64,
 }
 
-/// What became of an [`AppendRequest`].
+/// Result of an [`AppendRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The log equals the leader's up to `match_index`, and that is synced.
+    /// The receiver's log matches the leader's up to `match_index`, and is synced up to there.
     Accepted {
-        /// Highest index known to be equal.
+        /// Highest index known to match.
         match_index: u64,
     },
-    /// The entry before the first one is missing or of another term.
+    /// The entry at `previous` is missing in the receiver's log or has another term.
     Rejected {
         /// Index of the entry that did not match.
         previous_index: u64,
-        /// Term of the receiver's entry there; none when its log is shorter.
+        /// Term of the receiver's entry at that index; none if the receiver's log is shorter.
         conflict_term: Option<Term>,
-        /// First index the receiver holds of that term, or the index after its log.
+        /// First index of `conflict_term` in the receiver's log, or the index after its last entry.
         conflict_index: u64,
     },
 }
 
-/// A piece of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// Last entry the snapshot covers.
+    /// Last entry that the snapshot covers.
     pub last: LogEnd,
-    /// The cell at that entry.
+    /// Cell configuration at that entry.
     pub cell: CellConfig,
-    /// Bytes of the whole snapshot.
+    /// Size of the whole snapshot, in bytes.
     pub total: u64,
-    /// Place of `data` in it.
+    /// Byte offset of `data` in the snapshot.
     pub offset: u64,
-    /// The piece.
+    /// Bytes of this chunk.
     pub data: Vec<u8>,
 }
--- a/crates/core/src/consensus/mod.rs
+++ b/crates/core/src/consensus/mod.rs
@@ -1,12 +1,13 @@
-//! Replicated log of the control state, after the Raft paper, as a state machine without I/O.
+//! Raft: the replicated log of the control state, as a state machine without I/O.
 //!
-//! The shell feeds [`Event`]s with the current time into a replica and performs
-//! the [`Action`]s it returns **in order**: a [`Action::Persist`] must be synced
-//! to disk before any later [`Action::Send`] of the same batch leaves, because
-//! votes and acknowledgements promise what they say to survive a crash.
+//! A cell is a group of replicas that share one log. The shell is the code that drives a replica: it feeds
+//! [`Event`]s with the current time into the replica and performs the returned [`Action`]s **in order**. An
+//! [`Action::Persist`] must be synced to disk before any later [`Action::Send`] of the same batch leaves,
+//! because votes and acknowledgements must still hold after a crash.
 //!
-//! Owns terms, votes, the log and the cell's members. Relies on the shell for the disk, for sending (messages may
-//! be lost, repeated and reordered) and for the clock, which need not agree with others'.
+//! A replica owns its term, vote, log and cell configuration. It relies on the shell for the disk, for
+//! sending messages (which may be lost, duplicated and reordered) and for a clock, which need not agree with
+//! the clocks of other replicas.
 
 mod accessors;
 mod election;
@@ -38,36 +39,36 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What must be on disk before a replica may act on it.
+/// Raft's hard state: must be synced to disk before the replica acts on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Current term.
     pub term: Term,
     /// The candidate voted for in `term`.
     pub vote: Option<ReplicaId>,
-    /// Highest index known to be committed; a hint, safe to lose.
+    /// Highest index known to be committed. A hint: the replica stays correct if it is lost.
     pub commit: u64,
 }
 
 /// A member of the cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellMember {
-    /// Its identity.
+    /// Id of the replica.
     pub id: ReplicaId,
-    /// Its address for other control replicas.
+    /// Address at which other control replicas reach this member.
     pub address: SocketAddr,
 }
 
-/// The replicas of a cell.
+/// Configuration of a cell: its voters and learners.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellConfig {
     /// Replicas that vote.
     pub voters: Vec<CellMember>,
-    /// Replicas that are being brought up to date and do not vote.
+    /// Replicas that receive the log, to catch up, but do not vote.
     pub learners: Vec<CellMember>,
 }
 
-/// A change of the cell by one member at a time.
+/// A change of the cell configuration by a single member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CellChange {
     /// Adds a learner.
@@ -81,42 +82,42 @@
 /// Payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Written by a new leader to commit the entries of earlier terms.
+    /// No operation. A new leader appends it to commit the entries of earlier terms.
     Empty,
     /// A command for the control state, encoded by the shell.
     Command(Vec<u8>),
-    /// The cell after a change of one member.
+    /// The cell configuration after a change of one member.
     Cell(CellConfig),
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Term of the leader that wrote it.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// Its place; the first has index 1.
+    /// Position in the log; the first entry has index 1.
     pub index: u64,
-    /// What it holds.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
-/// The state at one index, in place of the log up to it.
+/// The state at one index; replaces the log up to and including that index.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Index of the last entry it covers.
+    /// Index of the last entry that the snapshot covers (the paper's last included index).
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the last entry that the snapshot covers.
     pub term: Term,
-    /// The cell at that index.
+    /// Cell configuration at that index.
     pub cell: CellConfig,
     /// The control state, encoded by the shell.
     pub data: Vec<u8>,
 }
 
-/// What a replica finds on its disk at start.
+/// What a replica loads from disk at start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedState {
-    /// Term, vote and commit hint.
+    /// Term, vote and commit hint; the default on an empty disk.
     pub hard_state: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
@@ -127,149 +128,151 @@
 /// Settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ConsensusSettings {
-    /// This replica.
+    /// Id of this replica.
     pub id: ReplicaId,
-    /// Shortest time without a leader before an election; the longest is twice this.
+    /// Shortest time without a leader before an election starts; the randomized timeout is up to twice as
+    /// long.
     pub election_timeout: Duration,
-    /// As `election_timeout`, after the start and until a leader is known: doubled each time it
-    /// runs out, up to `election_timeout`. A replica that has just started does not disturb a
-    /// leader, because it asks for pre-votes first. Zero is refused.
+    /// Replaces `election_timeout` from the start until a leader is known. Each time this timeout expires it
+    /// doubles, up to `election_timeout`. A short value does not let a restarted replica disturb the leader,
+    /// because the replica requests pre-votes first. Must not be zero.
     pub first_election_timeout: Duration,
-    /// Time between heartbeats of the leader.
+    /// Time between heartbeats of the leader; shorter than `election_timeout`.
     pub heartbeat_interval: Duration,
-    /// Most entry bytes in one append message.
+    /// Limit on the entry bytes of one append message; a single larger entry is still sent.
     pub append_bytes_limit: usize,
-    /// Bytes of one piece of a streamed snapshot.
+    /// Size of one snapshot chunk, in bytes.
     pub snapshot_chunk_bytes: usize,
-    /// Seed of the election jitter.
+    /// Seed of the random election timeouts.
     pub seed: u64,
 }
 
-/// Number given by the shell to a proposal or read, to find its answer again.
+/// Identifies a proposal or read. The shell assigns it to match the answer to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
 /// Role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Votes, and follows a leader or waits for one.
     Follower,
-    /// Asks whether it could win an election, without raising its term.
+    /// Requests pre-votes to find out whether it could win an election, without incrementing its term.
     PreCandidate,
-    /// Asks for votes.
+    /// Incremented its term and requests votes.
     Candidate,
-    /// Orders the log.
+    /// Appends entries to the log and replicates them to the other members.
     Leader,
-    /// Receives the log and does not vote.
+    /// Receives the log but does not vote.
     Learner,
 }
 
-/// Why a proposal or read was not accepted.
+/// Why a proposal or read was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum Rejection {
-    /// This replica does not lead.
+    /// This replica is not the leader, or is transferring its leadership.
     #[error("this replica does not lead; the leader is {leader:?}")]
     NotLeader {
-        /// The leader, where known.
+        /// The leader, or the target of the transfer, if known.
         leader: Option<ReplicaId>,
     },
-    /// Leadership was lost before the answer: a proposal may or may not be committed.
+    /// Leadership was lost before the answer. A proposal may or may not become committed.
     #[error("leadership was lost before the outcome was known")]
     LeadershipLost,
-    /// Another change of the cell is under way, or this one makes no sense.
+    /// Another cell change is uncommitted, or this change is invalid or unsafe now.
     #[error("the change of the cell cannot be made now")]
     CellChange,
 }
 
-/// What happens to a replica.
+/// Input of a replica.
 #[derive(Clone, Debug)]
 pub enum Event<M> {
-    /// Time has passed.
+    /// A deadline of the replica may have passed, see [`Replica::next_deadline`].
     Tick,
-    /// A message came in.
+    /// A message was received.
     Message {
-        /// Sender.
+        /// Replica that sent the message.
         from: ReplicaId,
-        /// Message.
+        /// The message.
         message: M,
     },
-    /// A replica that was not reached before can be reached now: what it was asked and did not
-    /// hear is asked again.
+    /// A replica that was unreachable can be reached now. A pending vote request is sent to it again, because
+    /// the first one may be lost.
     Reachable {
-        /// The replica.
+        /// Replica that became reachable.
         replica: ReplicaId,
     },
-    /// The shell wants a command in the log.
+    /// The shell proposes a command for the log.
     Propose {
-        /// Number for the answer.
+        /// Id of the request.
         request: RequestId,
         /// Encoded command.
         command: Vec<u8>,
     },
-    /// The shell wants to change the cell.
+    /// The shell proposes a change of the cell.
     ProposeCell {
-        /// Number for the answer.
+        /// Id of the request.
         request: RequestId,
         /// The change.
         change: CellChange,
     },
-    /// The shell wants an index that is at least as new as any answer given
-    /// before the question. Any replica may ask; followers ask the leader.
+    /// The shell requests a read index: an index at which the state contains everything that was answered
+    /// before this request. Every replica accepts it; followers forward it to the leader.
     ReadIndex {
-        /// Number for the answer.
+        /// Id of the request.
         request: RequestId,
     },
-    /// The shell made a snapshot of the state at `snapshot.index` and synced it;
-    /// the log up to it may be dropped.
+    /// The shell took a snapshot of the state at `snapshot.index` and synced it;
+    /// the log up to that index may be compacted.
     Compact {
         /// The snapshot.
         snapshot: Snapshot,
     },
-    /// The shell wants another replica to lead (planned stop).
+    /// The shell requests a leadership transfer to another voter, before a planned stop.
     TransferLeadership,
 }
 
-/// What a replica wants its shell to do, in order.
+/// Output of a replica. The shell performs the actions of a batch in order.
 #[derive(Clone, Debug)]
 pub enum Action<M> {
-    /// Write and sync. The log is first cut so that it ends before the first of `entries`.
+    /// Write and sync. If there are `entries`, the stored log is first truncated to end before the first of
+    /// them.
     Persist {
-        /// New hard state, where it changed.
+        /// New hard state, if it changed.
         hard_state: Option<HardState>,
         /// Entries to append.
         entries: Vec<Entry>,
     },
-    /// Write and sync a snapshot received from the leader, and drop the log it covers.
-    /// The shell then replaces its state by the snapshot's.
+    /// Write and sync a snapshot received from the leader, and delete the whole stored log.
+    /// The shell then replaces its state with the snapshot's.
     InstallSnapshot(Snapshot),
-    /// Send to another replica.
+    /// Send a message to another replica.
     Send {
-        /// Receiver.
+        /// Replica to send to.
         to: ReplicaId,
-        /// Message.
+        /// The message.
         message: M,
     },
     /// Apply committed entries to the state, in order.
     Apply(Vec<Entry>),
-    /// A proposal of this replica was committed and applied at `index`.
+    /// A proposal of this replica is committed; its entry was handed out in an earlier [`Action::Apply`].
     Committed {
-        /// Number given with the proposal.
+        /// Id of the proposal.
         request: RequestId,
-        /// Where it stands.
+        /// Index of the proposal's entry.
         index: u64,
     },
     /// A read may be answered once the state has applied `index`.
     ReadReady {
-        /// Number given with the read.
+        /// Id of the read.
         request: RequestId,
-        /// Index to apply first.
+        /// Read index.
         index: u64,
     },
-    /// A proposal or read was not accepted, or its outcome is unknown.
+    /// A proposal or read was rejected, or its outcome is unknown.
     Rejected {
-        /// Number given with it.
+        /// Id of the proposal or read.
         request: RequestId,
-        /// Why.
+        /// Reason of the rejection.
         rejection: Rejection,
     },
     /// The role, term or leader changed.
@@ -278,12 +281,12 @@
         role: Role,
         /// Current term.
         term: Term,
-        /// Leader, where known.
+        /// Leader of the term, if known.
         leader: Option<ReplicaId>,
     },
 }
 
-/// Ids of all voters of a cell.
+/// Returns the ids of all voters of a cell.
 #[must_use]
 pub fn voter_ids(cell: &CellConfig) -> BTreeSet<ReplicaId> {
     cell.voters.iter().map(|member| member.id).collect()
--- a/crates/core/src/consensus/pending_reads.rs
+++ b/crates/core/src/consensus/pending_reads.rs
@@ -1,7 +1,7 @@
-//! Reads under way, at a leader and at a follower that forwards them.
+//! Pending reads: at a leader, and at a follower that forwards them.
 //!
-//! Owns who asked, in which heartbeat round a read is confirmed, and the batch that a follower has sent. What is
-//! sent and answered is decided in [`super::read_index`].
+//! Holds the origin of each read, the heartbeat round that confirms it, and the batch that a follower has
+//! forwarded. [`super::read_index`] sends the messages and answers the reads.
 
 use super::{ConsensusSettings, RequestId};
 use crate::identity::ReplicaId;
@@ -9,66 +9,71 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Heartbeat intervals after which a batch of forwarded reads is sent again. Chosen, not measured: with one, a
-/// batch is sent twice where an answer is merely slow.
-pub(super) const RESEND_HEARTBEATS: u32 = 2;
-/// Shortest time between two heartbeat rounds that are begun for reads alone. A read waits for the next
-/// round and for its answers: with one round after the other that is up to two round trips, 85 ms over the
-/// users' regions; this makes it one and this time.
-const ROUND_SPACING: Duration = Duration::from_millis(20);
+/// Heartbeat intervals after which an unanswered batch of forwarded reads is sent again. With one, a batch
+/// whose answer is merely slow is sent twice.
+pub(super) const RESEND_HEARTBEAT_INTERVALS: u32 = 2;
+/// Shortest time between two heartbeat rounds that start only for reads. A read waits for the start of the
+/// next round and for its responses. If each round waited for the end of the one before, a read would take up
+/// to two round trips (85 ms across the users' regions); with this interval it takes one round trip plus the
+/// interval.
+const MIN_READ_ROUND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Who asked for a read.
+/// Origin of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadOrigin {
-    /// The own shell.
+    /// Requested by the shell of this replica.
     Local(RequestId),
-    /// A follower, for a batch.
+    /// Forwarded by a follower, which requests one index for a batch of reads.
     Follower { from: ReplicaId, batch: u64 },
 }
 
-/// Reads that one heartbeat round will confirm.
+/// Reads that one heartbeat round confirms.
 #[derive(Debug)]
 pub(super) struct ReadRound {
     round: u64,
-    /// What was committed when the round began, after every question in it; at least the first entry of
-    /// the leader's term, before which the leader does not know how far its predecessors had committed.
+    /// Read index: the committed index when the round started, after all reads in it were requested. At least
+    /// the index of the first entry of the leader's term; until that entry is committed, the leader does not
+    /// know how far its predecessors had committed.
     pub(super) index: u64,
     pub(super) reads: Vec<ReadOrigin>,
 }
 
-/// Reads under way at a leader.
+/// Pending reads of a leader.
 #[derive(Debug, Default)]
 pub(super) struct LeaderReads {
-    /// Last heartbeat round begun, and when.
-    pub(super) round: u64,
-    begun_at: Timestamp,
-    /// Asked after the last round began.
+    /// Number of the last heartbeat round started.
+    pub(super) last_round: u64,
+    /// When that round started.
+    last_round_at: Timestamp,
+    /// Reads requested since the last round started.
     pub(super) waiting: Vec<ReadOrigin>,
     confirming: VecDeque<ReadRound>,
 }
 
 impl LeaderReads {
-    /// Begins a round, which confirms the reads that wait, on a state that holds `index`.
+    /// Starts a heartbeat round, which confirms the waiting reads with the read index `index`. Returns its
+    /// number.
     pub(super) fn begin_round(&mut self, now: Timestamp, index: u64) -> u64 {
-        self.round += 1;
-        self.begun_at = now;
+        self.last_round += 1;
+        self.last_round_at = now;
         if !self.waiting.is_empty() {
             let reads = std::mem::take(&mut self.waiting);
-            self.confirming.push_back(ReadRound { round: self.round, index, reads });
+            self.confirming.push_back(ReadRound { round: self.last_round, index, reads });
         }
-        self.round
+        self.last_round
     }
 
-    /// When a round should begin for reads alone; it carries all that came since the one before.
-    pub(super) fn round_due(&self) -> Option<Timestamp> {
+    /// Returns when the next round should start for the waiting reads; none if no read waits.
+    pub(super) fn next_round_at(&self) -> Option<Timestamp> {
         if self.waiting.is_empty() {
             return None;
         }
-        let spacing = if self.confirming.is_empty() { Duration::ZERO } else { ROUND_SPACING };
-        Some(self.begun_at + spacing)
+        let interval =
+            if self.confirming.is_empty() { Duration::ZERO } else { MIN_READ_ROUND_INTERVAL };
+        Some(self.last_round_at + interval)
     }
 
-    /// Takes the rounds up to `round`, which a majority answered.
+    /// Removes and returns the rounds up to `round`, the last one that a majority answered.
     pub(super) fn take_confirmed(&mut self, round: u64) -> Vec<ReadRound> {
         let count = self.confirming.partition_point(|confirming| confirming.round <= round);
         self.confirming.drain(..count).collect()
@@ -80,45 +85,48 @@
     }
 }
 
-/// A batch of reads sent to the leader.
+/// A batch of reads that was sent to the leader and is not answered yet.
 #[derive(Debug)]
 pub(super) struct ForwardedBatch {
-    pub(super) batch: u64,
+    pub(super) id: u64,
     reads: Vec<RequestId>,
-    pub(super) first_sent: Timestamp,
-    pub(super) last_sent: Timestamp,
+    pub(super) first_sent_at: Timestamp,
+    pub(super) last_sent_at: Timestamp,
 }
 
-/// Reads that a follower sends to its leader, one batch at a time.
+/// Reads that a follower forwards to its leader, one batch at a time.
 #[derive(Debug)]
 pub(super) struct ForwardedReads {
-    next_batch: u64,
+    next_batch_id: u64,
     pub(super) outstanding: Option<ForwardedBatch>,
     pub(super) waiting: Vec<RequestId>,
 }
 
 impl ForwardedReads {
-    pub(super) fn new(first_batch: u64) -> Self {
-        Self { next_batch: first_batch, outstanding: None, waiting: Vec::new() }
+    pub(super) fn new(first_batch_id: u64) -> Self {
+        Self { next_batch_id: first_batch_id, outstanding: None, waiting: Vec::new() }
     }
 
-    /// Closes a batch of what waits; returns its number.
+    /// Moves the waiting reads into a new batch and returns its id; none while another batch is outstanding.
     pub(super) fn begin_batch(&mut self, now: Timestamp) -> Option<u64> {
         if self.outstanding.is_some() || self.waiting.is_empty() {
             return None;
         }
-        let batch = self.next_batch;
-        self.next_batch = batch.wrapping_add(1);
+        let id = self.next_batch_id;
+        self.next_batch_id = id.wrapping_add(1);
         let reads = std::mem::take(&mut self.waiting);
-        self.outstanding = Some(ForwardedBatch { batch, reads, first_sent: now, last_sent: now });
-        Some(batch)
+        self.outstanding =
+            Some(ForwardedBatch { id, reads, first_sent_at: now, last_sent_at: now });
+        Some(id)
     }
 
-    pub(super) fn take_batch(&mut self, batch: u64) -> Vec<RequestId> {
-        let answered = self.outstanding.take_if(|outstanding| outstanding.batch == batch);
-        answered.map_or_else(Vec::new, |outstanding| outstanding.reads)
+    /// Removes the outstanding batch if it has this id, and returns its reads.
+    pub(super) fn take_batch(&mut self, id: u64) -> Vec<RequestId> {
+        let answered = self.outstanding.take_if(|batch| batch.id == id);
+        answered.map_or_else(Vec::new, |batch| batch.reads)
     }
 
+    /// Removes and returns all reads, outstanding and waiting.
     pub(super) fn take_all(&mut self) -> Vec<RequestId> {
         let mut reads = self.outstanding.take().map_or_else(Vec::new, |batch| batch.reads);
         reads.append(&mut self.waiting);
@@ -127,6 +135,6 @@
 
     pub(super) fn next_deadline(&self, settings: &ConsensusSettings) -> Option<Timestamp> {
         let batch = self.outstanding.as_ref()?;
-        Some(batch.last_sent + settings.heartbeat_interval * RESEND_HEARTBEATS)
+        Some(batch.last_sent_at + settings.heartbeat_interval * RESEND_HEARTBEAT_INTERVALS)
     }
 }
--- a/crates/core/src/consensus/progress.rs
+++ b/crates/core/src/consensus/progress.rs
@@ -1,7 +1,7 @@
-//! What the leader knows of one follower's log.
+//! Replication progress of one follower or learner as tracked by the leader.
 //!
-//! Owns where the follower's log ends, how it is sent to (probe, replicate, snapshot) and what is under way.
-//! What is sent is put together in [`super::replication`].
+//! Holds the follower's match index and next index, its state (probe, replicate or snapshot) and the appends
+//! or snapshot chunks in flight. [`super::replication`] builds and sends the messages.
 
 use super::Snapshot;
 use crate::time::Timestamp;
@@ -9,95 +9,100 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Appends with entries that may be under way to one follower. Chosen, not measured: a bound on memory and on
-/// what is sent in vain; with fewer, a follower a region away limits how fast entries are committed.
-const APPEND_WINDOW: usize = 32;
-/// Pieces of a snapshot that may be under way to one follower. Chosen, not measured: with more, a snapshot
-/// delays appends to others on a narrow link.
-const SNAPSHOT_WINDOW: u64 = 4;
+/// Limit on the appends with entries in flight to one follower. Bounds the memory and what is sent in vain to
+/// an unreachable follower. With fewer, the round trip to a follower in another region limits the commit
+/// rate.
+const MAX_IN_FLIGHT_APPENDS: usize = 32;
+/// Limit on the snapshot chunks in flight to one follower. With more, a snapshot delays the appends to other
+/// followers on a low-bandwidth link.
+const MAX_IN_FLIGHT_CHUNKS: u64 = 4;
 
-/// A snapshot on its way to a follower.
+/// A snapshot that is being sent to a follower.
 #[derive(Debug)]
 pub(super) struct SnapshotTransfer {
     pub(super) snapshot: Arc<Snapshot>,
-    /// Bytes the follower has without a gap.
-    pub(super) acknowledged: u64,
-    /// Bytes sent.
-    pub(super) sent: u64,
-    /// Whether the last piece, or the only and empty one, was sent.
-    pub(super) complete: bool,
-    /// `acknowledged` at the last heartbeat: no advance since means a lost piece.
-    acknowledged_at_heartbeat: Option<u64>,
+    /// Contiguous bytes that the follower acknowledged.
+    pub(super) acknowledged_bytes: u64,
+    /// Bytes sent, also those in flight.
+    pub(super) sent_bytes: u64,
+    /// Whether the last chunk was sent. An empty snapshot has one empty chunk.
+    pub(super) all_sent: bool,
+    /// `acknowledged_bytes` at the last heartbeat response. No advance since then means that a chunk was
+    /// lost.
+    acknowledged_bytes_at_heartbeat: Option<u64>,
 }
 
 impl SnapshotTransfer {
     fn new(snapshot: Arc<Snapshot>) -> Self {
         Self {
             snapshot,
-            acknowledged: 0,
-            sent: 0,
-            complete: false,
-            acknowledged_at_heartbeat: None,
+            acknowledged_bytes: 0,
+            sent_bytes: 0,
+            all_sent: false,
+            acknowledged_bytes_at_heartbeat: None,
         }
     }
 
-    /// Whether another piece may be sent now.
-    pub(super) fn may_send(&self, chunk_bytes: usize) -> bool {
-        !self.complete && self.sent < self.acknowledged + SNAPSHOT_WINDOW * chunk_bytes as u64
+    /// Reports whether another chunk may be sent now.
+    pub(super) fn may_send_chunk(&self, chunk_bytes: usize) -> bool {
+        !self.all_sent
+            && self.sent_bytes < self.acknowledged_bytes + MAX_IN_FLIGHT_CHUNKS * chunk_bytes as u64
     }
 
     fn acknowledge(&mut self, received: u64) {
-        if received < self.acknowledged {
-            // The follower restarted and lost the pieces it had.
+        if received < self.acknowledged_bytes {
+            // The follower restarted and lost the chunks it had received.
             self.rewind_to(received);
         }
-        self.acknowledged = received;
-        self.sent = self.sent.max(received);
+        self.acknowledged_bytes = received;
+        self.sent_bytes = self.sent_bytes.max(received);
     }
 
     fn rewind_to(&mut self, offset: u64) {
-        self.sent = offset;
-        self.complete = false;
+        self.sent_bytes = offset;
+        self.all_sent = false;
     }
 
+    /// Rewinds to the acknowledged bytes, so that lost chunks are sent again, if nothing was acknowledged
+    /// since the last heartbeat response.
     fn rewind_if_stalled(&mut self) {
-        if self.acknowledged_at_heartbeat == Some(self.acknowledged) {
-            self.rewind_to(self.acknowledged);
+        if self.acknowledged_bytes_at_heartbeat == Some(self.acknowledged_bytes) {
+            self.rewind_to(self.acknowledged_bytes);
         }
-        self.acknowledged_at_heartbeat = Some(self.acknowledged);
+        self.acknowledged_bytes_at_heartbeat = Some(self.acknowledged_bytes);
     }
 }
 
-/// How the leader sends to a follower.
+/// How the leader replicates to a follower.
 #[derive(Debug)]
 pub(super) enum ProgressState {
-    /// Finds the place where the logs meet, one append at a time.
+    /// Searches for the last matching index, with one append in flight.
     Probe {
-        /// Whether an append is under way.
-        waiting: bool,
+        /// Whether an append is in flight; no other is sent until a response arrives.
+        paused: bool,
     },
-    /// Sends without waiting, within a window.
+    /// Sends appends without waiting for the responses to earlier ones, within a window.
     Replicate {
-        /// Last index of each append with entries under way.
+        /// Last index of each append with entries in flight.
         in_flight: VecDeque<u64>,
     },
-    /// Sends a snapshot.
+    /// Sends a snapshot, because the log no longer holds the next entry.
     Snapshot(SnapshotTransfer),
 }
 
 /// Progress of one follower or learner.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// Highest index known to equal the leader's and to be synced there.
+    /// Highest index up to which the follower's log is known to match the leader's and to be synced.
     pub(super) match_index: u64,
     /// Index of the next entry to send.
     pub(super) next_index: u64,
     pub(super) state: ProgressState,
-    /// When it last answered in this term.
-    pub(super) last_answer: Timestamp,
-    /// Highest heartbeat round it answered.
-    pub(super) round: u64,
-    /// Highest committed index sent to it.
+    /// When the follower last responded in this term.
+    pub(super) last_response: Timestamp,
+    /// Highest heartbeat round that the follower answered.
+    pub(super) heartbeat_round: u64,
+    /// Committed index of the last append sent to the follower.
     pub(super) sent_commit: u64,
 }
 
@@ -106,15 +111,15 @@
         Self {
             match_index: 0,
             next_index,
-            state: ProgressState::Probe { waiting: false },
-            last_answer: now,
-            round: 0,
+            state: ProgressState::Probe { paused: false },
+            last_response: now,
+            heartbeat_round: 0,
             sent_commit: 0,
         }
     }
 
-    /// The follower holds the leader's log up to `match_index`.
-    pub(super) fn accepted(&mut self, match_index: u64) {
+    /// Records that the follower holds the leader's log up to `match_index`.
+    pub(super) fn record_match(&mut self, match_index: u64) {
         self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index + 1);
         match &mut self.state {
@@ -137,8 +142,8 @@
         self.state = ProgressState::Replicate { in_flight: VecDeque::new() };
     }
 
-    /// Whether a rejection of an append after `previous_index` tells something new.
-    pub(super) fn expects_rejection(&self, previous_index: u64) -> bool {
+    /// Reports whether a rejection of an append after `previous_index` is current, not late or duplicated.
+    pub(super) fn is_current_rejection(&self, previous_index: u64) -> bool {
         match &self.state {
             ProgressState::Probe { .. } => previous_index == self.next_index - 1,
             ProgressState::Replicate { .. } => {
@@ -148,17 +153,18 @@
         }
     }
 
-    /// Goes back to `next_index`, but never below what is known to match.
+    /// Starts to probe from `next_index`, but not below the index after the match index.
     pub(super) fn begin_probe(&mut self, next_index: u64) {
         self.next_index = next_index.max(self.match_index + 1);
-        self.state = ProgressState::Probe { waiting: false };
+        self.state = ProgressState::Probe { paused: false };
     }
 
     pub(super) fn begin_snapshot(&mut self, snapshot: Arc<Snapshot>) {
         self.state = ProgressState::Snapshot(SnapshotTransfer::new(snapshot));
     }
 
-    pub(super) fn snapshot_received(&mut self, index: u64, received: u64) {
+    /// Records that the follower holds the first `received` bytes of the snapshot at `index`.
+    pub(super) fn record_snapshot_received(&mut self, index: u64, received: u64) {
         if let ProgressState::Snapshot(transfer) = &mut self.state
             && transfer.snapshot.index == index
         {
@@ -166,32 +172,33 @@
         }
     }
 
-    /// Whether an append with entries, or with a new committed index, may leave now.
-    pub(super) fn may_append(&self, last_index: u64, commit: u64) -> bool {
+    /// Reports whether an append with entries or with a new committed index may be sent now.
+    pub(super) fn may_send_append(&self, last_index: u64, commit: u64) -> bool {
         match &self.state {
-            ProgressState::Probe { waiting } => !waiting,
+            ProgressState::Probe { paused } => !paused,
             ProgressState::Replicate { in_flight } => {
-                let entries = self.next_index <= last_index && in_flight.len() < APPEND_WINDOW;
-                entries || self.sent_commit < commit
+                let has_sendable_entries =
+                    self.next_index <= last_index && in_flight.len() < MAX_IN_FLIGHT_APPENDS;
+                has_sendable_entries || self.sent_commit < commit
             }
             ProgressState::Snapshot(_) => false,
         }
     }
 
-    /// Whether an append may carry entries.
-    pub(super) fn has_window(&self) -> bool {
+    /// Reports whether the next append may contain entries.
+    pub(super) fn may_send_entries(&self) -> bool {
         match &self.state {
-            ProgressState::Replicate { in_flight } => in_flight.len() < APPEND_WINDOW,
+            ProgressState::Replicate { in_flight } => in_flight.len() < MAX_IN_FLIGHT_APPENDS,
             ProgressState::Probe { .. } => true,
             ProgressState::Snapshot(_) => false,
         }
     }
 
-    /// Notes an append that ends at `last_index` and holds `count` entries.
-    pub(super) fn appended(&mut self, last_index: u64, count: usize, commit: u64) {
+    /// Records that an append with `count` entries up to `last_index` was sent.
+    pub(super) fn record_append(&mut self, last_index: u64, count: usize, commit: u64) {
         self.sent_commit = commit;
         match &mut self.state {
-            ProgressState::Probe { waiting } => *waiting = true,
+            ProgressState::Probe { paused } => *paused = true,
             ProgressState::Replicate { in_flight } => {
                 self.next_index = last_index + 1;
                 if count > 0 {
@@ -202,14 +209,19 @@
         }
     }
 
-    /// The follower answered a heartbeat: what was sent before may be lost.
+    /// Records a heartbeat response. Messages that were sent earlier and are still unanswered may be lost, so
+    /// a probe may be repeated and a stalled snapshot is rewound.
     ///
-    /// Returns whether an empty append should ask for the follower's place.
-    pub(super) fn heartbeat_answered(&mut self, round: u64, last_index: u64) -> bool {
-        self.round = self.round.max(round);
+    /// Returns whether an empty append should be sent to check that the follower received all entries sent.
+    pub(super) fn record_heartbeat_response(
+        &mut self,
+        heartbeat_round: u64,
+        last_index: u64,
+    ) -> bool {
+        self.heartbeat_round = self.heartbeat_round.max(heartbeat_round);
         match &mut self.state {
-            ProgressState::Probe { waiting } => {
-                *waiting = false;
+            ProgressState::Probe { paused } => {
+                *paused = false;
                 false
             }
             ProgressState::Replicate { .. } => self.match_index < last_index,
@@ -220,12 +232,12 @@
         }
     }
 
-    /// Whether the follower answered in the last `timeout`.
-    pub(super) fn answered_within(&self, timeout: Duration, now: Timestamp) -> bool {
-        now.saturating_since(self.last_answer) <= timeout
+    /// Reports whether the follower responded in the last `timeout`.
+    pub(super) fn responded_within(&self, timeout: Duration, now: Timestamp) -> bool {
+        now.saturating_since(self.last_response) <= timeout
     }
 
-    /// Whether the follower receives new entries as they come.
+    /// Reports whether the follower is in the replicate state.
     pub(super) fn is_replicating(&self) -> bool {
         matches!(self.state, ProgressState::Replicate { .. })
     }
--- a/crates/core/src/consensus/read_index.rs
+++ b/crates/core/src/consensus/read_index.rs
@@ -1,25 +1,26 @@
-//! Linearizable reads: a leader proves by a heartbeat round that it still leads.
+//! Linearizable reads by read index: a heartbeat round confirms that the leader still leads.
 //!
-//! A follower forwards its reads to the leader, one batch at a time; an index is answered once a majority has
-//! answered a round that began after the question. Owns no state beside [`super::pending_reads`].
+//! A follower forwards its reads to the leader, one batch at a time. A read gets its index once a majority
+//! has answered a heartbeat round that started after the read was requested. The state is in
+//! [`super::pending_reads`].
 
 use super::message::MessageBody;
-use super::pending_reads::{LeaderReads, RESEND_HEARTBEATS, ReadOrigin};
+use super::pending_reads::{LeaderReads, RESEND_HEARTBEAT_INTERVALS, ReadOrigin};
 use super::replica::{Replica, RoleState};
 use super::{Action, Rejection, RequestId};
 use crate::identity::ReplicaId;
 use crate::time::Timestamp;
 
-/// Election timeouts after which forwarded reads are given back. Chosen, not measured: by then a leader that
-/// answers nothing has been replaced.
+/// Election timeouts after which an unanswered batch of forwarded reads is rejected. By then a leader that
+/// does not respond has been replaced.
 const FORWARD_ELECTION_TIMEOUTS: u32 = 2;
 
 impl Replica {
-    pub(super) fn handle_read(&mut self, now: Timestamp, request: RequestId) {
-        if let Some(leader) = self.leader_state() {
+    pub(super) fn handle_read_index(&mut self, now: Timestamp, request: RequestId) {
+        if let Some(leader) = self.leader_mut() {
             leader.reads.waiting.push(ReadOrigin::Local(request));
         } else if self.leader.is_some() {
-            self.forwarded.waiting.push(request);
+            self.forwarded_reads.waiting.push(request);
             self.forward_reads(now);
         } else {
             self.reject(request, Rejection::NotLeader { leader: None });
@@ -28,19 +29,19 @@
 
     fn forward_reads(&mut self, now: Timestamp) {
         let Some(leader) = self.leader else { return };
-        if let Some(batch) = self.forwarded.begin_batch(now) {
+        if let Some(batch) = self.forwarded_reads.begin_batch(now) {
             self.send(leader, MessageBody::ReadRequest { batch });
         }
     }
 
     pub(super) fn handle_read_request(&mut self, now: Timestamp, from: ReplicaId, batch: u64) {
         let rejection = Rejection::NotLeader { leader: self.leader };
-        let member = self.is_member(from);
-        match self.leader_state() {
+        let is_member = self.is_member(from);
+        match self.leader_mut() {
             Some(leader) => {
                 let origin = ReadOrigin::Follower { from, batch };
-                // A batch is sent again when its answer is late; one place in the queue is enough.
-                if member && !leader.reads.waiting.contains(&origin) {
+                // A batch that is sent again because its answer is late is not queued twice.
+                if is_member && !leader.reads.waiting.contains(&origin) {
                     leader.reads.waiting.push(origin);
                 }
             }
@@ -59,7 +60,7 @@
         if self.leader != Some(from) {
             return;
         }
-        for request in self.forwarded.take_batch(batch) {
+        for request in self.forwarded_reads.take_batch(batch) {
             self.answer_read(request, outcome);
         }
         self.forward_reads(now);
@@ -72,20 +73,21 @@
         }
     }
 
-    /// Begins a heartbeat round when reads wait for one.
+    /// Starts a heartbeat round if reads wait for one and the shortest time since the last round has passed.
     pub(super) fn start_read_round(&mut self, now: Timestamp) {
         let RoleState::Leader(leader) = &self.role else { return };
-        if leader.reads.round_due().is_some_and(|due| now >= due) {
+        if leader.reads.next_round_at().is_some_and(|start_at| now >= start_at) {
             self.send_heartbeats(now);
         }
     }
 
-    /// Answers the reads whose round a majority has answered.
+    /// Answers the reads of all rounds that a majority has answered.
     pub(super) fn confirm_reads(&mut self) {
         let RoleState::Leader(leader) = &mut self.role else { return };
-        let last = leader.reads.round;
-        let own = self.settings.id;
-        let round = leader.quorum_value(&self.log, own, last, |progress| progress.round);
+        let last_round = leader.reads.last_round;
+        let own_id = self.settings.id;
+        let round =
+            leader.quorum_value(&self.log, own_id, last_round, |progress| progress.heartbeat_round);
         for confirmed in leader.reads.take_confirmed(round.unwrap_or(0)) {
             self.answer_reads(confirmed.reads, Ok(confirmed.index));
         }
@@ -106,27 +108,27 @@
         }
     }
 
-    /// Gives back the reads of a leader that steps down.
+    /// Rejects the pending reads of a leader that steps down.
     pub(super) fn reject_reads(&mut self, reads: LeaderReads) {
         self.answer_reads(reads.into_origins(), Err(Rejection::LeadershipLost));
     }
 
-    /// Sends a late batch again, or gives it back when it is too late.
-    pub(super) fn forwarded_reads_tick(&mut self, now: Timestamp) {
-        let resend = self.settings.heartbeat_interval * RESEND_HEARTBEATS;
-        let patience = self.settings.election_timeout * FORWARD_ELECTION_TIMEOUTS;
-        let Some(batch) = self.forwarded.outstanding.as_mut() else { return };
-        if now.saturating_since(batch.first_sent) >= patience {
-            let number = batch.batch;
-            for request in self.forwarded.take_batch(number) {
+    /// Sends a batch again if its answer is late, and rejects it after the forwarding timeout.
+    pub(super) fn handle_forwarded_reads_tick(&mut self, now: Timestamp) {
+        let resend_interval = self.settings.heartbeat_interval * RESEND_HEARTBEAT_INTERVALS;
+        let timeout = self.settings.election_timeout * FORWARD_ELECTION_TIMEOUTS;
+        let Some(batch) = self.forwarded_reads.outstanding.as_mut() else { return };
+        if now.saturating_since(batch.first_sent_at) >= timeout {
+            let batch_id = batch.id;
+            for request in self.forwarded_reads.take_batch(batch_id) {
                 self.reject(request, Rejection::LeadershipLost);
             }
             self.forward_reads(now);
-        } else if now.saturating_since(batch.last_sent) >= resend {
-            batch.last_sent = now;
-            let number = batch.batch;
+        } else if now.saturating_since(batch.last_sent_at) >= resend_interval {
+            batch.last_sent_at = now;
+            let batch_id = batch.id;
             if let Some(leader) = self.leader {
-                self.send(leader, MessageBody::ReadRequest { batch: number });
+                self.send(leader, MessageBody::ReadRequest { batch: batch_id });
             }
         }
     }
--- a/crates/core/src/consensus/recovery.rs
+++ b/crates/core/src/consensus/recovery.rs
@@ -1,11 +1,11 @@
-//! What a replica starts from: settings, disk and first cell. Refuses what this replica cannot have written.
+//! Checks what a replica starts from: settings, persisted state and bootstrap cell.
 
 use super::log::Log;
 use super::{CellConfig, ConsensusError, ConsensusSettings, Entry, HardState, Payload};
 use crate::identity::ReplicaId;
 use crate::position::Term;
 
-/// Refuses settings that cannot work.
+/// Returns an error that names the first invalid setting.
 pub(super) fn check_settings(settings: &ConsensusSettings) -> Result<(), ConsensusError> {
     if settings.heartbeat_interval.is_zero() {
         return Err(ConsensusError::Settings("heartbeat_interval"));
@@ -13,7 +13,7 @@
     if settings.election_timeout <= settings.heartbeat_interval {
         return Err(ConsensusError::Settings("election_timeout"));
     }
-    // Doubled it would stay zero: a candidate without a majority would ask at every tick.
+    // Zero stays zero when doubled, so a candidate without a majority would request votes at every tick.
     if settings.first_election_timeout.is_zero() {
         return Err(ConsensusError::Settings("first_election_timeout"));
     }
@@ -23,34 +23,40 @@
     Ok(())
 }
 
-/// Hard state to start from: never behind the log that was found with it.
+/// Returns the hard state to start from: the persisted one, brought up to the persisted log.
+///
+/// # Errors
+/// Returns [`ConsensusError::CommittedLost`] if the log ends before the committed index.
 pub(super) fn recovered_hard_state(
-    found: HardState,
+    persisted: HardState,
     log: &Log,
 ) -> Result<HardState, ConsensusError> {
-    let last = log.last();
-    if found.commit > last.index {
-        return Err(ConsensusError::CommittedLost { last_index: last.index, commit: found.commit });
+    let log_end = log.end();
+    if persisted.commit > log_end.index {
+        return Err(ConsensusError::CommittedLost {
+            last_index: log_end.index,
+            commit: persisted.commit,
+        });
     }
-    let mut recovered = found;
+    let mut recovered = persisted;
     recovered.commit = recovered.commit.max(log.snapshot_index());
-    if last.term > recovered.term {
-        // A snapshot is synced before the term it came with; no vote was given in
-        // that term, or the term would have been synced with the vote.
-        recovered.term = last.term;
+    if log_end.term > recovered.term {
+        // A snapshot is synced before the term that came with it. No vote was granted in
+        // that term, because the term would have been synced with the vote.
+        recovered.term = log_end.term;
         recovered.vote = None;
     }
     Ok(recovered)
 }
 
-/// Writes the first cell as the first entry of the log.
-pub(super) fn append_first_cell(
+/// Appends the bootstrap cell as the first entry of the log.
+pub(super) fn append_bootstrap_cell(
     log: &mut Log,
     cell: CellConfig,
-    own: ReplicaId,
+    own_id: ReplicaId,
 ) -> Result<(), ConsensusError> {
-    if !cell.voters.iter().any(|member| member.id == own) {
-        return Err(ConsensusError::NotInFirstCell(own));
+    if !cell.voters.iter().any(|member| member.id == own_id) {
+        return Err(ConsensusError::NotInBootstrapCell(own_id));
     }
     log.append(Entry { term: Term(0), index: 1, payload: Payload::Cell(cell) });
     Ok(())
--- a/crates/core/src/consensus/replica.rs
+++ b/crates/core/src/consensus/replica.rs
@@ -1,14 +1,14 @@
-//! One replica of a cell: its state, its entry point and its changes of role.
+//! One replica of a cell: its state in memory, the dispatch of events and messages, and role changes.
 //!
-//! Owns everything that a replica keeps in memory. The events are handled in the modules that build on it:
-//! elections, replication (leader and follower), reads, changes of the cell, hand-overs of the lead.
+//! The other modules add the handlers: elections, replication (leader and follower), reads, cell changes and
+//! leadership transfers.
 
 use super::incoming_snapshot::IncomingSnapshot;
 use super::leader::Leader;
 use super::log::Log;
 use super::message::{Message, MessageBody};
 use super::pending_reads::ForwardedReads;
-use super::recovery::{append_first_cell, check_settings, recovered_hard_state};
+use super::recovery::{append_bootstrap_cell, check_settings, recovered_hard_state};
 use super::votes::Votes;
 use super::{
     Action, CellConfig, ConsensusError, ConsensusSettings, Event, HardState, PersistedState,
@@ -21,7 +21,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Role together with what only that role keeps.
+/// Role of a replica, with the state that only this role needs.
 #[derive(Debug)]
 pub(super) enum RoleState {
     Follower,
@@ -32,49 +32,50 @@
 
 /// A replica of a cell as a state machine without I/O.
 ///
-/// If the shell cannot perform a [`Action::Persist`] or an
-/// [`Action::InstallSnapshot`], it must drop the replica and every action that
-/// follows: the replica has already counted its own log as synced.
+/// If the shell fails to perform an [`Action::Persist`] or an
+/// [`Action::InstallSnapshot`], it must drop the replica and all later actions:
+/// the replica already counts its own log as synced.
 #[derive(Debug)]
 pub struct Replica {
     pub(super) settings: ConsensusSettings,
-    pub(super) random: ChaCha8Rng,
+    pub(super) rng: ChaCha8Rng,
     pub(super) log: Log,
     pub(super) hard_state: HardState,
-    /// Term and vote that were last handed out for syncing.
-    persisted: HardState,
-    /// Last index that was synced before the batch of events under way.
+    /// Hard state that was last handed out for syncing.
+    persisted_hard_state: HardState,
+    /// Last index that was synced before the current batch of events.
     synced_index: u64,
     pub(super) role: RoleState,
     pub(super) leader: Option<ReplicaId>,
-    /// When a message of the current term's leader came last.
+    /// When the last message of the current term's leader was received.
     pub(super) leader_contact: Option<Timestamp>,
     pub(super) election_deadline: Timestamp,
-    /// Whether a leader was known since the start.
-    found_leader: bool,
-    /// Election timeouts that ran out since the start.
-    pub(super) timeouts: u32,
-    /// Index of the last entry handed out for applying.
-    pub(super) applied: u64,
-    pub(super) incoming: Option<IncomingSnapshot>,
-    /// Snapshot to hand out for installing.
-    pub(super) installed: Option<Snapshot>,
-    pub(super) forwarded: ForwardedReads,
-    reported: (Role, Term, Option<ReplicaId>),
+    /// Whether a leader has been known at any time since the start.
+    has_seen_leader: bool,
+    /// Number of election timeouts that have expired since the start.
+    pub(super) election_timeouts: u32,
+    /// Index of the last entry handed out in [`Action::Apply`].
+    pub(super) applied_index: u64,
+    pub(super) incoming_snapshot: Option<IncomingSnapshot>,
+    /// Snapshot to hand out in [`Action::InstallSnapshot`].
+    pub(super) snapshot_to_install: Option<Snapshot>,
+    pub(super) forwarded_reads: ForwardedReads,
+    /// Role, term and leader that were last handed out in [`Action::RoleChanged`].
+    reported_role: (Role, Term, Option<ReplicaId>),
     pub(super) outbox: Vec<Action<Message>>,
 }
 
 impl Replica {
-    /// Starts a replica from what it found on its disk.
+    /// Starts a replica from its persisted state.
     ///
-    /// `bootstrap` is the first cell; it counts only while the disk is empty,
-    /// and every voter of it must be started with the same one. A replica that
-    /// joins later, or that lost its disk and comes back under a new identity,
-    /// is started without.
+    /// `bootstrap` is the initial cell. It is used only if the persisted state is
+    /// empty, and all its voters must be started with the same one. A replica that
+    /// joins later, or that lost its disk and returns under a new id, must be
+    /// started without it.
     ///
     /// # Errors
-    /// [`ConsensusError`] when the settings cannot work or the disk holds no
-    /// log that this replica could have written.
+    /// Returns a [`ConsensusError`] if a setting is invalid, the persisted log is
+    /// corrupt, or the bootstrap cell does not have this replica as a voter.
     pub fn new(
         settings: ConsensusSettings,
         persisted: PersistedState,
@@ -82,49 +83,49 @@
         now: Timestamp,
     ) -> Result<Self, ConsensusError> {
         check_settings(&settings)?;
-        let empty = persisted == PersistedState::default();
+        let disk_is_empty = persisted == PersistedState::default();
         let mut log = Log::open(persisted.snapshot, persisted.entries)?;
         let synced_index = log.last_index();
         let mut hard_state = recovered_hard_state(persisted.hard_state, &log)?;
-        if let Some(cell) = bootstrap.filter(|_| empty) {
-            append_first_cell(&mut log, cell, settings.id)?;
-            // Every voter of the first cell starts with this same entry.
+        if let Some(cell) = bootstrap.filter(|_| disk_is_empty) {
+            append_bootstrap_cell(&mut log, cell, settings.id)?;
+            // Every voter of the bootstrap cell starts with the same entry, so it is committed.
             hard_state.commit = log.last_index();
         }
-        let mut random = ChaCha8Rng::seed_from_u64(settings.seed ^ settings.id.0.rotate_left(32));
-        // The time keeps batches of an earlier incarnation with the same seed apart.
-        let first_batch = random.random::<u64>().wrapping_add(now.as_micros());
+        let mut rng = ChaCha8Rng::seed_from_u64(settings.seed ^ settings.id.0.rotate_left(32));
+        // Adding the time gives other batch ids than before a restart with the same seed.
+        let first_batch_id = rng.random::<u64>().wrapping_add(now.as_micros());
         let mut replica = Self {
-            applied: log.snapshot_index(),
+            applied_index: log.snapshot_index(),
             settings,
-            random,
+            rng,
             log,
             hard_state,
-            persisted: persisted.hard_state,
+            persisted_hard_state: persisted.hard_state,
             synced_index,
             role: RoleState::Follower,
             leader: None,
             leader_contact: None,
             election_deadline: now,
-            found_leader: false,
-            timeouts: 0,
-            incoming: None,
-            installed: None,
-            forwarded: ForwardedReads::new(first_batch),
-            reported: (Role::Follower, hard_state.term, None),
+            has_seen_leader: false,
+            election_timeouts: 0,
+            incoming_snapshot: None,
+            snapshot_to_install: None,
+            forwarded_reads: ForwardedReads::new(first_batch_id),
+            reported_role: (Role::Follower, hard_state.term, None),
             outbox: Vec::new(),
         };
         replica.reset_election_deadline(now);
         Ok(replica)
     }
 
-    /// Takes one event and returns what has to be done, in order.
+    /// Handles one event and returns the actions to perform, in order.
     pub fn handle(&mut self, now: Timestamp, event: Event<Message>) -> Vec<Action<Message>> {
         self.handle_all(now, [event])
     }
 
-    /// Takes several events and returns what has to be done, in order, with one
-    /// [`Action::Persist`] for all of them.
+    /// Handles several events and returns the actions to perform, in order, with
+    /// at most one [`Action::Persist`] for all events.
     pub fn handle_all(
         &mut self,
         now: Timestamp,
@@ -144,12 +145,12 @@
         match event {
             Event::Tick => self.handle_tick(now),
             Event::Message { from, message } => self.handle_message(now, from, message),
-            Event::Reachable { replica } => self.ask_again(replica),
+            Event::Reachable { replica } => self.resend_vote_request(replica),
             Event::Propose { request, command } => self.handle_propose(request, command),
             Event::ProposeCell { request, change } => {
                 self.handle_propose_cell(now, request, &change);
             }
-            Event::ReadIndex { request } => self.handle_read(now, request),
+            Event::ReadIndex { request } => self.handle_read_index(now, request),
             Event::Compact { snapshot } => self.handle_compact(snapshot),
             Event::TransferLeadership => self.handle_transfer(now),
         }
@@ -157,11 +158,11 @@
 
     fn handle_tick(&mut self, now: Timestamp) {
         if self.is_leader() {
-            self.leader_tick(now);
+            self.handle_leader_tick(now);
         } else if now >= self.election_deadline {
             self.handle_election_timeout(now);
         }
-        self.forwarded_reads_tick(now);
+        self.handle_forwarded_reads_tick(now);
     }
 
     fn handle_message(&mut self, now: Timestamp, from: ReplicaId, message: Message) {
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Queues a message of the current term.
+    /// Queues a message with the current term.
     pub(super) fn send(&mut self, to: ReplicaId, body: MessageBody) {
         let message = Message { term: self.hard_state.term, body };
         self.outbox.push(Action::Send { to, message });
@@ -215,7 +216,7 @@
         self.outbox.push(Action::Rejected { request, rejection });
     }
 
-    /// Goes to `term`, or stays in it, without leading it.
+    /// Becomes a follower in `term`, which is the current term or a higher one.
     pub(super) fn become_follower(
         &mut self,
         now: Timestamp,
@@ -228,82 +229,86 @@
         }
         let former = std::mem::replace(&mut self.role, RoleState::Follower);
         if let RoleState::Leader(former) = former {
-            self.abandon_leadership(*former);
+            self.reject_pending_requests(*former);
             self.reset_election_deadline(now);
         }
         self.set_leader(leader);
     }
 
-    fn abandon_leadership(&mut self, former: Leader) {
+    fn reject_pending_requests(&mut self, former: Leader) {
         for request in former.proposals.into_values() {
             self.reject(request, Rejection::LeadershipLost);
         }
         self.reject_reads(former.reads);
     }
 
-    /// Notes who leads. Reads forwarded to another leader are given back.
+    /// Sets the known leader. Reads that were forwarded to another leader are rejected.
     pub(super) fn set_leader(&mut self, leader: Option<ReplicaId>) {
         if self.leader == leader {
             return;
         }
         self.leader = leader;
-        self.found_leader |= leader.is_some();
+        self.has_seen_leader |= leader.is_some();
         self.leader_contact = None;
-        for request in self.forwarded.take_all() {
+        for request in self.forwarded_reads.take_all() {
             self.reject(request, Rejection::LeadershipLost);
         }
     }
 
-    /// Until a leader is known for the first time since the start, the first timeout, doubled each
-    /// time it runs out, up to the usual one. What resets the deadline otherwise doubles nothing, so
-    /// at most so many short timeouts run out as doublings lie between the two.
-    fn shortest_election_timeout(&self) -> Duration {
-        let usual = self.settings.election_timeout;
-        if self.found_leader {
-            return usual;
+    /// Returns the shortest election timeout. Until a leader is known for the first time since the start,
+    /// this is `first_election_timeout`, doubled for each timeout that expired, up to `election_timeout`.
+    /// Other resets of the deadline do not double it, so the number of short timeouts that can expire is
+    /// limited to the number of doublings from the one setting to the other.
+    fn min_election_timeout(&self) -> Duration {
+        let longest = self.settings.election_timeout;
+        if self.has_seen_leader {
+            return longest;
         }
-        let doubled = 1_u32.checked_shl(self.timeouts).unwrap_or(u32::MAX);
-        self.settings.first_election_timeout.saturating_mul(doubled).min(usual)
+        let factor = 1_u32.checked_shl(self.election_timeouts).unwrap_or(u32::MAX);
+        self.settings.first_election_timeout.saturating_mul(factor).min(longest)
     }
 
     pub(super) fn reset_election_deadline(&mut self, now: Timestamp) {
-        self.set_election_deadline(now, self.shortest_election_timeout());
+        self.set_election_deadline(now, self.min_election_timeout());
     }
 
-    /// The deadline is between this time and twice as much away.
+    /// Sets the election deadline to a random time between `shortest` and twice `shortest` from now.
     pub(super) fn set_election_deadline(&mut self, now: Timestamp, shortest: Duration) {
         let micros = u64::try_from(shortest.as_micros()).unwrap_or(u64::MAX);
-        let jitter = Duration::from_micros(self.random.random_range(0..micros.max(1)));
+        let jitter = Duration::from_micros(self.rng.random_range(0..micros.max(1)));
         self.election_deadline = now + shortest + jitter;
     }
 
-    /// Hands out committed entries that were not applied yet.
+    /// Hands out the committed entries that were not handed out before.
     pub(super) fn apply_committed(&mut self) {
         let commit = self.hard_state.commit;
-        if commit <= self.applied {
+        if commit <= self.applied_index {
             return;
         }
-        let entries = self.log.range(self.applied + 1, commit);
-        self.applied = commit;
+        let entries = self.log.range(self.applied_index + 1, commit);
+        self.applied_index = commit;
         self.outbox.push(Action::Apply(entries));
-        self.answer_proposals(commit);
+        self.complete_proposals(commit);
     }
 
     fn handle_compact(&mut self, snapshot: Snapshot) {
-        let known = self.log.term_at(snapshot.index) == Some(snapshot.term);
-        let newer = snapshot.index > self.log.snapshot_index();
-        if known && newer && snapshot.index <= self.applied {
+        let matches_log = self.log.term_at(snapshot.index) == Some(snapshot.term);
+        let is_newer = snapshot.index > self.log.snapshot_index();
+        if matches_log && is_newer && snapshot.index <= self.applied_index {
             self.log.compact(snapshot);
         } else {
-            ::log::warn!(index = snapshot.index; "snapshot for compaction does not fit the log");
+            ::log::warn!(
+                index = snapshot.index;
+                "snapshot for compaction does not match the log: log not compacted"
+            );
         }
     }
 
-    /// Collects the actions of a batch. What must be synced comes first, because
-    /// everything after it promises that it survives a crash.
+    /// Collects the actions of a batch. Actions that sync come first, because the
+    /// others rely on the synced state surviving a crash.
     fn take_actions(&mut self) -> Vec<Action<Message>> {
         let mut actions = Vec::with_capacity(self.outbox.len() + 2);
-        if let Some(snapshot) = self.installed.take() {
+        if let Some(snapshot) = self.snapshot_to_install.take() {
             self.synced_index = snapshot.index;
             actions.push(Action::InstallSnapshot(snapshot));
         }
@@ -316,26 +321,27 @@
     fn take_persist(&mut self) -> Option<Action<Message>> {
         let entries = self.log.take_unsynced();
         let current = (self.hard_state.term, self.hard_state.vote);
-        let changed = current != (self.persisted.term, self.persisted.vote);
-        if entries.is_empty() && !changed {
+        let term_or_vote_changed =
+            current != (self.persisted_hard_state.term, self.persisted_hard_state.vote);
+        if entries.is_empty() && !term_or_vote_changed {
             return None;
         }
-        // The hint names only entries synced before, so that no order of
-        // writing inside this action can leave it ahead of the log.
+        // The commit hint covers only entries that were synced before, so that it
+        // cannot get ahead of the log in whatever order the shell writes this action.
         let commit = self.hard_state.commit.min(self.synced_index);
         let hard_state = HardState { commit, ..self.hard_state };
-        let hard_state = (hard_state != self.persisted).then_some(hard_state);
-        self.persisted = hard_state.unwrap_or(self.persisted);
+        let hard_state = (hard_state != self.persisted_hard_state).then_some(hard_state);
+        self.persisted_hard_state = hard_state.unwrap_or(self.persisted_hard_state);
         self.synced_index = self.log.last_index();
         Some(Action::Persist { hard_state, entries })
     }
 
     fn take_role_change(&mut self) -> Option<Action<Message>> {
         let current = (self.role(), self.term(), self.leader);
-        if current == self.reported {
+        if current == self.reported_role {
             return None;
         }
-        self.reported = current;
+        self.reported_role = current;
         let (role, term, leader) = current;
         ::log::info!(
             replica = self.settings.id.0, term = term.0, role:? = role, leader:? = leader;
--- a/crates/core/src/consensus/replication.rs
+++ b/crates/core/src/consensus/replication.rs
@@ -1,7 +1,7 @@
 //! The leader's side of replication: appends, heartbeats, snapshots and commits.
 //!
-//! Sends each follower what its window allows, and commits what a majority holds. Owns no state: progress is in
-//! [`super::leader`], the log in [`super::log`].
+//! Sends each follower what its window allows, and commits the entries that a majority holds. The state is
+//! elsewhere: progress in [`super::leader`], entries in [`super::log`].
 
 use super::leader::Leader;
 use super::log::Log;
@@ -12,8 +12,8 @@
 use crate::identity::ReplicaId;
 use crate::time::Timestamp;
 
-/// What a leader needs to write messages to one follower.
-struct Sender<'a> {
+/// Sends the leader's messages to one follower.
+struct FollowerSender<'a> {
     to: ReplicaId,
     settings: &'a ConsensusSettings,
     hard_state: HardState,
@@ -21,15 +21,15 @@
     outbox: &'a mut Vec<Action<Message>>,
 }
 
-impl Sender<'_> {
+impl FollowerSender<'_> {
     fn send(&mut self, body: MessageBody) {
         let message = Message { term: self.hard_state.term, body };
         self.outbox.push(Action::Send { to: self.to, message });
     }
 
-    /// Sends everything that the follower's window allows.
+    /// Sends all appends or snapshot chunks that the follower's window allows.
     fn fill_window(&mut self, progress: &mut Progress) {
-        while progress.may_append(self.log.last_index(), self.hard_state.commit) {
+        while progress.may_send_append(self.log.last_index(), self.hard_state.commit) {
             if !self.send_append(progress) {
                 self.begin_snapshot(progress);
                 break;
@@ -40,11 +40,11 @@
         }
     }
 
-    /// Sends one append; returns false when the log no longer holds its place.
+    /// Sends one append. Returns false if the log no longer holds the entry before it, or its first entry.
     fn send_append(&mut self, progress: &mut Progress) -> bool {
         let index = progress.next_index - 1;
         let Some(term) = self.log.term_at(index) else { return false };
-        let entries = if progress.has_window() {
+        let entries = if progress.may_send_entries() {
             self.log.limited_range(progress.next_index, self.settings.append_bytes_limit)
         } else {
             Vec::new()
@@ -53,18 +53,18 @@
             return false;
         }
         let commit = self.hard_state.commit;
-        progress.appended(index + entries.len() as u64, entries.len(), commit);
+        progress.record_append(index + entries.len() as u64, entries.len(), commit);
         let previous = LogEnd { index, term };
         self.send(MessageBody::AppendRequest(AppendRequest { previous, entries, commit }));
         true
     }
 
-    /// Asks by an empty append whether the follower has all that was sent to it.
-    fn send_place_check(&mut self, progress: &mut Progress) {
+    /// Sends an empty append, to check that the follower has received all entries sent to it.
+    fn send_empty_append(&mut self, progress: &mut Progress) {
         let index = progress.next_index - 1;
         let Some(term) = self.log.term_at(index) else {
-            // Compaction overtook what is under way, and nothing in the log can
-            // tell whether it arrived: start over, which ends in a snapshot.
+            // The entries in flight are compacted, so the log cannot tell whether they
+            // arrived. The new probe ends in a snapshot.
             progress.begin_probe(progress.match_index + 1);
             return;
         };
@@ -77,18 +77,21 @@
     fn begin_snapshot(&mut self, progress: &mut Progress) {
         match self.log.snapshot() {
             Some(snapshot) => progress.begin_snapshot(snapshot.clone()),
-            None => ::log::error!(to = self.to.0; "compacted log without a snapshot"),
+            None => ::log::error!(
+                to = self.to.0;
+                "log is compacted without a snapshot: follower cannot catch up"
+            ),
         }
     }
 
     fn send_chunks(&mut self, transfer: &mut SnapshotTransfer) {
-        while transfer.may_send(self.settings.snapshot_chunk_bytes) {
+        while transfer.may_send_chunk(self.settings.snapshot_chunk_bytes) {
             let snapshot = transfer.snapshot.clone();
             let total = snapshot.data.len();
-            let start = usize::try_from(transfer.sent).unwrap_or(total).min(total);
+            let start = usize::try_from(transfer.sent_bytes).unwrap_or(total).min(total);
             let end = total.min(start + self.settings.snapshot_chunk_bytes);
-            transfer.sent = end as u64;
-            transfer.complete = end == total;
+            transfer.sent_bytes = end as u64;
+            transfer.all_sent = end == total;
             self.send(MessageBody::SnapshotChunk(SnapshotChunk {
                 last: LogEnd { index: snapshot.index, term: snapshot.term },
                 cell: snapshot.cell.clone(),
@@ -100,66 +103,66 @@
     }
 }
 
-/// Where the logs may meet after a rejection, from the follower's hint.
+/// Returns the next index to probe after a rejection, from the follower's hint.
 fn next_index_after_conflict(log: &Log, outcome: &AppendOutcome) -> Option<u64> {
     let AppendOutcome::Rejected { previous_index, conflict_term, conflict_index } = *outcome else {
         return None;
     };
-    // Our last entry of the follower's term is the last one that may be equal.
-    let shared = conflict_term.and_then(|term| log.last_index_of_term(term));
-    let next = match shared {
+    // The leader's last entry of the follower's conflicting term is the last one that may match.
+    let last_of_conflict_term = conflict_term.and_then(|term| log.last_index_of_term(term));
+    let next_index = match last_of_conflict_term {
         Some(index) if index < previous_index => index + 1,
         _ => conflict_index,
     };
-    // The place that did not match must not be asked for again.
-    Some(next.clamp(1, previous_index.max(1)))
+    // The index that did not match must not be probed again.
+    Some(next_index.clamp(1, previous_index.max(1)))
 }
 
 impl Replica {
-    /// Runs `work` for every follower, or for `only` one, while this replica leads.
-    fn each_follower(
+    /// Calls `send` for every follower, or for `only` one. Does nothing if this replica is not the leader.
+    fn for_each_follower(
         &mut self,
         only: Option<ReplicaId>,
-        mut work: impl FnMut(&mut Sender<'_>, &mut Progress),
+        mut send: impl FnMut(&mut FollowerSender<'_>, &mut Progress),
     ) {
         let RoleState::Leader(leader) = &mut self.role else { return };
-        let wanted = |id: &ReplicaId| only.is_none_or(|only| only == *id);
-        for (to, progress) in leader.progress.iter_mut().filter(|(id, _)| wanted(id)) {
-            let mut sender = Sender {
+        let is_selected = |id: &ReplicaId| only.is_none_or(|only| only == *id);
+        for (to, progress) in leader.progress.iter_mut().filter(|(id, _)| is_selected(id)) {
+            let mut sender = FollowerSender {
                 to: *to,
                 settings: &self.settings,
                 hard_state: self.hard_state,
                 log: &self.log,
                 outbox: &mut self.outbox,
             };
-            work(&mut sender, progress);
+            send(&mut sender, progress);
         }
     }
 
-    /// Sends to every follower what its window allows.
+    /// Sends every follower the appends and snapshot chunks that its window allows.
     pub(super) fn send_appends(&mut self) {
-        self.each_follower(None, |sender, progress| sender.fill_window(progress));
+        self.for_each_follower(None, |sender, progress| sender.fill_window(progress));
     }
 
-    /// Starts a heartbeat round; reads that wait ride on it.
+    /// Starts a heartbeat round, which also confirms the waiting reads.
     pub(super) fn send_heartbeats(&mut self, now: Timestamp) {
         let commit = self.hard_state.commit;
         let interval = self.settings.heartbeat_interval;
         let RoleState::Leader(leader) = &mut self.role else { return };
         leader.next_heartbeat = now + interval;
         let round = leader.reads.begin_round(now, commit.max(leader.first_index));
-        self.each_follower(None, |sender, progress| {
+        self.for_each_follower(None, |sender, progress| {
             let commit = commit.min(progress.match_index);
             sender.send(MessageBody::HeartbeatRequest { commit, round });
         });
         self.confirm_reads();
     }
 
-    pub(super) fn leader_tick(&mut self, now: Timestamp) {
+    pub(super) fn handle_leader_tick(&mut self, now: Timestamp) {
         let timeout = self.settings.election_timeout;
         let RoleState::Leader(leader) = &mut self.role else { return };
         if !leader.has_recent_quorum(&self.log, self.settings.id, now, timeout) {
-            // Others may have a leader of a higher term; this one must not keep callers.
+            // The others may follow a leader of a higher term, so this replica must stop serving callers.
             self.become_follower(now, self.hard_state.term, None);
             return;
         }
@@ -170,15 +173,15 @@
     }
 
     pub(super) fn handle_propose(&mut self, request: RequestId, command: Vec<u8>) {
-        if let Some(rejection) = self.proposal_obstacle() {
+        if let Some(rejection) = self.proposal_rejection() {
             self.reject(request, rejection);
         } else {
             self.append_proposal(request, Payload::Command(command));
         }
     }
 
-    /// Why this replica takes no proposals now, if so.
-    pub(super) fn proposal_obstacle(&self) -> Option<Rejection> {
+    /// Returns why this replica cannot accept proposals now; none if it can.
+    pub(super) fn proposal_rejection(&self) -> Option<Rejection> {
         match &self.role {
             RoleState::Leader(leader) => leader
                 .transfer
@@ -195,19 +198,23 @@
         self.log.append(Entry { term: self.hard_state.term, index, payload });
     }
 
-    pub(super) fn answer_proposals(&mut self, commit: u64) {
+    pub(super) fn complete_proposals(&mut self, commit: u64) {
         let RoleState::Leader(leader) = &mut self.role else { return };
-        let later = leader.proposals.split_off(&(commit + 1));
-        let answered = std::mem::replace(&mut leader.proposals, later);
+        let uncommitted = leader.proposals.split_off(&(commit + 1));
+        let completed = std::mem::replace(&mut leader.proposals, uncommitted);
         let committed = |(index, request)| Action::Committed { request, index };
-        self.outbox.extend(answered.into_iter().map(committed));
+        self.outbox.extend(completed.into_iter().map(committed));
     }
 
-    /// Notes that a follower answered in this term.
-    fn note_answer(&mut self, now: Timestamp, from: ReplicaId) -> Option<(&mut Progress, &Log)> {
+    /// Records that a follower responded in this term. Returns its progress and the log.
+    fn record_response(
+        &mut self,
+        now: Timestamp,
+        from: ReplicaId,
+    ) -> Option<(&mut Progress, &Log)> {
         let RoleState::Leader(leader) = &mut self.role else { return None };
         let progress = leader.progress.get_mut(&from)?;
-        progress.last_answer = now;
+        progress.last_response = now;
         Some((progress, &self.log))
     }
 
@@ -217,13 +224,13 @@
         from: ReplicaId,
         outcome: AppendOutcome,
     ) {
-        let Some((progress, log)) = self.note_answer(now, from) else { return };
+        let Some((progress, log)) = self.record_response(now, from) else { return };
         match outcome {
             AppendOutcome::Accepted { match_index } if match_index <= log.last_index() => {
-                progress.accepted(match_index);
+                progress.record_match(match_index);
             }
             AppendOutcome::Rejected { previous_index, .. }
-                if progress.expects_rejection(previous_index) =>
+                if progress.is_current_rejection(previous_index) =>
             {
                 if let Some(next_index) = next_index_after_conflict(log, &outcome) {
                     progress.begin_probe(next_index);
@@ -240,10 +247,12 @@
         from: ReplicaId,
         round: u64,
     ) {
-        let Some((progress, log)) = self.note_answer(now, from) else { return };
-        let check_place = progress.heartbeat_answered(round, log.last_index());
-        if check_place {
-            self.each_follower(Some(from), |sender, progress| sender.send_place_check(progress));
+        let Some((progress, log)) = self.record_response(now, from) else { return };
+        let needs_append = progress.record_heartbeat_response(round, log.last_index());
+        if needs_append {
+            self.for_each_follower(Some(from), |sender, progress| {
+                sender.send_empty_append(progress)
+            });
         }
         self.confirm_reads();
     }
@@ -255,29 +264,30 @@
         index: u64,
         received: u64,
     ) {
-        if let Some((progress, _)) = self.note_answer(now, from) {
-            progress.snapshot_received(index, received);
+        if let Some((progress, _)) = self.record_response(now, from) {
+            progress.record_snapshot_received(index, received);
         }
     }
 
-    /// Commits what a majority holds. Entries of earlier terms are committed only
-    /// by an entry of this term after them: a majority alone does not keep a
-    /// later leader from replacing them.
+    /// Commits the entries that a majority holds. Entries of earlier terms are committed
+    /// only through a later entry of the current term: a later leader could replace
+    /// them although a majority holds them.
     pub(super) fn advance_commit(&mut self, now: Timestamp) {
         let RoleState::Leader(leader) = &self.role else { return };
-        let own = self.settings.id;
-        let last = self.log.last_index();
-        let held = leader.quorum_value(&self.log, own, last, |progress| progress.match_index);
-        let Some(held) = held else { return };
-        let of_this_term = self.log.term_at(held) == Some(self.hard_state.term);
-        if held > self.hard_state.commit && of_this_term {
-            self.hard_state.commit = held;
+        let own_id = self.settings.id;
+        let last_index = self.log.last_index();
+        let quorum_index =
+            leader.quorum_value(&self.log, own_id, last_index, |progress| progress.match_index);
+        let Some(quorum_index) = quorum_index else { return };
+        let is_current_term = self.log.term_at(quorum_index) == Some(self.hard_state.term);
+        if quorum_index > self.hard_state.commit && is_current_term {
+            self.hard_state.commit = quorum_index;
             self.apply_committed();
-            self.leave_if_removed(now);
+            self.step_down_if_removed(now);
         }
     }
 
-    pub(super) fn leader_state(&mut self) -> Option<&mut Leader> {
+    pub(super) fn leader_mut(&mut self) -> Option<&mut Leader> {
         match &mut self.role {
             RoleState::Leader(leader) => Some(leader),
             _ => None,
--- a/crates/core/src/consensus/votes.rs
+++ b/crates/core/src/consensus/votes.rs
@@ -1,46 +1,47 @@
-//! Answers to a request for votes, and how it stands.
+//! Responses of the voters during an election or pre-election, and its result.
 
 use super::{CellConfig, voter_ids};
 use crate::identity::ReplicaId;
 use std::collections::BTreeMap;
 
-/// Answers to a request for votes or pre-votes.
+/// Responses to a vote request or pre-vote request, by replica.
 #[derive(Debug, Default)]
 pub(super) struct Votes {
-    answers: BTreeMap<ReplicaId, bool>,
+    responses: BTreeMap<ReplicaId, bool>,
 }
 
-/// How a request for votes stands.
+/// Result of an election or pre-election so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Tally {
-    Open,
+pub(super) enum VoteResult {
+    Pending,
     Won,
     Lost,
 }
 
 impl Votes {
-    pub(super) fn has_answer_of(&self, from: ReplicaId) -> bool {
-        self.answers.contains_key(&from)
+    pub(super) fn has_response_from(&self, from: ReplicaId) -> bool {
+        self.responses.contains_key(&from)
     }
 
+    /// Records the first response of a replica; later ones are ignored.
     pub(super) fn record(&mut self, from: ReplicaId, granted: bool) {
-        self.answers.entry(from).or_insert(granted);
+        self.responses.entry(from).or_insert(granted);
     }
 
-    /// Counts the answers of voters only: a learner's or a stranger's is worth nothing.
-    pub(super) fn tally(&self, cell: &CellConfig) -> Tally {
+    /// Counts the responses of voters. Responses of learners and of replicas outside the cell are ignored.
+    pub(super) fn tally(&self, cell: &CellConfig) -> VoteResult {
         let voters = voter_ids(cell);
-        let count = |wanted: bool| {
-            let of_voters = self.answers.iter().filter(|(id, _)| voters.contains(id));
-            of_voters.filter(|(_, granted)| **granted == wanted).count()
+        let count = |granted_value: bool| {
+            let of_voters = self.responses.iter().filter(|(id, _)| voters.contains(id));
+            of_voters.filter(|(_, granted)| **granted == granted_value).count()
         };
         let quorum = voters.len() / 2 + 1;
         if count(true) >= quorum {
-            Tally::Won
+            VoteResult::Won
         } else if count(false) > voters.len().saturating_sub(quorum) {
-            Tally::Lost
+            VoteResult::Lost
         } else {
-            Tally::Open
+            VoteResult::Pending
         }
     }
 }
