--- a/crates/core/tests/consensus/hostile.rs
+++ b/crates/core/tests/consensus/hostile.rs
@@ -1,6 +1,6 @@
-//! Messages from strangers, from former members and from nowhere.
+//! Messages from rejoining replicas, from replicas outside the cell, and with arbitrary content.
 
-use super::network::{ELECTION_TIMEOUT, HEARTBEAT_INTERVAL, Network, SETTLE, cell_of};
+use super::network::{ELECTION_TIMEOUT, HEARTBEAT_INTERVAL, Network, SETTLE_TIME, cell_of};
 use corktack_core::consensus::message::{
     AppendOutcome, AppendRequest, LogEnd, MessageBody, SnapshotChunk,
 };
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_replica_of_a_higher_term_is_taken_back() {
+fn a_replica_with_a_higher_term_can_rejoin() {
     let mut network = Network::start(3, 42);
     let leader = network.expect_leader();
     let mut others = (1..=3).filter(|id| *id != leader);
@@ -39,8 +39,8 @@
     network.node(higher).disk.hard_state.term = Term(50);
     network.restart(higher);
     network.crash(other);
-    // Only the replica of the higher term can now complete a majority.
-    network.run_for(SETTLE);
+    // Without the other follower, a majority needs the replica with the higher term.
+    network.run_for(SETTLE_TIME);
     network.commit(b"with it");
     assert!(network.replica(leader).term() >= Term(50));
 }
@@ -56,7 +56,10 @@
 #[case(MessageBody::SnapshotResponse { index: 1, received: 1 })]
 #[case(MessageBody::ReadRequest { batch: 1 })]
 #[case(MessageBody::TimeoutNow)]
-fn a_stranger_changes_nothing(#[case] body: MessageBody, #[values(1, 99)] term: u64) {
+fn a_message_from_outside_the_cell_changes_nothing(
+    #[case] body: MessageBody,
+    #[values(1, 99)] term: u64,
+) {
     let mut network = Network::start(3, 43);
     let leader = network.expect_leader();
     network.run_for(HEARTBEAT_INTERVAL * 3);
@@ -65,12 +68,12 @@
         let message = Message { term: Term(term), body: body.clone() };
         network.handle(id, Event::Message { from: ReplicaId(99), message });
     }
-    network.run_for(SETTLE);
+    network.run_for(SETTLE_TIME);
     assert_eq!((network.leader(), network.replica(leader).term()), (Some(leader), before));
 }
 
 #[test]
-fn a_term_that_no_election_reaches_is_ignored() {
+fn a_term_above_the_term_limit_is_ignored() {
     let mut network = Network::start(3, 44);
     let body =
         MessageBody::VoteRequest { log_end: LogEnd { index: 1, term: Term(0) }, transfer: true };
@@ -80,10 +83,10 @@
 }
 
 fn log_end() -> impl Strategy<Value = LogEnd> {
-    (number(), 0_u64..6).prop_map(|(index, term)| LogEnd { index, term: Term(term) })
+    (any_index(), 0_u64..6).prop_map(|(index, term)| LogEnd { index, term: Term(term) })
 }
 
-fn number() -> impl Strategy<Value = u64> {
+fn any_index() -> impl Strategy<Value = u64> {
     prop_oneof![9 => 0_u64..20, 1 => Just(u64::MAX)]
 }
 
@@ -99,8 +102,8 @@
     })
 }
 
-fn body() -> impl Strategy<Value = MessageBody> {
-    let append = (log_end(), entries(), number(), any::<bool>()).prop_map(
+fn message_body() -> impl Strategy<Value = MessageBody> {
+    let append = (log_end(), entries(), any_index(), any::<bool>()).prop_map(
         |(mut previous, entries, commit, adjacent)| {
             if let Some(first) = entries.first().filter(|_| adjacent) {
                 previous.index = first.index - 1;
@@ -118,7 +121,7 @@
             data,
         })
     });
-    let rejected = (number(), prop::option::of(0_u64..6), number()).prop_map(
+    let rejected = (any_index(), prop::option::of(0_u64..6), any_index()).prop_map(
         |(previous_index, term, conflict_index)| {
             let conflict_term = term.map(Term);
             let outcome = AppendOutcome::Rejected { previous_index, conflict_term, conflict_index };
@@ -129,7 +132,7 @@
         4 => append,
         2 => chunk,
         4 => rejected,
-        2 => number().prop_map(|match_index| {
+        2 => any_index().prop_map(|match_index| {
             MessageBody::AppendResponse(AppendOutcome::Accepted { match_index })
         }),
         1 => log_end().prop_map(MessageBody::PreVoteRequest),
@@ -137,20 +140,19 @@
         1 => (log_end(), any::<bool>())
             .prop_map(|(log_end, transfer)| MessageBody::VoteRequest { log_end, transfer }),
         1 => any::<bool>().prop_map(|granted| MessageBody::VoteResponse { granted }),
-        1 => (number(), number())
+        1 => (any_index(), any_index())
             .prop_map(|(commit, round)| MessageBody::HeartbeatRequest { commit, round }),
-        1 => number().prop_map(|round| MessageBody::HeartbeatResponse { round }),
-        1 => (number(), number())
+        1 => any_index().prop_map(|round| MessageBody::HeartbeatResponse { round }),
+        1 => (any_index(), any_index())
             .prop_map(|(index, received)| MessageBody::SnapshotResponse { index, received }),
-        1 => number().prop_map(|batch| MessageBody::ReadRequest { batch }),
+        1 => any_index().prop_map(|batch| MessageBody::ReadRequest { batch }),
         1 => Just(MessageBody::TimeoutNow),
     ]
 }
 
 fn event() -> impl Strategy<Value = Event<Message>> {
-    let message = (1_u64..6, 0_u64..6, body()).prop_map(|(from, term, body)| Event::Message {
-        from: ReplicaId(from),
-        message: Message { term: Term(term), body },
+    let message = (1_u64..6, 0_u64..6, message_body()).prop_map(|(from, term, body)| {
+        Event::Message { from: ReplicaId(from), message: Message { term: Term(term), body } }
     });
     prop_oneof![
         8 => message,
@@ -161,15 +163,15 @@
     ]
 }
 
-/// What makes replica 1 the leader of term 1.
+/// Events that make replica 1 the leader of term 1, each with the pause in ms before it.
 fn election() -> Vec<(Event<Message>, u64)> {
-    let vote =
+    let response =
         |body| Event::Message { from: ReplicaId(2), message: Message { term: Term(1), body } };
     let granted = true;
     vec![
         (Event::Tick, 300),
-        (vote(MessageBody::PreVoteResponse { granted }), 1),
-        (vote(MessageBody::VoteResponse { granted }), 1),
+        (response(MessageBody::PreVoteResponse { granted }), 1),
+        (response(MessageBody::VoteResponse { granted }), 1),
     ]
 }
 
@@ -181,11 +183,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes in, nothing panics, what is persisted follows the log and
-    /// what is committed never goes back.
+    /// For any sequence of events, the replica does not panic, persisted entries leave
+    /// no gap, only persisted entries are applied, and the committed index never decreases.
     #[test]
     fn no_sequence_of_events_breaks_a_replica(
-        leads in any::<bool>(),
+        starts_as_leader in any::<bool>(),
         events in prop::collection::vec((event(), 0_u64..60), 0..60),
     ) {
         let settings = ConsensusSettings {
@@ -198,13 +200,13 @@
             seed: 1,
         };
         let mut now = Timestamp::from_millis(1);
-        let first_cell = Some(cell_of(1..=3));
-        let replica = Replica::new(settings, PersistedState::default(), first_cell, now);
+        let bootstrap = Some(cell_of(1..=3));
+        let replica = Replica::new(settings, PersistedState::default(), bootstrap, now);
         let mut replica = replica.expect("valid settings");
-        let (mut log_end, mut committed) = (0, 0);
-        let elected = if leads { election() } else { Vec::new() };
-        for (place, (event, pause)) in elected.into_iter().chain(events).enumerate() {
-            prop_assert!(!leads || place != 3 || replica.role() == Role::Leader);
+        let (mut log_end, mut commit_index) = (0, 0);
+        let elected = if starts_as_leader { election() } else { Vec::new() };
+        for (position, (event, pause)) in elected.into_iter().chain(events).enumerate() {
+            prop_assert!(!starts_as_leader || position != 3 || replica.role() == Role::Leader);
             now = now + Duration::from_millis(pause);
             for action in replica.handle(now, event) {
                 match action {
@@ -221,8 +223,8 @@
                     _ => {}
                 }
             }
-            prop_assert!(replica.commit_index() >= committed);
-            committed = replica.commit_index();
+            prop_assert!(replica.commit_index() >= commit_index);
+            commit_index = replica.commit_index();
         }
     }
 }
--- a/crates/core/tests/consensus/membership.rs
+++ b/crates/core/tests/consensus/membership.rs
@@ -1,13 +1,13 @@
-//! Changes of the cell, lost disks and removed members.
+//! Cell changes, lost disks and removed members.
 
-use super::network::{Answer, ELECTION_TIMEOUT, Network, SETTLE, member};
+use super::network::{Answer, ELECTION_TIMEOUT, Network, SETTLE_TIME, member};
 use corktack_core::consensus::{CellChange, Rejection, Role};
 use corktack_core::identity::ReplicaId;
 
-const REFUSED: Answer = Answer::Rejected(Rejection::CellChange);
+const CHANGE_REFUSED: Answer = Answer::Rejected(Rejection::CellChange);
 
-/// Gives a replica that lost its disk a new identity and brings it into the cell.
-fn replace(network: &mut Network, lost: u64, new: u64) {
+/// Replaces a replica that lost its disk by a new one with a new id.
+fn replace_lost_replica(network: &mut Network, lost: u64, new: u64) {
     network.nodes.remove(&lost);
     network.add(new, None);
     network.change_cell(&CellChange::AddLearner(member(new)));
@@ -16,12 +16,12 @@
 }
 
 #[test]
-fn a_lost_disk_is_replaced_and_a_second_loss_right_after_loses_nothing() {
+fn no_entry_is_lost_when_a_second_disk_is_lost_after_the_first_was_replaced() {
     let mut network = Network::start(3, 21);
-    for number in 0..30_u8 {
-        network.commit(&[number]);
+    for command in 0..30_u8 {
+        network.commit(&[command]);
     }
-    replace(&mut network, 3, 4);
+    replace_lost_replica(&mut network, 3, 4);
     network.crash(2);
     network.commit(b"with the new replica");
     network.nodes.remove(&2);
@@ -40,29 +40,29 @@
     network.commit(b"one");
     network.change_cell(&CellChange::AddLearner(member(4)));
     let leader = network.expect_leader();
-    let silent = network.propose_cell(leader, CellChange::Promote(ReplicaId(4)));
-    assert_eq!(network.answers[&silent], REFUSED);
+    let early_promotion = network.propose_cell(leader, CellChange::Promote(ReplicaId(4)));
+    assert_eq!(network.answers[&early_promotion], CHANGE_REFUSED);
     network.add(4, None);
-    network.run_for(SETTLE);
+    network.run_for(SETTLE_TIME);
     assert_eq!(network.replica(4).role(), Role::Learner);
     network.change_cell(&CellChange::Promote(ReplicaId(4)));
-    network.run_for(SETTLE);
+    network.run_for(SETTLE_TIME);
     assert_eq!(network.replica(4).role(), Role::Follower);
 }
 
 #[test]
-fn changes_without_sense_and_second_changes_are_refused() {
+fn invalid_and_concurrent_changes_are_refused() {
     let mut network = Network::start(3, 23);
     let leader = network.expect_leader();
-    let known = network.propose_cell(leader, CellChange::AddLearner(member(1)));
-    let stranger = network.propose_cell(leader, CellChange::Remove(ReplicaId(9)));
+    let existing = network.propose_cell(leader, CellChange::AddLearner(member(1)));
+    let unknown = network.propose_cell(leader, CellChange::Remove(ReplicaId(9)));
     let voter = network.propose_cell(leader, CellChange::Promote(ReplicaId(2)));
     let first = network.propose_cell(leader, CellChange::AddLearner(member(4)));
     let second = network.propose_cell(leader, CellChange::AddLearner(member(5)));
-    for refused in [known, stranger, voter, second] {
-        assert_eq!(network.answers[&refused], REFUSED);
+    for refused in [existing, unknown, voter, second] {
+        assert_eq!(network.answers[&refused], CHANGE_REFUSED);
     }
-    network.run_for(SETTLE);
+    network.run_for(SETTLE_TIME);
     assert!(matches!(network.answers[&first], Answer::Committed(_)));
 }
 
@@ -71,20 +71,20 @@
     let mut network = Network::start(1, 24);
     let leader = network.expect_leader();
     let request = network.propose_cell(leader, CellChange::Remove(ReplicaId(1)));
-    assert_eq!(network.answers[&request], REFUSED);
+    assert_eq!(network.answers[&request], CHANGE_REFUSED);
 }
 
 #[test]
-fn a_voter_without_which_no_majority_answers_is_not_removed() {
+fn a_voter_needed_for_a_responsive_majority_is_not_removed() {
     let mut network = Network::start(3, 29);
     let leader = network.expect_leader();
     let mut others = (1..=3).filter(|id| *id != leader);
-    let (silent, needed) = (others.next().expect("one"), others.next().expect("two"));
-    network.crash(silent);
+    let (unresponsive, needed) = (others.next().expect("one"), others.next().expect("two"));
+    network.crash(unresponsive);
     network.run_for(ELECTION_TIMEOUT * 2);
     let refused = network.propose_cell(leader, CellChange::Remove(ReplicaId(needed)));
-    assert_eq!(network.answers[&refused], REFUSED);
-    network.change_cell(&CellChange::Remove(ReplicaId(silent)));
+    assert_eq!(network.answers[&refused], CHANGE_REFUSED);
+    network.change_cell(&CellChange::Remove(ReplicaId(unresponsive)));
     network.commit(b"by two");
 }
 
@@ -94,9 +94,9 @@
     let old = network.expect_leader();
     network.crash(old);
     let new = network.run_until("new leader", Network::leader);
-    // At the moment of its election nobody has acknowledged its first entry.
+    // Right after the election, no follower has acknowledged the first entry of the new leader.
     let request = network.propose_cell(new, CellChange::AddLearner(member(4)));
-    assert_eq!(network.answers[&request], REFUSED);
+    assert_eq!(network.answers[&request], CHANGE_REFUSED);
 }
 
 #[test]
@@ -114,22 +114,22 @@
 }
 
 #[test]
-fn a_removed_leader_steps_down_and_disturbs_nobody() {
+fn a_removed_leader_steps_down_and_does_not_disturb_the_cell() {
     let mut network = Network::start(3, 27);
     let old = network.expect_leader();
     let request = network.propose_cell(old, CellChange::Remove(ReplicaId(old)));
-    network.run_for(SETTLE);
+    network.run_for(SETTLE_TIME);
     assert!(matches!(network.answers[&request], Answer::Committed(_)));
     assert_ne!(network.replica(old).role(), Role::Leader);
     let new = network.expect_leader();
     let term = network.replica(new).term();
-    network.run_for(SETTLE * 5);
+    network.run_for(SETTLE_TIME * 5);
     assert_eq!(network.replica(new).term(), term);
     assert_eq!(network.leader(), Some(new));
 }
 
 #[test]
-fn a_removed_replica_that_does_not_know_it_disturbs_nobody() {
+fn a_replica_that_missed_its_removal_does_not_disturb_the_cell() {
     let mut network = Network::start(4, 28);
     let leader = network.expect_leader();
     let removed = (1..=4).find(|id| *id != leader).expect("follower");
@@ -138,6 +138,6 @@
     network.heal();
     let leader = network.expect_leader();
     let term = network.replica(leader).term();
-    network.run_for(SETTLE * 5);
+    network.run_for(SETTLE_TIME * 5);
     assert_eq!(network.replica(leader).term(), term);
 }
--- a/crates/core/tests/consensus/network/actions.rs
+++ b/crates/core/tests/consensus/network/actions.rs
@@ -1,4 +1,4 @@
-//! Performs what replicas want done, with the checks of each action.
+//! Performs the actions of the replicas and checks each of them.
 
 use super::disk::decode_state;
 use super::{Answer, Network};
@@ -7,12 +7,13 @@
 use std::time::Duration;
 
 impl Network {
-    /// Feeds one event and performs the actions; with faults, only the first of them.
+    /// Feeds one event to a replica and performs the returned actions. With faults, the replica may crash
+    /// before any of them; the remaining actions are then dropped.
     pub fn handle(&mut self, id: u64, event: Event<Message>) {
         let now = self.now;
         let Some(replica) = self.node(id).replica.as_mut() else { return };
         for action in replica.handle(now, event) {
-            if self.faults.crash > 0.0 && self.random.random_bool(self.faults.crash) {
+            if self.faults.crash > 0.0 && self.rng.random_bool(self.faults.crash) {
                 self.crash(id);
                 return;
             }
@@ -30,8 +31,11 @@
                 self.answers.insert(request, Answer::Committed(index));
             }
             Action::ReadReady { request, index } => {
-                let needed = self.reads[&request];
-                assert!(index >= needed, "stale read: {index} after {needed} was applied");
+                let min_index = self.min_read_indexes[&request];
+                assert!(
+                    index >= min_index,
+                    "stale read: index {index} after {min_index} was applied"
+                );
                 self.answers.insert(request, Answer::Read(index));
             }
             Action::Rejected { request, rejection } => {
@@ -39,7 +43,7 @@
             }
             Action::RoleChanged { role: Role::Leader, term, .. } => {
                 let disk = &self.nodes[&id].disk;
-                self.oracle.leader_elected(term, id, &disk.entries, disk.snapshot_index());
+                self.oracle.check_leader(term, id, &disk.entries, disk.snapshot_index());
             }
             Action::RoleChanged { .. } => {}
         }
@@ -48,7 +52,7 @@
     fn persist(&mut self, id: u64, hard_state: Option<HardState>, entries: Vec<Entry>) {
         let disk = &mut self.node(id).disk;
         if let Some(hard_state) = hard_state {
-            assert!(hard_state.term >= disk.hard_state.term, "the term went back");
+            assert!(hard_state.term >= disk.hard_state.term, "the term decreased");
             disk.hard_state = hard_state;
         }
         if let Some(first) = entries.first() {
@@ -61,7 +65,7 @@
         let state = decode_state(&snapshot);
         let expected: Vec<_> =
             self.oracle.committed_up_to(snapshot.index).filter_map(command).collect();
-        assert_eq!(state, expected, "the snapshot holds another state");
+        assert_eq!(state, expected, "the snapshot differs from the committed entries");
         let node = self.node(id);
         node.disk.entries.clear();
         node.disk.snapshot = Some(snapshot);
@@ -70,7 +74,7 @@
 
     fn apply(&mut self, id: u64, entries: Vec<Entry>) {
         for entry in entries {
-            self.oracle.applied(id, &entry);
+            self.oracle.check_applied(id, &entry);
             let disk = &self.nodes[&id].disk;
             assert_eq!(disk.entries.get(&entry.index), Some(&entry), "applied before synced");
             self.node(id).state.extend(command(&entry));
@@ -78,17 +82,17 @@
     }
 
     fn send(&mut self, from: u64, to: u64, message: Message) {
-        self.nodes[&from].disk.check_promise(&message, to);
-        let copies = 1 + usize::from(self.random.random_bool(self.faults.duplication));
+        self.nodes[&from].disk.check_synced_before_send(&message, to);
+        let copies = 1 + usize::from(self.rng.random_bool(self.faults.duplication));
         for _ in 0..copies {
-            if self.random.random_bool(self.faults.loss) {
+            if self.rng.random_bool(self.faults.loss) {
                 continue;
             }
-            let longest = self.faults.longest_delay.as_micros() as u64;
-            let delay = Duration::from_micros(self.random.random_range(500..=longest));
-            self.next_number += 1;
-            let place = (self.now + delay, self.next_number);
-            self.in_flight.insert(place, (from, to, message.clone()));
+            let longest_delay = self.faults.longest_delay.as_micros() as u64;
+            let delay = Duration::from_micros(self.rng.random_range(500..=longest_delay));
+            self.next_sequence += 1;
+            let key = (self.now + delay, self.next_sequence);
+            self.in_flight.insert(key, (from, to, message.clone()));
         }
     }
 }
--- a/crates/core/tests/consensus/network/disk.rs
+++ b/crates/core/tests/consensus/network/disk.rs
@@ -1,4 +1,4 @@
-//! What a replica has on its disk, and the promises that must be there before they leave.
+//! Simulated disk of a replica, with checks that votes and acknowledgements are synced before they are sent.
 
 use corktack_core::consensus::message::{AppendOutcome, MessageBody};
 use corktack_core::consensus::{Entry, HardState, Message, PersistedState, Snapshot};
@@ -21,9 +21,10 @@
         }
     }
 
-    /// A vote and an acknowledgement are on disk before they leave.
-    pub fn check_promise(&self, message: &Message, to: u64) {
-        assert!(self.hard_state.term >= message.term || is_question(message), "{message:?}");
+    /// Checks that the state that `message` relies on is on disk: its term, the vote and the acknowledged
+    /// entries.
+    pub fn check_synced_before_send(&self, message: &Message, to: u64) {
+        assert!(self.hard_state.term >= message.term || is_pre_vote(message), "{message:?}");
         match &message.body {
             MessageBody::VoteResponse { granted: true } => {
                 assert_eq!(self.hard_state.vote, Some(ReplicaId(to)), "vote sent before synced");
@@ -32,8 +33,8 @@
                 assert!(self.hard_state.vote.is_some(), "own vote sent before synced");
             }
             MessageBody::AppendResponse(AppendOutcome::Accepted { match_index }) => {
-                let last = self.entries.last_key_value().map_or(0, |(index, _)| *index);
-                let synced = last.max(self.snapshot_index());
+                let last_index = self.entries.last_key_value().map_or(0, |(index, _)| *index);
+                let synced = last_index.max(self.snapshot_index());
                 assert!(synced >= *match_index, "acknowledged before synced: {message:?}");
             }
             _ => {}
@@ -45,16 +46,16 @@
     }
 }
 
-/// Messages whose term is one that is asked about, not one that was entered.
-fn is_question(message: &Message) -> bool {
+/// Reports whether the message is part of a pre-vote, whose term no replica has entered.
+fn is_pre_vote(message: &Message) -> bool {
     matches!(message.body, MessageBody::PreVoteRequest(_) | MessageBody::PreVoteResponse { .. })
 }
 
-/// The state machine as a snapshot holds it.
+/// Encodes the state machine's state for a snapshot.
 pub fn encode_state(state: &[(u64, Vec<u8>)]) -> Vec<u8> {
     serde_json::to_vec(state).expect("encodable state")
 }
 
 pub fn decode_state(snapshot: &Snapshot) -> Vec<(u64, Vec<u8>)> {
-    serde_json::from_slice(&snapshot.data).expect("state of a snapshot")
+    serde_json::from_slice(&snapshot.data).expect("decodable state in a snapshot")
 }
--- a/crates/core/tests/consensus/network/mod.rs
+++ b/crates/core/tests/consensus/network/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas, their disks and the links between them, all in memory.
+//! Simulated network: replicas, their disks and the links between them, in memory and with a virtual clock.
 
 mod actions;
 mod disk;
@@ -19,16 +19,16 @@
 
 pub const ELECTION_TIMEOUT: Duration = Duration::from_millis(100);
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
-/// Long enough for an election and what follows on a quiet network.
-pub const SETTLE: Duration = Duration::from_millis(1_000);
+/// Time within which a network without faults elects a leader and replicates all entries.
+pub const SETTLE_TIME: Duration = Duration::from_millis(1_000);
 
-/// What the links do to messages.
+/// Faults of the links and replicas; probabilities from 0 to 1.
 #[derive(Clone, Copy)]
 pub struct Faults {
     pub loss: f64,
     pub duplication: f64,
     pub longest_delay: Duration,
-    /// Chance that a replica crashes inside a batch of actions.
+    /// Probability, for each action of a batch, that the replica crashes before it.
     pub crash: f64,
 }
 
@@ -40,10 +40,10 @@
 pub struct Node {
     pub replica: Option<Replica>,
     pub disk: Disk,
-    /// The state machine: every command applied.
+    /// State machine: every applied command with its index.
     pub state: Vec<(u64, Vec<u8>)>,
-    first_cell: Option<CellConfig>,
-    starts: u64,
+    bootstrap: Option<CellConfig>,
+    start_count: u64,
 }
 
 /// The last answer to a request.
@@ -60,15 +60,15 @@
     pub faults: Faults,
     pub answers: BTreeMap<RequestId, Answer>,
     pub oracle: Oracle,
-    pub random: ChaCha8Rng,
-    /// Messages delivered by kind of body, for tests of traffic.
+    pub rng: ChaCha8Rng,
+    /// Number of snapshot chunks delivered so far.
     pub snapshot_chunks: u64,
-    /// Shortest time before the first election of replicas that start from now on.
+    /// Setting of the same name for replicas that start from now on.
     pub first_election_timeout: Duration,
-    blocked: BTreeSet<(u64, u64)>,
+    blocked_links: BTreeSet<(u64, u64)>,
     in_flight: BTreeMap<(Timestamp, u64), (u64, u64, Message)>,
-    reads: BTreeMap<RequestId, u64>,
-    next_number: u64,
+    min_read_indexes: BTreeMap<RequestId, u64>,
+    next_sequence: u64,
 }
 
 pub fn member(id: u64) -> CellMember {
@@ -81,12 +81,12 @@
 }
 
 impl Network {
-    /// A cell of `voters` that starts on empty disks.
+    /// Starts a cell of `voters` replicas with empty disks.
     pub fn start(voters: u64, seed: u64) -> Self {
         Self::with_first_election_timeout(voters, seed, ELECTION_TIMEOUT)
     }
 
-    /// As [`Network::start`], with another time before the first election.
+    /// Starts a cell as [`Network::start`] does, but with the given `first_election_timeout`.
     pub fn with_first_election_timeout(
         voters: u64,
         seed: u64,
@@ -98,13 +98,13 @@
             faults: Faults::NONE,
             answers: BTreeMap::new(),
             oracle: Oracle::default(),
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             snapshot_chunks: 0,
             first_election_timeout,
-            blocked: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             in_flight: BTreeMap::new(),
-            reads: BTreeMap::new(),
-            next_number: 0,
+            min_read_indexes: BTreeMap::new(),
+            next_sequence: 0,
         };
         for id in 1..=voters {
             network.add(id, Some(cell_of(1..=voters)));
@@ -113,14 +113,19 @@
     }
 
     /// Adds a replica with an empty disk.
-    pub fn add(&mut self, id: u64, first_cell: Option<CellConfig>) {
-        let node =
-            Node { replica: None, disk: Disk::default(), state: Vec::new(), first_cell, starts: 0 };
+    pub fn add(&mut self, id: u64, bootstrap: Option<CellConfig>) {
+        let node = Node {
+            replica: None,
+            disk: Disk::default(),
+            state: Vec::new(),
+            bootstrap,
+            start_count: 0,
+        };
         self.nodes.insert(id, node);
         self.restart(id);
     }
 
-    /// Ends a process; its disk stays.
+    /// Stops a replica and keeps its disk.
     pub fn crash(&mut self, id: u64) {
         self.node(id).replica = None;
     }
@@ -129,7 +134,7 @@
         let now = self.now;
         let first_election_timeout = self.first_election_timeout;
         let node = self.node(id);
-        node.starts += 1;
+        node.start_count += 1;
         let settings = ConsensusSettings {
             id: ReplicaId(id),
             election_timeout: ELECTION_TIMEOUT,
@@ -137,9 +142,9 @@
             heartbeat_interval: HEARTBEAT_INTERVAL,
             append_bytes_limit: 256,
             snapshot_chunk_bytes: 64,
-            seed: node.starts,
+            seed: node.start_count,
         };
-        let replica = Replica::new(settings, node.disk.load(), node.first_cell.clone(), now);
+        let replica = Replica::new(settings, node.disk.load(), node.bootstrap.clone(), now);
         node.replica = Some(replica.expect("the disk holds a log of this replica"));
         node.state = node.disk.snapshot.as_ref().map_or_else(Vec::new, decode_state);
     }
@@ -152,38 +157,38 @@
         self.nodes[&id].replica.as_ref().expect("running replica")
     }
 
-    /// Cuts the links between `side` and everyone else, in both directions.
+    /// Heals the network, then blocks the links between `side` and all other replicas in both directions.
     pub fn isolate(&mut self, side: &[u64]) {
         self.heal();
         for id in self.nodes.keys().copied().collect::<Vec<_>>() {
-            for inside in side.iter().filter(|_| !side.contains(&id)) {
-                self.blocked.insert((*inside, id));
-                self.blocked.insert((id, *inside));
+            for isolated_id in side.iter().filter(|_| !side.contains(&id)) {
+                self.blocked_links.insert((*isolated_id, id));
+                self.blocked_links.insert((id, *isolated_id));
             }
         }
     }
 
-    /// Cuts one direction of one link.
+    /// Blocks one direction of one link.
     pub fn block(&mut self, from: u64, to: u64) {
-        self.blocked.insert((from, to));
+        self.blocked_links.insert((from, to));
     }
 
     pub fn heal(&mut self) {
-        self.blocked.clear();
+        self.blocked_links.clear();
     }
 
     pub fn running(&self) -> Vec<u64> {
         self.nodes.iter().filter(|(_, node)| node.replica.is_some()).map(|(id, _)| *id).collect()
     }
 
-    /// The leader of the highest term among running replicas.
+    /// Returns the running leader of the highest term.
     pub fn leader(&self) -> Option<u64> {
-        let leads = |id: &u64| self.replica(*id).role() == Role::Leader;
-        self.running().into_iter().filter(leads).max_by_key(|id| self.replica(*id).term())
+        let is_leader = |id: &u64| self.replica(*id).role() == Role::Leader;
+        self.running().into_iter().filter(is_leader).max_by_key(|id| self.replica(*id).term())
     }
 
     pub fn expect_leader(&mut self) -> u64 {
-        self.run_until("a leader that committed", |network| {
+        self.run_until("leader whose whole log is committed", |network| {
             let leader = network.leader()?;
             let replica = network.replica(leader);
             (replica.commit_index() == replica.last_index()).then_some(leader)
@@ -191,8 +196,8 @@
     }
 
     fn next_request(&mut self) -> RequestId {
-        self.next_number += 1;
-        RequestId(self.next_number)
+        self.next_sequence += 1;
+        RequestId(self.next_sequence)
     }
 
     pub fn propose(&mut self, id: u64, command: &[u8]) -> RequestId {
@@ -209,22 +214,22 @@
 
     pub fn read(&mut self, id: u64) -> RequestId {
         let request = self.next_request();
-        self.reads.insert(request, self.oracle.highest_applied());
+        self.min_read_indexes.insert(request, self.oracle.highest_applied());
         self.handle(id, Event::ReadIndex { request });
         request
     }
 
-    /// Proposes on the leader until one is committed; returns its index.
+    /// Proposes a command to the leader and waits until it is committed. Returns its index.
     pub fn commit(&mut self, command: &[u8]) -> u64 {
         let leader = self.expect_leader();
         let request = self.propose(leader, command);
-        self.run_until("a commit", |network| match network.answers.get(&request)? {
+        self.run_until("commit", |network| match network.answers.get(&request)? {
             Answer::Committed(index) => Some(*index),
             other => panic!("the proposal was answered {other:?}"),
         })
     }
 
-    /// Changes the cell, again and again until the leader takes it.
+    /// Changes the cell: proposes the change up to 50 times, until it is committed.
     pub fn change_cell(&mut self, change: &CellChange) {
         for _ in 0..50 {
             let leader = self.expect_leader();
@@ -237,7 +242,7 @@
         panic!("the cell was not changed");
     }
 
-    /// Makes a snapshot of a replica's state and drops the log below it.
+    /// Takes a snapshot of a replica's state and compacts its log.
     pub fn compact(&mut self, id: u64) {
         let node = self.node(id);
         let Some(replica) = &node.replica else { return };
@@ -252,26 +257,29 @@
         self.handle(id, Event::Compact { snapshot });
     }
 
-    /// Messages that a replica sends in answer to one event; they are not delivered.
-    pub fn sent_by(&mut self, id: u64, event: Event<Message>) -> usize {
+    /// Feeds one event to a replica and returns the number of messages that it sends. No action is performed.
+    pub fn count_messages_sent(&mut self, id: u64, event: Event<Message>) -> usize {
         let now = self.now;
         let replica = self.node(id).replica.as_mut().expect("running replica");
         let actions = replica.handle(now, event);
         actions.iter().filter(|action| matches!(action, Action::Send { .. })).count()
     }
 
-    /// Delivers the next message or runs the next timer.
+    /// Delivers the next message or ticks the next replica whose deadline passes, up to `until`. Returns
+    /// false when nothing is left to do until then.
     fn step(&mut self, until: Timestamp) -> bool {
-        let message = self.in_flight.first_key_value().map(|((at, _), _)| *at);
+        let message_time = self.in_flight.first_key_value().map(|((time, _), _)| *time);
         let timer =
             self.running().into_iter().map(|id| (self.replica(id).next_deadline(), id)).min();
-        let timer_at = timer.map(|(at, _)| at);
-        let Some(next) = message.into_iter().chain(timer_at).min().filter(|at| *at <= until) else {
+        let timer_time = timer.map(|(time, _)| time);
+        let Some(next_time) =
+            message_time.into_iter().chain(timer_time).min().filter(|time| *time <= until)
+        else {
             self.now = until;
             return false;
         };
-        self.now = self.now.max(next);
-        if message == Some(next) {
+        self.now = self.now.max(next_time);
+        if message_time == Some(next_time) {
             self.deliver();
         } else if let Some((_, id)) = timer {
             self.handle(id, Event::Tick);
@@ -281,7 +289,7 @@
 
     fn deliver(&mut self) {
         let Some((_, (from, to, message))) = self.in_flight.pop_first() else { return };
-        if self.blocked.contains(&(from, to)) || !self.nodes.contains_key(&to) {
+        if self.blocked_links.contains(&(from, to)) || !self.nodes.contains_key(&to) {
             return;
         }
         self.snapshot_chunks += u64::from(matches!(message.body, MessageBody::SnapshotChunk(_)));
@@ -294,27 +302,27 @@
         self.check_logs();
     }
 
-    /// Runs until `done` answers; fails after a long virtual time.
-    pub fn run_until<T>(&mut self, what: &str, done: impl Fn(&Self) -> Option<T>) -> T {
-        let until = self.now + SETTLE * 20;
+    /// Runs until `condition` returns a value. Panics after a virtual time of 20 s.
+    pub fn run_until<T>(&mut self, description: &str, condition: impl Fn(&Self) -> Option<T>) -> T {
+        let until = self.now + SETTLE_TIME * 20;
         loop {
-            if let Some(found) = done(self) {
-                return found;
+            if let Some(value) = condition(self) {
+                return value;
             }
-            assert!(self.step(until), "no {what} within {:?}", SETTLE * 20);
+            assert!(self.step(until), "no {description} within {:?}", SETTLE_TIME * 20);
         }
     }
 
     pub fn check_logs(&self) {
         let logs: Vec<_> = self.nodes.values().map(|node| &node.disk.entries).collect();
-        for (place, left) in logs.iter().enumerate() {
-            for right in &logs[place + 1..] {
+        for (position, left) in logs.iter().enumerate() {
+            for right in &logs[position + 1..] {
                 check_log_matching(left, right);
             }
         }
     }
 
-    /// Waits until every running replica has applied the same.
+    /// Waits until all running members of the cell have applied the leader's whole log.
     pub fn expect_convergence(&mut self) {
         let leader = self.expect_leader();
         let target = self.replica(leader).last_index();
--- a/crates/core/tests/consensus/start.rs
+++ b/crates/core/tests/consensus/start.rs
@@ -1,6 +1,6 @@
-//! All replicas of a cell lose power and start again within a short time: how long until one leads them all.
+//! All replicas of a cell lose power and restart within a short time: the time until all follow one leader.
 
-use super::network::{ELECTION_TIMEOUT, Network, SETTLE};
+use super::network::{ELECTION_TIMEOUT, Network, SETTLE_TIME};
 use corktack_core::consensus::Event;
 use corktack_core::identity::ReplicaId;
 use corktack_core::time::Timestamp;
@@ -9,31 +9,31 @@
 use std::time::Duration;
 
 const VOTERS: u64 = 5;
-/// Starts that are played, each with its own seed.
-const STARTS: u64 = 400;
-/// One election in vain after the last start, with the first timeout, may come before the one that counts.
-const LONGEST_WAIT: Duration = Duration::from_millis(150);
+/// Number of simulated restarts of the cell, each with its own seed.
+const SIMULATED_STARTS: u64 = 400;
+/// Bound on the time to a leader. Allows one failed election with the first timeout after the last start.
+const MAX_TIME_TO_LEADER: Duration = Duration::from_millis(150);
 /// The first election timeout is a quarter of the usual one.
 const FIRST_ELECTION_TIMEOUT: Duration = Duration::from_millis(25);
-/// Time between the first start and the last.
-const STARTS_WITHIN: Duration = Duration::from_millis(112);
-/// From a replica's start until another one has a link to it.
-const LINK_SET_UP: Duration = Duration::from_millis(9);
-/// Links between regions and a slow disk: a message takes up to so long.
+/// Period within which all replicas restart.
+const RESTART_PERIOD: Duration = Duration::from_millis(112);
+/// Time from a replica's start until the other replicas have a link to it.
+const LINK_SETUP_TIME: Duration = Duration::from_millis(9);
+/// Longest delay of a message, for links between regions and a slow disk.
 const LONGEST_DELAY: Duration = Duration::from_millis(10);
 
-/// Time from the last start until all follow one leader.
+/// Returns the time from the last replica's start until all replicas follow one leader.
 fn time_to_leader(seed: u64) -> Duration {
     let mut network = Network::with_first_election_timeout(VOTERS, seed, FIRST_ELECTION_TIMEOUT);
     network.expect_leader();
-    network.run_for(SETTLE);
+    network.run_for(SETTLE_TIME);
     network.faults.longest_delay = LONGEST_DELAY;
     for id in 1..=VOTERS {
         network.crash(id);
     }
     network.run_for(ELECTION_TIMEOUT);
-    let last_start = start_again(&mut network, seed);
-    network.run_until("one leader of all", |network| {
+    let last_start = restart_all(&mut network, seed);
+    network.run_until("leader that all replicas follow", |network| {
         let leader = network.leader()?;
         let follows = |id: &u64| network.replica(*id).leader() == Some(ReplicaId(leader));
         network.running().iter().all(follows).then_some(())
@@ -41,40 +41,43 @@
     network.now.saturating_since(last_start)
 }
 
-/// Starts each within the time; each link is told to both sides once it is there. Gives the last start.
-fn start_again(network: &mut Network, seed: u64) -> Timestamp {
+/// Restarts each replica at a random time within `RESTART_PERIOD`, and reports each link to both of its ends
+/// once it is up. Returns the time of the last start.
+fn restart_all(network: &mut Network, seed: u64) -> Timestamp {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let micros = STARTS_WITHIN.as_micros() as u64;
+    let micros = RESTART_PERIOD.as_micros() as u64;
     let begin = network.now;
-    let mut start = |_| begin + Duration::from_micros(random.random_range(0..micros));
+    let mut random_start = |_| begin + Duration::from_micros(random.random_range(0..micros));
     let mut events: Vec<(Timestamp, u64, bool)> = Vec::new();
-    for (id, at) in (1..=VOTERS).map(|id| (id, start(id))).collect::<Vec<_>>() {
-        events.extend([(at, id, true), (at + LINK_SET_UP, id, false)]);
+    for (id, started_at) in (1..=VOTERS).map(|id| (id, random_start(id))).collect::<Vec<_>>() {
+        events.extend([(started_at, id, true), (started_at + LINK_SETUP_TIME, id, false)]);
     }
     events.sort();
-    let last = events.iter().filter(|event| event.2).map(|event| event.0).max().expect("starts");
-    for (at, id, starts) in events {
-        network.run_for(at.saturating_since(network.now));
-        if starts {
+    let last_start =
+        events.iter().filter(|event| event.2).map(|event| event.0).max().expect("starts");
+    for (time, id, is_start) in events {
+        network.run_for(time.saturating_since(network.now));
+        if is_start {
             network.restart(id);
         } else {
-            link_up(network, id);
+            report_links_up(network, id);
         }
     }
-    last
+    last_start
 }
 
-fn link_up(network: &mut Network, id: u64) {
+fn report_links_up(network: &mut Network, id: u64) {
     for other in network.running().into_iter().filter(|other| *other != id) {
         network.handle(id, Event::Reachable { replica: ReplicaId(other) });
         network.handle(other, Event::Reachable { replica: ReplicaId(id) });
     }
 }
 
-/// The longest of 400 starts: 218 ms while a leader that was deposed at once left its followers waiting for the
-/// usual time, 103 ms since it stands again.
+/// Guards against a long time without a leader after a power loss. A new leader that a higher term deposes at
+/// once leaves its followers waiting for the usual election timeout, unless the deposed leader starts another
+/// election soon: the longest of 400 starts takes 103 ms with that election and 218 ms without it.
 #[test]
-fn a_cell_that_starts_again_has_a_leader_within_the_usual_time() {
-    let longest = (1..=STARTS).map(time_to_leader).max();
-    assert!(longest.is_some_and(|longest| longest < LONGEST_WAIT), "{longest:?}");
+fn a_restarted_cell_has_a_leader_within_the_bound() {
+    let longest = (1..=SIMULATED_STARTS).map(time_to_leader).max();
+    assert!(longest.is_some_and(|longest| longest < MAX_TIME_TO_LEADER), "{longest:?}");
 }
