--- a/crates/gateway/src/group/acquire.rs
+++ b/crates/gateway/src/group/acquire.rs
@@ -1,11 +1,10 @@
-//! The way of a request to a connection.
+//! Acquires a connection for a request.
 //!
-//! It is for everyone who needs a connection. It owns the order of the steps: [`choice`](super::choice)
-//! decides, [`wait`](super::wait) waits for room, [`connect`](super::connect) opens a connection of this
-//! gateway, [`remote`](super::remote) asks others for one of theirs. It relies on
-//! [`positions`](super::positions) for what a read must see.
+//! [`choice`](super::choice) chooses the next step; this module carries it out: [`wait`](super::wait) waits
+//! for room, [`connect`](super::connect) opens a connection of this gateway, [`remote`](super::remote) asks
+//! other gateways for one of theirs. [`positions`](super::positions) gives the position that a read must see.
 
-use super::choice::{Step, Taken};
+use super::choice::{LocalConnection, Step};
 use super::{ConnectionRequest, Group, Lease, Located, Location};
 use crate::error::AcquireError;
 use crate::wire::Wire;
@@ -14,8 +13,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause between two evaluations while no member that could serve can be reached. Chosen, not measured:
-/// lower, statements that wait for a new primary cost processor time; higher, they find it later.
+/// Pause between two evaluations while no member that could serve the request can be reached. A shorter pause
+/// costs processor time for statements that wait for a new primary; a longer one lets them find it later.
 const NO_MEMBER_PAUSE: Duration = Duration::from_millis(30);
 
 impl<W: Wire> Group<W> {
@@ -30,18 +29,18 @@
         }
     }
 
-    /// Waits until it is clear where the request can be served.
+    /// Waits until the request can be served on a connection of this gateway, or has to be served by another.
     pub(crate) async fn locate(
         self: &Rc<Self>,
         request: &ConnectionRequest<'_>,
     ) -> Result<Location<W>, AcquireError> {
-        let asked = Instant::now();
+        let started_at = Instant::now();
         let location = self.find_location(request).await;
-        // The product's own questions are no statements.
+        // Position requests of the gateway itself are not statements and don't count in the wait times.
         if let Ok(Location::Local(_)) = location
             && request.needs_slot
         {
-            self.metrics.note_wait(asked.elapsed());
+            self.metrics.note_wait(started_at.elapsed());
         }
         location
     }
@@ -54,26 +53,28 @@
         let mut has_waited = false;
         loop {
             match self.next_step(request) {
-                Step::Take(taken) => return self.use_taken(taken, request, position).await,
+                Step::UseLocal(connection) => {
+                    return self.lease_connection(connection, request, position).await;
+                }
                 Step::Remote(member) => return Ok(Location::Remote(member)),
                 Step::Full(member) => return Err(AcquireError::Full(member)),
-                Step::RemoteAndCheck(member, back_end) => {
-                    self.check(&member.name, back_end);
+                Step::RemoteAndReconnect(member, back_end) => {
+                    self.connect_in_background(&member.name, back_end);
                     return Ok(Location::Remote(member));
                 }
                 Step::Wait => {
-                    let waited = std::mem::replace(&mut has_waited, true);
-                    if let Some(taken) = self.wait_for_room(request, waited).await? {
-                        return self.use_taken(taken, request, position).await;
+                    let waited_before = std::mem::replace(&mut has_waited, true);
+                    if let Some(connection) = self.wait_for_room(request, waited_before).await? {
+                        return self.lease_connection(connection, request, position).await;
                     }
                 }
                 Step::NoHolder(member) => {
                     self.begin_fallback(&member);
                     return Err(AcquireError::NoHolder(member));
                 }
-                // Another gateway asks the next one at once, and the primary may serve a read that
-                // others refused.
-                Step::NoMember if request.target.has_another_way() => {
+                // A gateway that asked for this member can ask the next holder at once, and the primary may
+                // serve a read that other members refused.
+                Step::NoMember if request.target.has_alternative() => {
                     return Err(AcquireError::NoMember);
                 }
                 Step::NoMember => {
@@ -89,18 +90,20 @@
 
     fn next_step(&self, request: &ConnectionRequest<'_>) -> Step<W> {
         let mut state = self.state.borrow_mut();
-        state.step(request, &self.settings, self.clock, &self.tunnels)
+        state.choose_step(request, &self.settings, self.clock, &self.tunnels)
     }
 
-    async fn use_taken(
+    async fn lease_connection(
         self: &Rc<Self>,
-        taken: Taken<W>,
+        connection: LocalConnection<W>,
         request: &ConnectionRequest<'_>,
         position: Option<ReadPosition>,
     ) -> Result<Location<W>, AcquireError> {
-        let lease = match taken {
-            Taken::Idle(member, connection) => Lease::new(Rc::clone(self), member, connection),
-            Taken::ToOpen(member, back_end) => {
+        let lease = match connection {
+            LocalConnection::Idle(member, connection) => {
+                Lease::new(Rc::clone(self), member, connection)
+            }
+            LocalConnection::ToOpen(member, back_end) => {
                 self.open(member, &back_end, request.principal).await?
             }
         };
--- a/crates/gateway/src/group/choice.rs
+++ b/crates/gateway/src/group/choice.rs
@@ -1,9 +1,8 @@
-//! Which member of a group serves a request, and what is done to get a connection to it.
+//! Chooses the member of a group that serves a request, and the next step towards a connection to it.
 //!
-//! It is for [`acquire`](super::acquire), which carries the decision out. It owns the order of the reasons:
-//! the member first (the rules are in [`corktack_core::gateway`]: [`choose_primary`],
-//! [`choose_available_reader`]), then whether others have to be asked, then whether there is room. Nothing
-//! here waits or sends. It relies on [`GroupState`] for what is known.
+//! The choice goes in this order: first the member (by the rules of [`choose_primary`] and
+//! [`choose_available_reader`] in [`corktack_core::gateway`]), then whether other gateways have to be asked,
+//! then whether there is room. Nothing here waits or sends; [`acquire`](super::acquire) carries the step out.
 
 use super::request::{ConnectionRequest, RemoteMember, Target};
 use super::state::GroupState;
@@ -25,39 +24,39 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Gateways that are asked for one statement. Chosen, not measured: fewer give up while a holder is left
-/// that answers, more spend a statement's time on a member that none of them serves.
-const HOLDERS_ASKED: usize = 3;
+/// Most gateways that are asked for one statement. With fewer, the request fails while a holder that would
+/// answer is left; with more, a statement spends its time on a member that none of them serves.
+const MAX_HOLDERS_ASKED: usize = 3;
 
 /// A connection of this gateway that a request may use.
-pub(super) enum Taken<W: Wire> {
-    /// One that was idle.
+pub(super) enum LocalConnection<W: Wire> {
+    /// An idle connection, taken out of the pool.
     Idle(MemberName, MemberConnection<W>),
-    /// One that is to be opened; it counts as open already.
+    /// A connection to be opened; the pool counts it as open already.
     ToOpen(MemberName, Arc<RegisteredBackEnd>),
 }
 
 /// The next step towards a connection.
 pub(super) enum Step<W: Wire> {
     /// Use a connection of this gateway.
-    Take(Taken<W>),
-    /// Ask the gateways that hold connections to it.
+    UseLocal(LocalConnection<W>),
+    /// Ask the gateways that hold connections to the member.
     Remote(RemoteMember),
-    /// As [`Step::Remote`], and connect to it beside that: it may be reached again.
-    RemoteAndCheck(RemoteMember, Arc<RegisteredBackEnd>),
-    /// None of those gateways answers.
+    /// As [`Step::Remote`], and connect to the member in the background: it may be reachable again.
+    RemoteAndReconnect(RemoteMember, Arc<RegisteredBackEnd>),
+    /// None of the gateways that hold connections to the member answers.
     NoHolder(MemberName),
-    /// The member takes no connection of this gateway, and others may have one.
+    /// The member accepts no connection of this gateway; other gateways may have one.
     Full(MemberName),
-    /// Wait for room.
+    /// Wait for a free connection or slot.
     Wait,
-    /// No member that could serve is there.
+    /// No member that could serve the request is known.
     NoMember,
 }
 
 impl<W: Wire> GroupState<W> {
-    /// The next step towards a connection for a request.
-    pub(super) fn step(
+    /// Returns the next step towards a connection for a request.
+    pub(super) fn choose_step(
         &mut self,
         request: &ConnectionRequest<'_>,
         settings: &GatewaySettings,
@@ -66,57 +65,58 @@
     ) -> Step<W> {
         let now = Instant::now();
         let chosen = match &request.target {
-            Target::Primary => self.primary(now, settings, clock),
-            Target::Reader { refused } => self.reader(now, clock.at(now), request, refused),
-            Target::Held(member) => self.held(member, now, settings),
+            Target::Primary => self.select_primary(now, settings, clock),
+            Target::Reader { refused } => self.select_reader(now, clock.at(now), request, refused),
+            Target::Held(member) => self.select_held(member, now, settings),
         };
         let Some(name) = chosen else { return Step::NoMember };
         let Some(member) = self.members.get_mut(&name) else { return Step::NoMember };
         member.end_fallback_if_over(now);
         if !member.holds_connections() {
-            return remote(name, member, request, tunnels);
+            return remote_step(name, member, request, tunnels);
         }
-        if let Some(holders) = homes(member, request, settings, tunnels) {
+        if let Some(holders) = home_holders(member, request, settings, tunnels) {
             return Step::Remote(RemoteMember { name, holders });
         }
         if request.target == Target::Primary && member.needs_detour(now) {
-            return detour(name, member, now, clock, tunnels);
+            return detour_step(name, member, now, clock, tunnels);
         }
-        if member.is_kept_out(now)
-            && let Some(step) = kept_out(&name, member, request, tunnels)
+        if member.is_full_without_connections(now)
+            && let Some(step) = full_member_step(&name, member, request, tunnels)
         {
             return step;
         }
         if !member.has_room(now, request.needs_slot) {
             return Step::Wait;
         }
-        take(name, member, request).map_or(Step::Wait, Step::Take)
+        take_connection(name, member, request).map_or(Step::Wait, Step::UseLocal)
     }
 
-    /// Takes the place that was kept for a waiter; none where it has to wait on.
+    /// Takes the place that was reserved for a waiter; returns none if the request has to keep waiting.
     pub(super) fn take_reserved(
         &mut self,
         name: &MemberName,
         request: &ConnectionRequest<'_>,
         settings: &GatewaySettings,
-    ) -> Option<Taken<W>> {
+    ) -> Option<LocalConnection<W>> {
         let member = self.members.get_mut(name)?;
         member.pool.release_reserved();
         let now = Instant::now();
-        let able = match &request.target {
+        let is_able = match &request.target {
             Target::Reader { refused } => member.pauses.takes_reads(now) && !refused.contains(name),
             Target::Primary | Target::Held(_) => {
                 member.pauses.takes_writes(now, settings.drain_limit)
             }
         };
-        if !able || !member.has_room(now, request.needs_slot) {
+        if !is_able || !member.has_room(now, request.needs_slot) {
             return None;
         }
-        take(name.clone(), member, request)
+        take_connection(name.clone(), member, request)
     }
 
-    /// A member for another gateway, if this one holds connections to it and it takes any work.
-    fn held(
+    /// Returns the member that another gateway asked for, if this gateway holds connections to it and the
+    /// member takes writes.
+    fn select_held(
         &self,
         name: &MemberName,
         now: Instant,
@@ -127,8 +127,8 @@
         (member.holds_connections() && takes_writes).then(|| name.clone())
     }
 
-    /// The member to try as primary.
-    fn primary(
+    /// Selects the member to try as primary.
+    fn select_primary(
         &self,
         now: Instant,
         settings: &GatewaySettings,
@@ -137,7 +137,7 @@
         let candidates = self.members.iter().map(|(name, member)| {
             let is_closed = member.detour.clone().step(clock.at(now)) == DetourStep::Closed;
             let candidate = PrimaryCandidate {
-                evidence: self.evidence(name, member),
+                evidence: self.primary_evidence(name, member),
                 has_left: member.pauses.has_left(now, settings.drain_limit),
                 denied_lately: self.not_primary_until.get(name).is_some_and(|until| now < *until),
                 is_reached: member.pauses.takes_writes(now, settings.drain_limit),
@@ -148,8 +148,8 @@
         choose_primary(candidates).cloned()
     }
 
-    /// What speaks for a member as the primary.
-    fn evidence(&self, name: &MemberName, member: &Member<W>) -> PrimaryEvidence {
+    /// Returns the strongest evidence that a member is the primary.
+    fn primary_evidence(&self, name: &MemberName, member: &Member<W>) -> PrimaryEvidence {
         if self.proven_primary.as_ref() == Some(name) {
             PrimaryEvidence::Proven
         } else if self.promotion.as_ref().is_some_and(|promotion| promotion.target == *name) {
@@ -161,8 +161,8 @@
         }
     }
 
-    /// The member to offer a read to.
-    fn reader(
+    /// Selects the member to send a read to.
+    fn select_reader(
         &mut self,
         now: Instant,
         steady: Timestamp,
@@ -170,7 +170,7 @@
         refused: &BTreeSet<MemberName>,
     ) -> Option<MemberName> {
         let preferred = self.preferences.next(request.principal.and_then(Principal::tenant));
-        let able = self
+        let able_members = self
             .members
             .iter()
             .filter(|(name, member)| member.pauses.takes_reads(now) && !refused.contains(*name));
@@ -183,14 +183,14 @@
             };
             (name, candidate)
         };
-        let (names, candidates): (Vec<_>, Vec<_>) = able.map(candidate).unzip();
-        choose_available_reader(&candidates).map(|place| names[place].clone())
+        let (names, candidates): (Vec<_>, Vec<_>) = able_members.map(candidate).unzip();
+        choose_available_reader(&candidates).map(|index| names[index].clone())
     }
 }
 
-/// The gateways that keep the connections of the request's tenant to a member; none where this one
-/// does, or has one that is idle.
-fn homes<W: Wire>(
+/// Returns the gateways that keep the connections of the request's tenant to a member; none if this gateway
+/// keeps them, or has an idle connection for the tenant.
+fn home_holders<W: Wire>(
     member: &Member<W>,
     request: &ConnectionRequest<'_>,
     settings: &GatewaySettings,
@@ -200,20 +200,21 @@
     if matches!(request.target, Target::Held(_)) || member.pool.has_idle_for(request.principal) {
         return None;
     }
-    let homes = tunnels.to_ask_for(&member.holders, tenant, Some(settings.peers), HOLDERS_ASKED);
+    let homes =
+        tunnels.to_ask_for(&member.holders, tenant, Some(settings.peers), MAX_HOLDERS_ASKED);
     (!homes.is_empty()).then_some(homes)
 }
 
-/// The step where this gateway holds no connections to the member.
-fn remote<W: Wire>(
+/// Returns the step for a member that this gateway holds no connections to.
+fn remote_step<W: Wire>(
     name: MemberName,
     member: &Member<W>,
     request: &ConnectionRequest<'_>,
     tunnels: &Tunnels,
 ) -> Step<W> {
     let holders = match request.principal.and_then(Principal::tenant) {
-        Some(tenant) => tunnels.to_ask_for(&member.holders, tenant, None, HOLDERS_ASKED),
-        None => tunnels.to_ask(&member.holders, HOLDERS_ASKED),
+        Some(tenant) => tunnels.to_ask_for(&member.holders, tenant, None, MAX_HOLDERS_ASKED),
+        None => tunnels.to_ask(&member.holders, MAX_HOLDERS_ASKED),
     };
     if holders.is_empty() {
         return Step::NoHolder(name);
@@ -221,15 +222,16 @@
     Step::Remote(RemoteMember { name, holders })
 }
 
-/// The step where this gateway may hold connections to a member and gets none: for the primary others are
-/// asked that may have one, and another gateway is told at once to ask the next. None where waiting is left.
+/// Returns the step for a full member that this gateway may hold connections to and has none: a request for
+/// the primary goes to other gateways, which may have a connection, and another gateway is told at once to
+/// ask the next holder. None if the request can only wait.
 ///
-/// After a loss of power connections of the machines that are gone fill a member's cap for some seconds. A
-/// gateway that got none then refused writes, and reads for want of a position, until they were dropped. On 21
-/// played days of 9 gateways the worst seconds earned 0.808 in place of 0.799 together with relays for positions
-/// (`HolderChoice::region_relay`), where a holder that is kept out answered that it holds no connections; not
-/// measured by itself since it answers that it has no room.
-fn kept_out<W: Wire>(
+/// After a power loss, connections of the lost machines fill a member's connection cap for some seconds.
+/// Without this step, a gateway that has no connection refuses writes until these connections are dropped,
+/// and reads too, because it learns no position. Together with the relays for positions
+/// (`HolderChoice::region_relay`), this raised the score of the worst seconds from 0.799 to 0.808 (21
+/// simulated days, 9 gateways), in a version where a full holder answered `NotHeld` rather than `NoneFree`.
+fn full_member_step<W: Wire>(
     name: &MemberName,
     member: &Member<W>,
     request: &ConnectionRequest<'_>,
@@ -238,7 +240,7 @@
     match request.target {
         Target::Held(_) => Some(Step::Full(name.clone())),
         Target::Primary => {
-            let holders = tunnels.to_ask(&member.holders, HOLDERS_ASKED);
+            let holders = tunnels.to_ask(&member.holders, MAX_HOLDERS_ASKED);
             let remote = RemoteMember { name: name.clone(), holders };
             (!remote.holders.is_empty()).then_some(Step::Remote(remote))
         }
@@ -246,8 +248,8 @@
     }
 }
 
-/// The step where this gateway holds connections to the primary and does not reach it.
-fn detour<W: Wire>(
+/// Returns the step for a primary that this gateway holds connections to and does not reach.
+fn detour_step<W: Wire>(
     name: MemberName,
     member: &mut Member<W>,
     now: Instant,
@@ -258,28 +260,28 @@
         DetourStep::Wait => Step::Wait,
         DetourStep::Closed => Step::NoMember,
         DetourStep::Take => {
-            let holders = tunnels.to_ask(&member.holders, HOLDERS_ASKED);
+            let holders = tunnels.to_ask(&member.holders, MAX_HOLDERS_ASKED);
             let remote = RemoteMember { name, holders };
-            match member.due_check(now) {
+            match member.begin_reconnect(now) {
                 None => Step::Remote(remote),
-                Some(back_end) => Step::RemoteAndCheck(remote, back_end),
+                Some(back_end) => Step::RemoteAndReconnect(remote, back_end),
             }
         }
     }
 }
 
-/// Takes an idle connection, or room for a new one; none where there is neither.
-fn take<W: Wire>(
+/// Takes an idle connection, or a place for a new one; returns none if there is neither.
+fn take_connection<W: Wire>(
     name: MemberName,
     member: &mut Member<W>,
     request: &ConnectionRequest<'_>,
-) -> Option<Taken<W>> {
+) -> Option<LocalConnection<W>> {
     if let Some(connection) = member.pool.take_idle(request.session, request.principal) {
-        return Some(Taken::Idle(name, connection));
+        return Some(LocalConnection::Idle(name, connection));
     }
     if !member.may_open(Instant::now()) && !member.pool.close_longest_idle() {
         return None;
     }
     member.pool.begin_opening();
-    Some(Taken::ToOpen(name, Arc::clone(&member.back_end)))
+    Some(LocalConnection::ToOpen(name, Arc::clone(&member.back_end)))
 }
--- a/crates/gateway/src/group/connect.rs
+++ b/crates/gateway/src/group/connect.rs
@@ -1,8 +1,7 @@
-//! Opening connections of this gateway to a member.
+//! Opens connections of this gateway to a member, for requests and in the background, and records what a
+//! failed attempt shows about the member.
 //!
-//! It is for requests that found room for a new connection, and for attempts in the background that find out
-//! whether a member is back. It owns what a failed attempt says of the member. It relies on
-//! [`dial`](crate::dial) for the connection itself, and on its users to have counted it as open.
+//! [`dial`](crate::dial) makes the connection itself. Callers have already counted it as open in the pool.
 
 use super::{Group, LOG_TARGET, Lease};
 use crate::dial::{Destination, dial};
@@ -16,14 +15,14 @@
 use tokio::time::Instant;
 
 impl<W: Wire> Group<W> {
-    /// Opens a connection, which counts as open already.
+    /// Opens a connection that the pool already counts as open.
     pub(super) async fn open(
         self: &Rc<Self>,
         member: MemberName,
         back_end: &RegisteredBackEnd,
         principal: Option<&Principal>,
     ) -> Result<Lease<W>, AcquireError> {
-        let opening = Opening { group: Rc::clone(self), member: Some(member.clone()) };
+        let pending = PendingConnection { group: Rc::clone(self), member: Some(member.clone()) };
         let destination = Destination {
             group: &self.name,
             member: &member,
@@ -32,16 +31,16 @@
         };
         match dial(&self.wire, &self.settings, destination).await {
             Ok((connection, _)) => {
-                self.note_reached(&member);
-                opening.done();
+                self.record_reached(&member);
+                pending.complete();
                 Ok(Lease::new(Rc::clone(self), member, connection))
             }
-            Err(error) => Err(self.note_not_opened(member, &error)),
+            Err(error) => Err(self.record_open_failure(member, &error)),
         }
     }
 
-    /// Remembers why a member could not be connected to.
-    fn note_not_opened(&self, member: MemberName, error: &DialError) -> AcquireError {
+    /// Records why a connection to a member could not be opened, and returns the error for the request.
+    fn record_open_failure(&self, member: MemberName, error: &DialError) -> AcquireError {
         log::info!(
             target: LOG_TARGET, group:% = self.name, member:% = member, error:% = error;
             "member cannot be connected to"
@@ -49,45 +48,51 @@
         match error.failure() {
             DialFailure::Full => {
                 let now = Instant::now();
-                self.with_member(&member, |it| it.pauses.note_full(now));
+                self.with_member(&member, |member| member.pauses.note_full(now));
                 return AcquireError::Full(member);
             }
-            DialFailure::Unreachable => self.note_unreachable(&member),
-            DialFailure::NoAnswer if self.is_gone(&member) => self.note_unreachable(&member),
+            DialFailure::Unreachable => self.record_unreachable(&member),
+            DialFailure::NoAnswer if self.record_unanswered(&member) => {
+                self.record_unreachable(&member)
+            }
             DialFailure::NoAnswer | DialFailure::Other => {
                 let now = Instant::now();
-                self.with_member(&member, |it| it.pauses.note_busy(now));
+                self.with_member(&member, |member| member.pauses.note_busy(now));
             }
         }
         AcquireError::Unreachable(member)
     }
 
-    /// Connects to a member in the background; its place counts as open already.
-    pub(super) fn check(self: &Rc<Self>, name: &MemberName, back_end: Arc<RegisteredBackEnd>) {
+    /// Connects to a member in the background; the pool already counts the connection as open.
+    pub(super) fn connect_in_background(
+        self: &Rc<Self>,
+        name: &MemberName,
+        back_end: Arc<RegisteredBackEnd>,
+    ) {
         let (group, name) = (Rc::clone(self), name.clone());
         actix_rt::spawn(async move {
-            // The connection goes to the idle ones, or says that the member cannot be reached.
+            // Dropping the lease puts the connection into the pool; `open` records a failure by itself.
             drop(group.open(name, &back_end, None).await);
         });
     }
 }
 
-/// A connection that is being opened counts as open; its place is given back if it never is.
-struct Opening<W: Wire> {
+/// Place in the pool of a connection that is being opened; freed on drop unless the connection was opened.
+struct PendingConnection<W: Wire> {
     group: Rc<Group<W>>,
     member: Option<MemberName>,
 }
 
-impl<W: Wire> Opening<W> {
-    fn done(mut self) {
+impl<W: Wire> PendingConnection<W> {
+    fn complete(mut self) {
         self.member = None;
     }
 }
 
-impl<W: Wire> Drop for Opening<W> {
+impl<W: Wire> Drop for PendingConnection<W> {
     fn drop(&mut self) {
         if let Some(member) = self.member.take() {
-            self.group.closed(&member);
+            self.group.record_closed(&member);
         }
     }
 }
--- a/crates/gateway/src/group/facts.rs
+++ b/crates/gateway/src/group/facts.rs
@@ -1,6 +1,5 @@
-//! What the registry says of a group, as the routes hand it on.
-//!
-//! It is for [`Group::follow`](super::Group::follow). It owns only the form.
+//! State of a group and its members in the registry, as the routes pass it to
+//! [`Group::apply_update`](super::Group::apply_update).
 
 use crate::member::MemberShare;
 use corktack_core::identity::MemberName;
@@ -8,16 +7,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What the registry says of a group.
+/// Members of a group and its promotion under way, as the registry has them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct GroupFacts {
-    pub(crate) members: BTreeMap<MemberName, MemberFacts>,
+pub(crate) struct GroupUpdate {
+    pub(crate) members: BTreeMap<MemberName, MemberUpdate>,
     pub(crate) promotion: Option<Promotion>,
 }
 
-/// What the registry says of a member, and who holds connections to it.
+/// Registration of a member, and the gateways that hold connections to it.
 #[derive(Clone, Debug)]
-pub(crate) struct MemberFacts {
+pub(crate) struct MemberUpdate {
     pub(crate) back_end: Arc<RegisteredBackEnd>,
     pub(crate) share: MemberShare,
 }
--- a/crates/gateway/src/group/lease.rs
+++ b/crates/gateway/src/group/lease.rs
@@ -1,7 +1,7 @@
-//! A connection that one statement or transaction uses.
+//! Lease of a connection for one statement or transaction.
 //!
-//! It is for whoever was given a connection. It owns the connection for that time, and sees to it that it
-//! goes back, or is closed where something may be open on it. It relies on the group to take it back.
+//! A lease owns its connection. When dropped, it returns the connection to the group, or closes it if a
+//! transaction or an answer may be outstanding on it.
 
 use super::Group;
 use crate::connection::MemberConnection;
@@ -9,14 +9,14 @@
 use corktack_core::identity::MemberName;
 use std::rc::Rc;
 
-/// A connection in use. It goes back to its member when dropped, unless an answer is still
-/// outstanding or a transaction may be open on it: then it is closed, which rolls back.
+/// A connection in use. Dropping the lease returns the connection to its member's pool, unless an answer is
+/// still outstanding or a transaction may be open: then the connection is closed, which rolls back.
 pub(crate) struct Lease<W: Wire> {
     group: Rc<Group<W>>,
     pub(crate) member: MemberName,
     connection: Option<MemberConnection<W>>,
     /// Whether another gateway holds the connection.
-    remote: bool,
+    is_remote: bool,
     /// Set while a transaction may be open.
     pub(crate) in_transaction: bool,
     /// Set while a transaction is idle between two statements.
@@ -29,54 +29,54 @@
         member: MemberName,
         connection: MemberConnection<W>,
     ) -> Self {
-        Self::with(group, member, connection, false)
+        Self::with_origin(group, member, connection, false)
     }
 
-    /// A connection that another gateway holds.
+    /// Creates a lease of a connection that another gateway holds.
     pub(crate) fn remote(
         group: Rc<Group<W>>,
         member: MemberName,
         connection: MemberConnection<W>,
     ) -> Self {
-        Self::with(group, member, connection, true)
+        Self::with_origin(group, member, connection, true)
     }
 
-    fn with(
+    fn with_origin(
         group: Rc<Group<W>>,
         member: MemberName,
         connection: MemberConnection<W>,
-        remote: bool,
+        is_remote: bool,
     ) -> Self {
         let connection = Some(connection);
         Self {
             group,
             member,
             connection,
-            remote,
+            is_remote,
             in_transaction: false,
             idle_in_transaction: false,
         }
     }
 
-    /// Notes whether a transaction is idle between two statements: it takes no slot of the member then.
+    /// Sets whether the transaction is idle between two statements; it takes no slot of the member then.
     pub(crate) fn set_idle_in_transaction(&mut self, idle_in_transaction: bool) {
-        if self.remote || self.idle_in_transaction == idle_in_transaction {
+        if self.is_remote || self.idle_in_transaction == idle_in_transaction {
             return;
         }
         self.idle_in_transaction = idle_in_transaction;
-        self.group.note_idle_in_transaction(&self.member, idle_in_transaction);
+        self.group.update_idle_in_transaction(&self.member, idle_in_transaction);
     }
 
     pub(crate) fn group(&self) -> &Rc<Group<W>> {
         &self.group
     }
 
-    /// Notes that the member has ended the transaction.
+    /// Records that the member has ended the transaction.
     pub(crate) fn end_transaction(&mut self) {
         self.in_transaction = false;
     }
 
-    /// The connection; there until the lease ends.
+    /// Returns the connection, which the lease keeps until it is dropped.
     pub(crate) fn connection(&mut self) -> &mut MemberConnection<W> {
         self.connection.as_mut().expect("a lease has its connection until it is dropped")
     }
@@ -86,16 +86,16 @@
     fn drop(&mut self) {
         self.set_idle_in_transaction(false);
         let Some(connection) = self.connection.take() else { return };
-        if self.remote {
-            let settled = connection.is_settled() && !self.in_transaction;
-            self.group.remote_ended(&self.member, connection, settled);
+        if self.is_remote {
+            let is_settled = connection.is_settled() && !self.in_transaction;
+            self.group.release_remote(&self.member, connection, is_settled);
             return;
         }
         if connection.is_settled() && !self.in_transaction {
             self.group.give_back(&self.member, connection);
         } else {
             drop(connection);
-            self.group.closed(&self.member);
+            self.group.record_closed(&self.member);
         }
     }
 }
--- a/crates/gateway/src/group/mod.rs
+++ b/crates/gateway/src/group/mod.rs
@@ -1,19 +1,19 @@
-//! A group of back ends as this gateway uses it.
+//! A group of back ends: serves connections to its members to sessions and to other gateways.
 //!
-//! It is for sessions, which need connections to members, and for other gateways that ask this one. It owns
-//! the group's state and decides with nothing else. A request goes one way through its modules:
+//! A group owns the state of its members and the queue of waiting requests. A request passes through the
+//! modules in this order, in which [`acquire`] calls them:
 //!
-//! 1. [`request`]: who could serve it, until when it may wait ([`ConnectionRequest`]);
-//! 2. [`positions`]: what a read must see;
-//! 3. [`choice`]: which member, and whether here or through another gateway; decides, awaits nothing;
-//! 4. [`wait`]: for room, by the queue of [`state`];
-//! 5. [`connect`]: opens a connection of this gateway, or [`remote`]: asks others for one of theirs;
-//! 6. [`lease`]: the connection while it is used; it goes back when dropped;
-//! 7. [`notes`] and [`reach`]: what the outcome shows of the member, for the requests that come.
+//! 1. [`request`]: the members that could serve the request, and how long it may wait
+//!    ([`ConnectionRequest`]);
+//! 2. [`positions`]: the position that a read must see;
+//! 3. [`choice`]: chooses the member, and whether this gateway or another one serves; awaits nothing;
+//! 4. [`wait`]: waits for room, in the queue of [`state`];
+//! 5. [`connect`]: opens a connection of this gateway, or [`remote`]: asks other gateways for one of theirs;
+//! 6. [`lease`]: the connection while it is in use; goes back when dropped;
+//! 7. [`notes`] and [`reach`]: record what the outcome shows about the member, for later requests.
 //!
-//! [`acquire`] carries the steps out in this order. It relies on [`member`](crate::member) for one member's
-//! connections and pauses, on [`tunnel`](crate::tunnel) for other gateways, and on the routes to hand on what
-//! the registry says ([`facts`]).
+//! [`member`](crate::member) keeps one member's connections and pauses, [`tunnel`](crate::tunnel) the
+//! connections to other gateways. The routes pass on changes of the registry ([`facts`]).
 
 mod acquire;
 mod choice;
@@ -28,7 +28,7 @@
 mod state;
 mod wait;
 
-pub(crate) use facts::{GroupFacts, MemberFacts};
+pub(crate) use facts::{GroupUpdate, MemberUpdate};
 pub(crate) use lease::Lease;
 pub(crate) use remote::RemoteOpening;
 pub(crate) use request::{ConnectionRequest, Located, Location, RemoteMember, Target};
@@ -54,29 +54,30 @@
 /// Target of the log lines of `connect`, `wait` and `reach`, by which operators may filter.
 const LOG_TARGET: &str = module_path!();
 
-/// Whether a member could be reached when it was used as primary; reported once on change. A gateway that
-/// no longer connects to it says that it is reached: control is not to suspect it on that gateway's word.
+/// Whether a member could be reached when it was last connected to; reported to control on each change. A
+/// gateway that no longer connects to the member reports it as reached, so that control doesn't suspect the
+/// member because of this gateway's old report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberReach {
-    /// Its group.
+    /// The member's group.
     pub group: GroupName,
-    /// The member.
+    /// Name of the member.
     pub member: MemberName,
-    /// Whether it could.
+    /// Whether the member could be reached.
     pub reached: bool,
 }
 
-/// A group of back ends as this gateway uses it.
+/// A group of back ends, with this gateway's connections to its members.
 pub(crate) struct Group<W: Wire> {
     pub(crate) name: GroupName,
     wire: W,
     settings: Rc<GatewaySettings>,
     state: RefCell<GroupState<W>>,
     freshness: RefCell<Freshness>,
-    /// Whether a question for the primary's position is under way.
-    asking_position: Cell<bool>,
-    /// Told whenever such a question has ended.
-    position_asked: Notify,
+    /// Whether a request for the primary's position is in flight.
+    is_refreshing_position: Cell<bool>,
+    /// Notified whenever a request for the primary's position has ended.
+    position_refreshed: Notify,
     clock: SteadyClock,
     reach: mpsc::UnboundedSender<MemberReach>,
     tunnels: Rc<Tunnels>,
@@ -101,8 +102,8 @@
             settings,
             state,
             freshness,
-            asking_position: Cell::new(false),
-            position_asked: Notify::new(),
+            is_refreshing_position: Cell::new(false),
+            position_refreshed: Notify::new(),
             clock,
             reach,
             tunnels,
@@ -110,55 +111,56 @@
         }
     }
 
-    /// Takes what the registry says now. Members that left get no new work; those that this gateway
-    /// holds connections to from now on are connected to before the first statement comes.
-    pub(crate) fn follow(self: &Rc<Self>, facts: &GroupFacts) {
-        let held = self.take_facts(facts);
-        if held.is_empty() {
+    /// Applies the registry's state of the group. Removed members get no new work. The gateway connects to
+    /// newly held members before the first statement arrives.
+    pub(crate) fn apply_update(self: &Rc<Self>, update: &GroupUpdate) {
+        let newly_held = self.update_members(update);
+        if newly_held.is_empty() {
             return;
         }
-        for (name, back_end) in held {
-            self.check(&name, back_end);
+        for (name, back_end) in newly_held {
+            self.connect_in_background(&name, back_end);
         }
         self.refresh_position();
     }
 
-    /// Gives the members that this gateway holds connections to from now on; a place for one
-    /// connection to each is taken.
-    fn take_facts(&self, facts: &GroupFacts) -> Vec<(MemberName, Arc<RegisteredBackEnd>)> {
+    /// Updates the members, and returns those that this gateway holds connections to from now on; one
+    /// connection to each is already counted as open.
+    fn update_members(&self, update: &GroupUpdate) -> Vec<(MemberName, Arc<RegisteredBackEnd>)> {
         let now = Instant::now();
-        let mut held = Vec::new();
+        let mut newly_held = Vec::new();
         let mut state = self.state.borrow_mut();
         state.members.retain(|name, member| {
-            let stays = facts.members.contains_key(name);
+            let stays = update.members.contains_key(name);
             if !stays && member.pauses.is_unreached() {
-                // If it came back under its name, it would be reached without a word to control.
-                self.take_back(name);
+                // If the member came back under its name, it would start as reached without a report to
+                // control.
+                self.retract_unreachable(name);
             }
             stays
         });
-        for (name, MemberFacts { back_end, share }) in &facts.members {
+        for (name, MemberUpdate { back_end, share }) in &update.members {
             let distance = Distance::between(&self.settings.zone, &back_end.zone);
             let new = || Member::new(Arc::clone(back_end), distance);
             let member = state.members.entry(name.clone()).or_insert_with(new);
-            member.follow(back_end, now);
+            member.update_back_end(back_end, now);
             if member.set_share(share) {
                 member.pool.begin_opening();
-                held.push((name.clone(), Arc::clone(back_end)));
+                newly_held.push((name.clone(), Arc::clone(back_end)));
             }
         }
-        state.follow_promotion(facts.promotion.as_ref());
-        held
+        state.update_promotion(update.promotion.as_ref());
+        newly_held
     }
 
-    /// Runs `change` on a member that is still there.
+    /// Runs `change` on a member, unless it has left the group.
     pub(crate) fn with_member(&self, name: &MemberName, change: impl FnOnce(&mut Member<W>)) {
         if let Some(member) = self.state.borrow_mut().members.get_mut(name) {
             change(member);
         }
     }
 
-    /// Takes a connection back; it is kept where the member still takes work.
+    /// Takes a connection back; keeps it if the member still takes work.
     pub(crate) fn give_back(&self, name: &MemberName, connection: MemberConnection<W>) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
@@ -168,19 +170,19 @@
         state.wake_next(self.now(), name);
     }
 
-    /// Closes connections that have not been used for long: what one gateway does not need others
-    /// may have. Takes back what was reported of members that this gateway no longer connects to.
+    /// Closes connections that have been idle for too long, so that other gateways may open theirs. Retracts
+    /// the reports about unreachable members that this gateway no longer connects to.
     pub(crate) fn close_unused(&self) {
         let now = Instant::now();
         for (name, member) in &mut self.state.borrow_mut().members {
             member.close_unused(now);
             if member.forget_old_failures(now) {
-                self.take_back(name);
+                self.retract_unreachable(name);
             }
         }
     }
 
-    /// Adds what is held here and who waits.
+    /// Adds the group's connections, waiting statements and unreached or unserving members to the totals.
     pub(crate) fn add_holdings(&self, holdings: &mut Holdings) {
         let (state, now) = (self.state.borrow(), self.now());
         for (priority, waiting) in state.waiting.lengths() {
@@ -194,8 +196,8 @@
         }
     }
 
-    /// A transaction is idle between two statements, or goes on.
-    pub(crate) fn note_idle_in_transaction(&self, name: &MemberName, idle_in_transaction: bool) {
+    /// Records that a transaction is idle between two statements, or continues.
+    pub(crate) fn update_idle_in_transaction(&self, name: &MemberName, idle_in_transaction: bool) {
         let mut state = self.state.borrow_mut();
         let Some(member) = state.members.get_mut(name) else { return };
         if idle_in_transaction {
@@ -206,24 +208,24 @@
         }
     }
 
-    /// A connection is gone.
-    pub(crate) fn closed(&self, name: &MemberName) {
+    /// Records that a connection was closed, and wakes the next waiter.
+    pub(crate) fn record_closed(&self, name: &MemberName) {
         let mut state = self.state.borrow_mut();
         if let Some(member) = state.members.get_mut(name) {
-            member.pool.closed();
+            member.pool.record_closed();
         }
         state.wake_next(self.now(), name);
     }
 
-    /// A member acted as only the primary can.
-    pub(crate) fn note_primary(&self, name: &MemberName) {
-        if self.state.borrow_mut().note_primary(name) {
+    /// Records that a member did what only the primary can do.
+    pub(crate) fn record_primary(&self, name: &MemberName) {
+        if self.state.borrow_mut().record_primary(name) {
             log::info!(group:% = self.name, member:% = name; "primary found");
         }
     }
 
-    /// A member refused what only the primary takes.
-    pub(crate) fn note_not_primary(&self, name: &MemberName) {
-        self.state.borrow_mut().note_not_primary(name);
+    /// Records that a member refused what only the primary accepts.
+    pub(crate) fn record_not_primary(&self, name: &MemberName) {
+        self.state.borrow_mut().record_not_primary(name);
     }
 }
--- a/crates/gateway/src/group/positions.rs
+++ b/crates/gateway/src/group/positions.rs
@@ -1,10 +1,10 @@
-//! Positions of the group's primary: when it is asked, and which of its answers a read goes by.
+//! Learns the position of the group's primary, which bounds the staleness of reads at replicas.
 //!
-//! A gateway that holds connections to a member of the group answers for the freshness of the reads
-//! there. It asks the primary, or a gateway that holds connections to that, in the background before
-//! the last answer grows old, once for all reads; without one, the reads wait for it. This is for
-//! [`acquire`](super::acquire) and for other gateways. It owns when the primary is asked. It relies on
-//! [`Freshness`](corktack_core::gateway::Freshness) for which answer a read goes by.
+//! A gateway that holds connections to a member of the group has to keep the reads there fresh. It asks the
+//! primary, or a gateway that holds connections to the primary, in the background before the last answer is
+//! too old; one request serves all reads. Reads wait for the answer if no position is known. Other gateways
+//! ask for the position too. [`Freshness`](corktack_core::gateway::Freshness) chooses the answer that a read
+//! has to see.
 
 use super::{ConnectionRequest, Group, Lease, Location, RemoteMember, Target};
 use crate::connection::MemberConnection;
@@ -20,49 +20,49 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Part of a staleness bound after which the primary is asked again, so that reads find a position
-/// young enough, and one that is not much younger than it must be. Set together with other
-/// changes, not measured by itself: lower asks the primary more often, higher lets the position grow too old for
-/// some reads.
-const REFRESH_PART: f64 = 0.15;
-/// Part of that time which an answer that another gateway knows may be old. Chosen, not measured: lower asks
-/// the primary itself more often, higher makes positions older by that part.
-const REPORTED_PART: f64 = 0.5;
-/// Longest time that a question for the primary's position may take. Chosen, not measured: lower gives up on a
-/// primary in another region, higher keeps the next question waiting behind one that has no answer.
-const REFRESH_LIMIT: Duration = Duration::from_millis(600);
-/// Oldest position of a relay that is gone by: one that tells an older one gets no answers itself, and the
-/// primary is asked past it. Chosen, not measured: several round trips between regions; lower asks past a relay
-/// that is only slow, higher leaves the gateways of a region with its old position.
-const RELAYED_AGE: Duration = Duration::from_millis(300);
-/// Priority of the product's own questions: they make room for callers' reads.
+/// Fraction of a staleness bound after which the primary is asked again, so that reads find a position that
+/// is recent enough, but not much more recent than necessary. A lower value asks the primary more often; a
+/// higher one lets the position grow too old for some reads.
+const REFRESH_FRACTION: f64 = 0.15;
+/// Fraction of the refresh time that a position known by another gateway may be old. A lower value asks the
+/// primary itself more often; a higher one makes positions older by that fraction.
+const REPORTED_AGE_FRACTION: f64 = 0.5;
+/// Timeout of a request for the primary's position. A shorter one gives up on a primary in another region; a
+/// longer one keeps the next request waiting behind one that gets no answer.
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(600);
+/// Maximum age of a position from a relay, several round trips between regions. A relay that reports an older
+/// one gets no answers itself, and this gateway bypasses it and asks the primary. A lower value bypasses a
+/// relay that is only slow; a higher one leaves the gateways of a region with the relay's old position.
+const MAX_RELAYED_AGE: Duration = Duration::from_millis(300);
+/// Priority class of the gateway's own position requests: 0 is served first, as callers' reads depend on the
+/// position.
 const REFRESH_PRIORITY: u32 = 0;
-/// Part of the time left for waiting that a read waits for the primary's position. Chosen, not measured: lower
-/// sends first reads to the primary, higher leaves them no time for it.
-const POSITION_PART: f64 = 0.6;
+/// Fraction of its remaining wait time that a read waits for the primary's position. A lower value sends the
+/// first reads to the primary; a higher one leaves them no time for it.
+const POSITION_WAIT_FRACTION: f64 = 0.6;
 
 impl<W: Wire> Group<W> {
-    /// The position that a request with a bound must see, if it may be served here. A gateway that knows
-    /// none yet is asking for one: its first reads wait for that, where all of them at the primary
-    /// would be too many for it.
+    /// Returns the position that a request with a bound must see, if this gateway may serve it. A gateway
+    /// that knows none yet asks for one, and its first reads wait for the answer: all of them at the primary
+    /// would overload it.
     pub(super) async fn position_for(
         self: &Rc<Self>,
         request: &ConnectionRequest<'_>,
     ) -> Result<Option<ReadPosition>, AcquireError> {
-        let Some(bound) = request.bound.filter(|_| self.may_serve_here(&request.target)) else {
+        let Some(bound) = request.bound.filter(|_| self.may_serve_locally(&request.target)) else {
             return Ok(None);
         };
-        if let Some(known) = self.read_position(&bound) {
-            return Ok(Some(known));
+        if let Some(position) = self.read_position(&bound) {
+            return Ok(Some(position));
         }
-        let left = request.give_up.saturating_duration_since(Instant::now());
-        let asked = self.position_asked.notified();
-        // In vain or in time: what is known then decides.
-        drop(timeout(left.mul_f64(POSITION_PART), asked).await);
+        let remaining = request.give_up.saturating_duration_since(Instant::now());
+        let refreshed = self.position_refreshed.notified();
+        // After a timeout too, the position known by then decides.
+        drop(timeout(remaining.mul_f64(POSITION_WAIT_FRACTION), refreshed).await);
         self.read_position(&bound).map(Some).ok_or(AcquireError::NoPosition)
     }
 
-    fn may_serve_here(&self, target: &Target) -> bool {
+    fn may_serve_locally(&self, target: &Target) -> bool {
         match target {
             Target::Held(_) => true,
             Target::Primary => false,
@@ -73,59 +73,59 @@
         }
     }
 
-    /// What is known now; sees to it that more will be known.
+    /// Returns the position known now, and starts a refresh in the background if one is due.
     fn read_position(self: &Rc<Self>, bound: &ReadBound) -> Option<ReadPosition> {
         self.refresh_if_due(bound.staleness);
         self.freshness.borrow().read_position(self.now(), bound)
     }
 
     fn refresh_if_due(self: &Rc<Self>, staleness: Duration) {
-        let due = staleness.mul_f64(REFRESH_PART);
-        let young = self.freshness.borrow().age(self.now()).is_some_and(|age| age < due);
-        if !young {
-            self.ask_in_background(due.mul_f64(REPORTED_PART));
+        let due = staleness.mul_f64(REFRESH_FRACTION);
+        let is_recent = self.freshness.borrow().age(self.now()).is_some_and(|age| age < due);
+        if !is_recent {
+            self.refresh_in_background(due.mul_f64(REPORTED_AGE_FRACTION));
         }
     }
 
-    /// Asks for the primary's position before a read needs one.
+    /// Asks for the primary's position in the background, before a read needs it.
     pub(super) fn refresh_position(self: &Rc<Self>) {
-        self.ask_in_background(Duration::ZERO);
+        self.refresh_in_background(Duration::ZERO);
     }
 
-    fn ask_in_background(self: &Rc<Self>, max_age: Duration) {
-        if self.asking_position.replace(true) {
+    fn refresh_in_background(self: &Rc<Self>, max_age: Duration) {
+        if self.is_refreshing_position.replace(true) {
             return;
         }
         let group = Rc::clone(self);
         actix_rt::spawn(async move {
-            group.refresh(Target::Primary, max_age, REFRESH_LIMIT).await;
-            group.asking_position.set(false);
-            group.position_asked.notify_waiters();
+            group.request_position(Target::Primary, max_age, REFRESH_TIMEOUT).await;
+            group.is_refreshing_position.set(false);
+            group.position_refreshed.notify_waiters();
         });
     }
 
-    /// The newest position known, for another gateway that takes this member for the primary. The
-    /// member is asked when the last answer is older than it may be.
+    /// Returns the newest known position to another gateway that takes `member` for the primary. Asks the
+    /// member first if the last answer is older than `max_age`.
     pub(crate) async fn report_position(
         self: &Rc<Self>,
         member: MemberName,
         max_age: Duration,
         wait: Duration,
     ) -> Option<(Duration, Position)> {
-        let young = self.freshness.borrow().age(self.now()).is_some_and(|age| age <= max_age);
-        if !young {
-            if self.asking_position.replace(true) {
-                drop(timeout(wait, self.position_asked.notified()).await);
+        let is_recent = self.freshness.borrow().age(self.now()).is_some_and(|age| age <= max_age);
+        if !is_recent {
+            if self.is_refreshing_position.replace(true) {
+                drop(timeout(wait, self.position_refreshed.notified()).await);
             } else {
-                let _asking = Asking(self);
-                self.refresh(Target::Held(member), Duration::ZERO, wait).await;
+                let _guard = RefreshGuard(self);
+                self.request_position(Target::Held(member), Duration::ZERO, wait).await;
             }
         }
         self.newest_position()
     }
 
-    /// Asks the primary for its position, or a gateway that holds connections to it.
-    async fn refresh(self: &Rc<Self>, target: Target, max_age: Duration, limit: Duration) {
+    /// Asks the primary for its position, or a gateway that holds connections to the primary.
+    async fn request_position(self: &Rc<Self>, target: Target, max_age: Duration, limit: Duration) {
         let give_up = Instant::now() + limit;
         let session = SessionProfile::default();
         let request = ConnectionRequest {
@@ -134,22 +134,25 @@
             principal: None,
             kind: StatementKind { priority: REFRESH_PRIORITY, writes: false },
             bound: None,
-            // The begin and the rollback of a transaction take none.
+            // The begin and the rollback of a transaction take no slot.
             needs_slot: false,
             give_up,
         };
-        if self.ask_relay(&request, max_age).await {
+        if self.request_position_from_relay(&request, max_age).await {
             return;
         }
         let mut located = self.locate(&request).await;
         if let Err(AcquireError::Full(_)) = located {
-            // It is known now that the primary takes no connection of this gateway: others are asked.
+            // The gateway knows now that the primary accepts no connection of its own, and asks other
+            // gateways.
             located = self.locate(&request).await;
         }
         match located {
-            Ok(Location::Local(located)) => self.ask_primary(located.lease, give_up).await,
+            Ok(Location::Local(located)) => {
+                self.request_position_from_primary(located.lease, give_up).await
+            }
             Ok(Location::Remote(member)) => {
-                self.ask_holders(&member, &request, max_age).await;
+                self.request_position_from_holders(&member, &request, max_age).await;
             }
             Err(error) => {
                 log::debug!(group:% = self.name, error:% = error; "primary not asked for its position");
@@ -157,18 +160,23 @@
         }
     }
 
-    /// Asks the relay of this region; says whether it told a position that is young enough.
-    async fn ask_relay(&self, request: &ConnectionRequest<'_>, max_age: Duration) -> bool {
+    /// Asks the relay of this region; reports whether the relay's position is recent enough.
+    async fn request_position_from_relay(
+        &self,
+        request: &ConnectionRequest<'_>,
+        max_age: Duration,
+    ) -> bool {
         if request.target != Target::Primary {
             return false;
         }
         let Some(relay) = self.relay() else { return false };
-        let told = self.ask_holders(&relay, request, max_age).await;
-        told.is_some_and(|age| age <= RELAYED_AGE.max(max_age))
+        let relayed_age = self.request_position_from_holders(&relay, request, max_age).await;
+        relayed_age.is_some_and(|age| age <= MAX_RELAYED_AGE.max(max_age))
     }
 
-    /// The gateway of this one's region that asks a primary in another region for all gateways here: the
-    /// others of a region hear from it within their region.
+    /// Returns the relay for a primary in another region: the gateway of this region that asks the primary on
+    /// behalf of all gateways of the region. None if the primary is unknown or not in another region, or if
+    /// this gateway is the relay.
     fn relay(&self) -> Option<RemoteMember> {
         let state = self.state.borrow();
         let name = state.proven_primary.as_ref()?;
@@ -181,16 +189,17 @@
         Some(RemoteMember { name: name.clone(), holders: vec![relay] })
     }
 
-    /// Begins a transaction, which only the primary does, and learns its position.
-    async fn ask_primary(self: &Rc<Self>, mut lease: Lease<W>, give_up: Instant) {
+    /// Begins a write transaction, which only the primary accepts, records the primary's position and rolls
+    /// back.
+    async fn request_position_from_primary(self: &Rc<Self>, mut lease: Lease<W>, give_up: Instant) {
         let asked_at = self.now();
         let begin = OwnStatement::Begin { access: Access::Write, after: None };
         let Ok(answer) = lease.connection().run_own(&begin, give_up).await else {
-            self.note_silent(&lease.member);
+            self.record_silence(&lease.member);
             return;
         };
         if answer.outcome.is_err() {
-            self.note_not_primary(&lease.member);
+            self.record_not_primary(&lease.member);
             return;
         }
         lease.in_transaction = true;
@@ -200,27 +209,27 @@
     }
 
     /// Asks gateways that hold connections to the primary, one after the other, until one knows a position;
-    /// gives its age.
-    async fn ask_holders(
+    /// returns the age of that position.
+    async fn request_position_from_holders(
         &self,
         member: &RemoteMember,
         request: &ConnectionRequest<'_>,
         max_age: Duration,
     ) -> Option<Duration> {
-        let mut left = member.holders.clone();
-        while let Some((tunnel, wait)) = self.next_tunnel(&mut left, request).await {
+        let mut remaining = member.holders.clone();
+        while let Some((tunnel, wait)) = self.next_tunnel(&mut remaining, request).await {
             let holder = tunnel.holder();
             let remote = self.remote_request(&member.name, request, wait);
             let asked_at = self.now();
             match self.tunnels.ask_position(tunnel, &remote, max_age).await {
                 Ok(Some(newest)) => {
-                    self.note_newest(holder, asked_at, Some(newest));
+                    self.record_reported_position(holder, asked_at, Some(newest));
                     return Some(newest.0);
                 }
                 Ok(None) => (),
                 Err(error) => log::debug!(
                     group:% = self.name, holder:% = holder.address, error:? = error;
-                    "gateway tells no position"
+                    "gateway reports no position"
                 ),
             }
         }
@@ -233,12 +242,12 @@
     rolled_back.is_ok_and(|answer| answer.outcome.is_ok())
 }
 
-/// A question under way; over when dropped, also where who asked went away.
-struct Asking<'g, W: Wire>(&'g Group<W>);
+/// A position request in flight. Ends on drop, so also when the asking gateway closes the tunnel.
+struct RefreshGuard<'g, W: Wire>(&'g Group<W>);
 
-impl<W: Wire> Drop for Asking<'_, W> {
+impl<W: Wire> Drop for RefreshGuard<'_, W> {
     fn drop(&mut self) {
-        self.0.asking_position.set(false);
-        self.0.position_asked.notify_waiters();
+        self.0.is_refreshing_position.set(false);
+        self.0.position_refreshed.notify_waiters();
     }
 }
--- a/crates/gateway/src/group/reach.rs
+++ b/crates/gateway/src/group/reach.rs
@@ -1,8 +1,8 @@
-//! Notes which members answer and which do not, and reports changes to control.
+//! Records which members answer and which don't, and reports changes to control.
 //!
-//! It is for the outcome of attempts to connect and of statements. It owns the change from reached to
-//! unreached and back, also where this gateway cannot know any longer. It relies on
-//! [`connect`](super::connect) to find out whether a silent member is gone.
+//! The reports follow from connection attempts and statements, and are retracted when this gateway can no
+//! longer find out whether the member is back. A connection attempt ([`connect`](super::connect)) finds out
+//! whether a silent member is gone.
 
 use super::{Group, LOG_TARGET, MemberReach};
 use crate::wire::Wire;
@@ -11,70 +11,73 @@
 use tokio::time::Instant;
 
 impl<W: Wire> Group<W> {
-    /// A member answered; that is reported to control if it counted as unreachable.
-    pub(crate) fn note_reached(&self, name: &MemberName) {
+    /// Records that a member answered; reports it to control if the member counted as unreachable.
+    pub(crate) fn record_reached(&self, name: &MemberName) {
         let now = self.clock.now();
-        let mut news = false;
+        let mut is_changed = false;
         self.with_member(name, |member| {
             member.silence.answered(now);
-            news = member.pauses.note_reached();
+            is_changed = member.pauses.note_reached();
         });
-        if news {
-            self.report(name, true);
+        if is_changed {
+            self.report_reach(name, true);
         }
     }
 
-    /// A member gave no answer; that is reported to control if it counted as reachable.
-    pub(crate) fn note_unreachable(&self, name: &MemberName) {
+    /// Records that a member gave no answer; reports it to control if the member counted as reachable.
+    pub(crate) fn record_unreachable(&self, name: &MemberName) {
         let now = Instant::now();
-        let mut news = false;
-        self.with_member(name, |member| news = member.note_unreachable(now));
-        if news {
-            self.report(name, false);
+        let mut is_changed = false;
+        self.with_member(name, |member| is_changed = member.record_unreachable(now));
+        if is_changed {
+            self.report_reach(name, false);
         }
     }
 
-    /// Whether a member that has just left one more question without an answer counts as gone.
-    pub(super) fn is_gone(&self, name: &MemberName) -> bool {
+    /// Records one more request that a member did not answer; reports whether the member counts as gone now.
+    pub(super) fn record_unanswered(&self, name: &MemberName) -> bool {
         let now = self.clock.now();
-        let mut gone = false;
-        // Through another gateway, it is that one that may be slow.
-        self.with_member(name, |it| gone = it.holds_connections() && it.silence.unanswered(now));
-        if gone {
+        let mut is_gone = false;
+        // Without own connections, the request went through another gateway, which may be the slow one.
+        self.with_member(name, |member| {
+            is_gone = member.holds_connections() && member.silence.unanswered(now)
+        });
+        if is_gone {
             log::warn!(
                 target: LOG_TARGET, group:% = self.name, member:% = name;
                 "member accepts connections and answers nothing: it counts as unreachable"
             );
         }
-        gone
+        is_gone
     }
 
-    /// A member owes an answer that should have come. Slow or gone: a new connection will tell.
-    pub(crate) fn note_silent(self: &Rc<Self>, name: &MemberName) {
+    /// Records that a member's answer is overdue. The member is slow or gone: a new connection finds out
+    /// which.
+    pub(crate) fn record_silence(self: &Rc<Self>, name: &MemberName) {
         let now = Instant::now();
-        if self.is_gone(name) {
-            return self.note_unreachable(name);
+        if self.record_unanswered(name) {
+            return self.record_unreachable(name);
         }
-        let mut checked = None;
-        self.with_member(name, |member| checked = member.note_silent(now));
-        if let Some(back_end) = checked {
-            self.check(name, back_end);
+        let mut reconnect_to = None;
+        self.with_member(name, |member| reconnect_to = member.record_silence(now));
+        if let Some(back_end) = reconnect_to {
+            self.connect_in_background(name, back_end);
         }
     }
 
-    /// This gateway can no longer find out whether a member is back: control is not to count on its word.
-    /// There is one message for that and for a member that was reached.
-    pub(super) fn take_back(&self, name: &MemberName) {
+    /// Retracts the report that a member is unreachable, because this gateway can no longer find out whether
+    /// the member is back. The message is the same as for a member that was reached.
+    pub(super) fn retract_unreachable(&self, name: &MemberName) {
         log::info!(
             target: LOG_TARGET, group:% = self.name, member:% = name;
-            "member is no longer connected to: that it was not reached is taken back"
+            "gateway no longer connects to member: report that it was unreachable retracted"
         );
-        self.report(name, true);
+        self.report_reach(name, true);
     }
 
-    fn report(&self, member: &MemberName, reached: bool) {
+    fn report_reach(&self, member: &MemberName, reached: bool) {
         let (group, member) = (self.name.clone(), member.clone());
-        // Nobody listens at the end of the process only.
+        // The receiver is gone only when the process ends.
         let _ = self.reach.send(MemberReach { group, member, reached });
     }
 }
--- a/crates/gateway/src/group/remote/mod.rs
+++ b/crates/gateway/src/group/remote/mod.rs
@@ -1,9 +1,8 @@
-//! Asking other gateways for a member that they hold connections to.
+//! Asks other gateways to serve requests at a member that they hold connections to.
 //!
-//! It is for requests that this gateway cannot serve on a connection of its own. It owns who is asked in
-//! which order and for how long, and the leases of remote connections. It relies on
-//! [`tunnel`](crate::tunnel) for the exchange with one gateway, and on [`outcome`] to remember what each has
-//! said.
+//! This module decides in which order the holders are asked and how long each may take, and leases remote
+//! connections. [`tunnel`](crate::tunnel) exchanges messages with one gateway; [`outcome`] records each
+//! reply.
 
 mod outcome;
 
@@ -24,13 +23,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What asking one gateway has brought.
+/// Reply of one holder, and what it means for the request.
 enum HolderReply<T> {
-    /// It served.
+    /// The holder served the request.
     Answered(T),
-    /// The next one may serve. This one has said when it may have room, if it has none now.
+    /// The next holder is asked. Contains the time after which this holder may have room, if it has none now.
     AskNext(Option<Duration>),
-    /// Nobody else is asked.
+    /// The request fails; no other holder is asked.
     GiveUp(AcquireError),
 }
 
@@ -47,15 +46,15 @@
 /// The result of a statement that another gateway ran, and the position that a read had to see.
 pub(crate) type RanRemotely = (Result<Answer, Unanswered>, Option<ReadPosition>);
 
-/// A transaction that another gateway was asked to begin, with its first statement.
+/// Outcome of asking another gateway to begin a transaction and run its first statement.
 pub(crate) enum RemoteOpening<W: Wire> {
-    /// It gave a connection, on which the transaction is still to be begun.
+    /// The holder lent a connection, on which the transaction has yet to be begun.
     Lent(Located<W>),
-    /// It is open; this is the result of the statement.
+    /// The transaction is open; contains the result of the first statement.
     Open(Located<W>, Result<Answer, Unanswered>),
-    /// It could not be begun at the member; the statement was not sent.
+    /// The transaction could not be begun at the member; the statement was not sent.
     NotBegun(Unanswered),
-    /// The gateway gave no answer: the statement may have run, and is rolled back.
+    /// The holder gave no answer: the statement may have run, and is rolled back.
     Lost(LinkError),
 }
 
@@ -67,7 +66,7 @@
 }
 
 impl<W: Wire> Group<W> {
-    /// Uses a connection that another gateway holds.
+    /// Borrows a connection from another gateway.
     pub(crate) async fn acquire_remote(
         self: &Rc<Self>,
         member: &RemoteMember,
@@ -77,8 +76,9 @@
         self.ask_in_turn(member, request, ask).await
     }
 
-    /// Has another gateway begin a transaction on one of its connections and run its first statement. Of
-    /// one that has not answered lately a connection is asked for first: without it nothing is lost.
+    /// Has another gateway begin a transaction on one of its connections and run the first statement. A
+    /// holder that has not answered lately is asked for a connection first: if it doesn't answer, nothing has
+    /// run.
     pub(crate) async fn open_remote(
         self: &Rc<Self>,
         member: &RemoteMember,
@@ -95,8 +95,8 @@
         self.ask_in_turn(member, request, ask).await
     }
 
-    /// Has another gateway run a statement on one of its connections. A statement that may have
-    /// reached a member is not sent again here: whether it may be is for the caller to know.
+    /// Has another gateway run a statement on one of its connections. A statement that may have reached a
+    /// member is not sent again; the caller decides whether it may be.
     pub(crate) async fn run_remote(
         self: &Rc<Self>,
         member: &RemoteMember,
@@ -118,9 +118,9 @@
         request: &ConnectionRequest<'_>,
         ask: impl AsyncFn(TunnelClient, RemoteRequest) -> HolderReply<T>,
     ) -> Result<T, AcquireError> {
-        let mut left = member.holders.clone();
+        let mut remaining = member.holders.clone();
         let mut room_after = None;
-        while let Some((tunnel, wait)) = self.next_tunnel(&mut left, request).await {
+        while let Some((tunnel, wait)) = self.next_tunnel(&mut remaining, request).await {
             let remote = self.remote_request(&member.name, request, wait);
             match ask(tunnel, remote).await {
                 HolderReply::Answered(answer) => return Ok(answer),
@@ -130,7 +130,7 @@
                 HolderReply::GiveUp(error) => return Err(error),
             }
         }
-        Err(self.note_none_served(member.name.clone(), request, room_after))
+        Err(self.record_none_served(member.name.clone(), request, room_after))
     }
 
     async fn ask_to_lend(
@@ -143,13 +143,15 @@
         let asked_at = self.now();
         match self.tunnels.acquire(tunnel, &remote).await {
             Ok(granted) => {
-                self.note_holder_served(member, holder);
-                self.note_newest(holder, asked_at, granted.newest);
-                HolderReply::Answered(self.granted(member.clone(), granted, remote.principal))
+                self.record_holder_served(member, holder);
+                self.record_reported_position(holder, asked_at, granted.newest);
+                HolderReply::Answered(self.lease_remote(member.clone(), granted, remote.principal))
             }
-            Err(TunnelError::Refused(refusal)) => self.note_holder_refused(member, holder, refusal),
-            // Nothing was run on a connection that was not granted.
-            Err(TunnelError::NotSent(_) | TunnelError::Sent(_)) => self.note_holder_unreached(),
+            Err(TunnelError::Refused(refusal)) => {
+                self.record_holder_refusal(member, holder, refusal)
+            }
+            // Without a granted connection, nothing can have run: the next holder may be asked.
+            Err(TunnelError::NotSent(_) | TunnelError::Sent(_)) => self.record_holder_unreached(),
         }
     }
 
@@ -166,11 +168,18 @@
         let limit = deadline.saturating_duration_since(Instant::now());
         match self.tunnels.begin(tunnel, &remote, first.to_request(), limit).await {
             Ok(opened) => {
-                self.note_holder_served(member, holder);
-                HolderReply::Answered(self.take_opened(member, opened, asked_at, remote.principal))
+                self.record_holder_served(member, holder);
+                HolderReply::Answered(self.accept_opened(
+                    member,
+                    opened,
+                    asked_at,
+                    remote.principal,
+                ))
+            }
+            Err(TunnelError::Refused(refusal)) => {
+                self.record_holder_refusal(member, holder, refusal)
             }
-            Err(TunnelError::Refused(refusal)) => self.note_holder_refused(member, holder, refusal),
-            Err(TunnelError::NotSent(_)) => self.note_holder_unreached(),
+            Err(TunnelError::NotSent(_)) => self.record_holder_unreached(),
             Err(TunnelError::Sent(error)) => {
                 self.metrics.note_remote(RemoteOutcome::Lost);
                 HolderReply::Answered(RemoteOpening::Lost(error))
@@ -191,13 +200,15 @@
         let limit = deadline.saturating_duration_since(sent.instant);
         match self.tunnels.run(tunnel, &remote, statement.to_request(), limit).await {
             Ok(ran) => {
-                self.note_holder_served(member, holder);
-                self.note_newest(holder, sent.asked_at, ran.newest);
-                self.note_ran_remotely(member, statement.kind, &ran, sent);
+                self.record_holder_served(member, holder);
+                self.record_reported_position(holder, sent.asked_at, ran.newest);
+                self.record_remote_result(member, statement.kind, &ran, sent);
                 HolderReply::Answered((ran.result, ran.position))
             }
-            Err(TunnelError::Refused(refusal)) => self.note_holder_refused(member, holder, refusal),
-            Err(TunnelError::NotSent(_)) => self.note_holder_unreached(),
+            Err(TunnelError::Refused(refusal)) => {
+                self.record_holder_refusal(member, holder, refusal)
+            }
+            Err(TunnelError::NotSent(_)) => self.record_holder_unreached(),
             Err(TunnelError::Sent(error)) => {
                 self.metrics.note_remote(RemoteOutcome::Lost);
                 HolderReply::Answered((Err(Unanswered::Sent(error)), None))
@@ -205,7 +216,7 @@
         }
     }
 
-    fn take_opened(
+    fn accept_opened(
         self: &Rc<Self>,
         member: &MemberName,
         opened: OpenedAtHolder,
@@ -214,42 +225,42 @@
     ) -> RemoteOpening<W> {
         match opened {
             OpenedAtHolder::Open(granted, result) => {
-                self.note_newest(granted.tunnel.holder(), asked_at, granted.newest);
+                self.record_reported_position(granted.tunnel.holder(), asked_at, granted.newest);
                 if granted.position.is_none() {
-                    self.note_primary(member);
+                    self.record_primary(member);
                 }
-                let mut located = self.granted(member.clone(), granted, principal);
+                let mut located = self.lease_remote(member.clone(), granted, principal);
                 located.lease.in_transaction = true;
                 RemoteOpening::Open(located, result)
             }
-            OpenedAtHolder::Not(tunnel, why, newest) => {
-                self.note_newest(tunnel.holder(), asked_at, newest);
+            OpenedAtHolder::Not(tunnel, reason, newest) => {
+                self.record_reported_position(tunnel.holder(), asked_at, newest);
                 self.tunnels.keep_free(*tunnel);
-                RemoteOpening::NotBegun(why)
+                RemoteOpening::NotBegun(reason)
             }
         }
     }
 
-    /// A tunnel to one of the holders that are left to ask, which is taken off, and how long the request
-    /// may wait there: half of its time, and all of it at the last one. None when the time is over or
-    /// no holder can be reached.
+    /// Returns a tunnel to one of the remaining holders, which is removed from them, and how long the request
+    /// may wait there: half of its remaining time, or all of it at the last holder. None if the time is over
+    /// or no holder can be reached.
     pub(super) async fn next_tunnel(
         &self,
-        left: &mut Vec<Holder>,
+        remaining: &mut Vec<Holder>,
         request: &ConnectionRequest<'_>,
     ) -> Option<(TunnelClient, Duration)> {
         let time_left = || request.give_up.saturating_duration_since(Instant::now());
-        if left.is_empty() || time_left().is_zero() {
+        if remaining.is_empty() || time_left().is_zero() {
             return None;
         }
-        let Ok(tunnel) = self.tunnels.reach(left).await else {
+        let Ok(tunnel) = self.tunnels.reach(remaining).await else {
             self.metrics.note_remote(RemoteOutcome::NotReached);
-            left.clear();
+            remaining.clear();
             return None;
         };
         let holder = tunnel.holder();
-        left.retain(|it| it.address != holder.address);
-        let wait = if left.is_empty() { time_left() } else { time_left() / 2 };
+        remaining.retain(|other| other.address != holder.address);
+        let wait = if remaining.is_empty() { time_left() } else { time_left() / 2 };
         Some((tunnel, wait))
     }
 
@@ -269,13 +280,13 @@
         }
     }
 
-    fn granted(
+    fn lease_remote(
         self: &Rc<Self>,
         member: MemberName,
         granted: Granted,
         principal: Principal,
     ) -> Located<W> {
-        self.with_member(&member, |it| it.remote_in_use += 1);
+        self.with_member(&member, |member| member.remote_in_use += 1);
         let transport = Transport::Tunnel(granted.tunnel);
         let mut connection = MemberConnection::new(self.wire.clone(), transport, principal);
         connection.profile = granted.profile;
@@ -283,26 +294,28 @@
         Located { lease, position: granted.position }
     }
 
-    /// A lease on a connection that another gateway holds is over.
-    pub(crate) fn remote_ended(
+    /// Ends the lease of a connection that another gateway holds.
+    pub(crate) fn release_remote(
         &self,
         name: &MemberName,
         connection: MemberConnection<W>,
-        settled: bool,
+        is_settled: bool,
     ) {
-        self.with_member(name, |it| it.remote_in_use = it.remote_in_use.saturating_sub(1));
+        self.with_member(name, |member| {
+            member.remote_in_use = member.remote_in_use.saturating_sub(1)
+        });
         let Some((tunnel, profile)) = connection.into_tunnel() else { return };
         if tunnel.is_silent() {
             self.tunnels.note_silent(tunnel.holder());
         }
-        // Without a release the holder sees the tunnel close, and closes the connection.
-        if settled {
+        // Without a release, the tunnel closes, and the holder closes the connection.
+        if is_settled {
             self.tunnels.release(tunnel, profile);
         }
     }
 }
 
-/// A statement that another gateway runs counts at the member while it does.
+/// Counts a statement that another gateway runs as in use at the member until dropped.
 struct RemoteUse<'g, W: Wire> {
     group: &'g Group<W>,
     member: &'g MemberName,
@@ -310,14 +323,15 @@
 
 impl<'g, W: Wire> RemoteUse<'g, W> {
     fn new(group: &'g Group<W>, member: &'g MemberName) -> Self {
-        group.with_member(member, |it| it.remote_in_use += 1);
+        group.with_member(member, |member| member.remote_in_use += 1);
         Self { group, member }
     }
 }
 
 impl<W: Wire> Drop for RemoteUse<'_, W> {
     fn drop(&mut self) {
-        self.group
-            .with_member(self.member, |it| it.remote_in_use = it.remote_in_use.saturating_sub(1));
+        self.group.with_member(self.member, |member| {
+            member.remote_in_use = member.remote_in_use.saturating_sub(1)
+        });
     }
 }
--- a/crates/gateway/src/group/remote/outcome.rs
+++ b/crates/gateway/src/group/remote/outcome.rs
@@ -1,8 +1,7 @@
-//! What other gateways have said where they were asked, and what is remembered of it.
+//! Records the replies of other gateways that [`remote`](super) has asked.
 //!
-//! It is for [`remote`](super), which asks. It owns what each reply means for the member, for the gateway
-//! that sent it and for the request; the rule for a request that none served is [`RemoteAttempt`]. It relies
-//! on the group's members and on its freshness to keep what was learnt.
+//! This module decides what each reply means for the member, for the gateway that sent it and for the
+//! request. [`RemoteAttempt`] has the rule for a request that no gateway served.
 
 use super::{HolderReply, RequestSent};
 use crate::answer::Unanswered;
@@ -20,21 +19,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Target of the log lines of this module, by which operators may filter.
+/// Target of this module's log lines, which operators may filter by.
 const LOG_TARGET: &str = "corktack_gateway::group::elsewhere::told";
 
 impl<W: Wire> Group<W> {
-    /// A gateway served.
-    pub(super) fn note_holder_served(&self, member: &MemberName, holder: Holder) {
+    /// Records that a holder served a request.
+    pub(super) fn record_holder_served(&self, member: &MemberName, holder: Holder) {
         self.metrics.note_remote(RemoteOutcome::Served);
-        self.with_member(member, |it| {
-            it.detour.reached();
-            it.holders.served(holder.address);
+        self.with_member(member, |member_state| {
+            member_state.detour.reached();
+            member_state.holders.served(holder.address);
         });
     }
 
-    /// A gateway said that it does not serve.
-    pub(super) fn note_holder_refused<T>(
+    /// Records that a holder refused a request, and returns what this means for the request.
+    pub(super) fn record_holder_refusal<T>(
         &self,
         member: &MemberName,
         holder: Holder,
@@ -44,11 +43,12 @@
             TunnelRefusal::NoneFree { retry_after } => {
                 self.metrics.note_remote(RemoteOutcome::NoneFree);
                 let (steady, now) = (self.now(), Instant::now());
-                self.with_member(member, |it| {
-                    it.detour.reached();
-                    if it.is_kept_out(now) {
-                        // It may be kept out as well: the others are asked before it for a while.
-                        it.holders.refused(holder.address, steady);
+                self.with_member(member, |member_state| {
+                    member_state.detour.reached();
+                    if member_state.is_full_without_connections(now) {
+                        // The holder may have no connection to the full member either: other holders are
+                        // asked before it for a while.
+                        member_state.holders.refused(holder.address, steady);
                     }
                 });
                 HolderReply::AskNext(Some(retry_after))
@@ -60,20 +60,23 @@
             TunnelRefusal::Unreachable | TunnelRefusal::NotHeld => {
                 self.metrics.note_remote(RemoteOutcome::NotReached);
                 let now = self.now();
-                self.with_member(member, |it| it.holders.refused(holder.address, now));
+                self.with_member(member, |member_state| {
+                    member_state.holders.refused(holder.address, now)
+                });
                 HolderReply::AskNext(None)
             }
         }
     }
 
-    /// A gateway was not reached, or gave no answer, where nothing can have run.
-    pub(super) fn note_holder_unreached<T>(&self) -> HolderReply<T> {
+    /// Records that a holder was not reached, or gave no answer to a request that can't have run.
+    pub(super) fn record_holder_unreached<T>(&self) -> HolderReply<T> {
         self.metrics.note_remote(RemoteOutcome::NotReached);
         HolderReply::AskNext(None)
     }
 
-    /// No gateway that was asked served the request; `room_after` is when the first may have room.
-    pub(super) fn note_none_served(
+    /// Records that no holder served the request, and returns its error. `room_after` is the shortest time
+    /// after which a holder may have room.
+    pub(super) fn record_none_served(
         &self,
         member: MemberName,
         request: &ConnectionRequest<'_>,
@@ -82,11 +85,11 @@
         let now = Instant::now();
         let steady = self.now();
         let (mut is_reached, mut holds_connections) = (false, false);
-        self.with_member(&member, |it| {
-            is_reached = it.detour.is_open();
-            holds_connections = it.holds_connections();
+        self.with_member(&member, |member_state| {
+            is_reached = member_state.detour.is_open();
+            holds_connections = member_state.holds_connections();
             if !is_reached {
-                it.detour.failed(steady);
+                member_state.detour.failed(steady);
             }
         });
         let attempt =
@@ -101,76 +104,83 @@
                 AcquireError::NoHolder(member)
             }
             RemoteFailure::Unreachable => {
-                self.with_member(&member, |it| it.pauses.note_busy(now));
+                self.with_member(&member, |member_state| member_state.pauses.note_busy(now));
                 AcquireError::Unreachable(member)
             }
         }
     }
 
-    /// Whether there is no holder of a member left to ask.
+    /// Reports whether there is no holder of a member left to ask.
     fn no_holder_left(&self, member: &MemberName) -> bool {
         let mut none_left = false;
-        self.with_member(member, |it| none_left = self.tunnels.to_ask(&it.holders, 1).is_empty());
+        self.with_member(member, |member_state| {
+            none_left = self.tunnels.to_ask(&member_state.holders, 1).is_empty()
+        });
         none_left
     }
 
-    /// Opens connections of its own to a member for some time.
+    /// Starts a fallback period, in which this gateway opens connections of its own to a member.
     pub(in crate::group) fn begin_fallback(&self, member: &MemberName) {
         log::info!(
             target: LOG_TARGET, group:% = self.name, member:% = member;
-            "no gateway that holds connections answers: this one opens its own"
+            "no holder of connections to member answers: gateway opens its own"
         );
         let now = Instant::now();
-        self.with_member(member, |it| it.begin_fallback(now));
+        self.with_member(member, |member_state| member_state.begin_fallback(now));
     }
 
-    /// Takes over the newest position that a holder knows, which was asked at `asked_at`.
-    pub(in crate::group) fn note_newest(
+    /// Records the newest position that a holder knows, from its answer to a request sent at `asked_at`.
+    pub(in crate::group) fn record_reported_position(
         &self,
         holder: Holder,
         asked_at: Timestamp,
         newest: Option<(Duration, Position)>,
     ) {
         let Some((age, position)) = newest else { return };
-        let noted = self.freshness.borrow_mut().note_reported(asked_at, age, position);
-        self.metrics.note_reported_position(noted.is_ok());
-        if let Err(error) = noted {
+        let recorded = self.freshness.borrow_mut().note_reported(asked_at, age, position);
+        self.metrics.note_reported_position(recorded.is_ok());
+        if let Err(error) = recorded {
             log::debug!(
                 target: LOG_TARGET, group:% = self.name, holder:% = holder.address,
                 position:% = position,
                 error:% = error;
-                "position of another gateway not used"
+                "position reported by another gateway not used"
             );
         }
     }
 
-    /// Remembers what a statement that another gateway ran says of the member. What it says of the
-    /// connection is the holder's to remember.
-    pub(super) fn note_ran_remotely(
+    /// Records the result at a member of a statement that another gateway ran. The holder records what the
+    /// result means for its connection.
+    pub(super) fn record_remote_result(
         &self,
         member: &MemberName,
         kind: LoneKind,
         ran: &RanAtHolder,
         sent: RequestSent,
     ) {
-        let taken = sent.instant.elapsed();
+        let elapsed = sent.instant.elapsed();
         let (steady, now) = (self.now(), Instant::now());
-        self.with_member(member, |it| it.note_reported_load(&ran.load, taken, steady));
+        self.with_member(member, |member_state| {
+            member_state.record_reported_load(&ran.load, elapsed, steady)
+        });
         let answer = match &ran.result {
             Ok(answer) => answer,
             Err(Unanswered::Refused(failure)) => return self.note_refusal(member, failure.code),
             Err(Unanswered::NotSent(_) | Unanswered::Sent(_)) => {
-                return self.with_member(member, |it| it.note_unserved(steady, now));
+                return self
+                    .with_member(member, |member_state| member_state.record_unserved(steady, now));
             }
         };
         match &answer.outcome {
             Ok(_) => {
-                self.with_member(member, |it| it.note_served_remotely(steady));
+                self.with_member(member, |member_state| {
+                    member_state.record_served_remotely(steady)
+                });
                 match kind {
                     LoneKind::Write => {
                         self.note_lead(member, sent.asked_at, answer.ready.position);
                     }
-                    LoneKind::ReadAtPrimary => self.note_primary(member),
+                    LoneKind::ReadAtPrimary => self.record_primary(member),
                     LoneKind::Read { .. } => (),
                 }
             }
--- a/crates/gateway/src/group/request.rs
+++ b/crates/gateway/src/group/request.rs
@@ -1,7 +1,7 @@
-//! What the group is asked for, and where it can be served.
+//! Request for a connection to a member of a group, and the location where it can be served.
 //!
-//! It is for everyone who needs a connection: sessions, other gateways, the group's own questions. It owns
-//! the form of such a request and of its answer. It decides nothing.
+//! Requests come from sessions, from other gateways, and from the group itself when it asks for the primary's
+//! position.
 
 use super::Lease;
 use crate::wire::Wire;
@@ -12,23 +12,24 @@
 use std::collections::BTreeSet;
 use tokio::time::Instant;
 
-/// Who could serve a statement.
+/// Members that could serve a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Target {
     /// The primary.
     Primary,
     /// A member that this gateway holds connections to, for another gateway.
     Held(MemberName),
-    /// Any member but those that have already refused it.
+    /// Any member except those that have already refused the statement.
     Reader {
-        /// Members that refused it.
+        /// Members that refused the statement.
         refused: BTreeSet<MemberName>,
     },
 }
 
 impl Target {
-    /// Whether who asks can go on at once where no member is there.
-    pub(super) fn has_another_way(&self) -> bool {
+    /// Reports whether the requester has an alternative if no member can serve: another holder to ask, or the
+    /// primary.
+    pub(super) fn has_alternative(&self) -> bool {
         match self {
             Self::Held(_) => true,
             Self::Reader { refused } => !refused.is_empty(),
@@ -42,26 +43,26 @@
 pub(crate) struct ConnectionRequest<'s> {
     pub(crate) target: Target,
     pub(crate) session: &'s SessionProfile,
-    /// On whose behalf; none for questions of the product's own, which any connection will do for.
+    /// Principal whose statement it is; none for the gateway's own requests, which any connection can serve.
     pub(crate) principal: Option<&'s Principal>,
-    /// What tells how long it is likely to keep a slot.
+    /// Kind of the statement, from which the time in a slot is estimated.
     pub(crate) kind: StatementKind,
-    /// What a read that any member may serve must see.
+    /// What a read that any member may serve must see at least.
     pub(crate) bound: Option<ReadBound>,
-    /// Whether it takes one of the slots of the member.
+    /// Whether the statement takes one of the member's slots.
     pub(crate) needs_slot: bool,
-    /// When waiting for a connection ends.
+    /// Deadline of the wait for a connection.
     pub(crate) give_up: Instant,
 }
 
-/// A connection, and the position that a read on it must see.
+/// A leased connection, and the position that a read on it must see.
 pub(crate) struct Located<W: Wire> {
     pub(crate) lease: Lease<W>,
-    /// There for a request with a bound.
+    /// Set for a request with a bound.
     pub(crate) position: Option<ReadPosition>,
 }
 
-/// A member, and gateways that hold connections to it, in the order to ask.
+/// A member, and the gateways that hold connections to it, in the order in which they are asked.
 #[derive(Clone, Debug)]
 pub(crate) struct RemoteMember {
     pub(crate) name: MemberName,
--- a/crates/gateway/src/group/state.rs
+++ b/crates/gateway/src/group/state.rs
@@ -1,8 +1,7 @@
-//! What a group knows of its members, and who waits for them.
+//! State of a group: its members, what is known about the primary, and the queue of waiting statements.
 //!
-//! It is for the choice of a member ([`choice`](super::choice)) and for waking those who wait. It owns the
-//! members, what is known of the primary, the queue. Nothing in it waits or sends: it is borrowed for a
-//! moment at a time. It relies on the rest of the group to say what was seen.
+//! [`choice`](super::choice) reads the state to choose a member. Nothing here awaits or sends, as the state
+//! is behind a `RefCell` that must not be borrowed across an await.
 
 use crate::member::Member;
 use crate::wire::Wire;
@@ -16,19 +15,19 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// How long a member that said it is no primary is not asked again, unless control says it is. Chosen, not
-/// measured: lower, writes are spent on a member that refuses them; higher, one that was promoted without
-/// control's word is found later.
+/// How long a member that denied being the primary is not tried again, unless control announces it as the
+/// primary. A shorter pause wastes writes on a member that refuses them; a longer one delays finding a member
+/// that was promoted without an announcement by control.
 const NOT_PRIMARY_PAUSE: Duration = Duration::from_millis(150);
 
-/// What a group knows of its members, and who waits for them.
+/// Members of a group, what is known about its primary, and the statements that wait.
 pub(super) struct GroupState<W: Wire> {
     pub(super) members: BTreeMap<MemberName, Member<W>>,
     pub(super) promotion: Option<Promotion>,
     /// The member that last acted as primary.
     pub(super) proven_primary: Option<MemberName>,
     pub(super) not_primary_until: BTreeMap<MemberName, Instant>,
-    /// Statements that wait for a slot here.
+    /// Statements that wait for a slot, each with the channel that wakes it.
     pub(super) waiting: SlotQueue<oneshot::Sender<MemberName>>,
     pub(super) service_times: ServiceTimes,
     pub(super) preferences: ReaderPreferences,
@@ -47,31 +46,32 @@
         }
     }
 
-    /// Whether a member is the primary as far as is known: any may be while none has proved to be.
-    pub(super) fn may_lead(&self, name: &MemberName) -> bool {
+    /// Reports whether a member may be the primary: any member may be while none has acted as the primary.
+    pub(super) fn may_be_primary(&self, name: &MemberName) -> bool {
         self.proven_primary.as_ref().is_none_or(|primary| primary == name)
     }
 
-    /// A member acted as only the primary can; says whether that is news.
-    pub(super) fn note_primary(&mut self, name: &MemberName) -> bool {
-        let is_news = self.proven_primary.as_ref() != Some(name);
-        if is_news {
+    /// Records that a member did what only the primary can do; reports whether the primary changed.
+    pub(super) fn record_primary(&mut self, name: &MemberName) -> bool {
+        let is_changed = self.proven_primary.as_ref() != Some(name);
+        if is_changed {
             self.proven_primary = Some(name.clone());
         }
         self.not_primary_until.remove(name);
-        is_news
+        is_changed
     }
 
-    /// A member refused what only the primary takes.
-    pub(super) fn note_not_primary(&mut self, name: &MemberName) {
+    /// Records that a member refused what only the primary accepts.
+    pub(super) fn record_not_primary(&mut self, name: &MemberName) {
         if self.proven_primary.as_ref() == Some(name) {
             self.proven_primary = None;
         }
         self.not_primary_until.insert(name.clone(), Instant::now() + NOT_PRIMARY_PAUSE);
     }
 
-    /// Takes what control says of the primary: what was seen of the last one no longer counts.
-    pub(super) fn follow_promotion(&mut self, promotion: Option<&Promotion>) {
+    /// Applies control's promotion of a primary; a new promotion discards what was seen of the previous
+    /// primary.
+    pub(super) fn update_promotion(&mut self, promotion: Option<&Promotion>) {
         if self.promotion.as_ref() == promotion {
             return;
         }
@@ -81,26 +81,26 @@
         self.proven_primary = None;
     }
 
-    /// What serves a statement that waits here.
+    /// Returns the number of slots at the members that can serve a target.
     pub(super) fn capacity(&self, target: &SlotTarget) -> Capacity {
         let serves = |name: &MemberName| match target {
             SlotTarget::At(wanted) => wanted == name,
-            SlotTarget::Primary => self.may_lead(name),
+            SlotTarget::Primary => self.may_be_primary(name),
             SlotTarget::AnyBut(refused) => !refused.contains(name),
         };
         let members = self.members.iter().filter(|(name, _)| serves(name));
         Capacity { slots: members.map(|(_, member)| member.slots()).sum() }
     }
 
-    /// Wakes the first who could use a connection to this member.
+    /// Wakes the first waiter that could use a connection to this member, and reserves a place for it.
     pub(super) fn wake_next(&mut self, now: Timestamp, name: &MemberName) {
-        let may_lead = self.may_lead(name);
+        let may_be_primary = self.may_be_primary(name);
         let Some(member) = self.members.get_mut(name) else { return };
-        // A member that is leaving gets no new work through those who wait.
+        // A draining member gets no new work from waiting statements.
         if !member.pauses.takes_reads(Instant::now()) {
             return;
         }
-        while let Some(waker) = self.waiting.next(now, name, may_lead) {
+        while let Some(waker) = self.waiting.next(now, name, may_be_primary) {
             member.pool.reserve();
             if waker.send(name.clone()).is_ok() {
                 return;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// A place that was kept for a waiter is not taken.
+    /// Frees a place that was reserved for a waiter and not taken, and wakes the next waiter.
     pub(super) fn release_reserved(&mut self, now: Timestamp, name: &MemberName) {
         if let Some(member) = self.members.get_mut(name) {
             member.pool.release_reserved();
--- a/crates/gateway/src/group/wait.rs
+++ b/crates/gateway/src/group/wait.rs
@@ -1,11 +1,10 @@
-//! Waiting for room at a member.
+//! Waits for room at a member, for requests that find none.
 //!
-//! It is for requests that find none. It owns the place of a request in the queue, and sees to it that what
-//! was kept for a waiter that has gone goes on to the next. It relies on
-//! [`corktack_core::scheduling::SlotQueue`] for who is served before whom and who is refused at once, and on
-//! the group to wake waiters when a connection is free.
+//! [`corktack_core::scheduling::SlotQueue`] orders the waiting requests and refuses those that can't be
+//! served in time. The group wakes a waiter when a connection is free; a place reserved for a waiter that has
+//! gone passes to the next one.
 
-use super::choice::Taken;
+use super::choice::LocalConnection;
 use super::{ConnectionRequest, Group, LOG_TARGET, Target};
 use crate::error::AcquireError;
 use crate::wire::Wire;
@@ -16,26 +15,27 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-/// Longest wait before a waiter evaluates by itself: what kept a member from having room may pass
-/// without a connection being given back. Waiters that relied on that alone starved although members had
-/// room. The figure is chosen, not measured: lower costs processor time for each that waits, higher leaves
-/// room unused for that long.
+/// Longest wait before a waiter evaluates the members again without being woken: a member may get room
+/// without a connection being returned, so that waiters that rely on wake-ups alone starve although members
+/// have room. A shorter interval costs processor time for each waiter; a longer one leaves room unused for
+/// that long.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 impl<W: Wire> Group<W> {
-    /// Waits for a connection, or room for one; none where it is time to evaluate again.
+    /// Waits for a connection, or room for one; returns none if the members have to be evaluated again.
     pub(super) async fn wait_for_room(
         &self,
         request: &ConnectionRequest<'_>,
         has_waited: bool,
-    ) -> Result<Option<Taken<W>>, AcquireError> {
-        let woken = self.wait(request, has_waited).await?;
+    ) -> Result<Option<LocalConnection<W>>, AcquireError> {
+        let woken = self.wait_in_queue(request, has_waited).await?;
         let Some(member) = woken else { return Ok(None) };
         Ok(self.state.borrow_mut().take_reserved(&member, request, &self.settings))
     }
 
-    /// Waits for a member with room that is kept for this waiter, or until it is time to evaluate again.
-    async fn wait(
+    /// Waits for a member with a place reserved for this waiter; returns none after [`RECHECK_INTERVAL`],
+    /// and an error at the request's deadline.
+    async fn wait_in_queue(
         &self,
         request: &ConnectionRequest<'_>,
         has_waited: bool,
@@ -48,7 +48,7 @@
                 waiting.wait_on(slot_request.clone(), waker)
             } else {
                 let enqueued = waiting.enqueue(self.now(), slot_request.clone(), capacity, waker);
-                enqueued.map_err(none_free)?
+                enqueued.map_err(no_slot_error)?
             }
         };
         let mut place = QueuePlace { group: self, ticket, woken };
@@ -57,15 +57,15 @@
             Ok(member) => Ok(member.ok()),
             Err(_) if Instant::now() < request.give_up => Ok(None),
             Err(_) => {
-                self.explain_wait(request);
-                let over =
+                self.log_wait_timeout(request);
+                let error =
                     self.state.borrow_mut().waiting.time_over(self.now(), &slot_request, capacity);
-                Err(none_free(over))
+                Err(no_slot_error(error))
             }
         }
     }
 
-    /// What the queue is told of a request, and what serves it.
+    /// Returns the slot request for the queue, and the capacity of the members that can serve the request.
     fn slot_request(&self, request: &ConnectionRequest<'_>) -> (SlotRequest, Capacity) {
         let state = self.state.borrow();
         let slot_request = SlotRequest {
@@ -83,8 +83,8 @@
         (slot_request, capacity)
     }
 
-    /// Says what kept a request from being served in its time.
-    fn explain_wait(&self, request: &ConnectionRequest<'_>) {
+    /// Logs for each member that this gateway holds connections to why the request got none in time.
+    fn log_wait_timeout(&self, request: &ConnectionRequest<'_>) {
         let state = self.state.borrow();
         let waiting = state.waiting.len();
         for (name, member) in &state.members {
@@ -101,11 +101,11 @@
     }
 }
 
-fn none_free(NoSlotInTime { retry_after }: NoSlotInTime) -> AcquireError {
+fn no_slot_error(NoSlotInTime { retry_after }: NoSlotInTime) -> AcquireError {
     AcquireError::NoneFree { retry_after }
 }
 
-/// A place among those who wait; left where who waits goes, or evaluates again.
+/// Place of a request in the queue; leaves the queue on drop, when the request ends or evaluates again.
 struct QueuePlace<'g, W: Wire> {
     group: &'g Group<W>,
     ticket: SlotTicket,
@@ -118,7 +118,7 @@
         if state.waiting.leave(self.group.now(), self.ticket) {
             return;
         }
-        // Woken, and not there any more to take what was kept: the next one may.
+        // The waiter was woken but is dropped before it took the reserved place: it goes to the next one.
         if let Ok(member) = self.woken.try_recv() {
             state.release_reserved(self.group.now(), &member);
         }
--- a/crates/gateway/src/holder/frames.rs
+++ b/crates/gateway/src/holder/frames.rs
@@ -1,8 +1,7 @@
-//! The frames of an accepted tunnel, and heartbeats on it while there is no answer yet.
+//! Frames of an accepted tunnel, and the heartbeats on it until there is a reply.
 //!
-//! It is for the other modules of [`holder`](super). It owns when heartbeats go out while something is done;
-//! [`lent`](super::lent) sends those of a lent connection. A holder without heartbeats counts as lost at the
-//! other end. It relies on the times that both sides share, in [`tunnel`](crate::tunnel).
+//! The gateway at the other end counts a holder that sends no heartbeats as lost. [`lent`](super::lent) sends
+//! the heartbeats of a lent connection; the times that both sides share are in [`tunnel`](crate::tunnel).
 
 use crate::error::LinkError;
 use crate::tunnel::{FIRST_HEARTBEAT, HEARTBEAT_INTERVAL, link_error};
@@ -13,18 +12,18 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// Target of the log lines of the holder, by which operators may filter.
+/// Target of the holder's log lines, which operators may filter by.
 pub(super) const LOG_TARGET: &str = "corktack_gateway::tunnel";
 
-/// The frames of an accepted tunnel.
+/// Replies and requests on an accepted tunnel.
 pub(super) type HolderFrames = Framed<TcpStream, FrameCodec<TunnelReply, TunnelRequest>>;
 
-/// Sends a reply.
+/// Sends a reply to the gateway at the other end.
 pub(super) async fn send(frames: &mut HolderFrames, reply: TunnelReply) -> Result<(), LinkError> {
     frames.send(reply).await.map_err(link_error)
 }
 
-/// Does the work, with heartbeats until it is done.
+/// Awaits `work`, and sends heartbeats until it is done.
 pub(super) async fn with_heartbeats<T>(
     frames: &mut HolderFrames,
     work: impl Future<Output = T>,
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -1,10 +1,10 @@
-//! Serves other gateways from the connections that this one holds.
+//! Serves other gateways on the connections that this one holds.
 //!
-//! It is for gateways that hold no share of a member, or do not reach it: it lends them connections, runs
-//! statements and begins transactions for them, reports positions of primaries, and counts operations of
-//! tenants. It owns the accepted tunnels. It relies on the groups for connections
-//! ([`Group::acquire`](crate::group::Group::acquire)), on [`run`](crate::run) for statements, and on the
-//! limits for operations. The other side of a tunnel is [`tunnel`](crate::tunnel).
+//! For gateways that hold no share of a member or don't reach it, the holder lends connections, runs
+//! statements, begins transactions, reports positions of primaries, and counts operations of tenants. It owns
+//! the accepted tunnels. Connections come from the groups ([`Group::acquire`](crate::group::Group::acquire));
+//! [`run`](crate::run) executes statements; the limits count operations. [`tunnel`](crate::tunnel) is the
+//! client side.
 
 mod frames;
 mod lent;
@@ -28,8 +28,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// Pause after a failed accept (out of file descriptors, most likely). Chosen, not measured: lower, the
-/// process spends its time on attempts that fail; higher, tunnels wait though descriptors are free again.
+/// Pause after a failed accept, most likely for lack of file descriptors. A shorter pause spends processor
+/// time on attempts that fail; a longer one keeps tunnels waiting although descriptors are free again.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 /// Serves tunnels of other gateways until the process ends.
@@ -40,7 +40,7 @@
                 actix_rt::spawn(serve_tunnel(stream, Rc::clone(&shared)));
             }
             Err(error) => {
-                log::warn!(target: LOG_TARGET, error:% = error; "a tunnel cannot be accepted");
+                log::warn!(target: LOG_TARGET, error:% = error; "tunnel not accepted: listener pauses");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -48,7 +48,8 @@
 }
 
 async fn serve_tunnel<W: Wire>(stream: TcpStream, shared: Rc<Shared<W>>) {
-    // The options only save time: a tunnel without them still works.
+    // Ignore a failure: the socket options only save time (small messages aren't delayed, a lost peer is
+    // detected sooner).
     drop(Liveness::WITHIN_DEPLOYMENT.apply(&stream));
     let mut frames = HolderFrames::new(stream, FrameCodec::default());
     while let Some(Ok(request)) = frames.next().await {
@@ -66,12 +67,12 @@
     match request {
         TunnelRequest::Acquire { group, member, principal, priority, wait, bound } => {
             let remote = RemoteRequest { group, member, principal, priority, wait, bound };
-            lend(shared, frames, &remote).await
+            lend_connection(shared, frames, &remote).await
         }
         TunnelRequest::Open { group, member, principal, priority, wait, limit, statement } => {
             let bound = statement.kind.bound();
             let remote = RemoteRequest { group, member, principal, priority, wait, bound };
-            open(shared, frames, &remote, &statement, limit).await
+            open_transaction(shared, frames, &remote, &statement, limit).await
         }
         TunnelRequest::Run { group, member, principal, priority, wait, limit, statement } => {
             let bound = statement.kind.bound();
@@ -82,7 +83,7 @@
         }
         TunnelRequest::BeginOperations { tenant, operations, priority, wait } => {
             let request = OperationsRequest { operations, priority, wait };
-            operations::begin(shared, frames, &tenant, request).await
+            operations::count(shared, frames, &tenant, request).await
         }
         TunnelRequest::ReturnOperations { tenant, begun } => {
             shared.limits.return_operations(&tenant, begun);
@@ -91,13 +92,13 @@
         TunnelRequest::Position { group, member, max_age, wait } => {
             report_position(shared, frames, &group, member, (max_age, wait)).await
         }
-        // Nothing is lent.
+        // No connection is lent on this tunnel.
         TunnelRequest::Bytes(_) | TunnelRequest::Release { .. } => Err(LinkError::Closed),
     }
 }
 
-/// Lends a connection until it is given back.
-async fn lend<W: Wire>(
+/// Lends a connection until the other gateway returns it.
+async fn lend_connection<W: Wire>(
     shared: &Shared<W>,
     frames: &mut HolderFrames,
     remote: &RemoteRequest,
@@ -105,7 +106,7 @@
     let writes = remote.bound.is_none();
     match with_heartbeats(frames, statement::acquire(shared, remote, writes)).await? {
         Ok(Located { mut lease, position }) => {
-            let granted = statement::granted(&mut lease, position);
+            let granted = statement::grant_reply(&mut lease, position);
             serve_lent(shared, frames, lease, granted).await
         }
         Err(refusal) => send(frames, TunnelReply::Refused(refusal)).await,
@@ -113,21 +114,22 @@
 }
 
 /// Begins a transaction, runs its first statement, and lends the connection while it is open.
-async fn open<W: Wire>(
+async fn open_transaction<W: Wire>(
     shared: &Shared<W>,
     frames: &mut HolderFrames,
     remote: &RemoteRequest,
     first: &LoneRequest,
     limit: Duration,
 ) -> Result<(), LinkError> {
-    match with_heartbeats(frames, statement::open(shared, remote, first, limit)).await? {
+    match with_heartbeats(frames, statement::open_transaction(shared, remote, first, limit)).await?
+    {
         Ok((Some(lease), opened)) => serve_lent(shared, frames, lease, opened).await,
         Ok((None, not_opened)) => send(frames, not_opened).await,
         Err(refusal) => send(frames, TunnelReply::Refused(refusal)).await,
     }
 }
 
-/// Reports the newest position of a group's primary that is known here, or can be learnt in time.
+/// Reports the newest position of a group's primary that this gateway knows or can learn in time.
 async fn report_position<W: Wire>(
     shared: &Shared<W>,
     frames: &mut HolderFrames,
--- a/crates/gateway/src/holder/operations.rs
+++ b/crates/gateway/src/holder/operations.rs
@@ -1,11 +1,10 @@
-//! Operations of tenants that this gateway counts for others of its zone.
+//! Counts operations of tenants for other gateways of the zone, which are not the tenant's home.
 //!
-//! It is for gateways that are not the home of a tenant. It owns nothing; the limits count. It relies on
-//! them, and takes back what cannot be reported.
+//! [`limits`](crate::limits) does the counting.
 
 use super::frames::{HolderFrames, send, with_heartbeats};
 use crate::error::LinkError;
-use crate::limits::AskedOperations;
+use crate::limits::RequestedOperations;
 use crate::shared::Shared;
 use crate::tunnel::OperationsRequest;
 use crate::wire::Wire;
@@ -13,8 +12,8 @@
 use corktack_protocol::tunnel::{TunnelRefusal, TunnelReply};
 use tokio::time::Instant;
 
-/// Counts operations for another gateway; those that it cannot be told of are taken back.
-pub(super) async fn begin<W: Wire>(
+/// Counts operations for another gateway; undoes the count if the reply can't be sent.
+pub(super) async fn count<W: Wire>(
     shared: &Shared<W>,
     frames: &mut HolderFrames,
     tenant: &TenantName,
@@ -23,16 +22,16 @@
     let until = Instant::now() + wait;
     let counting = async {
         shared.wait_for_document_until(until).await;
-        let asked = AskedOperations { operations, priority, until };
-        shared.limits.count_for_another(tenant, asked).await
+        let requested = RequestedOperations { operations, priority, until };
+        shared.limits.count_for_another(tenant, requested).await
     };
     let counted = with_heartbeats(frames, counting).await?;
-    let begun = counted.as_ref().and_then(|it| it.as_ref().ok()).copied();
+    let admitted = counted.as_ref().and_then(|outcome| outcome.as_ref().ok()).copied();
     let reply = counted
         .map_or(TunnelReply::Refused(TunnelRefusal::NotHeld), TunnelReply::OperationsAdmitted);
     let sent = send(frames, reply).await;
-    if let (Err(_), Some(begun)) = (&sent, begun) {
-        shared.limits.return_operations(tenant, begun);
+    if let (Err(_), Some(admitted)) = (&sent, admitted) {
+        shared.limits.return_operations(tenant, admitted);
     }
     sent
 }
--- a/crates/gateway/src/holder/statement.rs
+++ b/crates/gateway/src/holder/statement.rs
@@ -1,7 +1,7 @@
-//! Statements of other gateways, run on connections of this one.
+//! Runs statements of other gateways, received on a tunnel, on connections of this one.
 //!
-//! It is for requests that arrive on a tunnel. It owns what the other gateway is told where none is run. It
-//! relies on the group for a connection and on [`run`](crate::run) to execute on it.
+//! The group provides a connection, and [`run`](crate::run) executes the statement on it. If no statement can
+//! be run, the other gateway gets a [`TunnelRefusal`].
 
 use super::frames::LOG_TARGET;
 use crate::error::AcquireError;
@@ -18,27 +18,27 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Runs a statement of another gateway.
+/// Runs a statement of another gateway, and returns the reply.
 pub(super) async fn run<W: Wire>(
     shared: &Shared<W>,
     remote: &RemoteRequest,
     statement: &LoneRequest,
     limit: Duration,
 ) -> Result<TunnelReply, TunnelRefusal> {
-    let begun = Instant::now();
-    let deadline = begun + limit;
+    let started_at = Instant::now();
+    let deadline = started_at + limit;
     let Located { lease, position } = acquire(shared, remote, !statement.kind.is_read()).await?;
     let group = Rc::clone(lease.group());
     let result =
         LoneStatement::of_request(statement, remote.priority).run(lease, position, deadline).await;
     let newest = group.newest_position();
-    let load = group.load_report(&remote.member, begun.elapsed());
+    let load = group.load_report(&remote.member, started_at.elapsed());
     Ok(TunnelReply::Ran { outcome: outcome_of(result), position, newest, load })
 }
 
-/// Begins a transaction for another gateway and runs its first statement; gives the connection while the
-/// transaction is open.
-pub(super) async fn open<W: Wire>(
+/// Begins a transaction for another gateway and runs its first statement. Returns the reply, and the lease if
+/// the transaction is open.
+pub(super) async fn open_transaction<W: Wire>(
     shared: &Shared<W>,
     remote: &RemoteRequest,
     statement: &LoneRequest,
@@ -58,12 +58,14 @@
             lease.set_idle_in_transaction(true);
             Ok((Some(lease), TunnelReply::Opened { profile, position, newest, outcome }))
         }
-        Err(why) => Ok((None, TunnelReply::NotOpened { outcome: outcome_of(Err(why)), newest })),
+        Err(reason) => {
+            Ok((None, TunnelReply::NotOpened { outcome: outcome_of(Err(reason)), newest }))
+        }
     }
 }
 
-/// What the other gateway is told of a connection that it is lent.
-pub(super) fn granted<W: Wire>(
+/// Returns the reply that grants a lent connection.
+pub(super) fn grant_reply<W: Wire>(
     lease: &mut Lease<W>,
     position: Option<ReadPosition>,
 ) -> TunnelReply {
@@ -72,15 +74,15 @@
     TunnelReply::Granted { profile, position, newest }
 }
 
-/// A connection of this gateway for a request of another one.
+/// Acquires a connection of this gateway for a request of another one.
 pub(super) async fn acquire<W: Wire>(
     shared: &Shared<W>,
     remote: &RemoteRequest,
     writes: bool,
 ) -> Result<Located<W>, TunnelRefusal> {
-    let begun = Instant::now();
-    let give_up = begun + remote.wait;
-    // In the first moments of a process control is about to tell it what it holds.
+    let started_at = Instant::now();
+    let give_up = started_at + remote.wait;
+    // A gateway that has just started waits for its first document, which says what it holds.
     shared.wait_for_document_until(give_up).await;
     let group = find_group(shared, &remote.group)?;
     let session = SessionProfile::default();
@@ -97,8 +99,8 @@
     acquired.map_err(|error| {
         log::debug!(
             target: LOG_TARGET, group:% = remote.group, member:% = remote.member, error:% = error,
-            after_ms = begun.elapsed().as_millis() as u64;
-            "statement of another gateway not taken"
+            after_ms = started_at.elapsed().as_millis() as u64;
+            "statement of another gateway refused"
         );
         refusal_of(&error)
     })
@@ -106,7 +108,7 @@
 
 fn refusal_of(error: &AcquireError) -> TunnelRefusal {
     match error {
-        // The member is reached all the same: nobody needs another way to it.
+        // The member is reachable, so that the other gateway needs no detour to it.
         AcquireError::NoneFree { .. } | AcquireError::Full(_) => {
             TunnelRefusal::NoneFree { retry_after: error.retry_after() }
         }
@@ -116,7 +118,7 @@
     }
 }
 
-/// The group of a name, as far as this gateway knows it.
+/// Returns the group of a name, or `NotHeld` if this gateway doesn't know it.
 pub(super) fn find_group<W: Wire>(
     shared: &Shared<W>,
     group: &GroupName,
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -1,13 +1,10 @@
-//! Operations of tenants counted against their limits, which hold over all gateways.
+//! Counts the operations of tenants against their limits, which hold over all gateways.
 //!
-//! Each tenant has a home among the gateways of a zone, which counts what is begun in that zone. What may
-//! begin there is decided by [`GatewayLimits`]; the home asks the leader for allowances in the background.
-//! The other gateways ask the home, through tunnels. Where one does not answer, the next
-//! in the tenant's order counts in its place, at last the gateway that asks: each begins only what the leader has given it.
-//!
-//! This is for sessions and for other gateways of the zone. It owns the books of this gateway and who waits in
-//! them. It relies on [`tunnel`](crate::tunnel) to ask homes ([`question`]) and on control for the way to the
-//! leader ([`report`]).
+//! Each tenant has a home among the gateways of a zone, which counts the operations begun in that zone.
+//! [`GatewayLimits`] decides which operations may begin there; the home asks the leader for allowances in the
+//! background ([`report`]). The other gateways ask the home, through tunnels ([`question`]). If the home
+//! doesn't answer, the next gateway in the tenant's order counts in its place, and finally the asking gateway
+//! itself: each gateway admits only what the leader has allowed it.
 
 mod permit;
 mod question;
@@ -26,7 +23,7 @@
     OperationRequestNumber, OverLimit, SettledRequest,
 };
 use corktack_core::tenancy::{Principal, TenantDirectory, TenantName};
-use question::Questions;
+use question::HomeRequests;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -34,43 +31,43 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-/// Part of the time in which an operation waits for a member that it may wait for its tenant's limit. Set with
-/// other parameters in trials on a site whose tenants reach their limits (mean worth 0.628 to 0.719 with longer
-/// waits, more spare operations and expected sessions together), not by itself: lower refuses more, higher
-/// leaves too little time for the member.
-const LIMIT_WAIT_PART: f64 = 0.8;
-/// Gateways of the zone that are asked for a tenant before this one counts itself. Chosen, not measured: fewer
-/// split a tenant's count sooner, more make its callers wait for gateways that are gone.
-const HOMES_ASKED: usize = 3;
+/// Fraction of an operation's wait time that it may wait for its tenant's limit. A lower value refuses more
+/// operations; a higher one leaves too little time to wait for the member. Longer waits, more spare
+/// operations and expected sessions together raise the mean score from 0.628 to 0.719 where tenants reach
+/// their limits.
+const LIMIT_WAIT_FRACTION: f64 = 0.8;
+/// Most gateways of the zone that are asked for a tenant before this one counts itself. Fewer split a
+/// tenant's count sooner; more make its callers wait for gateways that are gone.
+const MAX_HOMES_ASKED: usize = 3;
 
-/// Operations that are asked for together.
+/// Operations that are requested together.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AskedOperations {
+pub(crate) struct RequestedOperations {
     pub(crate) operations: u64,
-    /// Their priority class; 0 is served first.
+    /// Priority class of the operations; 0 is served first.
     pub(crate) priority: u32,
-    /// How long they may wait.
+    /// Deadline of the wait for the tenant's limit.
     pub(crate) until: Instant,
 }
 
-/// The limits of tenants at this gateway.
+/// Limits of tenants at this gateway, and the operations that wait for them.
 #[derive(Debug)]
 pub(crate) struct Limits {
-    /// What is counted here.
-    books: RefCell<GatewayLimits>,
-    /// Who is told the outcome of operations that wait here.
+    /// Operations counted at this gateway, and its allowances.
+    accounts: RefCell<GatewayLimits>,
+    /// Channels for the outcome of the operations that wait at this gateway.
     waiting: RefCell<
         HashMap<OperationRequestNumber, oneshot::Sender<Result<AdmittedOperations, OverLimit>>>,
     >,
-    /// Operations that other gateways are asked for.
-    questions: RefCell<Questions>,
-    /// The other gateways of the zone.
+    /// Operations to be requested from homes at other gateways.
+    home_requests: RefCell<HomeRequests>,
+    /// Other gateways of the zone, and the order in which they are asked.
     peers: RefCell<(Vec<Holder>, HolderChoice)>,
     own_address: SocketAddr,
     tunnels: Rc<Tunnels>,
     clock: SteadyClock,
-    /// Told when an operation waits here.
-    wanted: Notify,
+    /// Notified when an operation waits here or is refused, so that the leader may be asked for more.
+    allowance_wanted: Notify,
 }
 
 impl Limits {
@@ -80,150 +77,152 @@
         clock: SteadyClock,
     ) -> Self {
         let name = settings.name.clone();
-        let books = GatewayLimits::new(clock.now(), name, settings.incarnation, settings.limits);
+        let accounts = GatewayLimits::new(clock.now(), name, settings.incarnation, settings.limits);
         Self {
-            books: RefCell::new(books),
+            accounts: RefCell::new(accounts),
             waiting: RefCell::default(),
-            questions: RefCell::default(),
+            home_requests: RefCell::default(),
             peers: RefCell::default(),
             own_address: settings.peers,
             tunnels,
             clock,
-            wanted: Notify::new(),
+            allowance_wanted: Notify::new(),
         }
     }
 
-    /// Takes the rates of another document.
+    /// Applies the tenants' rates of a new document.
     pub(crate) fn follow(&self, tenants: Option<&TenantDirectory>) {
-        self.books.borrow_mut().follow(tenants);
-        self.settle();
+        self.accounts.borrow_mut().follow(tenants);
+        self.settle_waiting();
     }
 
-    /// What may begin here in a window, and what did in the last one.
+    /// Returns how many operations may begin here in a window, and how many began in the last one.
     pub(crate) fn totals(&self) -> LimitTotals {
-        self.books.borrow_mut().totals(self.clock.now())
+        self.accounts.borrow_mut().totals(self.clock.now())
     }
 
-    /// Takes the other gateways of the zone.
+    /// Replaces the other gateways of the zone.
     pub(crate) fn follow_peers(&self, peers: &[Holder]) {
-        let mut known = self.peers.borrow_mut();
-        if known.0 != peers {
-            known.0 = peers.to_vec();
-            known.1.replace(peers);
+        let mut current = self.peers.borrow_mut();
+        if current.0 != peers {
+            current.0 = peers.to_vec();
+            current.1.replace(peers);
         }
     }
 
-    /// A caller of a principal has come, and is likely to ask for something. Where this gateway is the
-    /// home it sees to it that there is a place; another one hears of it with the first operation.
+    /// Prepares for operations of a principal whose caller has just connected: if this gateway is the
+    /// tenant's home, it marks the tenant as active, so that an allowance is ready. A home at another gateway
+    /// learns of the caller with the first operation.
     pub(crate) fn expect(&self, principal: &Principal) {
         if let Some(tenant) = principal.tenant()
             && self.homes(tenant).is_empty()
         {
-            self.books.borrow_mut().expect(self.clock.now(), tenant);
+            self.accounts.borrow_mut().expect(self.clock.now(), tenant);
         }
     }
 
-    /// Counts an operation that begins now on behalf of a principal. It waits where a place becomes free
-    /// or the leader may allow more in some of the time in which it may wait at all.
+    /// Counts an operation that begins now for a principal. The operation waits for part of the time until
+    /// `give_up` if the tenant's limit may allow it in that time, or the leader may allow more.
     pub(crate) async fn begin(
         self: &Rc<Self>,
         principal: &Principal,
         priority: u32,
         give_up: Instant,
     ) -> Result<OperationPermit, OverLimit> {
-        let limited = principal.tenant().filter(|tenant| self.books.borrow().is_limited(tenant));
+        let limited = principal.tenant().filter(|tenant| self.accounts.borrow().is_limited(tenant));
         let Some(tenant) = limited else { return Ok(OperationPermit::unlimited()) };
         let now = Instant::now();
-        let until = now + give_up.saturating_duration_since(now).mul_f64(LIMIT_WAIT_PART);
-        self.begin_by(tenant, priority, until).await
+        let until = now + give_up.saturating_duration_since(now).mul_f64(LIMIT_WAIT_FRACTION);
+        self.admit_until(tenant, priority, until).await
     }
 
-    async fn begin_by(
+    async fn admit_until(
         self: &Rc<Self>,
         tenant: &TenantName,
         priority: u32,
         until: Instant,
     ) -> Result<OperationPermit, OverLimit> {
-        let (home, begun) = if self.homes(tenant).is_empty() {
-            let asked = AskedOperations { operations: 1, priority, until };
-            (None, self.count_here(tenant, asked).await?)
+        let (home, admitted) = if self.homes(tenant).is_empty() {
+            let requested = RequestedOperations { operations: 1, priority, until };
+            (None, self.count_locally(tenant, requested).await?)
         } else {
-            let counted = self.ask_home(tenant, priority, until).await?;
-            (counted.home, Some(counted.begun))
+            let counted = self.request_from_home(tenant, priority, until).await?;
+            (counted.home, Some(counted.admitted))
         };
-        let Some(begun) = begun else { return Ok(OperationPermit::unlimited()) };
-        Ok(OperationPermit::counted(Rc::clone(self), tenant.clone(), priority, home, begun))
+        let Some(admitted) = admitted else { return Ok(OperationPermit::unlimited()) };
+        Ok(OperationPermit::counted(Rc::clone(self), tenant.clone(), priority, home, admitted))
     }
 
-    /// The gateways to ask for a tenant's operations now, its home first; none where this one counts.
+    /// Returns the gateways to ask for a tenant's operations, the home first; none if this gateway counts
+    /// them.
     fn homes(&self, tenant: &TenantName) -> Vec<Holder> {
         let peers = self.peers.borrow();
-        self.tunnels.to_ask_for(&peers.1, tenant, Some(self.own_address), HOMES_ASKED)
+        self.tunnels.to_ask_for(&peers.1, tenant, Some(self.own_address), MAX_HOMES_ASKED)
     }
 
-    /// Counts operations for another gateway; none where no limit is known here.
+    /// Counts operations for another gateway; returns none if this gateway knows no limit of the tenant.
     pub(crate) async fn count_for_another(
         &self,
         tenant: &TenantName,
-        asked: AskedOperations,
+        requested: RequestedOperations,
     ) -> Option<Result<AdmittedOperations, OverLimit>> {
-        self.count_here(tenant, asked).await.transpose()
+        self.count_locally(tenant, requested).await.transpose()
     }
 
-    /// Counts operations here, as many as may begin; none where nothing limits them.
-    async fn count_here(
+    /// Counts as many of the operations as may begin at this gateway; returns none if nothing limits them.
+    async fn count_locally(
         &self,
         tenant: &TenantName,
-        AskedOperations { operations, priority, until }: AskedOperations,
+        RequestedOperations { operations, priority, until }: RequestedOperations,
     ) -> Result<Option<AdmittedOperations>, OverLimit> {
-        let ask = OperationRequest { operations, priority, until: self.clock.at(until) };
-        let asked = self.books.borrow_mut().request(self.clock.now(), tenant, ask);
-        let number = match asked {
+        let request = OperationRequest { operations, priority, until: self.clock.at(until) };
+        let outcome = self.accounts.borrow_mut().request(self.clock.now(), tenant, request);
+        let number = match outcome {
             OperationOutcome::Unlimited => return Ok(None),
-            OperationOutcome::Admitted(begun) => return Ok(Some(begun)),
+            OperationOutcome::Admitted(admitted) => return Ok(Some(admitted)),
             OperationOutcome::Waiting(number) => number,
-            OperationOutcome::Refused(over) => {
-                self.wanted.notify_one();
-                return Err(over);
+            OperationOutcome::Refused(over_limit) => {
+                self.allowance_wanted.notify_one();
+                return Err(over_limit);
             }
         };
-        let (settled, outcome) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, settled);
+        let (sender, outcome) = oneshot::channel();
+        self.waiting.borrow_mut().insert(number, sender);
         let _place = WaitingPlace { limits: self, tenant, number };
-        self.settle();
-        self.wanted.notify_one();
-        // The sender stays until it is used, or this place is left.
+        self.settle_waiting();
+        self.allowance_wanted.notify_one();
+        // The sender is kept until it is used, or `_place` is dropped.
         let outcome = outcome.await;
         outcome.map_or_else(|_| Ok(None), |outcome| outcome.map(Some))
     }
 
-    /// Decides what can be decided of the operations that wait here.
-    fn settle(&self) {
-        let settled = self.books.borrow_mut().settle(self.clock.now());
+    /// Sends the outcome to each waiting operation that can be decided now.
+    fn settle_waiting(&self) {
+        let settled = self.accounts.borrow_mut().settle(self.clock.now());
         for SettledRequest { number, outcome } in settled {
-            if let Some(waiting) = self.waiting.borrow_mut().remove(&number) {
-                // Who has gone has left the queue before.
-                let _ = waiting.send(outcome);
+            if let Some(sender) = self.waiting.borrow_mut().remove(&number) {
+                // A send fails only if the waiter has gone, and then it has left the queue already.
+                let _ = sender.send(outcome);
             }
         }
     }
 
-    /// Operations that were counted here did not run.
-    pub(crate) fn return_operations(&self, tenant: &TenantName, begun: AdmittedOperations) {
-        self.books.borrow_mut().return_operations(tenant, begun);
-        self.settle();
+    /// Undoes the count of operations that were counted at this gateway and did not run.
+    pub(crate) fn return_operations(&self, tenant: &TenantName, admitted: AdmittedOperations) {
+        self.accounts.borrow_mut().return_operations(tenant, admitted);
+        self.settle_waiting();
     }
 
-    /// Operations did not run that this gateway, or the home of the tenant, has counted.
-    fn give_back(&self, tenant: &TenantName, home: Option<Holder>, begun: AdmittedOperations) {
+    /// Undoes the count of operations that did not run, at the home that counted them or at this gateway.
+    fn undo_count(&self, tenant: &TenantName, home: Option<Holder>, admitted: AdmittedOperations) {
         match home {
-            None => self.return_operations(tenant, begun),
-            Some(home) => self.tunnels.return_operations(home, tenant.clone(), begun),
+            None => self.return_operations(tenant, admitted),
+            Some(home) => self.tunnels.return_operations(home, tenant.clone(), admitted),
         }
     }
 }
 
-/// A place among the operations that wait here; left where who asked goes.
+/// Place among the operations that wait at this gateway; withdrawn on drop, when the requester goes.
 struct WaitingPlace<'l> {
     limits: &'l Limits,
     tenant: &'l TenantName,
@@ -233,7 +232,7 @@
 impl Drop for WaitingPlace<'_> {
     fn drop(&mut self) {
         if self.limits.waiting.borrow_mut().remove(&self.number).is_some() {
-            self.limits.books.borrow_mut().withdraw(self.tenant, self.number);
+            self.limits.accounts.borrow_mut().withdraw(self.tenant, self.number);
         }
     }
 }
--- a/crates/gateway/src/limits/permit.rs
+++ b/crates/gateway/src/limits/permit.rs
@@ -1,7 +1,7 @@
-//! Permission for one operation to run.
+//! Permit of one operation that was counted against its tenant's limit.
 //!
-//! It is for the session that runs it. It owns what was counted, and who counted it. It relies on the limits to
-//! take back what did not run.
+//! A permit records the gateway that counted the operation, so that the session can return an operation that
+//! did not run.
 
 use super::Limits;
 use corktack_core::gateway::Holder;
@@ -10,22 +10,22 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// An operation that was counted.
+/// Count of an admitted operation.
 #[derive(Debug)]
-struct Counted {
+struct CountedOperation {
     limits: Rc<Limits>,
     tenant: TenantName,
     priority: u32,
-    /// The gateway that counted it; none for this one.
+    /// Gateway that counted the operation; none for this one.
     home: Option<Holder>,
-    begun: AdmittedOperations,
+    admitted: AdmittedOperations,
 }
 
-/// Permission for one operation to run.
+/// Permit for one operation to run.
 #[derive(Debug, Default)]
 pub(crate) struct OperationPermit {
-    /// None where nothing is limited.
-    counted: Option<Counted>,
+    /// None if the operation is not limited.
+    counted: Option<CountedOperation>,
 }
 
 impl OperationPermit {
@@ -38,24 +38,24 @@
         tenant: TenantName,
         priority: u32,
         home: Option<Holder>,
-        begun: AdmittedOperations,
+        admitted: AdmittedOperations,
     ) -> Self {
-        Self { counted: Some(Counted { limits, tenant, priority, home, begun }) }
+        Self { counted: Some(CountedOperation { limits, tenant, priority, home, admitted }) }
     }
 
-    /// The operation did not run, at any member.
+    /// Undoes the count of an operation that did not run at any member.
     pub(crate) fn return_operations(self) {
-        if let Some(Counted { limits, tenant, home, begun, .. }) = self.counted {
-            limits.give_back(&tenant, home, begun);
+        if let Some(CountedOperation { limits, tenant, home, admitted, .. }) = self.counted {
+            limits.undo_count(&tenant, home, admitted);
         }
     }
 
-    /// Counts the operation once more: it may have run at a member, and is to run at another. Says
-    /// whether the limit allows it at once.
+    /// Counts the operation once more, because it may have run at one member and is to be retried at another.
+    /// Reports whether the limit allows it at once.
     pub(crate) async fn count_again(&self) -> bool {
         let Some(counted) = &self.counted else { return true };
-        // It stays counted, whatever becomes of it.
-        let Counted { limits, tenant, priority, .. } = counted;
-        limits.begin_by(tenant, *priority, Instant::now()).await.is_ok()
+        // The second count is kept whatever the outcome of the retry.
+        let CountedOperation { limits, tenant, priority, .. } = counted;
+        limits.admit_until(tenant, *priority, Instant::now()).await.is_ok()
     }
 }
--- a/crates/gateway/src/limits/question.rs
+++ b/crates/gateway/src/limits/question.rs
@@ -1,14 +1,10 @@
-//! Asks the home of a tenant for operations that begin at this gateway.
+//! Asks the home of a tenant for operations that begin at this gateway and that it doesn't count itself.
 //!
-//! It is for operations that this gateway does not count itself. It owns the questions that are due and who
-//! waits for them. It relies on [`tunnel`](crate::tunnel) to ask, and on [`limits`](super) to count here where
-//! no home answers.
-//!
-//! Operations that are asked for together go out in one question: the first at once, those that come
-//! within [`QUESTION_SPACING`] after it together. So a class of a tenant costs a gateway at most one
-//! question in that time, however many operations it begins.
+//! The first operation is requested at once; those that arrive within [`REQUEST_SPACING`] after it are
+//! batched into one request. So a priority class of a tenant costs a gateway at most one request in that
+//! time, however many operations begin. If no home answers, [`limits`](super) counts at this gateway.
 
-use super::{AskedOperations, Limits};
+use super::{Limits, RequestedOperations};
 use crate::retry_after;
 use crate::tunnel::{OperationsRequest, TunnelError};
 use corktack_core::gateway::Holder;
@@ -20,185 +16,185 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Shortest time between two questions of a gateway for a tenant: a hundredth of the shortest objective of
-/// the users' callers (400 ms) and a bit. Chosen by that, not measured by itself.
-const QUESTION_SPACING: Duration = Duration::from_millis(5);
-/// How much longer than an operation may wait its answer is waited for: the way from the home in the zone.
-/// Chosen, not measured: lower, answers that are on their way are lost; higher, callers are refused later.
-const ANSWER_SLACK: Duration = Duration::from_millis(20);
+/// Shortest time between two requests of a gateway for a tenant and priority class: a little over 1 % of the
+/// shortest latency objective of callers (400 ms).
+const REQUEST_SPACING: Duration = Duration::from_millis(5);
+/// Grace period for the answer after an operation's deadline: the latency from the home in the zone. A
+/// shorter one loses answers that are on their way; a longer one refuses callers later.
+const ANSWER_GRACE: Duration = Duration::from_millis(20);
 
-/// An operation that a home has counted.
+/// An operation counted at a home, or by this gateway in its place.
 #[derive(Debug)]
 pub(super) struct CountedAtHome {
-    /// The gateway that counted it; none where this one counted in its place.
+    /// Gateway that counted the operation; none if this gateway counted in the home's place.
     pub(super) home: Option<Holder>,
-    pub(super) begun: AdmittedOperations,
+    pub(super) admitted: AdmittedOperations,
 }
 
 type Outcome = Result<CountedAtHome, OverLimit>;
 
-/// An operation that waits for an answer.
+/// An operation that waits for the home's answer.
 #[derive(Debug)]
 struct Waiter {
     until: Instant,
-    answered: oneshot::Sender<Outcome>,
+    sender: oneshot::Sender<Outcome>,
 }
 
-/// Operations that one question asks for: of a tenant and a priority class.
-type Subject = (TenantName, u32);
+/// Tenant and priority class of the operations that one request asks for.
+type BatchKey = (TenantName, u32);
 
-/// The operations of one subject that no question has gone out for yet.
+/// Operations of one tenant and priority class that no request has been sent for yet.
 #[derive(Debug, Default)]
-struct Unsent {
+struct UnsentBatch {
     waiters: Vec<Waiter>,
-    /// Whether a question is about to be asked.
-    is_due: bool,
+    /// Whether a request is scheduled.
+    is_scheduled: bool,
     asked_at: Option<Instant>,
 }
 
-/// Operations that homes are to be asked for, by subject.
+/// Operations to be requested from homes, by tenant and priority class.
 #[derive(Debug, Default)]
-pub(super) struct Questions {
-    unsent: HashMap<Subject, Unsent>,
+pub(super) struct HomeRequests {
+    batches: HashMap<BatchKey, UnsentBatch>,
 }
 
-impl Questions {
-    /// Adds operations; gives when a question for them is to be asked, unless one is due already.
+impl HomeRequests {
+    /// Adds operations; returns when a request for them is to be sent, unless one is scheduled already.
     fn add(
         &mut self,
-        subject: &Subject,
+        key: &BatchKey,
         waiters: impl IntoIterator<Item = Waiter>,
     ) -> Option<Instant> {
-        let unsent = self.unsent.entry(subject.clone()).or_default();
-        unsent.waiters.extend(waiters);
-        if unsent.waiters.is_empty() || std::mem::replace(&mut unsent.is_due, true) {
+        let batch = self.batches.entry(key.clone()).or_default();
+        batch.waiters.extend(waiters);
+        if batch.waiters.is_empty() || std::mem::replace(&mut batch.is_scheduled, true) {
             return None;
         }
         let now = Instant::now();
-        Some(unsent.asked_at.map_or(now, |at| (at + QUESTION_SPACING).max(now)))
+        Some(batch.asked_at.map_or(now, |asked_at| (asked_at + REQUEST_SPACING).max(now)))
     }
 
-    /// Takes what a question is asked for now.
-    fn take(&mut self, subject: &Subject) -> Vec<Waiter> {
-        let Some(unsent) = self.unsent.get_mut(subject) else { return Vec::new() };
-        unsent.is_due = false;
-        unsent.asked_at = Some(Instant::now());
-        std::mem::take(&mut unsent.waiters)
+    /// Takes the operations for the request that is sent now.
+    fn take_batch(&mut self, key: &BatchKey) -> Vec<Waiter> {
+        let Some(batch) = self.batches.get_mut(key) else { return Vec::new() };
+        batch.is_scheduled = false;
+        batch.asked_at = Some(Instant::now());
+        std::mem::take(&mut batch.waiters)
     }
 }
 
 impl Limits {
-    /// Has the tenant's home count an operation.
-    pub(super) async fn ask_home(
+    /// Has the tenant's home count an operation, and waits for the outcome.
+    pub(super) async fn request_from_home(
         self: &Rc<Self>,
         tenant: &TenantName,
         priority: u32,
         until: Instant,
     ) -> Outcome {
-        let (answered, answer) = oneshot::channel();
-        self.add_waiters(&(tenant.clone(), priority), [Waiter { until, answered }]);
-        match timeout_at(until + ANSWER_SLACK, answer).await {
+        let (sender, receiver) = oneshot::channel();
+        self.add_waiters(&(tenant.clone(), priority), [Waiter { until, sender }]);
+        match timeout_at(until + ANSWER_GRACE, receiver).await {
             Ok(Ok(outcome)) => outcome,
-            // The task that asks ends only with the process.
+            // Timed out, or the requesting task has ended, which happens only when the process ends.
             Ok(Err(_)) | Err(_) => {
                 Err(OverLimit { allowance: 0, retry_after: retry_after::HOME_UNANSWERED })
             }
         }
     }
 
-    fn add_waiters(self: &Rc<Self>, subject: &Subject, waiters: impl IntoIterator<Item = Waiter>) {
-        let due = self.questions.borrow_mut().add(subject, waiters);
-        let Some(due) = due else { return };
-        let (limits, subject) = (Rc::clone(self), subject.clone());
+    fn add_waiters(self: &Rc<Self>, key: &BatchKey, waiters: impl IntoIterator<Item = Waiter>) {
+        let send_at = self.home_requests.borrow_mut().add(key, waiters);
+        let Some(send_at) = send_at else { return };
+        let (limits, key) = (Rc::clone(self), key.clone());
         actix_rt::spawn(async move {
-            sleep_until(due).await;
-            let waiters = limits.questions.borrow_mut().take(&subject);
-            limits.ask_for(&subject, waiters).await;
+            sleep_until(send_at).await;
+            let waiters = limits.home_requests.borrow_mut().take_batch(&key);
+            limits.send_batch(&key, waiters).await;
         });
     }
 
-    /// Asks one question for operations, and hands out what it brings.
-    async fn ask_for(self: &Rc<Self>, subject: &Subject, mut waiters: Vec<Waiter>) {
-        waiters.retain(|waiter| !waiter.answered.is_closed());
+    /// Sends one request for the waiting operations, and distributes the outcome among them.
+    async fn send_batch(self: &Rc<Self>, key: &BatchKey, mut waiters: Vec<Waiter>) {
+        waiters.retain(|waiter| !waiter.sender.is_closed());
         let Some(until) = waiters.iter().map(|waiter| waiter.until).max() else { return };
-        let (tenant, priority) = subject;
+        let (tenant, priority) = key;
         let operations = waiters.len() as u64;
-        let asked = AskedOperations { operations, priority: *priority, until };
-        let (home, outcome) = self.question(tenant, asked).await;
+        let requested = RequestedOperations { operations, priority: *priority, until };
+        let (home, outcome) = self.request_from_homes(tenant, requested).await;
         match outcome {
-            Ok(begun) => self.hand_out(subject, home, begun, waiters),
-            Err(over) => self.refuse(over, waiters),
+            Ok(admitted) => self.distribute(key, home, admitted, waiters),
+            Err(over_limit) => self.refuse(over_limit, waiters),
         }
     }
 
-    fn hand_out(
+    fn distribute(
         self: &Rc<Self>,
-        subject: &Subject,
+        key: &BatchKey,
         home: Option<Holder>,
-        begun: AdmittedOperations,
+        admitted: AdmittedOperations,
         waiters: Vec<Waiter>,
     ) {
-        let one = AdmittedOperations { operations: 1, ..begun };
-        let mut left = begun.operations;
+        let single = AdmittedOperations { operations: 1, ..admitted };
+        let mut remaining = admitted.operations;
         let mut unserved = Vec::new();
         for waiter in waiters {
-            if left == 0 {
+            if remaining == 0 {
                 unserved.push(waiter);
-            } else if waiter.answered.send(Ok(CountedAtHome { home, begun: one })).is_ok() {
-                left -= 1;
+            } else if waiter.sender.send(Ok(CountedAtHome { home, admitted: single })).is_ok() {
+                remaining -= 1;
             }
         }
-        if left > 0 {
-            self.give_back(&subject.0, home, AdmittedOperations { operations: left, ..begun });
+        if remaining > 0 {
+            self.undo_count(&key.0, home, AdmittedOperations { operations: remaining, ..admitted });
         }
         if !unserved.is_empty() {
-            self.add_waiters(subject, unserved);
+            self.add_waiters(key, unserved);
         }
     }
 
-    /// Refuses operations; each gets a time of its own, so that their callers do not come together.
-    fn refuse(&self, over: OverLimit, waiters: Vec<Waiter>) {
-        let interval = self.books.borrow().place_interval(&over);
-        let mut retry_after = over.retry_after;
+    /// Refuses operations, with a different retry time for each, so that their callers don't retry at once.
+    fn refuse(&self, over_limit: OverLimit, waiters: Vec<Waiter>) {
+        let interval = self.accounts.borrow().place_interval(&over_limit);
+        let mut retry_after = over_limit.retry_after;
         for waiter in waiters {
-            // A caller that has gone needs no answer.
-            let _ = waiter.answered.send(Err(OverLimit { retry_after, ..over }));
+            // A send fails only if the caller has gone and needs no answer.
+            let _ = waiter.sender.send(Err(OverLimit { retry_after, ..over_limit }));
             retry_after += interval;
         }
     }
 
-    /// Asks the homes of a tenant in turn. Where none answers this gateway counts by what it has itself.
-    async fn question(
+    /// Asks the homes of a tenant in turn. If none answers, this gateway counts against its own allowance.
+    async fn request_from_homes(
         &self,
         tenant: &TenantName,
-        asked: AskedOperations,
+        requested: RequestedOperations,
     ) -> (Option<Holder>, Result<AdmittedOperations, OverLimit>) {
-        let AskedOperations { operations, priority, until } = asked;
-        let mut left = self.homes(tenant);
-        while !left.is_empty() {
-            let Ok(tunnel) = self.tunnels.reach(&left).await else { break };
+        let RequestedOperations { operations, priority, until } = requested;
+        let mut remaining = self.homes(tenant);
+        while !remaining.is_empty() {
+            let Ok(tunnel) = self.tunnels.reach(&remaining).await else { break };
             let home = tunnel.holder();
-            left.retain(|it| it.address != home.address);
+            remaining.retain(|other| other.address != home.address);
             let wait = until.saturating_duration_since(Instant::now());
             let request = OperationsRequest { operations, priority, wait };
             match self.tunnels.begin_operations(tunnel, tenant, request).await {
                 Ok(outcome) => return (Some(home), outcome),
                 Err(TunnelError::Refused(refusal)) => log::debug!(
                     tenant:% = tenant, home:% = home.address, refusal:? = refusal;
-                    "gateway counts no operations of a tenant"
+                    "gateway refuses to count operations of a tenant"
                 ),
-                // What it may have counted stays counted there, and does not run.
+                // Operations that the home may have counted stay counted there, although they don't run.
                 Err(TunnelError::NotSent(error) | TunnelError::Sent(error)) => log::info!(
                     tenant:% = tenant, home:% = home.address, error:% = error;
                     "gateway that counts operations of a tenant gives no answer"
                 ),
             }
         }
-        match self.count_here(tenant, asked).await {
-            Ok(Some(begun)) => (None, Ok(begun)),
-            // The limit was lifted meanwhile.
+        match self.count_locally(tenant, requested).await {
+            Ok(Some(admitted)) => (None, Ok(admitted)),
+            // The limit was removed in the meantime.
             Ok(None) => (None, Ok(AdmittedOperations { operations, marked: self.clock.now() })),
-            Err(over) => (None, Err(over)),
+            Err(over_limit) => (None, Err(over_limit)),
         }
     }
 }
--- a/crates/gateway/src/limits/report.rs
+++ b/crates/gateway/src/limits/report.rs
@@ -1,7 +1,8 @@
-//! Tells the leader what is held and wanted here, and takes what it gives.
+//! Reports the allowances that this gateway holds and needs to the leader, and applies those that the leader
+//! grants.
 //!
-//! It is for the books of [`limits`](super). It owns when a report goes out. It relies on the link for the way
-//! to the leader, whoever that is.
+//! This module decides when a report is sent; control forwards it to the current leader through the
+//! [`LimitsLink`].
 
 use super::Limits;
 use corktack_core::limits::{AllowanceGrant, AllowanceReport};
@@ -11,83 +12,83 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Time between two reports to the leader. Chosen, not measured: lower costs messages, higher makes what the
-/// leader knows older.
+/// Time between two regular reports to the leader. A shorter one costs messages; a longer one makes the
+/// leader's information older.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Shortest time between two reports: what is asked for together goes out together. Chosen, not measured:
-/// lower costs messages, higher makes operations wait for the leader.
+/// Shortest time between two reports, in which urgent requests are batched. A shorter one costs messages; a
+/// longer one makes operations wait for the leader.
 const REPORT_SPACING: Duration = Duration::from_millis(20);
 
-/// What control says of limits.
+/// Update on limits from control.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LimitNews {
-    /// A leader of this term has been elected, or is reported by another replica.
+    /// A leader of this term was elected, or reported by another replica.
     Led(Term),
-    /// The leader gives allowances.
+    /// The leader grants allowances.
     Granted(AllowanceGrant),
 }
 
-/// How a gateway and control speak of limits.
+/// Channels between a gateway and control for limits.
 #[derive(Debug)]
 pub struct LimitsLink {
-    /// Takes what goes to the leader.
+    /// Reports to the leader.
     pub reports: mpsc::UnboundedSender<AllowanceReport>,
-    /// What control says.
+    /// Updates from control.
     pub news: mpsc::UnboundedReceiver<LimitNews>,
 }
 
 impl Limits {
-    fn take(&self, news: LimitNews) {
+    fn apply_update(&self, update: LimitNews) {
         let now = self.clock.now();
-        let mut books = self.books.borrow_mut();
-        match news {
-            LimitNews::Led(term) => books.follow_leader(now, term),
-            LimitNews::Granted(grant) => books.take(now, &grant),
+        let mut accounts = self.accounts.borrow_mut();
+        match update {
+            LimitNews::Led(term) => accounts.follow_leader(now, term),
+            LimitNews::Granted(grant) => accounts.take(now, &grant),
         }
-        drop(books);
-        self.settle();
+        drop(accounts);
+        self.settle_waiting();
     }
 
     fn is_urgent(&self) -> bool {
-        self.books.borrow().is_urgent(self.clock.now())
+        self.accounts.borrow().is_urgent(self.clock.now())
     }
 
     fn report(&self) -> Option<AllowanceReport> {
-        self.books.borrow_mut().report(self.clock.now())
+        self.accounts.borrow_mut().report(self.clock.now())
     }
 
-    /// When the operations that wait here are to be evaluated.
+    /// Returns when the operations that wait at this gateway have to be evaluated again.
     fn settle_due(&self) -> Option<Instant> {
         let now = self.clock.now();
-        let due = self.books.borrow().settle_due(now)?;
+        let due = self.accounts.borrow().settle_due(now)?;
         Some(Instant::now() + due.saturating_since(now))
     }
 }
 
-/// Keeps the leader and this gateway in touch, until the process ends.
+/// Sends reports to the leader and applies its grants, until the process ends.
 pub(crate) async fn keep_allowances(limits: Rc<Limits>, mut link: LimitsLink) {
-    let mut due = Instant::now();
+    let mut report_due = Instant::now();
     let mut reported_at = Instant::now();
     loop {
         let settle_due = limits.settle_due();
         tokio::select! {
-            news = link.news.recv() => match news {
-                Some(news) => limits.take(news),
+            update = link.news.recv() => match update {
+                Some(update) => limits.apply_update(update),
                 None => return,
             },
-            () = limits.wanted.notified() => (),
-            () = sleep_until(settle_due.unwrap_or(due)), if settle_due.is_some() => limits.settle(),
-            () = sleep_until(due) => {
+            () = limits.allowance_wanted.notified() => (),
+            () = sleep_until(settle_due.unwrap_or(report_due)), if settle_due.is_some() => limits.settle_waiting(),
+            () = sleep_until(report_due) => {
                 reported_at = Instant::now();
-                due = reported_at + REPORT_INTERVAL;
+                report_due = reported_at + REPORT_INTERVAL;
                 if let Some(report) = limits.report() {
-                    // Nobody listens at the end of the process only.
+                    // The receiver is gone only when the process ends.
                     let _ = link.reports.send(report);
                 }
             }
         }
         if limits.is_urgent() {
-            due = due.min(reported_at + REPORT_SPACING);
+            report_due = report_due.min(reported_at + REPORT_SPACING);
         }
     }
 }
--- a/crates/gateway/src/member/mod.rs
+++ b/crates/gateway/src/member/mod.rs
@@ -1,9 +1,8 @@
-//! One member as this gateway uses it.
+//! State of one member at this gateway.
 //!
-//! It is for the choice among members and for what happens to their connections. It owns what this gateway
-//! knows and holds of one member: the [`pool`] of connections, the pauses after trouble
-//! ([`MemberPauses`]), the [`load`], which other gateways hold connections to it, the fallback connections.
-//! It relies on the group to tell it what the registry says and what statements have shown.
+//! A member has the [`pool`] of this gateway's connections, the pauses after failures ([`MemberPauses`]), the
+//! observed [`load`], the other gateways that hold connections to it, and the fallback period. The group
+//! updates it from the registry and from the outcome of statements.
 
 mod load;
 mod pool;
@@ -23,39 +22,39 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Who holds connections to a member.
+/// This gateway's share of a member's connections, and the other holders.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct MemberShare {
-    /// Connections that this gateway may have; none where it holds no share.
+    /// Most connections that this gateway may have; 0 without a share.
     pub(crate) connections: usize,
-    /// Other gateways that hold some, in the order to ask.
+    /// Other gateways that hold connections, in the order in which they are asked.
     pub(crate) others: Vec<Holder>,
-    /// All that hold some.
+    /// Number of gateways that hold connections.
     pub(crate) holder_count: usize,
-    /// How long a connection may be idle before it is closed.
+    /// Idle time after which a connection is closed.
     pub(crate) idle_limit: Duration,
 }
 
-/// A member as this gateway uses it.
+/// A member of a group, with this gateway's connections to it and its observed health and load.
 #[derive(Debug)]
 pub(crate) struct Member<W: Wire> {
     pub(crate) back_end: Arc<RegisteredBackEnd>,
-    /// Connections of this gateway.
+    /// Connections of this gateway to the member.
     pub(crate) pool: ConnectionPool<W>,
-    /// For how long it is left alone after trouble.
+    /// Pauses in the use of the member after failures.
     pub(crate) pauses: MemberPauses<Instant>,
-    /// Other gateways that hold connections to it.
+    /// Other gateways that hold connections to the member.
     pub(crate) holders: HolderChoice,
-    /// Whether those reach it while this gateway does not.
+    /// Whether other gateways reach the member while this one does not.
     pub(crate) detour: Detour,
     /// Connections of other gateways in use by this one.
     pub(crate) remote_in_use: usize,
-    /// Questions that it did not answer.
+    /// Requests that the member did not answer.
     pub(crate) silence: Silence,
     fallback: FallbackPeriod<Instant>,
-    /// Whether failures to connect to it still count.
+    /// Period in which this gateway's failures to connect to the member still count.
     witness: WitnessPeriod<Instant>,
-    /// What the registry says of the gateways that hold connections to it.
+    /// Share of this gateway and the other holders, from the registry.
     share: MemberShare,
     observed: ObservedLoad,
 }
@@ -81,10 +80,10 @@
         }
     }
 
-    /// Takes what the registry says now.
-    pub(crate) fn follow(&mut self, back_end: &Arc<RegisteredBackEnd>, now: Instant) {
+    /// Applies the member's registration.
+    pub(crate) fn update_back_end(&mut self, back_end: &Arc<RegisteredBackEnd>, now: Instant) {
         if self.back_end.address != back_end.address {
-            // They lead to an address that the member has left.
+            // The idle connections go to the member's previous address.
             self.pool.drop_idle();
         }
         self.back_end = Arc::clone(back_end);
@@ -93,11 +92,11 @@
         }
     }
 
-    /// Sets this gateway's share of the member; says whether it holds connections from now on and has
-    /// none yet.
+    /// Sets this gateway's share of the member; reports whether the share is new and no connection is open
+    /// yet.
     pub(crate) fn set_share(&mut self, share: &MemberShare) -> bool {
         if self.share == *share {
-            // The order in which others are asked stays as experience has made it.
+            // Keep the order of the other holders, which reflects their earlier replies.
             return false;
         }
         let newly_held = self.share.connections == 0 && share.connections > 0;
@@ -110,12 +109,13 @@
         newly_held && self.pool.open() == 0 && !self.pauses.is_draining()
     }
 
-    /// Whether this gateway may have connections to it: its share, or fallback connections.
+    /// Reports whether this gateway may have connections to the member, by its share or as a fallback.
     pub(crate) const fn holds_connections(&self) -> bool {
         self.pool.limit() > 0
     }
 
-    /// None of the gateways that hold connections to it answers: this one opens a few of its own.
+    /// Begins a fallback period: no holder answers, so that this gateway may open a few connections of its
+    /// own.
     pub(crate) fn begin_fallback(&mut self, now: Instant) {
         if !self.holds_connections() {
             self.pool.set_limit(FALLBACK_CONNECTIONS);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The others are asked again after some time.
+    /// Ends a fallback period whose time is over, so that the holders are asked again.
     pub(crate) fn end_fallback_if_over(&mut self, now: Instant) {
         if self.fallback.end_if_over(now) {
             self.pool.set_limit(self.share.connections);
@@ -131,22 +131,22 @@
         }
     }
 
-    /// Whether others have to be asked for a connection to it: this gateway holds some, and does not
-    /// reach it.
+    /// Reports whether other gateways have to be asked for a connection to the member, because this gateway
+    /// may hold connections but does not reach the member.
     pub(crate) fn needs_detour(&self, now: Instant) -> bool {
         let unreached = self.pauses.is_unreachable(now)
             || (self.pauses.is_unreached() && self.detour.is_open());
         self.holds_connections() && unreached && !self.holders.is_empty()
     }
 
-    /// Whether it takes no connection of this gateway, which has none.
-    pub(crate) fn is_kept_out(&self, now: Instant) -> bool {
+    /// Reports whether the member is full while this gateway may hold connections and has none.
+    pub(crate) fn is_full_without_connections(&self, now: Instant) -> bool {
         self.holds_connections() && self.pool.open() == 0 && self.pauses.is_full(now)
     }
 
-    /// The back end to connect to anew, beside the statements that take a detour; none before it
-    /// is time.
-    pub(crate) fn due_check(&mut self, now: Instant) -> Option<Arc<RegisteredBackEnd>> {
+    /// Begins an attempt to reconnect in the background, while statements go through other gateways. Counts
+    /// the connection as open and returns the back end to connect to; none before the next attempt is due.
+    pub(crate) fn begin_reconnect(&mut self, now: Instant) -> Option<Arc<RegisteredBackEnd>> {
         if !self.pauses.begin_check(now) {
             return None;
         }
@@ -154,29 +154,29 @@
         Some(Arc::clone(&self.back_end))
     }
 
-    /// Whether a statement could be sent there now.
+    /// Reports whether a statement could be sent to the member now.
     pub(crate) fn has_room(&self, now: Instant, needs_slot: bool) -> bool {
         if !self.holds_connections() {
             return !self.holders.is_empty();
         }
-        let under_way = self.pool.under_way() + self.pool.reserved();
-        if needs_slot && !self.observed.flight_limit.allows(under_way) {
+        let in_flight = self.pool.in_flight() + self.pool.reserved();
+        if needs_slot && !self.observed.flight_limit.allows(in_flight) {
             return false;
         }
-        self.pool.idle() + self.openable(now) > self.pool.reserved()
+        self.pool.idle() + self.openable_connections(now) > self.pool.reserved()
     }
 
-    /// Connections that may be opened now beside those that there are.
-    fn openable(&self, now: Instant) -> usize {
-        if self.pauses.is_full(now) { 0 } else { self.pool.unopened() }
+    /// Returns how many more connections may be opened now.
+    fn openable_connections(&self, now: Instant) -> usize {
+        if self.pauses.is_full(now) { 0 } else { self.pool.remaining_connections() }
     }
 
-    /// Whether a connection may be opened beside those that there are.
+    /// Reports whether one more connection may be opened now.
     pub(crate) fn may_open(&self, now: Instant) -> bool {
-        self.openable(now) > 0
+        self.openable_connections(now) > 0
     }
 
-    /// Takes a connection back; it is kept where the member still takes work and the share allows it.
+    /// Takes a connection back; keeps it if the member still takes work and the limit allows it.
     pub(crate) fn give_back(
         &mut self,
         connection: MemberConnection<W>,
@@ -188,34 +188,34 @@
         if takes_no_work || self.pool.open() > self.pool.limit() {
             self.pool.close(connection);
         } else {
-            self.pool.keep(connection, now);
+            self.pool.add_idle(connection, now);
         }
     }
 
-    /// Closes connections that have not been used for long, and fallback connections whose time is over.
+    /// Closes connections that have been idle for too long, and fallback connections whose period is over.
     pub(crate) fn close_unused(&mut self, now: Instant) {
         self.end_fallback_if_over(now);
         self.pool.close_unused(self.share.idle_limit, now);
     }
 
-    /// Forgets failures to connect once this gateway, without connections, cannot find out that it is back;
-    /// says whether there were any.
+    /// Forgets failures to connect once this gateway, having no connections, can no longer find out that the
+    /// member is back; reports whether there were any.
     pub(crate) fn forget_old_failures(&mut self, now: Instant) -> bool {
         self.witness.is_over(now, self.holds_connections()) && self.pauses.forget_failures()
     }
 
-    /// It could not be reached; says whether that is news.
-    pub(crate) fn note_unreachable(&mut self, now: Instant) -> bool {
-        let news = self.pauses.note_unreachable(now);
+    /// Records that the member could not be reached; reports whether it was reached before.
+    pub(crate) fn record_unreachable(&mut self, now: Instant) -> bool {
+        let is_newly_unreached = self.pauses.note_unreachable(now);
         self.pool.drop_idle();
-        news
+        is_newly_unreached
     }
 
-    /// It owes an answer. Idle connections may be as dead as the one without it. Gives the back end that
-    /// is to be connected to, unless that is under way.
-    pub(crate) fn note_silent(&mut self, now: Instant) -> Option<Arc<RegisteredBackEnd>> {
+    /// Records that an answer of the member is overdue, and drops the idle connections, which may be dead
+    /// too. Returns the back end to reconnect to, unless an attempt is already in flight.
+    pub(crate) fn record_silence(&mut self, now: Instant) -> Option<Arc<RegisteredBackEnd>> {
         self.pool.drop_idle();
         self.pauses.note_silent(now);
-        if self.holds_connections() { self.due_check(now) } else { None }
+        if self.holds_connections() { self.begin_reconnect(now) } else { None }
     }
 }
--- a/crates/gateway/src/member/pool.rs
+++ b/crates/gateway/src/member/pool.rs
@@ -1,8 +1,7 @@
-//! The connections of this gateway to one member.
+//! Pool of this gateway's connections to one member.
 //!
-//! It is for the question whether there is a connection to use, or room to open one. It owns the idle
-//! connections and the counts of all others: open, reserved for waiters, idle in a transaction. It relies
-//! on its users to say when a connection is opened, given back and closed.
+//! The pool owns the idle connections and counts all others: open, reserved for waiters, idle in a
+//! transaction. Its users report when a connection is opened, returned and closed.
 
 use crate::connection::MemberConnection;
 use crate::wire::Wire;
@@ -11,11 +10,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Connections that stay idle for as long as they like. Chosen, not measured: with none a quiet member's
-/// next statement waits for a connection to be opened; more keep places of the member from others.
-const IDLE_KEPT: usize = 1;
+/// Idle connections that are kept regardless of the idle limit. With 0, the next statement at a quiet member
+/// waits for a connection to be opened; more keep connections of the member from other gateways.
+const MIN_IDLE_KEPT: usize = 1;
 
-/// A connection that nobody uses.
+/// A connection that is not in use.
 #[derive(Debug)]
 struct IdleConnection<W: Wire> {
     connection: MemberConnection<W>,
@@ -28,18 +27,18 @@
     }
 }
 
-/// The connections of this gateway to one member.
+/// Connections of this gateway to one member, and their limit.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool<W: Wire> {
-    /// The last one used is the last.
+    /// Idle connections; the most recently used one is last.
     idle: Vec<IdleConnection<W>>,
     /// Connections in use, idle or being opened.
     open: usize,
-    /// Connections that may be open; none where this gateway holds no share of the member.
+    /// Most connections that may be open; 0 where this gateway holds no share of the member.
     limit: usize,
     /// Connections in use by transactions that are idle between two statements.
     idle_in_transaction: usize,
-    /// Connections, or room for them, kept for waiters that were woken.
+    /// Connections, or places for them, reserved for woken waiters.
     reserved: usize,
 }
 
@@ -48,17 +47,17 @@
         Self { idle: Vec::new(), open: 0, limit: 0, idle_in_transaction: 0, reserved: 0 }
     }
 
-    /// Connections in use, idle or being opened.
+    /// Returns the number of connections in use, idle or being opened.
     pub(crate) const fn open(&self) -> usize {
         self.open
     }
 
-    /// Connections that nobody uses.
+    /// Returns the number of idle connections.
     pub(crate) fn idle(&self) -> usize {
         self.idle.len()
     }
 
-    /// Connections that may be open; none where this gateway holds no share of the member.
+    /// Returns the most connections that may be open; 0 where this gateway holds no share of the member.
     pub(crate) const fn limit(&self) -> usize {
         self.limit
     }
@@ -67,63 +66,63 @@
         self.limit = limit;
     }
 
-    /// Connections in use or being opened.
+    /// Returns the number of connections in use or being opened.
     pub(crate) fn in_use(&self) -> usize {
         self.open.saturating_sub(self.idle.len())
     }
 
-    /// Connections in use by transactions that are idle between two statements.
+    /// Returns the number of connections in use by transactions that are idle between two statements.
     pub(crate) const fn idle_in_transaction(&self) -> usize {
         self.idle_in_transaction
     }
 
-    /// Statements of this gateway under way at the member, on connections of its own.
-    pub(super) fn under_way(&self) -> usize {
+    /// Returns the number of this gateway's statements in flight on its own connections to the member.
+    pub(super) fn in_flight(&self) -> usize {
         self.open.saturating_sub(self.idle.len() + self.idle_in_transaction)
     }
 
-    /// Connections, or room for them, kept for waiters that were woken.
+    /// Returns the number of connections, or places for them, reserved for woken waiters.
     pub(super) const fn reserved(&self) -> usize {
         self.reserved
     }
 
-    /// Connections that may be opened beside those that there are.
-    pub(super) fn unopened(&self) -> usize {
+    /// Returns how many more connections the limit allows.
+    pub(super) fn remaining_connections(&self) -> usize {
         self.limit.saturating_sub(self.open)
     }
 
-    /// Keeps a place for a waiter that is woken.
+    /// Reserves a place for a waiter that is about to be woken.
     pub(crate) fn reserve(&mut self) {
         self.reserved += 1;
     }
 
-    /// A place that was kept for a waiter is taken, or not needed.
+    /// Releases a reserved place, which its waiter takes or no longer needs.
     pub(crate) fn release_reserved(&mut self) {
         self.reserved = self.reserved.saturating_sub(1);
     }
 
-    /// A transaction is idle between two statements.
+    /// Records that a transaction is idle between two statements.
     pub(crate) fn begin_idle_in_transaction(&mut self) {
         self.idle_in_transaction += 1;
     }
 
-    /// A transaction goes on, or is over.
+    /// Records that a transaction that was idle continues, or is over.
     pub(crate) fn end_idle_in_transaction(&mut self) {
         self.idle_in_transaction = self.idle_in_transaction.saturating_sub(1);
     }
 
-    /// A connection that is being opened counts as open.
+    /// Counts a connection that is about to be opened as open.
     pub(crate) fn begin_opening(&mut self) {
         self.open += 1;
     }
 
-    /// A connection is gone, or could not be opened.
-    pub(crate) fn closed(&mut self) {
+    /// Records that a connection was closed, or could not be opened.
+    pub(crate) fn record_closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// Keeps a connection that nobody uses any longer.
-    pub(super) fn keep(&mut self, connection: MemberConnection<W>, now: Instant) {
+    /// Keeps a returned connection as idle.
+    pub(super) fn add_idle(&mut self, connection: MemberConnection<W>, now: Instant) {
         self.idle.push(IdleConnection { connection, since: now });
     }
 
@@ -133,8 +132,8 @@
         connection.terminate();
     }
 
-    /// Takes the idle connection that is nearest to the session's values, among those that were opened
-    /// on behalf of this principal.
+    /// Takes the idle connection whose settings differ least from the session's, among those that were opened
+    /// for this principal.
     pub(crate) fn take_idle(
         &mut self,
         session: &SessionProfile,
@@ -142,12 +141,12 @@
     ) -> Option<MemberConnection<W>> {
         let may_use = |idle: &IdleConnection<W>| idle.may_serve(principal);
         while !self.idle.is_empty() {
-            // The last one used comes first among equals, so that the others may grow old.
-            let places = self.idle.iter().enumerate().rev().filter(|(_, idle)| may_use(idle));
+            // Prefer the most recently used one among equals, so that the others reach the idle limit.
+            let candidates = self.idle.iter().enumerate().rev().filter(|(_, idle)| may_use(idle));
             let distance = |idle: &IdleConnection<W>| idle.connection.profile.distance(session);
-            let nearest = places.min_by_key(|(_, idle)| distance(idle));
-            let place = nearest.map(|(place, _)| place)?;
-            let connection = self.idle.remove(place).connection;
+            let nearest = candidates.min_by_key(|(_, idle)| distance(idle));
+            let index = nearest.map(|(index, _)| index)?;
+            let connection = self.idle.remove(index).connection;
             if !connection.is_broken() {
                 return Some(connection);
             }
@@ -156,13 +155,13 @@
         None
     }
 
-    /// Whether there is an idle connection on behalf of this principal.
+    /// Reports whether there is an idle connection for this principal.
     pub(crate) fn has_idle_for(&self, principal: Option<&Principal>) -> bool {
         self.idle.iter().any(|idle| idle.may_serve(principal))
     }
 
-    /// Closes the connection that has been idle longest, for one on behalf of somebody else; says whether
-    /// there was one.
+    /// Closes the connection that has been idle longest, which makes room for one of another principal;
+    /// reports whether there was one.
     pub(crate) fn close_longest_idle(&mut self) -> bool {
         if self.idle.is_empty() {
             return false;
@@ -172,19 +171,20 @@
         true
     }
 
-    /// Closes idle connections that the limit no longer allows: those who hold the share need them.
+    /// Closes idle connections above the limit, as the gateways that hold the share need their places.
     pub(super) fn close_surplus(&mut self) {
         while self.open > self.limit && self.close_longest_idle() {}
     }
 
-    /// Closes connections that have been idle for longer than the limit, but for the few that are kept.
+    /// Closes connections that have been idle for at least `idle_limit`, except for the few that are always
+    /// kept.
     pub(super) fn close_unused(&mut self, idle_limit: Duration, now: Instant) {
-        while self.idle.len() > IDLE_KEPT && now - self.idle[0].since >= idle_limit {
+        while self.idle.len() > MIN_IDLE_KEPT && now - self.idle[0].since >= idle_limit {
             self.close_longest_idle();
         }
     }
 
-    /// Drops idle connections without a word: they may be as dead as one without an answer.
+    /// Drops the idle connections without a termination message, as they may be dead.
     pub(super) fn drop_idle(&mut self) {
         self.open = self.open.saturating_sub(self.idle.len());
         self.idle.clear();
--- a/crates/gateway/src/routes/membership.rs
+++ b/crates/gateway/src/routes/membership.rs
@@ -1,12 +1,9 @@
-//! Follows which gateways and members there are, change by change.
+//! Tracks the gateways and members of the view in force, and which gateways hold connections to which member.
 //!
-//! It is for [`routes`](super). It owns the last view and who holds connections to which member. It relies on
-//! [`corktack_core::gateway::HolderTable`] for who holds them.
-//!
-//! At hundreds of gateways a view changes with each that starts or stops; only the groups that a
-//! change touches are evaluated again.
+//! [`corktack_core::gateway::HolderTable`] assigns the holders. With hundreds of gateways, the view changes
+//! whenever one starts or stops, so that only the groups that a change affects are evaluated again.
 
-use crate::group::{GroupFacts, MemberFacts};
+use crate::group::{GroupUpdate, MemberUpdate};
 use crate::member::MemberShare;
 use corktack_core::gateway::{GatewayPlace, Holder, HolderTable, MemberNeeds};
 use corktack_core::identity::{GroupName, MemberName, ProxyName};
@@ -17,36 +14,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections of a member that are left to control's questions. Chosen, not measured: with one, a question
-/// that hangs keeps the next one out; more are taken from statements.
+/// Connections of a member that are reserved for requests of control. With only 1, a request that hangs
+/// blocks the next one; more are taken from statements.
 const CONTROL_CONNECTIONS: u32 = 2;
 
-/// How connections to members are kept.
+/// Size of a gateway's share of a member's connections, and how long they may be idle.
 #[derive(Clone, Copy, Debug)]
 struct Pooling {
-    /// How many times its even share of a member's connections a gateway may take.
+    /// Factor on the even share of a member's connections, giving the most that a gateway may take.
     share_factor: f64,
-    /// How long a connection may be idle before it is closed.
+    /// Idle time after which a connection is closed.
     idle_limit: Duration,
 }
 
-/// Any connection serves any statement: a few are enough, and what others leave unused they close.
-/// Callers are spread unevenly, so a gateway may take more than its share; a member that has no more to
-/// give says so. Connections of a machine that lost power fill a member's cap for 3 s: idle ones kept for
-/// 2.5 s served less after power losses (docs/PLATFORM.md).
-const POOLED_FOR_ALL: Pooling =
+/// Pooling without tenants, where any connection serves any statement. A gateway needs few connections and
+/// closes unused ones for the others. As callers are spread unevenly, a gateway may take more than its even
+/// share; a full member refuses further connections. Connections of a machine that lost power fill a member's
+/// cap for 3 s; with an idle limit of 2.5 s, less is served after power losses (docs/PLATFORM.md).
+const POOLING_WITHOUT_TENANTS: Pooling =
     Pooling { share_factor: 1.25, idle_limit: Duration::from_millis(800) };
-/// A connection serves one tenant, and there are more tenants than connections: all are kept until
-/// another tenant needs the room, so that shares must not add up to more than the member takes.
-const POOLED_BY_TENANT: Pooling =
+/// Pooling with tenants, where a connection serves one tenant and there are more tenants than connections. A
+/// gateway keeps all connections until another tenant needs the room, so that the shares of all gateways must
+/// not exceed what the member accepts.
+const POOLING_BY_TENANT: Pooling =
     Pooling { share_factor: 1.0, idle_limit: Duration::from_secs(10) };
 
-/// The gateways and members of the view in force.
+/// Gateways and members of the view in force.
 #[derive(Debug)]
 pub(super) struct Membership {
     view: Arc<View>,
     holders: HolderTable,
-    /// Members of the groups that the document declares.
+    /// Registered members of each group that the document declares.
     members: BTreeMap<GroupName, BTreeMap<MemberName, Arc<RegisteredBackEnd>>>,
 }
 
@@ -59,32 +57,34 @@
         }
     }
 
-    /// Takes a view; gives the declared groups of which something changed.
-    pub(super) fn follow(
+    /// Applies a view; returns the declared groups that changed.
+    pub(super) fn apply_view(
         &mut self,
         view: &Arc<View>,
         document: &Arc<Document>,
     ) -> BTreeSet<GroupName> {
         let before = std::mem::replace(&mut self.view, Arc::clone(view));
-        self.follow_gateways(&before, view);
-        let same_document = before.document.as_ref().is_some_and(|it| Arc::ptr_eq(it, document));
-        let mut touched = if same_document {
-            self.follow_members(&before, view, document)
+        self.update_gateways(&before, view);
+        let same_document =
+            before.document.as_ref().is_some_and(|current| Arc::ptr_eq(current, document));
+        let mut changed_groups = if same_document {
+            self.update_members(&before, view, document)
         } else {
-            self.take_all_members(view, document)
+            self.rebuild_members(view, document)
         };
         for change in differences(&before.promotions, &view.promotions, PartialEq::eq) {
             let (EntryChange::Put(group, _) | EntryChange::Removed(group, _)) = change;
-            touched.insert(group.clone());
+            changed_groups.insert(group.clone());
         }
         for member in self.holders.take_changed() {
-            touched.extend(view.back_ends.get(&member).map(|it| it.group.clone()));
+            changed_groups
+                .extend(view.back_ends.get(&member).map(|back_end| back_end.group.clone()));
         }
-        touched.retain(|group| self.members.contains_key(group));
-        touched
+        changed_groups.retain(|group| self.members.contains_key(group));
+        changed_groups
     }
 
-    fn follow_gateways(&mut self, before: &View, view: &View) {
+    fn update_gateways(&mut self, before: &View, view: &View) {
         for change in differences(&before.proxies, &view.proxies, PartialEq::eq) {
             match change {
                 EntryChange::Put(name, proxy) if proxy.state == ProxyState::Live => {
@@ -97,7 +97,7 @@
         }
     }
 
-    fn follow_members(
+    fn update_members(
         &mut self,
         before: &View,
         view: &View,
@@ -106,46 +106,51 @@
         let is_same = |left: &Arc<RegisteredBackEnd>, right: &Arc<RegisteredBackEnd>| {
             Arc::ptr_eq(left, right) || left == right
         };
-        let mut touched = BTreeSet::new();
+        let mut changed_groups = BTreeSet::new();
         for change in differences(&before.back_ends, &view.back_ends, is_same) {
             let (EntryChange::Put(member, _) | EntryChange::Removed(member, _)) = change;
             if let Some(former) = before.back_ends.get(member) {
-                self.remove(member, former);
-                touched.insert(former.group.clone());
+                self.remove_member(member, former);
+                changed_groups.insert(former.group.clone());
             }
             match change {
                 EntryChange::Put(member, back_end) => {
-                    self.put(member, back_end, document);
-                    touched.insert(back_end.group.clone());
+                    self.put_member(member, back_end, document);
+                    changed_groups.insert(back_end.group.clone());
                 }
                 EntryChange::Removed(member, _) => self.holders.remove_member(member),
             }
         }
-        touched
+        changed_groups
     }
 
-    /// After a new document, every group is evaluated again.
-    fn take_all_members(&mut self, view: &View, document: &Document) -> BTreeSet<GroupName> {
+    /// Rebuilds the members of all groups after a new document; returns all declared groups.
+    fn rebuild_members(&mut self, view: &View, document: &Document) -> BTreeSet<GroupName> {
         let former: Vec<_> = self.members.values().flat_map(BTreeMap::keys).cloned().collect();
         let declared = document.services.iter();
-        self.members = declared.map(|it| (it.name.clone(), BTreeMap::new())).collect();
+        self.members = declared.map(|service| (service.name.clone(), BTreeMap::new())).collect();
         for (member, back_end) in &view.back_ends {
-            self.put(member, back_end, document);
+            self.put_member(member, back_end, document);
         }
         for member in former {
-            if !self.has(view, &member) {
+            if !self.is_in_declared_group(view, &member) {
                 self.holders.remove_member(&member);
             }
         }
         self.members.keys().cloned().collect()
     }
 
-    fn has(&self, view: &View, member: &MemberName) -> bool {
+    fn is_in_declared_group(&self, view: &View, member: &MemberName) -> bool {
         let back_end = view.back_ends.get(member);
-        back_end.is_some_and(|it| self.members.contains_key(&it.group))
+        back_end.is_some_and(|back_end| self.members.contains_key(&back_end.group))
     }
 
-    fn put(&mut self, member: &MemberName, back_end: &Arc<RegisteredBackEnd>, document: &Document) {
+    fn put_member(
+        &mut self,
+        member: &MemberName,
+        back_end: &Arc<RegisteredBackEnd>,
+        document: &Document,
+    ) {
         let Some(service) = document.service(&back_end.group) else { return };
         let Some(members) = self.members.get_mut(&back_end.group) else { return };
         members.insert(member.clone(), Arc::clone(back_end));
@@ -157,44 +162,51 @@
         self.holders.put_member(member, needs);
     }
 
-    /// Takes a member out of its group; who holds connections to it stays known, as it may only
-    /// have changed.
-    fn remove(&mut self, member: &MemberName, former: &RegisteredBackEnd) {
+    /// Removes a member from its group. Its holders stay in the holder table, as the member may only have
+    /// changed.
+    fn remove_member(&mut self, member: &MemberName, former: &RegisteredBackEnd) {
         if let Some(members) = self.members.get_mut(&former.group) {
             members.remove(member);
         }
     }
 
-    /// The other gateways of this one's zone.
+    /// Returns the other gateways of this gateway's zone.
     pub(super) fn zone_peers(&self) -> Vec<Holder> {
         self.holders.zone_peers()
     }
 
-    /// The names of the declared groups.
+    /// Returns the names of the declared groups.
     pub(super) fn groups(&self) -> impl Iterator<Item = &GroupName> {
         self.members.keys()
     }
 
-    /// What is known of a declared group.
-    pub(super) fn facts(&self, group: &GroupName, document: &Document) -> GroupFacts {
-        let max_connections = document.service(group).map_or(1, |it| it.max_connections);
-        let pooling = if document.tenants.is_some() { POOLED_BY_TENANT } else { POOLED_FOR_ALL };
+    /// Returns the current members, shares and promotion of a declared group.
+    pub(super) fn group_update(&self, group: &GroupName, document: &Document) -> GroupUpdate {
+        let max_connections = document.service(group).map_or(1, |service| service.max_connections);
+        let pooling =
+            if document.tenants.is_some() { POOLING_BY_TENANT } else { POOLING_WITHOUT_TENANTS };
         let members = self.members.get(group).into_iter().flatten();
-        let facts = |(name, back_end): (&MemberName, &Arc<RegisteredBackEnd>)| {
-            let share = self.share(name, max_connections, pooling);
-            (name.clone(), MemberFacts { back_end: Arc::clone(back_end), share })
+        let update_of = |(name, back_end): (&MemberName, &Arc<RegisteredBackEnd>)| {
+            let share = self.member_share(name, max_connections, pooling);
+            (name.clone(), MemberUpdate { back_end: Arc::clone(back_end), share })
         };
-        GroupFacts {
-            members: members.map(facts).collect(),
+        GroupUpdate {
+            members: members.map(update_of).collect(),
             promotion: self.view.promotions.get(group).cloned(),
         }
     }
 
-    fn share(&self, member: &MemberName, max_connections: u32, pooling: Pooling) -> MemberShare {
+    fn member_share(
+        &self,
+        member: &MemberName,
+        max_connections: u32,
+        pooling: Pooling,
+    ) -> MemberShare {
         let holder_count = self.holders.count(member).max(1);
-        let all = max_connections.saturating_sub(CONTROL_CONNECTIONS).max(1);
-        let even = f64::from(all) / holder_count as f64;
-        let connections = ((even * pooling.share_factor) as usize).clamp(1, all as usize);
+        let available = max_connections.saturating_sub(CONTROL_CONNECTIONS).max(1);
+        let even_share = f64::from(available) / holder_count as f64;
+        let connections =
+            ((even_share * pooling.share_factor) as usize).clamp(1, available as usize);
         MemberShare {
             connections: if self.holders.holds(member) { connections } else { 0 },
             others: self.holders.others(member),
