--- a/crates/gateway/src/routes/mod.rs
+++ b/crates/gateway/src/routes/mod.rs
@@ -1,8 +1,7 @@
-//! The configuration in force, as sessions use it.
+//! Configuration in force: the document, the routes by database, the groups and the tenants.
 //!
-//! It is for sessions and for other gateways' requests. It owns the document, the routes by database, the
-//! groups and the tenants. It relies on [`membership`] for what a change of the view touches, and on
-//! [`handle`](crate::handle) to bring each view.
+//! Sessions look up their route and principal here, and requests of other gateways their group.
+//! [`handle`](crate::handle) passes in each new view; [`membership`] finds the groups that it changes.
 
 mod membership;
 
@@ -27,11 +26,11 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long a transaction may be idle where the document sets no limit, before another gateway's connection
-/// is taken back from it. Chosen, not measured: an hour ends only those that were forgotten.
-const UNLIMITED_IDLE: Duration = Duration::from_secs(3_600);
+/// Idle limit of a transaction on a connection lent to another gateway if the document sets none; after 1 h,
+/// only abandoned transactions are ended.
+const DEFAULT_TRANSACTION_IDLE: Duration = Duration::from_secs(3_600);
 
-/// How a session's statements are served.
+/// Route of a database: its rule, and the group that serves the statements.
 #[derive(Clone)]
 pub(crate) struct Route<W: Wire> {
     pub(crate) rule: Rc<RouteRule>,
@@ -39,29 +38,29 @@
     pub(crate) transaction_idle: Duration,
 }
 
-/// What a caller may do now.
+/// Route and principal of an admitted caller.
 #[derive(Clone)]
 pub(crate) struct Admitted<W: Wire> {
     pub(crate) route: Route<W>,
-    /// On whose behalf its statements are run.
+    /// Principal whose statements are run.
     pub(crate) principal: Principal,
 }
 
-/// Why a caller may do nothing. Its key is not told.
+/// Reason why a caller is not admitted. No text contains the caller's key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum NotAdmitted {
-    /// No route has the database's name.
+    /// No route exists for the database.
     #[error("{0}")]
     UnknownDatabase(String),
-    /// The route asks for a key, and the caller's stands for nobody.
+    /// The route requires a key, and the caller's key belongs to no tenant.
     #[error("the key stands for nobody")]
     UnknownKey,
-    /// Nothing has proved for too long that the configuration is current.
+    /// Control has not confirmed for too long that the configuration is current.
     #[error(
         "{}",
         not_run("nothing proves that the configuration is current", retry_after::UNPROVED)
     )]
-    Unproved,
+    Unconfirmed,
 }
 
 impl NotAdmitted {
@@ -69,12 +68,12 @@
         match self {
             Self::UnknownDatabase(_) => ErrorCode::UnknownDatabase,
             Self::UnknownKey => ErrorCode::Unauthenticated,
-            Self::Unproved => ErrorCode::Busy,
+            Self::Unconfirmed => ErrorCode::Busy,
         }
     }
 }
 
-/// The routes in force.
+/// Configuration in force, with the groups that serve it.
 pub(crate) struct Routes<W: Wire> {
     wire: W,
     settings: Rc<GatewaySettings>,
@@ -82,11 +81,11 @@
     groups: RefCell<BTreeMap<GroupName, Rc<Group<W>>>>,
     routes: RefCell<BTreeMap<String, Route<W>>>,
     document: RefCell<Option<Arc<Document>>>,
-    /// The tenants in force; none where callers are served without a key.
+    /// Tenants in force; none if callers are served without a key.
     tenants: RefCell<Option<TenantDirectory>>,
     reach: mpsc::UnboundedSender<MemberReach>,
-    /// When control was last asked whether the configuration is current, and said so.
-    proved: watch::Receiver<Option<std::time::Instant>>,
+    /// Time of the last request to which control answered that the configuration is current.
+    confirmed_at: watch::Receiver<Option<std::time::Instant>>,
     tunnels: Rc<Tunnels>,
     clock: SteadyClock,
     metrics: Metrics,
@@ -97,7 +96,7 @@
         wire: W,
         settings: Rc<GatewaySettings>,
         reach: mpsc::UnboundedSender<MemberReach>,
-        proved: watch::Receiver<Option<std::time::Instant>>,
+        confirmed_at: watch::Receiver<Option<std::time::Instant>>,
         tunnels: Rc<Tunnels>,
         clock: SteadyClock,
         metrics: Metrics,
@@ -113,42 +112,42 @@
             document: RefCell::default(),
             tenants: RefCell::default(),
             reach,
-            proved,
+            confirmed_at,
             tunnels,
             clock,
             metrics,
         }
     }
 
-    /// How long a transaction may be idle between two statements, by the document in force; for long where
-    /// that is not limited.
+    /// Returns how long a transaction may be idle between two statements by the document in force, or
+    /// [`DEFAULT_TRANSACTION_IDLE`] if the document sets no limit.
     pub(crate) fn transaction_idle(&self) -> Duration {
         let document = self.document.borrow();
         let limit = document.as_ref().map(|document| document.limits.transaction_idle);
-        limit.filter(|limit| !limit.is_zero()).unwrap_or(UNLIMITED_IDLE)
+        limit.filter(|limit| !limit.is_zero()).unwrap_or(DEFAULT_TRANSACTION_IDLE)
     }
 
-    /// Whether there is a document to go by.
+    /// Reports whether a document is in force.
     pub(crate) fn has_document(&self) -> bool {
         self.document.borrow().is_some()
     }
 
-    /// What a caller that shows this key may do on a database now.
+    /// Admits a caller with this key to a database, or returns why it is not admitted.
     pub(crate) fn admit(&self, database: &str, key: &ApiKey) -> Result<Admitted<W>, NotAdmitted> {
         let routes = self.routes.borrow();
         let unknown = || NotAdmitted::UnknownDatabase(database.to_owned());
         let route = routes.get(database).ok_or_else(unknown)?;
         let principal = self.principal(&route.rule, key)?;
-        if !self.is_proved() {
-            return Err(NotAdmitted::Unproved);
+        if !self.is_recently_confirmed() {
+            return Err(NotAdmitted::Unconfirmed);
         }
         Ok(Admitted { route: route.clone(), principal })
     }
 
-    /// Whether the configuration is proved to be as current as it has to be.
-    fn is_proved(&self) -> bool {
+    /// Reports whether control has confirmed the configuration recently enough.
+    fn is_recently_confirmed(&self) -> bool {
         let Some(limit) = self.settings.unproved_limit else { return true };
-        self.proved.borrow().is_some_and(|proved| proved.elapsed() < limit)
+        self.confirmed_at.borrow().is_some_and(|confirmed_at| confirmed_at.elapsed() < limit)
     }
 
     fn principal(&self, rule: &RouteRule, key: &ApiKey) -> Result<Principal, NotAdmitted> {
@@ -162,56 +161,56 @@
         }
     }
 
-    /// Puts a view in force; says whether its document is another than before.
+    /// Puts a view in force; reports whether its document has changed.
     pub(crate) fn follow(&self, view: &Arc<View>) -> bool {
         let Some(document) = &view.document else { return false };
-        self.follow_groups(view, document);
-        let held = self.document.borrow().clone();
-        let is_other = held.is_none_or(|held| !Arc::ptr_eq(&held, document));
-        if is_other {
+        self.update_groups(view, document);
+        let current = self.document.borrow().clone();
+        let is_changed = current.is_none_or(|current| !Arc::ptr_eq(&current, document));
+        if is_changed {
             log::info!(version = document.version, revision = view.revision.0; "document in force");
             self.metrics.note_document(document.version);
-            self.follow_document(document);
+            self.apply_document(document);
         }
-        is_other
+        is_changed
     }
 
-    /// Looks at the tenants in force; none where callers are served without a key.
-    pub(crate) fn with_tenants(&self, look: impl FnOnce(Option<&TenantDirectory>)) {
-        look(self.tenants.borrow().as_ref());
+    /// Passes the tenants in force to `inspect`; none if callers are served without a key.
+    pub(crate) fn with_tenants(&self, inspect: impl FnOnce(Option<&TenantDirectory>)) {
+        inspect(self.tenants.borrow().as_ref());
     }
 
-    fn follow_groups(&self, view: &Arc<View>, document: &Arc<Document>) {
+    fn update_groups(&self, view: &Arc<View>, document: &Arc<Document>) {
         let mut membership = self.membership.borrow_mut();
-        let touched = membership.follow(view, document);
+        let changed_groups = membership.apply_view(view, document);
         let mut groups = self.groups.borrow_mut();
         let declared: BTreeSet<_> = membership.groups().collect();
         groups.retain(|name, _| declared.contains(name));
-        for name in &touched {
+        for name in &changed_groups {
             let new = || Rc::new(self.new_group(name));
             let group = groups.entry(name.clone()).or_insert_with(new);
-            group.follow(&membership.facts(name, document));
+            group.apply_update(&membership.group_update(name, document));
         }
     }
 
-    /// The other gateways of this one's zone.
+    /// Returns the other gateways of this gateway's zone.
     pub(crate) fn zone_peers(&self) -> Vec<Holder> {
         self.membership.borrow().zone_peers()
     }
 
-    /// The group of a name, for other gateways.
+    /// Returns the group of a name, for requests of other gateways.
     pub(crate) fn group(&self, name: &GroupName) -> Option<Rc<Group<W>>> {
         self.groups.borrow().get(name).cloned()
     }
 
-    /// Closes connections that have not been used for long.
+    /// Closes connections that have been idle for too long, in all groups.
     pub(crate) fn close_unused(&self) {
         for group in self.groups.borrow().values() {
             group.close_unused();
         }
     }
 
-    /// What is held and waited for now, over all groups.
+    /// Returns the connections and waiting statements of all groups.
     pub(crate) fn holdings(&self) -> Holdings {
         let mut holdings = Holdings::default();
         for group in self.groups.borrow().values() {
@@ -232,7 +231,7 @@
         )
     }
 
-    fn follow_tenants(&self, document: &Document) {
+    fn update_tenants(&self, document: &Document) {
         let mut tenants = self.tenants.borrow_mut();
         match &document.tenants {
             None => *tenants = None,
@@ -240,7 +239,7 @@
         }
     }
 
-    fn follow_document(&self, document: &Arc<Document>) {
+    fn apply_document(&self, document: &Arc<Document>) {
         let groups = self.groups.borrow();
         let transaction_idle = document.limits.transaction_idle;
         let route = |rule: &RouteRule| {
@@ -250,7 +249,7 @@
         };
         let routes = document.routes.iter().filter_map(route).collect();
         *self.routes.borrow_mut() = routes;
-        self.follow_tenants(document);
+        self.update_tenants(document);
         *self.document.borrow_mut() = Some(Arc::clone(document));
     }
 }
