--- a/crates/gateway/tests/sessions/doubt.rs
+++ b/crates/gateway/tests/sessions/doubt.rs
@@ -1,11 +1,11 @@
-//! Lost answers: what is promised, what is in doubt, what may be tried again.
+//! Statements whose answer is lost: what the caller is promised, what is in doubt, and what is retried.
 
 use crate::caller::Caller;
 use crate::member::Member;
 use crate::world::{BOUNDED, HASTY, LINEARIZABLE, World};
 
 #[actix_rt::test]
-async fn a_write_without_an_answer_is_in_doubt_and_never_sent_again() {
+async fn a_write_without_an_answer_is_in_doubt_and_never_resent() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_one_gateway(&[&primary]);
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
@@ -14,11 +14,11 @@
     assert_eq!(answered.code(), "indoubt");
     assert_eq!(answered.state, "idle");
     assert_eq!(primary.texts(), ["write x"]);
-    assert!(caller.query("write y").await.is_success(), "the session goes on");
+    assert!(caller.query("write y").await.is_success(), "the session continues");
 }
 
 #[actix_rt::test]
-async fn a_read_without_an_answer_is_tried_elsewhere() {
+async fn a_read_without_an_answer_is_retried_at_another_member() {
     let primary = Member::start("m1", true, "1.5").await;
     let replica = Member::start("m2", false, "1.5").await;
     let world = World::with_one_gateway(&[&primary, &replica]);
@@ -27,7 +27,7 @@
     primary.state.borrow_mut().answers_to_lose = 1;
     replica.state.borrow_mut().answers_to_lose = 1;
     let mut lost = 2;
-    // Each loss is met by a read that another member answers, or that ends as timed out after two.
+    // A read whose answer is lost is answered by the other member, or times out after losing two answers.
     while lost > 0 {
         let answered = caller.query("read x").await;
         assert!(answered.is_success() || answered.code() == "timeout", "{answered:?}");
@@ -35,9 +35,9 @@
     }
 }
 
-/// That a statement was not run is a promise; it holds for reads as well.
+/// "Not run" is a promise to the caller that the statement did not run; it holds for reads too.
 #[actix_rt::test]
-async fn a_read_that_ran_without_an_answer_is_not_said_to_be_not_run() {
+async fn a_read_that_ran_without_an_answer_is_not_reported_as_not_run() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_one_gateway(&[&primary]);
     let mut caller = Caller::start(world.gateways[0], HASTY, "a").await;
@@ -51,12 +51,12 @@
 }
 
 #[actix_rt::test]
-async fn a_read_that_failed_at_one_member_is_run_at_another() {
+async fn a_read_that_failed_at_one_member_is_retried_at_another() {
     let primary = Member::start("m1", true, "1.5").await;
     let replica = Member::start("m2", false, "1.5").await;
     let world = World::with_one_gateway(&[&primary, &replica]);
     let mut caller = Caller::start(world.gateways[0], BOUNDED, "a").await;
-    // A primary that is leaving serves reads only where nobody else can.
+    // A draining primary serves reads only if no other member can.
     world.drain(&primary);
     assert_eq!(caller.query("read x").await.lines, ["row|of m2", "complete|by-m2"]);
     replica.state.borrow_mut().reads_to_fail = 1;
@@ -64,17 +64,17 @@
 }
 
 #[actix_rt::test]
-async fn a_read_that_fails_wherever_it_runs_is_told_so() {
+async fn a_read_that_fails_at_every_attempt_is_reported_as_failed() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_one_gateway(&[&primary]);
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
     primary.state.borrow_mut().reads_to_fail = usize::MAX;
     assert_eq!(caller.query("read x").await.code(), "failed");
-    assert_eq!(primary.texts(), ["read x", "read x"], "as often as the route says");
+    assert_eq!(primary.texts(), ["read x", "read x"], "as many attempts as the route allows");
 }
 
 #[actix_rt::test]
-async fn a_transaction_that_lost_its_connection_is_promised_to_be_rolled_back() {
+async fn a_transaction_that_lost_its_connection_is_reported_as_aborted() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_one_gateway(&[&primary]);
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
--- a/crates/gateway/tests/sessions/holders.rs
+++ b/crates/gateway/tests/sessions/holders.rs
@@ -1,4 +1,4 @@
-//! Gateways that hold the connections to a member, and what becomes of statements when they do not
+//! Statements that go through the gateways that hold the connections to a member, also when these don't
 //! answer.
 
 use crate::caller::Caller;
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Other gateways: more than one gateway asks for one statement.
+/// Number of other gateways; more than a gateway asks for one statement.
 const OTHERS: usize = 5;
 
-/// Where nobody listens.
-pub fn dead() -> SocketAddr {
+/// Returns an address where nobody listens.
+pub fn unused_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
     listener.local_addr().expect("a bound listener has an address")
 }
 
-/// Where tunnels are accepted and never answered, as by a process that stands still.
-async fn silent() -> SocketAddr {
+/// Returns an address where tunnels are accepted and never answered, as by a suspended process.
+async fn silent_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a free port");
     let address = listener.local_addr().expect("a bound listener has an address");
     actix_rt::spawn(async move {
@@ -32,8 +32,8 @@
     address
 }
 
-/// A primary that another gateway holds the connections to.
-async fn primary_held_elsewhere(others: &[SocketAddr]) -> (Member, World) {
+/// Starts a primary whose connections another gateway than the first holds.
+async fn primary_held_by_another(others: &[SocketAddr]) -> (Member, World) {
     for number in 1..50 {
         let primary = Member::start(&format!("m{number}"), true, "1.5").await;
         let world = World::among(&[&primary], others, ONE_SHARE);
@@ -41,7 +41,7 @@
             return (primary, world);
         }
     }
-    panic!("one of six gateways holds the connections to fifty members");
+    panic!("the first of six gateways holds the connections to all of fifty members");
 }
 
 #[rstest]
@@ -49,9 +49,9 @@
 #[case::bounded(BOUNDED)]
 #[case::own_writes(OWN_WRITES)]
 #[actix_rt::test]
-async fn a_gateway_opens_its_own_connections_where_nobody_listens(#[case] route: &str) {
-    let others: Vec<_> = (0..OTHERS).map(|_| dead()).collect();
-    let (primary, world) = primary_held_elsewhere(&others).await;
+async fn a_gateway_opens_its_own_connections_if_no_holder_listens(#[case] route: &str) {
+    let others: Vec<_> = (0..OTHERS).map(|_| unused_address()).collect();
+    let (primary, world) = primary_held_by_another(&others).await;
     let mut caller = Caller::start(world.gateways[0], route, "a").await;
     assert!(caller.query("read x").await.is_success());
     assert!(caller.query("write x").await.is_success());
@@ -65,24 +65,24 @@
 #[case::linearizable(LINEARIZABLE)]
 #[case::bounded(BOUNDED)]
 #[actix_rt::test]
-async fn a_read_goes_on_without_a_holder_that_gives_no_sign(#[case] route: &str) {
+async fn a_read_is_served_although_all_holders_are_silent(#[case] route: &str) {
     let mut others = Vec::new();
     for _ in 0..OTHERS {
-        others.push(silent().await);
+        others.push(silent_address().await);
     }
-    let (primary, world) = primary_held_elsewhere(&others).await;
+    let (primary, world) = primary_held_by_another(&others).await;
     let mut caller = Caller::start(world.gateways[0], route, "a").await;
     assert!(caller.query("read x").await.is_success());
     assert_eq!(primary.texts(), ["read x"]);
 }
 
 #[actix_rt::test]
-async fn a_transaction_begins_without_a_holder_that_gives_no_sign() {
+async fn a_transaction_begins_although_all_holders_are_silent() {
     let mut others = Vec::new();
     for _ in 0..OTHERS {
-        others.push(silent().await);
+        others.push(silent_address().await);
     }
-    let (primary, world) = primary_held_elsewhere(&others).await;
+    let (primary, world) = primary_held_by_another(&others).await;
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
     assert!(caller.query("begin").await.is_success());
     assert!(caller.query("write x").await.is_success());
@@ -90,30 +90,30 @@
     assert_eq!(primary.texts(), ["write x", "commit"]);
 }
 
-/// Longer than a holder may be silent: it says that it is at work.
-const LONG_WORK: Duration = Duration::from_millis(900);
+/// Time of a statement that is longer than a holder may be silent; the holder sends heartbeats meanwhile.
+const LONG_STATEMENT: Duration = Duration::from_millis(900);
 
 #[rstest]
 #[case::alone(&["read x"])]
 #[case::in_a_transaction(&["begin", "read x", "commit"])]
 #[actix_rt::test]
-async fn long_work_is_waited_for_through_another_gateway(#[case] texts: &[&str]) {
+async fn a_long_statement_is_waited_for_through_another_gateway(#[case] texts: &[&str]) {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::start(&[&primary], 3, ONE_SHARE);
-    let elsewhere = (0..3).find(|place| *place != world.holder_of(&primary));
-    let gateway = world.gateways[elsewhere.expect("one of three gateways holds the connections")];
+    let non_holder = (0..3).find(|index| *index != world.holder_of(&primary));
+    let gateway = world.gateways[non_holder.expect("one of three gateways holds the connections")];
     let mut caller = Caller::start(gateway, LINEARIZABLE, "a").await;
     assert!(caller.query("read y").await.is_success());
-    primary.state.borrow_mut().work = LONG_WORK;
+    primary.state.borrow_mut().work = LONG_STATEMENT;
     for text in texts {
         assert!(caller.query(text).await.is_success(), "{text}");
     }
     assert_eq!(primary.texts().iter().filter(|text| *text == "read x").count(), 1);
 }
 
-/// A gateway that just started knows what it holds as soon as control has told it.
+/// A holder that has just started learns from control what it holds; the gateway that asks waits for that.
 #[actix_rt::test]
-async fn a_holder_without_a_document_is_waited_for() {
+async fn a_gateway_waits_for_a_holder_without_a_document() {
     let (primary, world) = primary_held_by_the_first().await;
     let mut caller = Caller::start(world.gateways[1], LINEARIZABLE, "a").await;
     let telling = async {
@@ -127,6 +127,7 @@
     assert!(world.figures(1).contains(served), "{}", world.figures(1));
 }
 
+/// Starts a primary whose connections the first gateway holds, which has no document yet.
 async fn primary_held_by_the_first() -> (Member, World) {
     for number in 1..50 {
         let primary = Member::start(&format!("m{number}"), true, "1.5").await;
@@ -135,13 +136,13 @@
             return (primary, world);
         }
     }
-    panic!("the first of three gateways holds the connections to one of fifty members");
+    panic!("the first of three gateways holds the connections to none of fifty members");
 }
 
-/// Three gateways hold the connections; a member that runs three statements at once gets four from each
-/// of them, and the rest waits where it is served by priority.
+/// Each of three holders has at most four statements in flight at a member that runs three at once; the
+/// others wait at the gateway, which serves them by priority.
 #[actix_rt::test]
-async fn a_gateway_has_few_statements_under_way_at_a_member() {
+async fn a_gateway_limits_its_statements_in_flight_at_a_member() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::start(&[&primary], 3, 36);
     let mut callers = Vec::new();
@@ -154,22 +155,22 @@
     assert_eq!(primary.state.borrow().most_running, 4);
 }
 
-/// Longest that a gateway which stands in keeps connections of its own.
-const STAND_IN: Duration = Duration::from_millis(2_600);
+/// Longer than a gateway keeps its fallback connections.
+const FALLBACK_PERIOD: Duration = Duration::from_millis(2_600);
 
 #[actix_rt::test]
-async fn a_gateway_that_stood_in_closes_its_connections() {
-    let others: Vec<_> = (0..OTHERS).map(|_| dead()).collect();
-    let (primary, world) = primary_held_elsewhere(&others).await;
+async fn a_gateway_closes_its_fallback_connections_after_a_while() {
+    let others: Vec<_> = (0..OTHERS).map(|_| unused_address()).collect();
+    let (primary, world) = primary_held_by_another(&others).await;
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
     assert!(caller.query("write x").await.is_success());
     assert!(primary.state.borrow().open > 0);
-    tokio::time::sleep(STAND_IN).await;
+    tokio::time::sleep(FALLBACK_PERIOD).await;
     assert_eq!(primary.state.borrow().open, 0);
 }
 
 #[actix_rt::test]
-async fn a_gateway_that_holds_no_share_any_longer_closes_its_connections() {
+async fn a_gateway_that_loses_its_share_closes_its_connections() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::start(&[&primary], 3, 36);
     let mut callers = Vec::new();
@@ -180,7 +181,7 @@
         assert!(caller.query("write x").await.is_success());
     }
     assert!(primary.state.borrow().open >= 3);
-    // One share: one holder, and two of the connections are left to control.
+    // With one share, one gateway holds connections; two of the connections are reserved for control.
     world.change_connections(ONE_SHARE);
     let holder = world.holder_of(&primary);
     assert!(callers[holder].query("write x").await.is_success());
@@ -190,14 +191,14 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(LONG_WORK, closed).await.expect("closed in time");
+    tokio::time::timeout(LONG_STATEMENT, closed).await.expect("closed in time");
     let mut other = Caller::start(world.gateways[(holder + 1) % 3], LINEARIZABLE, "b").await;
     assert!(other.query("write y").await.is_success());
     assert!(primary.state.borrow().open <= kept);
 }
 
 #[actix_rt::test]
-async fn a_member_that_takes_no_more_connections_is_no_reason_to_stand_in() {
+async fn a_full_member_causes_no_fallback_connections() {
     let primary = Member::start("m1", true, "1.5").await;
     primary.state.borrow_mut().connection_limit = 0;
     let world = World::start(&[&primary], 3, ONE_SHARE);
@@ -207,5 +208,5 @@
         assert_eq!(caller.query("write x").await.code(), "busy");
     }
     let opened_for = primary.state.borrow().refused_for.clone();
-    assert!(opened_for.iter().all(|who| *who == format!("g{holder}")), "{opened_for:?}");
+    assert!(opened_for.iter().all(|gateway| *gateway == format!("g{holder}")), "{opened_for:?}");
 }
--- a/crates/gateway/tests/sessions/kept_out.rs
+++ b/crates/gateway/tests/sessions/kept_out.rs
@@ -1,14 +1,15 @@
-//! Gateways that may hold connections to a primary and get none: it takes no more.
+//! Gateways that hold a share of a primary but get no connection, because the primary is full.
 
 use crate::caller::Caller;
 use crate::member::Member;
 use crate::world::{LINEARIZABLE, World};
 
-/// Connections that each member takes as far as the gateways know: enough that all of them hold a share.
+/// Connection limit of the member in the document; high enough that each gateway holds a share.
 const CONNECTIONS: u32 = 36;
 const GATEWAYS: usize = 3;
 
-/// As after a loss of power, while connections of machines that are gone fill its cap.
+/// Starts a primary that accepts a single connection, as after a power loss while connections of the lost
+/// machines fill its connection cap.
 async fn nearly_full_primary() -> Member {
     let primary = Member::start("m1", true, "1.5").await;
     primary.state.borrow_mut().connection_limit = 1;
@@ -29,7 +30,7 @@
 }
 
 #[actix_rt::test]
-async fn a_transaction_is_begun_through_the_one_that_has_a_connection() {
+async fn all_gateways_begin_transactions_through_the_one_that_has_a_connection() {
     let primary = nearly_full_primary().await;
     let world = World::start(&[&primary], GATEWAYS, CONNECTIONS);
     primary.asked().await;
--- a/crates/gateway/tests/sessions/limits.rs
+++ b/crates/gateway/tests/sessions/limits.rs
@@ -1,4 +1,4 @@
-//! Operations of tenants are counted against what the leader allows.
+//! Operations of tenants are counted against the allowances that the leader grants.
 
 use crate::caller::Caller;
 use crate::member::Member;
@@ -11,7 +11,7 @@
 }
 
 #[actix_rt::test]
-async fn an_operation_waits_for_what_the_leader_may_allow() {
+async fn an_operation_waits_for_the_allowance_of_the_leader() {
     let primary = primary().await;
     let mut world = World::with_limits(&[&primary], TENANTS);
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "key-a").await;
@@ -21,7 +21,7 @@
 }
 
 #[actix_rt::test]
-async fn beyond_the_limit_nothing_runs_and_the_caller_is_told_when_to_come_back() {
+async fn an_operation_over_the_limit_does_not_run_and_is_refused_with_a_retry_time() {
     let primary = primary().await;
     let mut world = World::with_limits(&[&primary], TENANTS);
     let mut caller = Caller::start(world.gateways[0], HASTY, "key-a").await;
@@ -36,7 +36,7 @@
 }
 
 #[actix_rt::test]
-async fn one_tenant_at_its_limit_costs_another_nothing() {
+async fn a_tenant_at_its_limit_does_not_affect_another() {
     let primary = primary().await;
     let mut world = World::with_limits(&[&primary], TENANTS);
     let mut first = Caller::start(world.gateways[0], HASTY, "key-a").await;
@@ -59,13 +59,16 @@
         let answered = caller.query(statement).await;
         assert!(answered.is_success(), "{statement}: {answered:?}");
     }
-    assert!(caller.query("begin").await.is_success(), "no member is asked for anything yet");
+    assert!(
+        caller.query("begin").await.is_success(),
+        "begin reaches no member and isn't counted yet"
+    );
     let refused = caller.query("write z").await;
     assert_eq!((refused.code(), refused.state.as_str()), ("overlimit", "failed"));
 }
 
 #[actix_rt::test]
-async fn what_did_not_run_is_not_counted() {
+async fn an_operation_that_did_not_run_is_not_counted() {
     let primary = primary().await;
     let mut world = World::with_limits(&[&primary], TENANTS);
     let mut caller = Caller::start(world.gateways[0], HASTY, "key-a").await;
@@ -79,7 +82,7 @@
 }
 
 #[actix_rt::test]
-async fn a_read_that_may_have_run_counts_once_more_where_it_is_tried_again() {
+async fn a_read_that_may_have_run_counts_again_when_retried() {
     let primary = primary().await;
     let replica = Member::start("m2", false, "1.5").await;
     for (allowed, served) in [(1, false), (2, true)] {
@@ -89,7 +92,7 @@
         primary.state.borrow_mut().answers_to_lose = 1;
         replica.state.borrow_mut().answers_to_lose = 1;
         let answered = caller.query("read x").await;
-        let lost = [&primary, &replica].map(|it| 1 - it.state.borrow().answers_to_lose);
+        let lost = [&primary, &replica].map(|member| 1 - member.state.borrow().answers_to_lose);
         assert_eq!(lost.iter().sum::<usize>() > 1, served, "{answered:?}");
         for member in [&primary, &replica] {
             member.state.borrow_mut().answers_to_lose = 0;
@@ -102,13 +105,13 @@
     let primary = primary().await;
     let mut world = World::with_limits_at(&[&primary], 3, TENANTS);
     let (home, other) = world.home_and_other("alfa");
-    let mut near = Caller::start(world.gateways[home], HASTY, "key-a").await;
+    let mut home_caller = Caller::start(world.gateways[home], HASTY, "key-a").await;
     world.controls[home].allow("alfa", 3).await;
-    let mut far = Caller::start(world.gateways[other], HASTY, "key-a").await;
-    far.until_served("write x").await;
-    near.until_served("write y").await;
-    far.until_served("write z").await;
-    for caller in [&mut near, &mut far] {
+    let mut other_caller = Caller::start(world.gateways[other], HASTY, "key-a").await;
+    other_caller.until_served("write x").await;
+    home_caller.until_served("write y").await;
+    other_caller.until_served("write z").await;
+    for caller in [&mut home_caller, &mut other_caller] {
         let refused = caller.query("write w").await;
         assert_eq!(refused.code(), "overlimit", "{refused:?}");
     }
@@ -116,30 +119,30 @@
 }
 
 #[actix_rt::test]
-async fn what_did_not_run_at_another_gateway_is_not_counted_at_the_home() {
+async fn an_operation_that_did_not_run_at_another_gateway_is_not_counted_at_the_home() {
     let primary = primary().await;
     let mut world = World::with_limits_at(&[&primary], 2, TENANTS);
     let (home, other) = world.home_and_other("alfa");
-    let _near = Caller::start(world.gateways[home], HASTY, "key-a").await;
+    let _home_caller = Caller::start(world.gateways[home], HASTY, "key-a").await;
     world.controls[home].allow("alfa", 1).await;
     primary.asked().await;
-    let mut far = Caller::start(world.gateways[other], HASTY, "key-a").await;
+    let mut other_caller = Caller::start(world.gateways[other], HASTY, "key-a").await;
     primary.state.borrow_mut().gone = true;
-    assert_eq!(far.query("write x").await.code(), "busy");
+    assert_eq!(other_caller.query("write x").await.code(), "busy");
     primary.state.borrow_mut().gone = false;
-    // The home hears of it a moment later.
-    let mut served = far.query("write x").await;
+    // The home learns a moment later that the operation did not run.
+    let mut served = other_caller.query("write x").await;
     while matches!(served.code(), "busy" | "overlimit") {
-        served = far.query("write x").await;
+        served = other_caller.query("write x").await;
     }
     assert!(served.is_success(), "{served:?}");
-    assert_eq!(far.query("write y").await.code(), "overlimit");
+    assert_eq!(other_caller.query("write y").await.code(), "overlimit");
 }
 
 #[actix_rt::test]
-async fn a_gateway_counts_by_what_the_leader_gives_it_where_the_home_is_gone() {
+async fn a_gateway_counts_against_its_own_allowance_if_the_home_is_gone() {
     let primary = primary().await;
-    // One of the tenants has its home at the gateway that is lost.
+    // With 32 tenants, at least one has its home at the lost gateway.
     let names: &'static [String] = Vec::leak((0..32).map(|number| format!("t{number}")).collect());
     let keys: Vec<[&str; 1]> = names.iter().map(|name| [name.as_str()]).collect();
     let tenants: Vec<(&str, &[&str])> =
@@ -147,7 +150,7 @@
     let mut world = World::with_limits_at(&[&primary], 2, &tenants);
     world.lose_peer(1);
     let lost = names.iter().find(|name| world.home_and_other(name).0 == 1);
-    let tenant = lost.expect("half of the tenants");
+    let tenant = lost.expect("about half of the tenants have their home at the lost gateway");
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, tenant).await;
     let control = &mut world.controls[0];
     let (answered, ()) = tokio::join!(caller.query("write x"), control.allow(tenant, 1));
--- a/crates/gateway/tests/sessions/openings.rs
+++ b/crates/gateway/tests/sessions/openings.rs
@@ -1,4 +1,4 @@
-//! Transactions begun through another gateway together with their first statement.
+//! Transactions that are begun through another gateway in one request with their first statement.
 
 use crate::caller::Caller;
 use crate::member::Member;
@@ -14,13 +14,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Framed;
 
-/// Other gateways, all of which hold connections to the member.
+/// Number of other gateways, all of which serve as holders.
 const OTHERS: usize = 5;
 
-/// What the other gateways were asked for, in order.
-type Asked = Rc<RefCell<Vec<&'static str>>>;
+/// Kinds of the requests that the other gateways received, in order.
+type Requests = Rc<RefCell<Vec<&'static str>>>;
 
-/// Whether a gateway answers that it has begun a transaction, or is lost with its answer.
+/// Whether a gateway answers a request to begin a transaction, or closes the tunnel instead.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Opening {
     Answered,
@@ -32,12 +32,12 @@
     RunOutcome::Answered { rows: Vec::new(), outcome: Ok(None), ready }
 }
 
-/// Serves as a gateway that holds connections, without a member behind it.
-async fn serve_tunnel(stream: TcpStream, asked: Asked, opening: Opening) {
+/// Serves a tunnel as a gateway that holds connections, without a member behind it.
+async fn serve_tunnel(stream: TcpStream, requests: Requests, opening: Opening) {
     let mut tunnel: Framed<_, FrameCodec<TunnelReply, TunnelRequest>> =
         Framed::new(stream, FrameCodec::default());
     while let Some(Ok(request)) = tunnel.next().await {
-        let (what, reply) = match request {
+        let (kind, reply) = match request {
             TunnelRequest::Run { .. } => {
                 let outcome = answered(TransactionState::Idle);
                 let load = MemberLoadReport::default();
@@ -51,31 +51,32 @@
             TunnelRequest::Position { .. } => ("position", TunnelReply::Position(None)),
             _ => ("other", TunnelReply::Closed),
         };
-        asked.borrow_mut().push(what);
-        if what == "open" && opening == Opening::Lost {
+        requests.borrow_mut().push(kind);
+        if kind == "open" && opening == Opening::Lost {
             return;
         }
-        tunnel.send(reply).await.expect("the asking gateway reads");
+        tunnel.send(reply).await.expect("the requesting gateway reads");
     }
 }
 
-async fn other_gateway(asked: Asked, opening: Opening) -> SocketAddr {
+async fn start_other_gateway(requests: Requests, opening: Opening) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a free port");
     let address = listener.local_addr().expect("a bound listener has an address");
     actix_rt::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            actix_rt::spawn(serve_tunnel(stream, Rc::clone(&asked), opening));
+            actix_rt::spawn(serve_tunnel(stream, Rc::clone(&requests), opening));
         }
     });
     address
 }
 
-/// A primary whose connections other gateways hold, all of which have answered this one.
-async fn caller_of_others(opening: Opening) -> (World, Caller, Asked) {
-    let asked = Asked::default();
+/// Starts a gateway whose primary's connections are held by other gateways, and has it get an answer from a
+/// holder.
+async fn caller_through_others(opening: Opening) -> (World, Caller, Requests) {
+    let requests = Requests::default();
     let mut others = Vec::new();
     for _ in 0..OTHERS {
-        others.push(other_gateway(Rc::clone(&asked), opening).await);
+        others.push(start_other_gateway(Rc::clone(&requests), opening).await);
     }
     for number in 1..50 {
         let primary = Member::start(&format!("m{number}"), true, "1.5").await;
@@ -85,33 +86,33 @@
         }
         let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
         assert!(caller.query("write w").await.is_success());
-        asked.borrow_mut().clear();
-        return (world, caller, asked);
+        requests.borrow_mut().clear();
+        return (world, caller, requests);
     }
-    panic!("one of six gateways holds the connections to fifty members");
+    panic!("the first of six gateways holds the connections to all of fifty members");
 }
 
 #[actix_rt::test]
-async fn begin_and_first_statement_are_one_question_to_another_gateway() {
-    let (_world, mut caller, asked) = caller_of_others(Opening::Answered).await;
+async fn begin_and_first_statement_are_one_request_to_another_gateway() {
+    let (_world, mut caller, requests) = caller_through_others(Opening::Answered).await;
     assert!(caller.query("begin").await.is_success());
-    assert_eq!(*asked.borrow(), [""; 0], "the begin waits for the first statement");
+    assert_eq!(*requests.borrow(), [""; 0], "the begin waits for the first statement");
     let first = caller.query("write x").await;
     assert!(first.is_success(), "{first:?}");
     assert_eq!(first.state, "open");
-    assert_eq!(*asked.borrow(), ["open"]);
+    assert_eq!(*requests.borrow(), ["open"]);
 }
 
-/// The first statement may have run, and the member may not have rolled it back yet: the same statement
-/// at another connection could wait for its locks.
+/// The first statement may have run, and the member may not have rolled it back yet: a retry on another
+/// connection could wait for its locks.
 #[actix_rt::test]
-async fn a_first_statement_whose_gateway_is_lost_is_rolled_back_and_not_sent_again() {
-    let (_world, mut caller, asked) = caller_of_others(Opening::Lost).await;
+async fn a_first_statement_is_rolled_back_and_not_resent_if_its_gateway_is_lost() {
+    let (_world, mut caller, requests) = caller_through_others(Opening::Lost).await;
     assert!(caller.query("begin").await.is_success());
     let first = caller.query("write x").await;
     assert_eq!((first.code(), first.state.as_str()), ("aborted", "failed"));
-    assert_eq!(*asked.borrow(), ["open"]);
-    assert_eq!(caller.query("commit").await.code(), "aborted", "nothing of it is kept");
+    assert_eq!(*requests.borrow(), ["open"]);
+    assert_eq!(caller.query("commit").await.code(), "aborted", "the transaction is rolled back");
 }
 
 #[actix_rt::test]
@@ -129,9 +130,9 @@
     }
 }
 
-/// A transaction that could not be begun has run nothing: it is begun again, elsewhere or there.
+/// A transaction that could not be begun has run nothing: it is begun again, at the same holder or another.
 #[actix_rt::test]
-async fn a_begin_that_was_lost_behind_another_gateway_is_sent_again() {
+async fn a_begin_that_is_lost_behind_another_gateway_is_resent() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::start(&[&primary], 3, ONE_SHARE);
     for (gateway, name) in world.gateways.iter().zip(["a", "b", "c"]) {
@@ -142,13 +143,12 @@
         for text in ["begin", "write x", "commit"] {
             assert!(caller.query(text).await.is_success(), "{text}");
         }
-        assert_eq!(primary.state.borrow().begins_to_lose, 0, "it was lost");
+        assert_eq!(primary.state.borrow().begins_to_lose, 0, "one begin was lost");
         assert_eq!(primary.texts(), ["write x", "commit"]);
     }
 }
 
-/// A first statement that the member refuses leaves the transaction to be rolled back by its caller, as
-/// every later one does.
+/// After a first statement that fails, the caller has to roll the transaction back, as after any later one.
 #[actix_rt::test]
 async fn a_first_statement_that_fails_leaves_the_transaction_failed() {
     let primary = Member::start("m1", true, "1.5").await;
@@ -161,6 +161,6 @@
         let first = caller.query("read x").await;
         assert_eq!((first.code(), first.state.as_str()), ("failed", "failed"));
         assert_eq!(caller.query("rollback").await.state, "idle");
-        assert!(caller.query("write z").await.is_success(), "the connection is as good as new");
+        assert!(caller.query("write z").await.is_success(), "the connection can be used again");
     }
 }
--- a/crates/gateway/tests/sessions/questions.rs
+++ b/crates/gateway/tests/sessions/questions.rs
@@ -1,4 +1,4 @@
-//! Control's questions to a member that takes no more connections.
+//! Requests of control to a member that is full and accepts no connection.
 
 use crate::member::Member;
 use crate::wire::TestWire;
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest wait for the end of a question; generous, for a machine with much to do.
-const SOON: Duration = Duration::from_secs(5);
+/// Timeout for the end of a request; generous, for a busy machine.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A member that refuses every connection, and its name.
-async fn full() -> (Member, MemberName) {
+/// Starts a member that refuses every connection; returns it and its name.
+async fn full_member() -> (Member, MemberName) {
     let member = Member::start("m1", true, "1.5").await;
     member.state.borrow_mut().connection_limit = 0;
     (member, MemberName::new("m1").expect("a valid name"))
@@ -24,24 +24,28 @@
 #[case::for_its_status(false)]
 #[case::to_hold_it(true)]
 #[actix_rt::test]
-async fn a_member_that_stays_full_is_silent_when_the_time_of_a_question_is_over(
-    #[case] hold: bool,
-) {
-    let (member, name) = full().await;
+async fn a_full_member_counts_as_silent_at_the_deadline_of_a_status_request(#[case] hold: bool) {
+    let (member, name) = full_member().await;
     let settings = settings(0, member.address);
     let group = group();
     let asking = ask_status(&TestWire, &settings, &group, &name, member.address, hold);
-    let answer = timeout(SOON, asking).await.expect("the question ends");
+    let answer = timeout(REQUEST_TIMEOUT, asking).await.expect("the request ends in time");
     assert_eq!(answer, MemberAnswer::Silent);
-    assert!(member.state.borrow().refused_for.len() > 1, "it is asked again until then");
+    assert!(
+        member.state.borrow().refused_for.len() > 1,
+        "the request is retried until its deadline"
+    );
 }
 
 #[actix_rt::test]
-async fn a_member_that_stays_full_is_not_told_to_receive_for_ever() {
-    let (member, name) = full().await;
+async fn a_release_of_a_full_member_is_not_retried_forever() {
+    let (member, name) = full_member().await;
     let settings = settings(0, member.address);
     let group = group();
     let releasing = release(&TestWire, &settings, &group, &name, member.address);
-    timeout(SOON, releasing).await.expect("the attempts end");
-    assert!(member.state.borrow().refused_for.len() > 1, "it is told again until then");
+    timeout(REQUEST_TIMEOUT, releasing).await.expect("the attempts end in time");
+    assert!(
+        member.state.borrow().refused_for.len() > 1,
+        "the release is retried until its deadline"
+    );
 }
--- a/crates/gateway/tests/sessions/restarts.rs
+++ b/crates/gateway/tests/sessions/restarts.rs
@@ -1,43 +1,43 @@
-//! A gateway whose process has just started, among others that have run for long.
+//! Reads at a gateway that has just restarted, among others that have run for longer.
 
 use crate::caller::Caller;
 use crate::member::Member;
 use crate::world::{BOUNDED, BRIEFLY_BOUNDED, ONE_SHARE, SHORT_STALENESS, World};
 
 const GATEWAYS: usize = 3;
-/// Figure of a gateway that was served by another.
-const SERVED_ELSEWHERE: &str = "corktack_gateway_elsewhere_total{outcome=\"served\"}";
+/// Metric that a gateway has after another gateway served one of its requests.
+const SERVED_BY_ANOTHER: &str = "corktack_gateway_elsewhere_total{outcome=\"served\"}";
 
-/// A gateway that just started asks another for a connection to the primary and hears, with the
-/// grant, the newest position that the other knows and its age. The primary does not answer the
-/// question itself. What was heard is older than the bound however short the gateway's own life,
-/// so no replica may be read by it: a commit acknowledged before the bound may be missing there.
+/// A restarted gateway asks another for a connection to the primary, and gets with the grant the newest
+/// position that the other knows, and its age. The primary itself doesn't answer. If the gateway took the
+/// position to be no older than its own process, it would read from a replica that may lack commits
+/// acknowledged before the staleness bound.
 #[actix_rt::test]
-async fn a_gateway_that_just_started_takes_no_position_for_younger_than_it_is() {
+async fn a_restarted_gateway_does_not_take_a_position_for_newer_than_it_is() {
     let primary = Member::start("m1", true, "1.5").await;
     let replica = Member::start("m2", false, "1.5").await;
     let mut world = World::start(&[&primary, &replica], GATEWAYS, ONE_SHARE);
     for gateway in world.gateways.clone() {
-        // Each knows a position now, the one that holds the connections among them.
+        // Each gateway knows a position after this read, the holder too.
         let mut caller = Caller::start(gateway, BRIEFLY_BOUNDED, "a").await;
         assert!(caller.query("read x").await.is_success());
     }
-    for (place, name) in ["b", "c", "d"].into_iter().enumerate() {
+    for (index, name) in ["b", "c", "d"].into_iter().enumerate() {
         primary.state.borrow_mut().at.index += 10;
         tokio::time::sleep(SHORT_STALENESS + SHORT_STALENESS / 5).await;
         primary.state.borrow_mut().begins_to_lose = 1;
-        let started = world.start_again(place);
-        let mut caller = Caller::start(started, BRIEFLY_BOUNDED, name).await;
+        let restarted = world.start_again(index);
+        let mut caller = Caller::start(restarted, BRIEFLY_BOUNDED, name).await;
         let answered = caller.query("read x").await;
-        assert_eq!(answered.lines, ["row|of m1", "complete|by-m1"], "gateway {place}");
+        assert_eq!(answered.lines, ["row|of m1", "complete|by-m1"], "gateway {index}");
     }
 }
 
-/// What was found out before a gateway's start is of use to it within the bound: its callers are
-/// served although the primary answers none of its questions. The one that holds the connections
-/// itself hears of nothing and is left out.
+/// A restarted gateway uses a position that another one learned before the restart, as long as it is within
+/// the staleness bound: its callers are served although the primary answers no position request. The holder
+/// of the primary's connections is left out, as it asks no other gateway.
 #[actix_rt::test]
-async fn a_gateway_that_just_started_uses_a_position_that_is_young_enough() {
+async fn a_restarted_gateway_uses_a_position_that_is_recent_enough() {
     let primary = Member::start("m1", true, "1.5").await;
     let replica = Member::start("m2", false, "1.5").await;
     let mut world = World::start(&[&primary, &replica], GATEWAYS, ONE_SHARE);
@@ -46,22 +46,22 @@
         assert!(caller.query("read x").await.is_success());
     }
     let others: Vec<usize> =
-        (0..GATEWAYS).filter(|place| world.figures(*place).contains(SERVED_ELSEWHERE)).collect();
+        (0..GATEWAYS).filter(|index| world.figures(*index).contains(SERVED_BY_ANOTHER)).collect();
     assert_eq!(others.len(), GATEWAYS - 1);
     primary.state.borrow_mut().begins_to_lose = usize::MAX;
-    for place in others {
-        let started = world.start_again(place);
-        let mut caller = Caller::start(started, BOUNDED, "b").await;
-        assert!(caller.query("read x").await.is_success(), "gateway {place}");
+    for index in others {
+        let restarted = world.start_again(index);
+        let mut caller = Caller::start(restarted, BOUNDED, "b").await;
+        assert!(caller.query("read x").await.is_success(), "gateway {index}");
     }
 }
 
-/// The same where the gateway that starts holds the connections to the replica: it asks the one that
-/// holds those to the primary, which gets no answer and tells an old one.
+/// As above, where the restarted gateway holds the connections to the replica: it asks the holder of the
+/// primary's connections, which gets no answer from the primary and reports an old position.
 #[actix_rt::test]
-async fn a_holder_that_just_started_takes_no_position_for_younger_than_it_is() {
+async fn a_restarted_holder_does_not_take_a_position_for_newer_than_it_is() {
     let primary = Member::start("m1", true, "1.5").await;
-    let (replica, mut world) = replica_held_apart(&primary).await;
+    let (replica, mut world) = replica_with_another_holder(&primary).await;
     let holder = world.holder_of(&replica);
     for gateway in world.gateways.clone() {
         let mut caller = Caller::start(gateway, BRIEFLY_BOUNDED, "a").await;
@@ -70,15 +70,15 @@
     primary.state.borrow_mut().at.index += 10;
     tokio::time::sleep(SHORT_STALENESS + SHORT_STALENESS / 5).await;
     primary.state.borrow_mut().begins_to_lose = 1;
-    // A primary that is leaving serves reads only where nobody else may.
+    // A draining primary serves reads only if no other member may.
     world.drain(&primary);
-    let started = world.start_again_known(holder);
-    let mut caller = Caller::start(started, BRIEFLY_BOUNDED, "b").await;
+    let restarted = world.start_again_known(holder);
+    let mut caller = Caller::start(restarted, BRIEFLY_BOUNDED, "b").await;
     assert_eq!(caller.query("read x").await.lines, ["row|of m1", "complete|by-m1"]);
 }
 
-/// A replica whose connections another gateway holds than those of the primary.
-async fn replica_held_apart(primary: &Member) -> (Member, World) {
+/// Starts a replica whose connections are held by another gateway than the primary's.
+async fn replica_with_another_holder(primary: &Member) -> (Member, World) {
     for number in 2..50 {
         let replica = Member::start(&format!("m{number}"), false, "1.5").await;
         let world = World::start(&[primary, &replica], GATEWAYS, ONE_SHARE);
@@ -86,5 +86,5 @@
             return (replica, world);
         }
     }
-    panic!("three gateways hold the connections to fifty members");
+    panic!("one of three gateways holds the connections to all of fifty members");
 }
--- a/crates/gateway/tests/sessions/tenants.rs
+++ b/crates/gateway/tests/sessions/tenants.rs
@@ -1,4 +1,4 @@
-//! Who a caller is by its key, and that members are told the tenant and never the key.
+//! Callers are identified as tenants by their key; members learn the tenant and never the key.
 
 use crate::caller::Caller;
 use crate::member::Member;
@@ -13,7 +13,7 @@
 }
 
 #[actix_rt::test]
-async fn a_key_that_stands_for_nobody_ends_the_session() {
+async fn an_unknown_key_ends_the_session() {
     let primary = primary().await;
     let world = World::with_tenants(&[&primary], 1, 36, TENANTS);
     let answered = Caller::refused(world.gateways[0], LINEARIZABLE, "key-x").await;
@@ -22,7 +22,7 @@
 }
 
 #[actix_rt::test]
-async fn a_database_that_is_not_there_is_told_whatever_the_key() {
+async fn an_unknown_database_is_reported_whatever_the_key() {
     let primary = primary().await;
     let world = World::with_tenants(&[&primary], 1, 36, TENANTS);
     for key in ["key-a", "key-x"] {
@@ -41,10 +41,10 @@
         assert_eq!(primary.ran_for(&caller.last_id()), tenant);
     }
     let state = primary.state.borrow();
-    let told = state.opened_for.iter().map(String::as_str);
-    // Others are opened for the gateway's own questions.
-    let told: Vec<&str> = told.filter(|who| *who != "g0").collect();
-    assert_eq!(told, ["alfa", "beta"], "two keys of a tenant share its connections");
+    let principals = state.opened_for.iter().map(String::as_str);
+    // Leave out the connections that the gateway opened for its own position requests.
+    let principals: Vec<&str> = principals.filter(|principal| *principal != "g0").collect();
+    assert_eq!(principals, ["alfa", "beta"], "two keys of a tenant share its connections");
 }
 
 #[actix_rt::test]
@@ -61,9 +61,9 @@
 }
 
 #[actix_rt::test]
-async fn where_connections_are_short_one_of_another_tenant_makes_room() {
+async fn a_connection_of_another_tenant_is_closed_to_make_room() {
     let primary = primary().await;
-    // Of the connections that a member takes two are control's.
+    // Two of the three connections are reserved for control.
     let world = World::with_tenants(&[&primary], 1, 3, TENANTS);
     let mut first = Caller::start(world.gateways[0], LINEARIZABLE, "key-a").await;
     let mut second = Caller::start(world.gateways[0], LINEARIZABLE, "key-c").await;
@@ -76,7 +76,7 @@
 }
 
 #[actix_rt::test]
-async fn a_key_that_is_passed_on_is_served_as_its_new_tenants() {
+async fn a_key_that_moves_to_another_tenant_is_served_as_that_tenant() {
     let primary = primary().await;
     let world = World::with_tenants(&[&primary], 1, 36, TENANTS);
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "key-b").await;
@@ -87,26 +87,26 @@
 }
 
 #[actix_rt::test]
-async fn a_key_that_is_taken_away_ends_the_session_with_its_next_operation() {
+async fn a_removed_key_ends_the_session_at_its_next_operation() {
     let primary = primary().await;
     let world = World::with_tenants(&[&primary], 1, 36, TENANTS);
-    let mut inside = Caller::start(world.gateways[0], LINEARIZABLE, "key-b").await;
-    let mut outside = Caller::start(world.gateways[0], LINEARIZABLE, "key-b").await;
-    assert!(inside.query("begin").await.is_success());
-    assert!(inside.query("write x").await.is_success());
+    let mut open_session = Caller::start(world.gateways[0], LINEARIZABLE, "key-b").await;
+    let mut idle_session = Caller::start(world.gateways[0], LINEARIZABLE, "key-b").await;
+    assert!(open_session.query("begin").await.is_success());
+    assert!(open_session.query("write x").await.is_success());
     world.change_tenants(&[("alfa", &["key-a"]), ("beta", &["key-c"])]);
-    assert_eq!(outside.query("write y").await.code(), "unauth");
-    assert!(outside.sees_a_close().await);
-    // What is under way ends as it began.
-    assert!(inside.query("write z").await.is_success());
-    assert!(inside.query("commit").await.is_success());
-    assert_eq!(inside.query("begin").await.code(), "unauth");
-    assert!(inside.sees_a_close().await);
+    assert_eq!(idle_session.query("write y").await.code(), "unauth");
+    assert!(idle_session.sees_a_close().await);
+    // A transaction in progress ends with the tenant that began it.
+    assert!(open_session.query("write z").await.is_success());
+    assert!(open_session.query("commit").await.is_success());
+    assert_eq!(open_session.query("begin").await.code(), "unauth");
+    assert!(open_session.sees_a_close().await);
     assert_eq!(primary.texts(), ["write x", "write z", "commit"]);
 }
 
 #[actix_rt::test]
-async fn a_public_route_asks_for_no_key() {
+async fn a_public_route_requires_no_key() {
     let primary = primary().await;
     let world = World::with_tenants(&[&primary], 1, 36, TENANTS);
     world.make_public(BOUNDED, true);
@@ -121,7 +121,7 @@
 #[actix_rt::test]
 async fn all_gateways_use_the_same_connection_of_a_tenant() {
     let primary = primary().await;
-    // Each of the gateways holds connections to the member.
+    // With 36 connections, each gateway holds a share of the member.
     let world = World::with_tenants(&[&primary], 3, 36, TENANTS);
     for key in ["key-a", "key-c"] {
         for gateway in &world.gateways {
@@ -130,14 +130,16 @@
         }
     }
     let state = primary.state.borrow();
-    let opened = |tenant: &str| state.opened_for.iter().filter(|who| *who == tenant).count();
+    let opened =
+        |tenant: &str| state.opened_for.iter().filter(|principal| *principal == tenant).count();
     assert_eq!((opened("alfa"), opened("beta")), (1, 1));
 }
 
 #[actix_rt::test]
-async fn another_gateway_stands_in_for_one_that_is_gone() {
+async fn another_gateway_serves_tenants_of_a_home_that_is_gone() {
     let primary = primary().await;
-    // Nobody listens at these addresses: whichever is the home of a tenant is not there.
+    // Nobody listens at these addresses, so that a tenant whose home is there has to be served by this
+    // gateway.
     let gone = ["127.0.0.1:1", "127.0.0.1:2"].map(|address| address.parse().expect("an address"));
     let world = World::with_tenants_among(&[&primary], &gone, TENANTS);
     for key in ["key-a", "key-c"] {
@@ -147,7 +149,7 @@
 }
 
 #[actix_rt::test]
-async fn without_a_young_proof_nothing_begins_where_that_is_asked_for() {
+async fn nothing_begins_without_a_recent_confirmation_where_one_is_required() {
     let primary = primary().await;
     let limit = Duration::from_millis(300);
     let world = World::with_proofs(&[&primary], TENANTS, limit);
@@ -158,7 +160,7 @@
     assert!(caller.query("begin").await.is_success());
     assert!(caller.query("write x").await.is_success());
     tokio::time::sleep(limit).await;
-    // What is under way ends as it began.
+    // A transaction in progress may still end.
     assert!(caller.query("commit").await.is_success());
     assert_eq!(caller.query("write y").await.code(), "busy");
     world.proof.send_replace(Some(Instant::now()));
@@ -167,7 +169,7 @@
 }
 
 #[actix_rt::test]
-async fn out_of_touch_with_control_the_last_configuration_serves_on() {
+async fn the_last_configuration_stays_in_force_without_contact_to_control() {
     let primary = primary().await;
     let world = World::with_tenants(&[&primary], 1, 36, TENANTS);
     assert_eq!(*world.proof.borrow(), None);
