--- a/crates/core/src/tenancy/directory.rs
+++ b/crates/core/src/tenancy/directory.rs
@@ -1,12 +1,13 @@
-//! Which tenant a key stands for.
+//! Lookup of tenants by API key and by name.
 //!
-//! Owns the tenants in force at one gateway, by key and by name. Relies on the document having been checked.
+//! Holds the tenants in force at one gateway. The document that declares them must have been checked
+//! with [`super::check_tenants`].
 
 use super::{ApiKey, TenantName, TenantRate, TenantRule};
 use std::collections::{HashMap, HashSet};
 
-/// The tenants in force, by key and by name. It is kept up from one document to the next: what did
-/// not change is only compared.
+/// The tenants in force, by key and by name. Applying a new document rewrites only the entries of
+/// tenants that changed; unchanged ones are only compared.
 #[derive(Debug, Default)]
 pub struct TenantDirectory {
     by_key: HashMap<ApiKey, TenantName>,
@@ -15,22 +16,25 @@
 }
 
 impl TenantDirectory {
-    /// Takes the tenants of another document, which was checked.
+    /// Applies the tenants of a new document, which must have been checked.
     pub fn follow(&mut self, tenants: &[TenantRule]) {
         let declared: HashSet<&TenantName> = tenants.iter().map(|tenant| &tenant.name).collect();
-        let gone: Vec<_> =
+        let removed: Vec<_> =
             self.tenants.keys().filter(|name| !declared.contains(name)).cloned().collect();
-        for name in gone {
+        for name in removed {
             self.remove(&name);
         }
-        let changed: Vec<_> =
-            tenants.iter().filter(|it| self.tenants.get(&it.name) != Some(*it)).collect();
-        // A key may pass from one tenant to another: all are taken away before any is given.
+        let changed: Vec<_> = tenants
+            .iter()
+            .filter(|tenant| self.tenants.get(&tenant.name) != Some(*tenant))
+            .collect();
+        // A key may move from one tenant to another: all old entries are removed before new ones are
+        // added.
         for tenant in &changed {
             self.remove(&tenant.name);
         }
         for tenant in changed {
-            self.put(tenant);
+            self.insert_tenant(tenant);
         }
     }
 
@@ -42,7 +46,7 @@
         self.entries_written += 1 + tenant.keys.len() as u64;
     }
 
-    fn put(&mut self, tenant: &TenantRule) {
+    fn insert_tenant(&mut self, tenant: &TenantRule) {
         for key in &tenant.keys {
             self.by_key.insert(key.clone(), tenant.name.clone());
         }
@@ -50,36 +54,37 @@
         self.entries_written += 1 + tenant.keys.len() as u64;
     }
 
-    /// The tenant that a key stands for.
+    /// Returns the tenant that a key identifies.
     #[must_use]
     pub fn holder(&self, key: &ApiKey) -> Option<&TenantName> {
         self.by_key.get(key)
     }
 
-    /// What is declared of a tenant.
+    /// Returns the declaration of a tenant.
     #[must_use]
     pub fn tenant(&self, name: &TenantName) -> Option<&TenantRule> {
         self.tenants.get(name)
     }
 
-    /// The tenants whose operations are limited.
+    /// Returns the tenants whose operations are limited, with their rates.
     pub fn rates(&self) -> impl Iterator<Item = (&TenantName, TenantRate)> {
         self.tenants.iter().filter_map(|(name, tenant)| Some((name, tenant.rate?)))
     }
 
-    /// How many tenants there are.
+    /// Returns the number of tenants.
     #[must_use]
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether there are none.
+    /// Reports whether there are no tenants.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// Entries written or removed since the start: the work that following documents has cost.
+    /// Returns the number of entries written or removed since the start: the work that applying
+    /// documents has cost.
     #[must_use]
     pub const fn entries_written(&self) -> u64 {
         self.entries_written
--- a/crates/core/src/tenancy/key.rs
+++ b/crates/core/src/tenancy/key.rs
@@ -1,24 +1,24 @@
-//! Keys of callers, which are secrets.
+//! API keys of callers.
 //!
-//! Owns that a key is never printed.
+//! Keys are secrets and are never printed.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// What a caller shows to say who it is. It is a secret: it has no `Display`, its `Debug` hides it,
-/// and it is compared only as a whole. The `secrecy` crate has no keys that can be looked up in a map.
+/// Secret key with which a caller authenticates. It has no `Display`, its `Debug` hides it, and it is
+/// compared only as a whole. The `secrecy` crate has no type that can be the key of a map.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ApiKey(Arc<str>);
 
 impl ApiKey {
-    /// Wraps a key as it came.
+    /// Wraps a key as received, without checks.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(text.into())
     }
 
-    /// Whether there is nothing to show.
+    /// Reports whether the key is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
--- a/crates/core/src/tenancy/mod.rs
+++ b/crates/core/src/tenancy/mod.rs
@@ -1,9 +1,10 @@
-//! Tenants: who a caller is by the key it shows, and what its tenant may ask for.
+//! Tenants: which tenant a caller belongs to by its API key, and what the tenant may request.
 //!
-//! A document may declare tenants. A caller then shows a key, which stands for one tenant; members and
-//! other gateways are told the tenant's name and never the key.
+//! A document may declare tenants. A caller then presents a key, which identifies one tenant; members
+//! and other gateways receive the tenant's name and never the key.
 //!
-//! Owns names, keys and declared rates. How many operations may begin is kept in [`crate::limits`].
+//! This module defines names, keys and declared rates. [`crate::limits`] enforces how many operations
+//! may begin.
 
 mod directory;
 mod key;
--- a/crates/core/src/tenancy/name.rs
+++ b/crates/core/src/tenancy/name.rs
@@ -1,43 +1,45 @@
-//! Names of tenants, and on whose behalf something is done.
+//! Names of tenants, and the principal on whose behalf a statement runs.
 //!
-//! Values only: a name that exists is valid.
+//! A value of [`TenantName`] is always valid.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest name of a tenant, in bytes: it goes with each connection and each statement that another
-/// gateway runs.
-const LONGEST_NAME: usize = 255;
+/// Longest name of a tenant, in bytes: the name is sent with each connection, and with each statement
+/// that another gateway runs.
+const MAX_NAME_BYTES: usize = 255;
 
-/// Why a text is no name of a tenant.
+/// Reasons why a text is not a valid name of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum TenantNameError {
-    /// It is empty.
+    /// The text is empty.
     #[error("a tenant's name must not be empty")]
     Empty,
-    /// It is too long.
-    #[error("a tenant's name has {0} bytes, at most {LONGEST_NAME} are allowed")]
+    /// The text is longer than the maximum; holds its length in bytes.
+    #[error("a tenant's name has {0} bytes, at most {MAX_NAME_BYTES} are allowed")]
     TooLong(usize),
-    /// It holds a blank or a control character, which would end the field that it is told in.
+    /// The text holds a blank or a control character, which would end the field that the name is sent
+    /// in.
     #[error("a tenant's name must not hold the character {0:?}")]
     Character(char),
 }
 
-/// The name of a tenant: any text without blanks and control characters.
+/// Name of a tenant: any text of 1 to 255 bytes without blanks and control characters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantName(Arc<str>);
 
 impl TenantName {
-    /// Checks and wraps a name.
+    /// Validates and wraps a name.
     ///
     /// # Errors
-    /// [`TenantNameError`].
+    ///
+    /// [`TenantNameError`] where the text is empty, too long, or holds a blank or a control character.
     pub fn new(text: &str) -> Result<Self, TenantNameError> {
         if text.is_empty() {
             return Err(TenantNameError::Empty);
         }
-        if text.len() > LONGEST_NAME {
+        if text.len() > MAX_NAME_BYTES {
             return Err(TenantNameError::TooLong(text.len()));
         }
         match text.chars().find(|c| c.is_whitespace() || c.is_control()) {
@@ -46,7 +48,7 @@
         }
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -59,18 +61,18 @@
     }
 }
 
-/// On whose behalf a statement is run.
+/// Principal on whose behalf a statement runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Principal {
-    /// Nobody in particular: the deployment has no tenants, or the route asks for no key.
+    /// No tenant: the deployment has none, or the route requires no key.
     #[default]
     Unnamed,
-    /// A tenant.
+    /// A tenant, by name.
     Tenant(TenantName),
 }
 
 impl Principal {
-    /// The tenant, if there is one.
+    /// Returns the tenant, if there is one.
     #[must_use]
     pub const fn tenant(&self) -> Option<&TenantName> {
         match self {
--- a/crates/core/tests/tenancy/main.rs
+++ b/crates/core/tests/tenancy/main.rs
@@ -1,4 +1,4 @@
-//! Tenants: what may be declared of them, and whom a key stands for.
+//! Tenants: which declarations are valid, and which tenant a key identifies.
 
 use corktack_core::tenancy::{
     ApiKey, Principal, TenantDirectory, TenantError, TenantName, TenantNameError, TenantRate,
@@ -42,25 +42,25 @@
     vec![limited(-1.0, 5.0)],
     TenantError::Rate { tenant: "alfa".to_owned() }
 )]
-#[case::endless_rate(
+#[case::infinite_rate(
     vec![limited(f64::INFINITY, 5.0)],
     TenantError::Rate { tenant: "alfa".to_owned() }
 )]
-#[case::burst_that_is_no_number(
+#[case::burst_that_is_not_a_number(
     vec![limited(1.0, f64::NAN)],
     TenantError::Burst { tenant: "alfa".to_owned() }
 )]
-fn what_cannot_be_in_force_is_refused(
+fn invalid_declarations_are_refused(
     #[case] tenants: Vec<TenantRule>,
     #[case] expected: TenantError,
 ) {
-    let error = check_tenants(&tenants).expect_err("it cannot be in force");
+    let error = check_tenants(&tenants).expect_err("the declarations are invalid");
     assert_eq!(error, expected);
-    assert!(!error.to_string().contains(SECRET), "a key is told: {error}");
+    assert!(!error.to_string().contains(SECRET), "the message contains a key: {error}");
 }
 
 #[test]
-fn tenants_without_keys_or_with_nothing_to_ask_for_may_be_declared() {
+fn tenants_without_keys_or_with_a_rate_of_zero_may_be_declared() {
     let tenants = [tenant("alfa", &[]), limited(0.0, 0.0)];
     assert_eq!(check_tenants(&tenants[..1]), Ok(()));
     assert_eq!(check_tenants(&tenants[1..]), Ok(()));
@@ -70,7 +70,7 @@
 #[case("", TenantNameError::Empty)]
 #[case("al fa", TenantNameError::Character(' '))]
 #[case("al\nfa", TenantNameError::Character('\n'))]
-fn what_would_end_the_field_of_a_name_is_no_part_of_it(
+fn a_name_that_is_empty_or_would_end_its_field_is_refused(
     #[case] text: &str,
     #[case] expected: TenantNameError,
 ) {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_key_is_hidden_wherever_it_is_printed() {
+fn a_key_is_never_printed() {
     let rule = tenant("alfa", &[SECRET]);
     for printed in [format!("{rule:?}"), format!("{:#?}", ApiKey::new(SECRET))] {
         assert!(!printed.contains(SECRET), "{printed}");
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn whose_behalf_is_told_by_name() {
+fn a_principal_is_printed_by_its_name() {
     assert_eq!(Principal::Tenant(name("alfa")).to_string(), "alfa");
     assert_eq!(Principal::Unnamed.to_string(), "-");
 }
@@ -104,11 +104,11 @@
 }
 
 #[test]
-fn keys_are_given_passed_on_and_taken_away() {
+fn keys_are_added_moved_and_removed() {
     let mut directory = TenantDirectory::default();
     directory.follow(&[tenant("alfa", &["a", "b"]), tenant("beta", &["c"])]);
     assert_eq!(holder(&directory, "b"), Some("alfa".to_owned()));
-    // Whatever the order in which the tenants of the change stand.
+    // The order in which the changed tenants are listed makes no difference.
     directory.follow(&[tenant("beta", &["c", "b"]), tenant("alfa", &["a"])]);
     assert_eq!(holder(&directory, "b"), Some("beta".to_owned()));
     directory.follow(&[tenant("alfa", &["a", "b"]), tenant("beta", &[])]);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_change_of_one_tenant_among_ten_thousand_costs_what_changed() {
+fn a_change_of_one_tenant_among_ten_thousand_rewrites_only_its_entries() {
     let mut tenants: Vec<_> = (0..10_000)
         .map(|number| {
             tenant(&format!("t{number}"), &[&format!("k{number}"), &format!("l{number}")])
@@ -131,7 +131,7 @@
     let before = directory.entries_written();
     tenants[4_711].keys.pop();
     directory.follow(&tenants);
-    assert_eq!(directory.entries_written() - before, 5, "three entries taken away, two written");
+    assert_eq!(directory.entries_written() - before, 5, "three entries removed, two written");
     assert_eq!(holder(&directory, "l4711"), None);
     assert_eq!(holder(&directory, "l4710"), Some("t4710".to_owned()));
 }
