--- a/crates/core/src/limits/account/allowance.rs
+++ b/crates/core/src/limits/account/allowance.rs
@@ -1,49 +1,53 @@
-//! A gateway's part of a tenant's limit: a lease that the leader gives.
+//! A gateway's allowance: its part of a tenant's limit, as a lease from the leader.
 //!
-//! Says how many operations may begin in any window now. Owns the rule that an allowance only falls
-//! between two grants. Relies on the leader's grants and on the limit of the document in force.
+//! Computes how many operations may begin in any window now. Between two grants an allowance can only
+//! fall. It depends on the leader's grants and on the limit of the document in force.
 
 use crate::limits::messages::TenantAllowance;
 use crate::time::Timestamp;
 
-/// Operations that may begin in any window, until when, and by which limit that was worked out.
+/// Operations that may begin in any window, with the end of the lease and the limit from which they
+/// were computed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Allowance {
     operations: u64,
-    /// The limit of all gateways that it was worked out by.
-    basis: u64,
-    ends: Timestamp,
+    /// Window limit of all gateways together from which the allowance was computed.
+    basis_limit: u64,
+    expires_at: Timestamp,
 }
 
 impl Allowance {
-    /// Operations as granted, or lowered since; what may begin is [`Allowance::in_force`].
+    /// Returns the operations as granted, or as lowered since; [`Allowance::in_force`] returns what may
+    /// begin.
     pub(super) const fn operations(&self) -> u64 {
         self.operations
     }
 
-    /// Operations that may begin in a window: none once the lease has ended, and no more than its part of
-    /// a limit that was lowered.
+    /// Returns the operations that may begin in a window: none once the lease has expired, and a
+    /// proportional part where the limit has been lowered.
     pub(super) fn in_force(&self, now: Timestamp, limit: u64) -> u64 {
-        if now >= self.ends {
+        if now >= self.expires_at {
             return 0;
         }
-        if limit >= self.basis {
+        if limit >= self.basis_limit {
             return self.operations;
         }
-        let part = u128::from(self.operations) * u128::from(limit) / u128::from(self.basis);
-        u64::try_from(part).unwrap_or(self.operations)
+        let proportional =
+            u128::from(self.operations) * u128::from(limit) / u128::from(self.basis_limit);
+        u64::try_from(proportional).unwrap_or(self.operations)
     }
 
-    /// Lowers it, if it is higher; a limit that falls later still lowers it in proportion.
-    pub(super) fn lower(&mut self, now: Timestamp, limit: u64, to: u64) {
-        self.operations = self.in_force(now, limit).min(to);
-        self.basis = self.basis.min(limit).max(self.operations);
+    /// Lowers the allowance to `maximum` if it is higher. A later fall of the limit still lowers it in
+    /// proportion.
+    pub(super) fn lower(&mut self, now: Timestamp, limit: u64, maximum: u64) {
+        self.operations = self.in_force(now, limit).min(maximum);
+        self.basis_limit = self.basis_limit.min(limit).max(self.operations);
     }
 
-    /// Takes another one in its place.
-    pub(super) fn replace(&mut self, granted: &TenantAllowance, ends: Timestamp) {
+    /// Replaces the allowance by a granted one.
+    pub(super) fn replace(&mut self, granted: &TenantAllowance, expires_at: Timestamp) {
         self.operations = granted.operations;
-        self.basis = granted.window_limit.max(granted.operations);
-        self.ends = self.ends.max(ends);
+        self.basis_limit = granted.window_limit.max(granted.operations);
+        self.expires_at = self.expires_at.max(expires_at);
     }
 }
--- a/crates/core/src/limits/account/mod.rs
+++ b/crates/core/src/limits/account/mod.rs
@@ -1,14 +1,15 @@
-//! One tenant's operations at one gateway.
+//! Operations of one tenant at one gateway.
 //!
-//! Admits, queues or refuses what callers of one tenant ask for, and says what the leader should
-//! hear of it. Owns the count of what began in the last window, the allowance in force, the requests
-//! that wait and the times that refused callers were told. Relies on the leader for allowances and on
-//! its owner, [`super::GatewayLimits`], for the clock; it does nothing by itself.
+//! Admits, queues or refuses the operations that callers of the tenant request, and determines what to
+//! report to the leader. [`Account`] owns the count of operations begun in the last window, the
+//! allowance in force, the queue of waiting requests and the retry times given to refused callers. The
+//! leader supplies allowances; the owner, [`super::GatewayLimits`], supplies the clock and calls every
+//! method, as the account runs no timers of its own.
 //!
 //! - [`admission`]: which operations begin, wait, or are refused.
-//! - [`retry_time`]: when a refused caller is told to come back.
+//! - [`retry_time`]: when a refused caller is told to retry.
 //! - [`demand`]: what is reported to the leader, and when.
-//! - [`allowance`]: what may begin in a window, a lease from the leader.
+//! - [`allowance`]: the lease that says how many operations may begin in a window.
 
 mod admission;
 mod allowance;
@@ -26,40 +27,40 @@
 
 use super::bounds::LimitBounds;
 use super::messages::TenantAllowance;
-use super::sliding_window::SlidingWindowCount;
+use super::sliding_window::SlidingWindowCounter;
 use crate::time::Timestamp;
 use allowance::Allowance;
-use promises::RetryPromises;
+use promises::ScheduledRetries;
 use queue::RequestQueue;
 
-/// One tenant's operations at one gateway.
+/// Operations, allowance and waiting requests of one tenant at one gateway.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Account {
     /// Operations begun.
-    begun: SlidingWindowCount,
-    /// Operations asked for, refused ones included.
-    requested: SlidingWindowCount,
-    /// When operations were asked for last, or were expected to be.
-    active_at: Option<Timestamp>,
+    begun: SlidingWindowCounter,
+    /// Operations requested, refused ones included.
+    requested: SlidingWindowCounter,
+    /// Time at which operations were last requested, or expected to be requested.
+    last_active_at: Option<Timestamp>,
     allowance: Allowance,
-    /// The limit of all gateways in force here: operations in a window.
+    /// Window limit of all gateways together, in operations, as this gateway knows it.
     limit: u64,
-    /// What was reported to the leader last.
-    reported: Option<ReportedDemand>,
-    /// Whether the leader has not answered that yet.
+    /// Demand reported last to the current leader.
+    last_reported: Option<ReportedDemand>,
+    /// Whether the leader has not answered that report yet.
     awaits_grant: bool,
-    /// Operations asked for since then that could not begin at once.
+    /// Operations requested since that report which could not begin at once.
     delayed: u64,
     queue: RequestQueue,
-    promises: RetryPromises,
-    /// Whether the leader should hear at once that a lower allowance was taken.
-    lowered: bool,
-    /// Until when the leader has no more to give.
+    scheduled_retries: ScheduledRetries,
+    /// Whether the allowance was lowered and the leader should hear of it at once.
+    reduction_unreported: bool,
+    /// Time until which the leader is not expected to grant more.
     exhausted_until: Timestamp,
-    /// Whether the leader is about to give more.
+    /// Whether the leader is about to grant more.
     more_follows: bool,
-    /// From when on the leader can give more, where it cannot before and said so.
-    more_at: Option<Timestamp>,
+    /// Time from which the leader can grant more, where it announced one.
+    more_available_at: Option<Timestamp>,
 }
 
 impl Account {
@@ -67,48 +68,54 @@
         self.limit = limit;
     }
 
-    /// Operations that may begin in any window.
+    /// Returns the operations that may begin in any window.
     fn allowed(&self, now: Timestamp) -> u64 {
         self.allowance.in_force(now, self.limit)
     }
 
-    /// What others must leave to this gateway: its allowance, and what began under a higher one.
+    /// Returns the operations that other gateways must leave to this one: its allowance, or the
+    /// operations begun under an earlier, higher one.
     fn held(&mut self, now: Timestamp, bounds: &LimitBounds) -> u64 {
         self.allowed(now).max(self.begun.count(now, bounds.window))
     }
 
-    /// Operations that may begin in a window, and those that began in the last one.
-    pub(super) fn in_window(&mut self, now: Timestamp, bounds: &LimitBounds) -> (u64, u64) {
+    /// Returns the operations that may begin in a window, and those that began in the last one.
+    pub(super) fn window_usage(&mut self, now: Timestamp, bounds: &LimitBounds) -> (u64, u64) {
         (self.allowed(now), self.begun.count(now, bounds.window))
     }
 
-    /// Notes that operations are likely to be asked for: somebody who may ask has come.
-    pub(super) fn expect(&mut self, now: Timestamp) {
-        self.active_at = Some(now);
+    /// Records that operations are likely to be requested, as a caller has connected.
+    pub(super) fn expect_operations(&mut self, now: Timestamp) {
+        self.last_active_at = Some(now);
     }
 
-    /// Operations that were counted did not run.
-    pub(super) fn uncount(&mut self, admitted: AdmittedOperations, bounds: &LimitBounds) {
-        self.begun.uncount(admitted.marked, bounds.window, admitted.operations);
+    /// Subtracts counted operations that did not run.
+    pub(super) fn return_operations(&mut self, admitted: AdmittedOperations, bounds: &LimitBounds) {
+        self.begun.subtract(admitted.marked, bounds.window, admitted.operations);
     }
 
-    /// Gives back what others need.
-    pub(super) fn keep(&mut self, now: Timestamp, kept: u64) {
+    /// Lowers the allowance to what the leader lets the gateway keep.
+    pub(super) fn apply_recall(&mut self, now: Timestamp, kept: u64) {
         let before = self.allowed(now);
         self.allowance.lower(now, self.limit, kept);
-        self.lowered |= self.allowance.operations() < before;
+        self.reduction_unreported |= self.allowance.operations() < before;
     }
 
-    /// Takes another allowance. One that is lower than what began within the last window lets nothing
-    /// begin before that has grown old.
-    pub(super) fn take(&mut self, now: Timestamp, granted: &TenantAllowance, ends: Timestamp) {
-        self.allowance.replace(granted, ends);
+    /// Applies a granted allowance. If it is lower than the operations begun within the last window, no
+    /// operation begins until enough of those are older than the window.
+    pub(super) fn apply_grant(
+        &mut self,
+        now: Timestamp,
+        granted: &TenantAllowance,
+        expires_at: Timestamp,
+    ) {
+        self.allowance.replace(granted, expires_at);
         self.awaits_grant = false;
         self.more_follows = granted.more_follows;
-        self.more_at = granted.more_after.map(|after| now + after);
-        if let Some(reported) = &mut self.reported {
-            // The leader knows what it gives; it does not know that a lower allowance was taken.
-            self.lowered = granted.operations < reported.held;
+        self.more_available_at = granted.more_after.map(|after| now + after);
+        if let Some(reported) = &mut self.last_reported {
+            // The leader knows what it grants, but not that a lower allowance has been applied.
+            self.reduction_unreported = granted.operations < reported.held;
             reported.held = granted.operations.max(reported.held);
             if granted.operations < reported.needed && !granted.more_follows {
                 self.exhausted_until = now + admission::EXHAUSTED_PAUSE;
@@ -116,17 +123,17 @@
         }
     }
 
-    /// Another leader, which knows nothing of what was reported to the one before.
+    /// Resets what a previous leader was told and announced; the new leader knows nothing of it.
     pub(super) fn follow_leader(&mut self) {
-        self.reported = None;
+        self.last_reported = None;
         self.awaits_grant = false;
         self.more_follows = false;
-        self.more_at = None;
+        self.more_available_at = None;
     }
 
-    /// Whether there is nothing to remember.
+    /// Reports whether the account holds nothing that must be remembered.
     pub(super) fn is_unused(&mut self, now: Timestamp, bounds: &LimitBounds) -> bool {
-        let quiet = !self.is_active(now) && self.held(now, bounds) == 0;
-        quiet && self.reported.is_none_or(|reported| reported.held == 0)
+        let is_idle = !self.is_active(now) && self.held(now, bounds) == 0;
+        is_idle && self.last_reported.is_none_or(|reported| reported.held == 0)
     }
 }
--- a/crates/core/src/limits/account/outcome.rs
+++ b/crates/core/src/limits/account/outcome.rs
@@ -1,38 +1,38 @@
-//! What becomes of operations that are asked for.
+//! Outcomes of requests for operations.
 
 use super::queue::OperationRequestNumber;
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// An operation that a tenant's limit does not allow now.
+/// Refusal of an operation that a tenant's limit does not allow now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 #[error("the tenant's limit is reached: {allowance} operations in a window at this gateway")]
 pub struct OverLimit {
-    /// Operations that the gateway that counts them may let begin in a window.
+    /// Operations that the gateway that counts the tenant's operations may begin in a window.
     pub allowance: u64,
-    /// When one may begin, as far as that gateway knows.
+    /// Time until an operation may begin, as far as that gateway knows.
     pub retry_after: Duration,
 }
 
 /// Operations that were counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmittedOperations {
-    /// How many.
+    /// Number of operations.
     pub operations: u64,
-    /// When, on the clock of the gateway that counted them.
+    /// Time at which they were counted, on the clock of the gateway that counted them.
     pub marked: Timestamp,
 }
 
-/// What becomes of operations that are asked for.
+/// Outcome of a request for operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationOutcome {
-    /// Nothing limits them.
+    /// The tenant has no limit.
     Unlimited,
-    /// So many begin now, perhaps fewer than were asked for.
+    /// This many operations begin now, possibly fewer than requested.
     Admitted(AdmittedOperations),
-    /// They wait; [`crate::limits::GatewayLimits::settle`] tells what becomes of them.
+    /// The operations wait; [`crate::limits::GatewayLimits::settle`] decides on them.
     Waiting(OperationRequestNumber),
-    /// None begins.
+    /// No operation begins.
     Refused(OverLimit),
 }
--- a/crates/core/src/limits/account/queue.rs
+++ b/crates/core/src/limits/account/queue.rs
@@ -1,31 +1,30 @@
-//! Operations of one tenant that wait at the gateway that counts them.
+//! Queue of one tenant's waiting operations, at the gateway that counts them.
 //!
-//! The order in which they begin. Owns the requests that wait. Which of them may begin, or may hope
-//! to, is decided in [`super::admission`].
+//! Orders the waiting requests. [`super::admission`] decides which of them begin or are refused.
 
 use crate::time::Timestamp;
 use std::collections::VecDeque;
 
-/// Names operations that were asked for together.
+/// Identifies operations that were requested together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperationRequestNumber(pub(in crate::limits) u64);
 
-/// Operations that were asked for together and may wait.
+/// Operations that were requested together and may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::limits) struct WaitingRequest {
     pub(in crate::limits) number: OperationRequestNumber,
-    /// Priority class; 0 is served first.
+    /// Priority class; class 0 is served first.
     pub(in crate::limits) priority: u32,
     pub(in crate::limits) operations: u64,
-    /// How long they may wait.
+    /// Deadline until which the operations may wait.
     pub(in crate::limits) until: Timestamp,
 }
 
-/// Who waits for a tenant's limit, by priority and then in the order in which they came.
+/// Requests that wait for a tenant's limit, by priority and then by arrival.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RequestQueue {
     waiting: VecDeque<WaitingRequest>,
-    /// Operations of all that wait.
+    /// Sum of the operations of all waiting requests.
     operations: u64,
 }
 
@@ -34,21 +33,21 @@
         self.waiting.is_empty()
     }
 
-    /// Operations that wait.
+    /// Returns the operations that wait.
     pub(super) const fn operations(&self) -> u64 {
         self.operations
     }
 
     pub(super) fn push(&mut self, request: WaitingRequest) {
         self.operations += request.operations;
-        let place = self.waiting.partition_point(|it| it.priority <= request.priority);
-        self.waiting.insert(place, request);
+        let index = self.waiting.partition_point(|queued| queued.priority <= request.priority);
+        self.waiting.insert(index, request);
     }
 
-    /// Operations that wait before those of a newcomer of this priority.
-    pub(super) fn operations_before(&self, priority: u32) -> u64 {
-        let before = self.waiting.iter().take_while(|it| it.priority <= priority);
-        before.map(|it| it.operations).sum()
+    /// Returns the operations that wait ahead of a new request of this priority.
+    pub(super) fn operations_ahead(&self, priority: u32) -> u64 {
+        let operations_ahead = self.waiting.iter().take_while(|queued| queued.priority <= priority);
+        operations_ahead.map(|queued| queued.operations).sum()
     }
 
     pub(super) fn first(&self) -> Option<WaitingRequest> {
@@ -61,33 +60,34 @@
         Some(first)
     }
 
-    /// Drops a request: who made it has gone.
+    /// Removes a request whose caller has gone.
     pub(super) fn withdraw(&mut self, number: OperationRequestNumber) {
-        drop(self.take_out(|request, _| request.number == number));
+        drop(self.remove_where(|request, _| request.number == number));
     }
 
-    /// Takes out those of which `is_out` says so, given how many operations wait before each.
-    pub(super) fn take_out(
+    /// Removes and returns the requests for which `should_remove` returns true, given the number of
+    /// operations that wait ahead of each.
+    pub(super) fn remove_where(
         &mut self,
-        mut is_out: impl FnMut(&WaitingRequest, u64) -> bool,
+        mut should_remove: impl FnMut(&WaitingRequest, u64) -> bool,
     ) -> Vec<WaitingRequest> {
-        let mut out = Vec::new();
-        let mut before = 0;
+        let mut removed = Vec::new();
+        let mut operations_ahead = 0;
         self.waiting.retain(|request| {
-            let leaves = is_out(request, before);
-            if leaves {
-                out.push(*request);
+            let is_removed = should_remove(request, operations_ahead);
+            if is_removed {
+                removed.push(*request);
             } else {
-                before += request.operations;
+                operations_ahead += request.operations;
             }
-            !leaves
+            !is_removed
         });
-        self.operations = before;
-        out
+        self.operations = operations_ahead;
+        removed
     }
 
-    /// When the time of the first to run out of it is over.
-    pub(super) fn earliest_end(&self) -> Option<Timestamp> {
+    /// Returns the earliest deadline of all waiting requests.
+    pub(super) fn earliest_deadline(&self) -> Option<Timestamp> {
         self.waiting.iter().map(|request| request.until).min()
     }
 }
--- a/crates/core/src/limits/gateway.rs
+++ b/crates/core/src/limits/gateway.rs
@@ -1,8 +1,8 @@
-//! The limits of tenants at one gateway.
+//! Enforces the limits of tenants at one gateway.
 //!
-//! Admits the operations of all tenants that are limited, and exchanges reports and grants with the
-//! leader. Owns the tenants' accounts, the leader's term and the numbers of reports and grants. Relies on
-//! its caller for the clock, for the rates in force and for carrying messages.
+//! Admits the operations of all limited tenants, and exchanges reports and grants with the leader.
+//! [`GatewayLimits`] owns the tenants' accounts, the leader's term and the numbers of reports and
+//! grants. The caller supplies the clock and the rates in force, and carries the messages.
 
 use super::account::{
     Account, AdmittedOperations, OperationOutcome, OperationRequestNumber, OverLimit,
@@ -17,69 +17,70 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Part of the life of an allowance after which everything held is reported again, which renews it: 30 s of
-/// 300 s. Chosen, not measured: a lower part costs the leader more reports; a higher one leaves less time
-/// to serve on where a gateway is cut off just before it renews.
-const RENEWAL_PART: f64 = 0.1;
-/// Reports whose time is remembered: an answer to an older one is not used. Chosen, not measured: with fewer,
-/// answers that were late in a herd of reports are lost; each costs sixteen bytes.
-const REPORTS_REMEMBERED: u64 = 64;
+/// Fraction of the life of an allowance after which a full report renews everything held: 30 s of
+/// 300 s. A lower fraction costs the leader more reports; a higher one leaves a gateway that is cut off
+/// just before it renews less time to serve on.
+const RENEWAL_FRACTION: f64 = 0.1;
+/// Reports whose time is remembered; a grant that answers an older report is not used. With fewer, late
+/// answers are lost when many reports are sent in a short time. Each costs 16 bytes.
+const MAX_REMEMBERED_REPORTS: u64 = 64;
 
-/// Operations of one tenant that are asked for together.
+/// Operations of one tenant that are requested together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OperationRequest {
-    /// How many.
+    /// Number of operations.
     pub operations: u64,
-    /// Their priority class; 0 is served first.
+    /// Priority class of the operations; class 0 is served first.
     pub priority: u32,
-    /// How long they may wait.
+    /// Deadline until which the operations may wait.
     pub until: Timestamp,
 }
 
-/// Operations that were asked for together, and what became of them.
+/// Decision on operations that were requested together and had to wait.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettledRequest {
-    /// The number that it was given.
+    /// Number of the request.
     pub number: OperationRequestNumber,
-    /// As many as begin now, perhaps fewer than were asked for; or none.
+    /// Operations that begin now, possibly fewer than requested; or the refusal.
     pub outcome: Result<AdmittedOperations, OverLimit>,
 }
 
-/// Operations of all tenants that are limited.
+/// Totals over the operations of all limited tenants at a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitTotals {
-    /// That may begin in a window.
+    /// Operations that may begin in a window.
     pub allowed: u64,
-    /// That were counted in the last one.
+    /// Operations counted in the last window.
     pub counted: u64,
 }
 
-/// What one gateway may begin, tenant by tenant, and what it tells the leader of that.
+/// Allowances, counts and waiting requests of all tenants at one gateway, and the state of its reports
+/// to the leader.
 #[derive(Debug)]
 pub struct GatewayLimits {
     gateway: ProxyName,
     incarnation: Incarnation,
-    /// When this incarnation of the gateway began.
+    /// Time at which this incarnation of the gateway started.
     started: Timestamp,
     bounds: LimitBounds,
-    /// Term of the leader that allowances are taken from.
+    /// Term of the leader whose allowances are accepted.
     term: Option<Term>,
-    /// Number of the newest grant of that term.
-    taken: u64,
-    sequence: u64,
-    /// When the newest reports were made.
-    reports: HashMap<u64, Timestamp>,
-    whole_due: Timestamp,
+    /// Number of the newest applied grant of that term.
+    last_applied_grant: u64,
+    last_report_sequence: u64,
+    /// Times at which the newest reports were made, by sequence number.
+    report_times: HashMap<u64, Timestamp>,
+    full_report_due: Timestamp,
     accounts: HashMap<TenantName, Account>,
     limits: HashMap<TenantName, u64>,
     /// Number of the newest request.
-    requests: u64,
-    /// Tenants that operations wait for.
-    waiting: BTreeSet<TenantName>,
+    last_request_number: u64,
+    /// Tenants that have waiting operations.
+    waiting_tenants: BTreeSet<TenantName>,
 }
 
 impl GatewayLimits {
-    /// The limits of a gateway that starts now.
+    /// Creates the limits of a gateway that starts now.
     #[must_use]
     pub fn new(
         started: Timestamp,
@@ -91,20 +92,20 @@
             gateway,
             incarnation,
             started,
-            bounds: bounds.checked(),
+            bounds: bounds.clamped(),
             term: None,
-            taken: 0,
-            sequence: 0,
-            reports: HashMap::new(),
-            whole_due: Timestamp::ZERO,
+            last_applied_grant: 0,
+            last_report_sequence: 0,
+            report_times: HashMap::new(),
+            full_report_due: Timestamp::ZERO,
             accounts: HashMap::new(),
             limits: HashMap::new(),
-            requests: 0,
-            waiting: BTreeSet::new(),
+            last_request_number: 0,
+            waiting_tenants: BTreeSet::new(),
         }
     }
 
-    /// Takes the rates of another document; none where there are no tenants.
+    /// Applies the rates of a new document; none where there are no tenants.
     pub fn follow(&mut self, tenants: Option<&TenantDirectory>) {
         let rates = tenants.into_iter().flat_map(TenantDirectory::rates);
         let limit = |(name, rate): (&TenantName, TenantRate)| {
@@ -116,31 +117,31 @@
         }
     }
 
-    /// What all tenants together may begin here, and have begun.
+    /// Returns what all tenants together may begin here in a window, and have begun in the last one.
     pub fn totals(&mut self, now: Timestamp) -> LimitTotals {
         let bounds = self.bounds;
         let accounts = self.accounts.values_mut();
         accounts.fold(LimitTotals::default(), |sum, account| {
-            let (allowed, counted) = account.in_window(now, &bounds);
+            let (allowed, counted) = account.window_usage(now, &bounds);
             LimitTotals { allowed: sum.allowed + allowed, counted: sum.counted + counted }
         })
     }
 
-    /// Whether a tenant's operations are counted.
+    /// Reports whether a tenant's operations are counted.
     #[must_use]
     pub fn is_limited(&self, tenant: &TenantName) -> bool {
         self.limits.contains_key(tenant)
     }
 
-    /// Notes that operations are likely to be asked for.
+    /// Prepares for operations that are likely to be requested: an allowance is asked for in advance.
     pub fn expect(&mut self, now: Timestamp, tenant: &TenantName) {
         if let Some(account) = self.account(tenant) {
-            account.expect(now);
+            account.expect_operations(now);
         }
     }
 
-    /// Takes operations that are asked for together. Those that wait are settled by
-    /// [`GatewayLimits::settle`].
+    /// Admits, queues or refuses operations that are requested together. [`GatewayLimits::settle`]
+    /// decides on queued ones.
     pub fn request(
         &mut self,
         now: Timestamp,
@@ -148,62 +149,63 @@
         OperationRequest { operations, priority, until }: OperationRequest,
     ) -> OperationOutcome {
         let bounds = self.bounds;
-        self.requests += 1;
-        let number = OperationRequestNumber(self.requests);
+        self.last_request_number += 1;
+        let number = OperationRequestNumber(self.last_request_number);
         let request = WaitingRequest { number, priority, operations, until };
         let Some(account) = self.account(tenant) else { return OperationOutcome::Unlimited };
         let outcome = account.request(now, &bounds, request);
         if let OperationOutcome::Waiting(_) = outcome {
-            self.waiting.insert(tenant.clone());
+            self.waiting_tenants.insert(tenant.clone());
         }
         outcome
     }
 
-    /// Decides what can be decided of operations that wait: after an answer of the leader, once some
-    /// did not run, and when [`GatewayLimits::settle_due`] says so.
+    /// Admits or refuses waiting operations where that can be decided now. To be called after a grant
+    /// of the leader, after counted operations were returned, and at the time that
+    /// [`GatewayLimits::settle_due`] returns.
     pub fn settle(&mut self, now: Timestamp) -> Vec<SettledRequest> {
         let mut settled = Vec::new();
-        for tenant in std::mem::take(&mut self.waiting) {
+        for tenant in std::mem::take(&mut self.waiting_tenants) {
             let bounds = self.bounds;
             let Some(account) = self.accounts.get_mut(&tenant) else { continue };
             let outcomes = account.settle(now, &bounds).into_iter();
             settled.extend(outcomes.map(|(number, outcome)| SettledRequest { number, outcome }));
             if account.has_waiting() {
-                self.waiting.insert(tenant);
+                self.waiting_tenants.insert(tenant);
             }
         }
         settled
     }
 
-    /// When something can be decided of the operations that wait, if nothing else happens.
+    /// Returns the time at which waiting operations can next be decided on if nothing else happens.
     #[must_use]
     pub fn settle_due(&self, now: Timestamp) -> Option<Timestamp> {
-        let accounts = self.waiting.iter().filter_map(|tenant| self.accounts.get(tenant));
+        let accounts = self.waiting_tenants.iter().filter_map(|tenant| self.accounts.get(tenant));
         accounts.filter_map(|account| account.settle_due(now, &self.bounds)).min()
     }
 
-    /// Drops a request that waits: who made it has gone.
+    /// Removes a waiting request whose caller has gone.
     pub fn withdraw(&mut self, tenant: &TenantName, number: OperationRequestNumber) {
         if let Some(account) = self.accounts.get_mut(tenant) {
             account.withdraw(number);
         }
     }
 
-    /// Operations that were counted did not run.
+    /// Subtracts counted operations that did not run.
     pub fn return_operations(&mut self, tenant: &TenantName, admitted: AdmittedOperations) {
         let bounds = self.bounds;
         if let Some(account) = self.accounts.get_mut(tenant) {
-            account.uncount(admitted, &bounds);
+            account.return_operations(admitted, &bounds);
         }
     }
 
-    /// Mean time between two places of a tenant that become free, where all are in use.
+    /// Returns the mean time between two admissions of a tenant whose allowance is used up.
     #[must_use]
-    pub fn place_interval(&self, over: &OverLimit) -> Duration {
-        self.bounds.window.div_f64(over.allowance.max(1) as f64)
+    pub fn place_interval(&self, refusal: &OverLimit) -> Duration {
+        self.bounds.window.div_f64(refusal.allowance.max(1) as f64)
     }
 
-    /// The account of a tenant that is limited.
+    /// Returns the account of a limited tenant, and creates it if needed.
     fn account(&mut self, tenant: &TenantName) -> Option<&mut Account> {
         let limit = *self.limits.get(tenant)?;
         if !self.accounts.contains_key(tenant) {
@@ -214,35 +216,37 @@
         Some(account)
     }
 
-    /// Whether the leader should be sent a report at once.
+    /// Reports whether the leader should be sent a report at once.
     #[must_use]
     pub fn is_urgent(&self, now: Timestamp) -> bool {
         self.accounts.values().any(|account| account.is_urgent(now))
     }
 
-    /// A control replica says that a leader has been elected. One that says the same again has just
-    /// been connected to: what was sent through another may be lost.
+    /// Records that a control replica announced the leader of a term. If the term is the current one,
+    /// the gateway has just connected to another replica: messages sent through the previous one may be
+    /// lost, so a full report is due.
     pub fn follow_leader(&mut self, now: Timestamp, term: Term) {
-        if self.term.is_some_and(|known| known > term) {
+        if self.term.is_some_and(|current| current > term) {
             return;
         }
         if self.term == Some(term) {
-            self.whole_due = now;
+            self.full_report_due = now;
             return;
         }
         self.term = Some(term);
-        self.taken = 0;
-        self.reports.clear();
-        self.whole_due = now;
+        self.last_applied_grant = 0;
+        self.report_times.clear();
+        self.full_report_due = now;
         self.accounts.values_mut().for_each(Account::follow_leader);
     }
 
-    /// What the leader should hear now; none where there is no leader or nothing to say.
+    /// Returns the report that is due to the leader; none where there is no leader or nothing to
+    /// report.
     pub fn report(&mut self, now: Timestamp) -> Option<AllowanceReport> {
         let term = self.term?;
-        let whole = now >= self.whole_due;
+        let whole = now >= self.full_report_due;
         if whole {
-            self.whole_due = now + self.bounds.allowance_life.mul_f64(RENEWAL_PART);
+            self.full_report_due = now + self.bounds.allowance_life.mul_f64(RENEWAL_FRACTION);
             let bounds = self.bounds;
             self.accounts.retain(|_, account| !account.is_unused(now, &bounds));
         }
@@ -255,41 +259,47 @@
         if demands.is_empty() && !whole {
             return None;
         }
-        self.sequence += 1;
-        self.reports.retain(|sequence, _| sequence + REPORTS_REMEMBERED > self.sequence);
-        self.reports.insert(self.sequence, now);
+        self.last_report_sequence += 1;
+        self.report_times
+            .retain(|sequence, _| sequence + MAX_REMEMBERED_REPORTS > self.last_report_sequence);
+        self.report_times.insert(self.last_report_sequence, now);
         Some(AllowanceReport {
             gateway: self.gateway.clone(),
             incarnation: self.incarnation,
             term,
-            sequence: self.sequence,
+            sequence: self.last_report_sequence,
             running: now.saturating_since(self.started),
-            taken: self.taken,
+            taken: self.last_applied_grant,
             whole,
             demands,
         })
     }
 
-    /// Takes what the leader gives. What another leader gives, or what was overtaken, is not used.
+    /// Applies a grant of the leader. Grants of other leaders and grants older than the newest applied
+    /// one are ignored.
     pub fn take(&mut self, now: Timestamp, grant: &AllowanceGrant) {
-        let is_ours = grant.gateway == self.gateway && grant.incarnation == self.incarnation;
-        if !is_ours || self.term != Some(grant.term) || grant.number <= self.taken {
+        let is_addressed_here =
+            grant.gateway == self.gateway && grant.incarnation == self.incarnation;
+        if !is_addressed_here
+            || self.term != Some(grant.term)
+            || grant.number <= self.last_applied_grant
+        {
             return;
         }
-        let Some(reported_at) = self.reports.get(&grant.answers).copied() else { return };
-        self.taken = grant.number;
+        let Some(reported_at) = self.report_times.get(&grant.answers).copied() else { return };
+        self.last_applied_grant = grant.number;
         if grant.wants_whole {
-            self.whole_due = now;
+            self.full_report_due = now;
         }
-        let ends = reported_at + self.bounds.allowance_life;
+        let expires_at = reported_at + self.bounds.allowance_life;
         for allowance in &grant.allowances {
             if let Some(account) = self.account(&allowance.tenant) {
-                account.take(now, allowance, ends);
+                account.apply_grant(now, allowance, expires_at);
             }
         }
         for recall in &grant.recalls {
             if let Some(account) = self.account(&recall.tenant) {
-                account.keep(now, recall.kept);
+                account.apply_recall(now, recall.kept);
             }
         }
     }
--- a/crates/core/src/limits/ledger/answer.rs
+++ b/crates/core/src/limits/ledger/answer.rs
@@ -1,4 +1,4 @@
-//! What a leader does about one event, as it is put together.
+//! Builder for the leader's answer to a report or another event.
 
 use super::{CeilingChange, LedgerAnswer};
 use crate::identity::ProxyName;
@@ -6,7 +6,7 @@
 use crate::tenancy::TenantName;
 use std::collections::BTreeMap;
 
-/// Grants, one for each gateway that is sent something, and ceilings that would allow more.
+/// Collects grants, at most one for each gateway, and raises of ceilings that would allow more.
 #[derive(Debug, Default)]
 pub(super) struct AnswerBuilder {
     pub(super) grants: BTreeMap<ProxyName, AllowanceGrant>,
@@ -14,10 +14,12 @@
 }
 
 impl AnswerBuilder {
-    /// Whether a gateway is given something of a tenant's limit already.
-    pub(super) fn gives(&self, gateway: &ProxyName, tenant: &TenantName) -> bool {
+    /// Reports whether the answer already contains an allowance of a tenant for a gateway.
+    pub(super) fn contains_allowance(&self, gateway: &ProxyName, tenant: &TenantName) -> bool {
         let grant = self.grants.get(gateway);
-        grant.is_some_and(|it| it.allowances.iter().any(|given| given.tenant == *tenant))
+        grant.is_some_and(|grant| {
+            grant.allowances.iter().any(|allowance| allowance.tenant == *tenant)
+        })
     }
 
     pub(super) fn finish(self) -> LedgerAnswer {
--- a/crates/core/src/limits/ledger/incarnations.rs
+++ b/crates/core/src/limits/ledger/incarnations.rs
@@ -1,9 +1,10 @@
-//! Processes that are over, and when nothing of earlier leaders counts any more.
+//! Ended incarnations of gateways, and the time from which allocations of earlier leaders no longer
+//! count.
 //!
-//! What an incarnation of a gateway may have begun counts for one window after its end. Owns which
-//! incarnations earlier leaders may have given something to ([`LimitLedger::new`]), and by when those that
-//! cannot report any more had ended. Relies on the cell's state for which incarnation a gateway has now,
-//! and on reports for how long that has been running.
+//! The operations that an incarnation may have begun count for one window after its end. The ledger
+//! tracks which incarnations earlier leaders may have granted something to ([`LimitLedger::new`]), and
+//! the latest time at which those that can no longer report ended. The state of the control cell says
+//! which incarnation a gateway has now; reports say how long it has been running.
 
 use super::LimitLedger;
 use crate::identity::{Incarnation, ProxyName};
@@ -11,58 +12,63 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// How long a leader that was replaced may go on: it steps down once it has not heard from a majority for
-/// an election timeout, which no deployment sets as long as this. Chosen as a bound, not measured (simulated
-/// with leaders that go on up to 9 s): a higher value holds back longer what earlier leaders gave, where not
-/// all gateways report.
-pub(super) const LONGEST_STEP_DOWN: Duration = Duration::from_secs(10);
+/// Longest time for which a replaced leader may go on: it steps down once it has not heard from a
+/// majority for an election timeout, which no deployment sets as long as this (simulated with leaders
+/// that go on for up to 9 s). A longer time withholds for longer what earlier leaders allocated, where
+/// not all gateways report.
+pub(super) const MAX_STEP_DOWN_TIME: Duration = Duration::from_secs(10);
 
 /// One incarnation of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GatewayIncarnation {
-    /// The gateway.
+    /// Name of the gateway.
     pub gateway: ProxyName,
-    /// The number of its process.
+    /// Number of the gateway's process.
     pub incarnation: Incarnation,
 }
 
 impl LimitLedger {
-    /// Ends the incarnation of a gateway that was known before this one, where it is another.
+    /// Ends the previously reporting incarnation of a gateway if it differs from the present one.
     pub(super) fn end_predecessor(&mut self, now: Timestamp, present: &GatewayIncarnation) {
-        let known = self.reporters.incarnation(&present.gateway);
-        if let Some(incarnation) = known.filter(|known| *known != present.incarnation) {
-            self.end(now, &GatewayIncarnation { gateway: present.gateway.clone(), incarnation });
+        let previous = self.reporters.incarnation(&present.gateway);
+        if let Some(incarnation) = previous.filter(|previous| *previous != present.incarnation) {
+            self.end_incarnation(
+                now,
+                &GatewayIncarnation { gateway: present.gateway.clone(), incarnation },
+            );
         }
     }
 
-    /// An incarnation has been running for some time: those of its gateway before it ended earlier.
-    pub(super) fn note_running(
+    /// Uses the uptime of an incarnation as proof that the earlier incarnations of its gateway ended
+    /// before it started.
+    pub(super) fn apply_uptime(
         &mut self,
         now: Timestamp,
         present: &GatewayIncarnation,
-        running: Duration,
+        uptime: Duration,
     ) {
-        // Before the leader's clock began at the latest, which is late enough.
-        let ended_by = now.before(self.bounds.at_least(running)).unwrap_or(Timestamp::ZERO);
+        // An uptime that reaches back before the leader's clock began gives time zero, which is late
+        // enough.
+        let ended_by = now.before(self.bounds.minimum_elapsed(uptime)).unwrap_or(Timestamp::ZERO);
         for tenant in self.tenants.values_mut() {
-            tenant.ended_earlier(present, ended_by + self.bounds.counted());
+            tenant.shorten_ended(present, ended_by + self.bounds.counting_time());
         }
-        if let Some(end) = self.earlier_ends.get_mut(&present.gateway) {
-            *end = (*end).min(ended_by);
+        if let Some(latest_end) = self.replaced_ended_by.get_mut(&present.gateway) {
+            *latest_end = (*latest_end).min(ended_by);
         }
     }
 
-    /// An incarnation is over: another process runs on its machine. What it may have begun counts for one
-    /// window more.
-    fn end(&mut self, now: Timestamp, ended: &GatewayIncarnation) {
-        self.ended.insert(ended.clone());
+    /// Ends an incarnation that another process has replaced on its machine. The operations that it may
+    /// have begun count for one more window.
+    fn end_incarnation(&mut self, now: Timestamp, ended: &GatewayIncarnation) {
+        self.ended_incarnations.insert(ended.clone());
         self.reporters.remove(&ended.gateway);
         for tenant in self.tenants.values_mut() {
-            tenant.end(ended, now + self.bounds.counted());
+            tenant.end_incarnation(ended, now + self.bounds.counting_time());
         }
     }
 
-    /// Follows which incarnations of gateways there are: one that another has taken the place of is over.
+    /// Ends the incarnations that have been replaced by others, according to the set of present ones.
     pub fn follow_gateways(&mut self, now: Timestamp, gateways: &BTreeSet<GatewayIncarnation>) {
         let successors: HashMap<_, _> =
             gateways.iter().map(|present| (&present.gateway, present.incarnation)).collect();
@@ -70,39 +76,41 @@
             successors.get(gateway).is_some_and(|successor| *successor != incarnation)
         };
         let replaced: Vec<GatewayIncarnation> = self
-            .awaited
+            .awaited_incarnations
             .iter()
-            .filter(|it| is_replaced(&it.gateway, it.incarnation))
+            .filter(|awaited| is_replaced(&awaited.gateway, awaited.incarnation))
             .cloned()
             .collect();
-        let known = self.reporters.incarnations();
-        let ended: Vec<GatewayIncarnation> =
-            known.filter(|it| is_replaced(&it.gateway, it.incarnation)).collect();
+        let reporting = self.reporters.incarnations();
+        let ended: Vec<GatewayIncarnation> = reporting
+            .filter(|reporter| is_replaced(&reporter.gateway, reporter.incarnation))
+            .collect();
         for incarnation in ended {
-            self.end(now, &incarnation);
+            self.end_incarnation(now, &incarnation);
         }
         if replaced.is_empty() {
             return;
         }
         for incarnation in replaced {
-            self.awaited.remove(&incarnation);
-            self.earlier_ends.insert(incarnation.gateway.clone(), now);
-            self.ended.insert(incarnation);
+            self.awaited_incarnations.remove(&incarnation);
+            self.replaced_ended_by.insert(incarnation.gateway.clone(), now);
+            self.ended_incarnations.insert(incarnation);
         }
-        self.settle(now);
+        self.update_inherited_expiry(now);
     }
 
-    /// Once every incarnation that earlier leaders may have given something to has reported or is over,
-    /// nothing else of theirs can be used; what those let begin that are over counts for one window more.
-    pub(super) fn settle(&mut self, now: Timestamp) {
-        if self.awaited.is_empty() {
-            let last_end = self.earlier_ends.values().copied().max().unwrap_or(now);
-            self.settled_at = self.settled_at.min(last_end + self.bounds.counted());
+    /// Brings forward the expiry of the inherited allocations once every incarnation that earlier
+    /// leaders may have granted something to has reported or ended: nothing else that they granted can
+    /// be used any more, and the operations of ended incarnations count for one more window.
+    pub(super) fn update_inherited_expiry(&mut self, now: Timestamp) {
+        if self.awaited_incarnations.is_empty() {
+            let last_end = self.replaced_ended_by.values().copied().max().unwrap_or(now);
+            self.inherited_until = self.inherited_until.min(last_end + self.bounds.counting_time());
         }
     }
 
-    /// Whether nothing that earlier leaders gave counts any more.
-    pub(super) fn is_settled(&self, now: Timestamp) -> bool {
-        now >= self.settled_at
+    /// Reports whether nothing that earlier leaders allocated counts any more.
+    pub(super) fn has_inherited_expired(&self, now: Timestamp) -> bool {
+        now >= self.inherited_until
     }
 }
--- a/crates/core/src/limits/ledger/mod.rs
+++ b/crates/core/src/limits/ledger/mod.rs
@@ -1,14 +1,17 @@
-//! What the leader has given of each tenant's limit.
+//! The leader's ledger of what is allocated of each tenant's limit.
 //!
-//! Takes the reports of gateways and answers them with allowances, so that all that may begin in a window
-//! stays within each limit. Owns the bookings of one leadership, in memory only; a leader that is replaced
-//! drops them, and the next one learns them from reports. Relies on the log for ceilings ([`LimitTerms`]),
-//! on the cell's state for rates and incarnations, and on gateways for true reports.
+//! Processes the reports of gateways and answers them with allowances, so that all operations that may
+//! begin in a window stay within each limit. The bookings belong to one leadership and are kept in
+//! memory only; a replaced leader drops them, and the next one learns them from reports. Ceilings come
+//! from the log and rates from the document ([`LimitTerms`]); the caller supplies the incarnations of
+//! gateways that are in the control cell's state. The ledger trusts the reports of gateways.
 //!
-//! - `offers`: what a gateway that reported is given, and who gives something back for it.
+//! - `offers`: what a gateway that reported is offered, and which others must give something back for
+//!   it.
 //! - `tenant`: one tenant's bookings, and how a limit is shared between gateways.
-//! - `ceilings`: the most that is given, as the log knows it.
-//! - `incarnations`: processes that are over, and when nothing of earlier leaders counts any more.
+//! - `ceilings`: the most that may be allocated, according to the log.
+//! - `incarnations`: ended processes, and the time from which allocations of earlier leaders no longer
+//!   count.
 //! - `reporters`: the gateways that reported in this leadership, and the numbers of their grants.
 
 mod answer;
@@ -31,56 +34,56 @@
 use crate::time::Timestamp;
 use answer::AnswerBuilder;
 use ceilings::LOWERING_INTERVAL;
-use incarnations::LONGEST_STEP_DOWN;
+use incarnations::MAX_STEP_DOWN_TIME;
 use reporters::{ReportStatus, Reporters};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tenant::TenantLedger;
 
-/// What a leader does about a report.
+/// The leader's answer to a report, or to another event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LedgerAnswer {
-    /// To the gateway that reported, and to others whose spare allowances it needs.
+    /// Grants to the gateway that reported, and to others whose spare allowances it needs.
     pub grants: Vec<AllowanceGrant>,
-    /// Ceilings that would allow more.
+    /// Raises of ceilings that would allow more.
     pub ceilings: Vec<CeilingChange>,
 }
 
-/// What the state of the cell says of limits.
+/// Rates and ceilings in the control cell's state.
 pub trait LimitTerms {
-    /// The rate of a tenant in force; none where it is not limited.
+    /// Returns the rate of a tenant in force; none where the tenant is not limited.
     fn rate(&self, tenant: &TenantName) -> Option<TenantRate>;
-    /// The ceiling of a tenant in the log; none for the default.
+    /// Returns the ceiling of a tenant in the log; none where the default applies.
     fn ceiling(&self, tenant: &TenantName) -> Option<u64>;
 }
 
-/// What has been given of the limits, as the leader of one term knows it.
+/// Allocations of all tenants' limits, as the leader of one term knows them.
 #[derive(Debug)]
 pub struct LimitLedger {
     term: Term,
     bounds: LimitBounds,
-    /// Incarnations that may hold what earlier leaders gave and have not reported.
-    awaited: BTreeSet<GatewayIncarnation>,
-    /// By when the incarnations had ended at the latest that earlier leaders may have given something to
-    /// and that cannot report any more, by gateway.
-    earlier_ends: BTreeMap<ProxyName, Timestamp>,
-    /// Until when what earlier leaders gave may have let operations begin.
-    settled_at: Timestamp,
-    /// Incarnations that are over.
-    ended: BTreeSet<GatewayIncarnation>,
+    /// Incarnations that may hold allowances of earlier leaders and have not reported yet.
+    awaited_incarnations: BTreeSet<GatewayIncarnation>,
+    /// By gateway, the latest time at which those of its incarnations ended that can no longer report
+    /// and that earlier leaders may have granted something to.
+    replaced_ended_by: BTreeMap<ProxyName, Timestamp>,
+    /// Time until which operations begun under allowances of earlier leaders may count.
+    inherited_until: Timestamp,
+    /// Incarnations that have ended.
+    ended_incarnations: BTreeSet<GatewayIncarnation>,
     reporters: Reporters,
     tenants: HashMap<TenantName, TenantLedger>,
-    /// Tenants that some gateway lacks operations of.
-    lacking: BTreeSet<TenantName>,
-    /// Ceilings as they were when the leadership began.
-    inherited: BTreeMap<TenantName, u64>,
-    /// Ceilings that are being lowered: they hold already.
-    lowering: BTreeMap<TenantName, u64>,
+    /// Tenants of which some gateway has less than its share.
+    tenants_with_shortfall: BTreeSet<TenantName>,
+    /// Ceilings at the start of the leadership.
+    inherited_ceilings: BTreeMap<TenantName, u64>,
+    /// Lowered ceilings that are not in the log yet; the ledger already keeps to them.
+    pending_lowerings: BTreeMap<TenantName, u64>,
     lowering_due: Timestamp,
 }
 
 impl LimitLedger {
-    /// The ledger of a leadership that begins now, with everything in its state that was committed
-    /// before: the gateways there are, and the ceilings in the log.
+    /// Creates the ledger of a leadership that begins now. The state from which `gateways` and
+    /// `ceilings` are taken must contain everything that was committed before.
     #[must_use]
     pub fn new(
         now: Timestamp,
@@ -89,33 +92,39 @@
         gateways: BTreeSet<GatewayIncarnation>,
         ceilings: BTreeMap<TenantName, u64>,
     ) -> Self {
-        let bounds = bounds.checked();
+        let bounds = bounds.clamped();
         let mut ledger = Self {
             term,
             bounds,
-            earlier_ends: gateways.iter().map(|it| (it.gateway.clone(), now)).collect(),
-            awaited: gateways,
-            settled_at: now + bounds.longest_life() + LONGEST_STEP_DOWN + bounds.counted(),
-            ended: BTreeSet::new(),
+            replaced_ended_by: gateways
+                .iter()
+                .map(|present| (present.gateway.clone(), now))
+                .collect(),
+            awaited_incarnations: gateways,
+            inherited_until: now
+                + bounds.maximum_allowance_life()
+                + MAX_STEP_DOWN_TIME
+                + bounds.counting_time(),
+            ended_incarnations: BTreeSet::new(),
             reporters: Reporters::default(),
             tenants: HashMap::new(),
-            lacking: BTreeSet::new(),
-            inherited: ceilings,
-            lowering: BTreeMap::new(),
+            tenants_with_shortfall: BTreeSet::new(),
+            inherited_ceilings: ceilings,
+            pending_lowerings: BTreeMap::new(),
             lowering_due: now + LOWERING_INTERVAL,
         };
-        ledger.settle(now);
+        ledger.update_inherited_expiry(now);
         ledger
     }
 
-    /// The operations that all gateways may begin in a window at a rate.
+    /// Returns the operations that all gateways may begin in a window at a rate.
     #[must_use]
     pub fn window_limit(&self, rate: TenantRate) -> u64 {
         self.bounds.window_limit(rate)
     }
 
-    /// Takes a report of a gateway whose incarnation is the one in the state. A report for another leader,
-    /// or one that was overtaken, is not answered.
+    /// Processes a report from the incarnation of a gateway that is in the state. A report to another
+    /// leader, or one older than a processed one, is not answered.
     pub fn take_report(
         &mut self,
         now: Timestamp,
@@ -125,60 +134,62 @@
         let reporter =
             GatewayIncarnation { gateway: report.gateway.clone(), incarnation: report.incarnation };
         let mut answer = AnswerBuilder::default();
-        if report.term != self.term || self.ended.contains(&reporter) {
+        if report.term != self.term || self.ended_incarnations.contains(&reporter) {
             return answer.finish();
         }
         self.end_predecessor(now, &reporter);
         if report.whole {
-            self.note_running(now, &reporter, report.running);
+            self.apply_uptime(now, &reporter, report.running);
         }
-        match self.reporters.note_report(now, report) {
-            ReportStatus::Overtaken => return answer.finish(),
-            ReportStatus::InPart => {
+        match self.reporters.record_report(now, report) {
+            ReportStatus::Stale => return answer.finish(),
+            ReportStatus::Partial => {
                 if let Some(grant) = self.reporters.grant(&mut answer, self.term, &report.gateway) {
                     grant.wants_whole = true;
                 }
                 return answer.finish();
             }
-            ReportStatus::Whole => (),
+            ReportStatus::Complete => (),
         }
         self.book(now, report, &reporter);
         self.answer_report(now, report, terms, &mut answer);
         answer.finish()
     }
 
-    /// Takes what a gateway holds into the books.
+    /// Books what a gateway reports to hold.
     fn book(&mut self, now: Timestamp, report: &AllowanceReport, reporter: &GatewayIncarnation) {
-        let was_awaited = self.awaited.remove(reporter);
+        let was_awaited = self.awaited_incarnations.remove(reporter);
         for demand in &report.demands {
-            let inherited = self.inherited.get(&demand.tenant).copied();
+            let inherited_ceiling = self.inherited_ceilings.get(&demand.tenant).copied();
             let tenant = self
                 .tenants
                 .entry(demand.tenant.clone())
-                .or_insert_with(|| TenantLedger::new(inherited));
+                .or_insert_with(|| TenantLedger::new(inherited_ceiling));
             tenant.book(&report.gateway, demand, report.taken, was_awaited);
         }
         if report.whole {
-            let named: BTreeSet<_> = report.demands.iter().map(|demand| &demand.tenant).collect();
-            let others = self.tenants.iter_mut().filter(|(tenant, _)| !named.contains(tenant));
-            others.for_each(|(_, tenant)| tenant.book_nothing(&report.gateway, report.taken));
-            self.settle(now);
+            let reported_tenants: BTreeSet<_> =
+                report.demands.iter().map(|demand| &demand.tenant).collect();
+            let unreported =
+                self.tenants.iter_mut().filter(|(tenant, _)| !reported_tenants.contains(tenant));
+            unreported.for_each(|(_, tenant)| tenant.clear_booking(&report.gateway, report.taken));
+            self.update_inherited_expiry(now);
         }
     }
 
-    /// Drops what has ended by itself.
+    /// Releases the allowances whose leases have expired, and what no longer counts.
     pub fn expire(&mut self, now: Timestamp) {
-        for silent in self.reporters.silent_since(now, self.bounds.longest_life()) {
+        for silent in self.reporters.expire_silent(now, self.bounds.maximum_allowance_life()) {
             for tenant in self.tenants.values_mut() {
-                tenant.end(&silent, now + self.bounds.counted());
+                tenant.end_incarnation(&silent, now + self.bounds.counting_time());
             }
         }
         self.tenants.values_mut().for_each(|tenant| tenant.expire(now));
     }
 
-    /// Operations of a tenant in a window that are given, or may have begun.
-    pub fn given(&mut self, now: Timestamp, tenant: &TenantName) -> u64 {
-        let settled = self.is_settled(now);
-        self.tenants.get_mut(tenant).map_or(0, |it| it.given(now, settled))
+    /// Returns the operations of a tenant in a window that are allocated, or may have begun.
+    pub fn allocated(&mut self, now: Timestamp, tenant: &TenantName) -> u64 {
+        let inherited_expired = self.has_inherited_expired(now);
+        self.tenants.get_mut(tenant).map_or(0, |ledger| ledger.allocated(now, inherited_expired))
     }
 }
--- a/crates/core/src/limits/ledger/nearness.rs
+++ b/crates/core/src/limits/ledger/nearness.rs
@@ -1,16 +1,15 @@
-//! Which tenants come near their limits, for operators.
+//! Tenants near their limits, for operators.
 
 use super::{LimitLedger, LimitTerms};
 use crate::tenancy::TenantName;
 
-/// Part of its limit from which a tenant counts as near it. It decides what is logged, nothing else. Chosen,
-/// not measured.
-const NEAR_PART: f64 = 0.9;
+/// Fraction of its limit from which a tenant counts as near it. Decides only what is logged.
+const NEAR_LIMIT_FRACTION: f64 = 0.9;
 
-/// How a tenant stands to its limit.
+/// Use of a tenant's limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantUse {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: TenantName,
     /// Operations that may begin in a window.
     pub limit: u64,
@@ -21,12 +20,12 @@
 }
 
 impl LimitLedger {
-    /// The tenants that come nearest to their limits, at most so many.
-    pub fn nearest(&self, most: usize, terms: &impl LimitTerms) -> Vec<TenantUse> {
+    /// Returns the tenants that are near their limits, the nearest first, at most `max_count` of them.
+    pub fn nearest(&self, max_count: usize, terms: &impl LimitTerms) -> Vec<TenantUse> {
         let near = self.tenants.iter().filter_map(|(tenant, ledger)| {
             let limit = self.bounds.window_limit(terms.rate(tenant)?);
             let needed = ledger.needed();
-            let is_near = needed as f64 >= limit as f64 * NEAR_PART;
+            let is_near = needed as f64 >= limit as f64 * NEAR_LIMIT_FRACTION;
             is_near.then(|| TenantUse {
                 tenant: tenant.clone(),
                 limit,
@@ -35,8 +34,10 @@
             })
         });
         let mut near: Vec<_> = near.collect();
-        near.sort_by_key(|it| std::cmp::Reverse(it.needed * 1_000 / it.limit.max(1)));
-        near.truncate(most);
+        near.sort_by_key(|tenant_use| {
+            std::cmp::Reverse(tenant_use.needed * 1_000 / tenant_use.limit.max(1))
+        });
+        near.truncate(max_count);
         near
     }
 }
--- a/crates/core/src/limits/ledger/offers.rs
+++ b/crates/core/src/limits/ledger/offers.rs
@@ -1,7 +1,8 @@
-//! What a gateway that reported is given, and who gives something back for it.
+//! Offers to gateways, and recalls from others that hold more than their share.
 //!
-//! Turns the shares that [`super::tenant`] works out into grants, recalls and higher ceilings. Owns the
-//! list of tenants that some gateway lacks operations of: they are offered more as soon as some are freed.
+//! Turns the shares that [`super::tenant`] computes into grants, recalls and raises of ceilings.
+//! Maintains the set of tenants of which some gateway has less than its share: such a gateway is
+//! offered more as soon as capacity is freed.
 
 use super::answer::AnswerBuilder;
 use super::ceilings::{default_ceiling, raise};
@@ -13,17 +14,17 @@
 use crate::time::Timestamp;
 
 impl LimitLedger {
-    /// Offers more to gateways that lack some of what they need, after a change of the state or the end
-    /// of what others held.
+    /// Offers more to gateways that have less than their share, after a change of the state or the
+    /// expiry of what others held.
     pub fn offer_again(&mut self, now: Timestamp, terms: &impl LimitTerms) -> LedgerAnswer {
         let mut answer = AnswerBuilder::default();
-        for tenant in self.lacking.clone() {
-            self.offer_to_lacking(now, &tenant, terms, &mut answer);
+        for tenant in self.tenants_with_shortfall.clone() {
+            self.offer_to_gateways_below_share(now, &tenant, terms, &mut answer);
         }
         answer.finish()
     }
 
-    /// Offers the gateway that reported what it may have, and then others what its report freed.
+    /// Offers the reporting gateway what it may have, and then offers others what its report freed.
     pub(super) fn answer_report(
         &mut self,
         now: Timestamp,
@@ -34,21 +35,22 @@
         for demand in &report.demands {
             self.offer(now, &demand.tenant, &report.gateway, terms, answer);
         }
-        for tenant in self.freed_by(report) {
-            self.offer_to_lacking(now, &tenant, terms, answer);
+        for tenant in self.tenants_freed_by(report) {
+            self.offer_to_gateways_below_share(now, &tenant, terms, answer);
         }
     }
 
-    /// Tenants that some gateway lacks operations of, and of which a report may have freed some.
-    fn freed_by(&self, report: &AllowanceReport) -> Vec<TenantName> {
+    /// Returns the tenants of which some gateway has less than its share, and for which a report may
+    /// have freed capacity.
+    fn tenants_freed_by(&self, report: &AllowanceReport) -> Vec<TenantName> {
         if report.whole {
-            return self.lacking.iter().cloned().collect();
+            return self.tenants_with_shortfall.iter().cloned().collect();
         }
         let reported = report.demands.iter().map(|demand| &demand.tenant);
-        reported.filter(|tenant| self.lacking.contains(*tenant)).cloned().collect()
+        reported.filter(|tenant| self.tenants_with_shortfall.contains(*tenant)).cloned().collect()
     }
 
-    fn offer_to_lacking(
+    fn offer_to_gateways_below_share(
         &mut self,
         now: Timestamp,
         tenant: &TenantName,
@@ -56,16 +58,16 @@
         answer: &mut AnswerBuilder,
     ) {
         let Some(ledger) = self.tenants.get(tenant) else { return };
-        let gateways: Vec<_> = ledger.lacking().iter().cloned().collect();
+        let gateways: Vec<_> = ledger.gateways_below_share().iter().cloned().collect();
         for gateway in gateways {
-            if !answer.gives(&gateway, tenant) {
+            if !answer.contains_allowance(&gateway, tenant) {
                 self.offer(now, tenant, &gateway, terms, answer);
             }
         }
     }
 
-    /// Gives a gateway what it may have of a tenant's limit, if that was asked for just now or is more
-    /// than before; and has others give back what it needs of theirs.
+    /// Grants a gateway what it may have of a tenant's limit, if that answers a new report or is more
+    /// than before; and recalls from others what it lacks of its share.
     fn offer(
         &mut self,
         now: Timestamp,
@@ -77,29 +79,30 @@
         let Some(offer_terms) = self.offer_terms(now, tenant, terms) else { return };
         let Some(ledger) = self.tenants.get_mut(tenant) else { return };
         let offer = ledger.offer(now, gateway, offer_terms);
-        if offer.is_news
+        if offer.should_send
             && let Some(grant) = self.reporters.grant(answer, self.term, gateway)
         {
-            ledger.note_granted(gateway, grant.number, offer.operations);
-            grant.allowances.push(allowance(now, tenant, offer_terms, &offer));
+            ledger.record_grant(gateway, grant.number, offer.operations);
+            grant.allowances.push(tenant_allowance(now, tenant, offer_terms, &offer));
         }
-        if ledger.lacking().is_empty() {
-            self.lacking.remove(tenant);
+        if ledger.gateways_below_share().is_empty() {
+            self.tenants_with_shortfall.remove(tenant);
         } else {
-            self.lacking.insert(tenant.clone());
+            self.tenants_with_shortfall.insert(tenant.clone());
         }
         if let Some(needed) = offer.needed_ceiling {
             answer.ceilings.push(raise(tenant, needed, offer_terms.limit));
         }
         for Recall { gateway, kept } in ledger.recalls(gateway, &offer) {
             if let Some(grant) = self.reporters.recall(answer, self.term, now, &gateway) {
-                ledger.note_recalled(&gateway, grant.number);
+                ledger.record_recall(&gateway, grant.number);
                 grant.recalls.push(AllowanceRecall { tenant: tenant.clone(), kept });
             }
         }
     }
 
-    /// By what a tenant's operations may be given now; none where it is not limited.
+    /// Returns the conditions under which a tenant's operations may be allocated now; none where the
+    /// tenant is not limited.
     fn offer_terms(
         &self,
         now: Timestamp,
@@ -107,16 +110,18 @@
         terms: &impl LimitTerms,
     ) -> Option<OfferTerms> {
         let limit = self.bounds.window_limit(terms.rate(tenant)?);
-        let lowering = self.lowering.get(tenant).copied().unwrap_or(u64::MAX);
-        let logged = terms.ceiling(tenant);
-        let ceiling = logged.unwrap_or_else(|| default_ceiling(limit)).min(lowering);
-        let settled = self.is_settled(now);
-        let settled_at = self.awaited.is_empty().then_some(self.settled_at);
-        Some(OfferTerms { limit, ceiling, settled, settled_at })
+        let pending_lowering = self.pending_lowerings.get(tenant).copied().unwrap_or(u64::MAX);
+        let logged_ceiling = terms.ceiling(tenant);
+        let ceiling =
+            logged_ceiling.unwrap_or_else(|| default_ceiling(limit)).min(pending_lowering);
+        let inherited_expired = self.has_inherited_expired(now);
+        let inherited_expires_at =
+            self.awaited_incarnations.is_empty().then_some(self.inherited_until);
+        Some(OfferTerms { limit, ceiling, inherited_expired, inherited_expires_at })
     }
 }
 
-fn allowance(
+fn tenant_allowance(
     now: Timestamp,
     tenant: &TenantName,
     terms: OfferTerms,
@@ -126,7 +131,7 @@
         tenant: tenant.clone(),
         operations: offer.operations,
         window_limit: terms.limit,
-        more_follows: offer.lacking > 0,
-        more_after: offer.more_at.map(|at| at.saturating_since(now)),
+        more_follows: offer.shortfall > 0,
+        more_after: offer.more_available_at.map(|available_at| available_at.saturating_since(now)),
     }
 }
--- a/crates/core/src/limits/ledger/reporters.rs
+++ b/crates/core/src/limits/ledger/reporters.rs
@@ -1,7 +1,8 @@
 //! The gateways that reported in one leadership.
 //!
-//! Puts reports in order and numbers grants. Owns, of each gateway, its incarnation, its newest report and
-//! the number of its newest grant. What the reports say is booked elsewhere ([`super::tenant`]).
+//! Orders reports and numbers grants. Holds the incarnation of each gateway, the sequence number of its
+//! newest report and the number of its newest grant. [`super::tenant`] books the contents of the
+//! reports.
 
 use super::GatewayIncarnation;
 use super::answer::AnswerBuilder;
@@ -12,48 +13,48 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Shortest time between two recalls from one gateway: it answers the first one within that, a round trip
-/// between the users' regions (42 ms). Chosen, not measured: with less, recalls cross the answers; with more,
-/// a gateway that lacks operations of several tenants gets them later.
+/// Shortest time between two recalls from one gateway: it answers the first one within that, a round
+/// trip between the users' regions (42 ms). With less, recalls and answers cross; with more, a gateway
+/// that lacks operations of several tenants gets them later.
 const RECALL_SPACING: Duration = Duration::from_millis(100);
 
-/// What is known of a gateway with its newest report.
+/// What is known of a gateway after it reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReportStatus {
-    /// A newer report has overtaken this one.
-    Overtaken,
-    /// The gateway has not reported everything that it holds yet.
-    InPart,
-    /// What the gateway holds is known.
-    Whole,
+    /// A newer report has been processed already.
+    Stale,
+    /// The gateway has not sent a full report yet.
+    Partial,
+    /// The gateway has sent a full report: everything that it holds is known.
+    Complete,
 }
 
-/// A gateway that reported.
+/// State of a gateway that reported.
 #[derive(Debug)]
 struct Reporter {
     incarnation: Incarnation,
-    /// Sequence of its newest report.
+    /// Sequence number of its newest report.
     sequence: u64,
     reported_at: Timestamp,
     /// Number of the newest grant to it.
-    number: u64,
-    /// When some of what it holds was recalled last.
+    last_grant_number: u64,
+    /// Time of the last recall from it.
     recalled_at: Option<Timestamp>,
-    /// Whether it has reported everything that it holds.
-    reported_whole: bool,
+    /// Whether it has sent a full report.
+    has_reported_fully: bool,
 }
 
-/// The gateways that reported.
+/// The gateways that reported, by name.
 #[derive(Debug, Default)]
 pub(super) struct Reporters(HashMap<ProxyName, Reporter>);
 
 impl Reporters {
-    /// The incarnation that a gateway reported in.
+    /// Returns the incarnation that a gateway reported in.
     pub(super) fn incarnation(&self, gateway: &ProxyName) -> Option<Incarnation> {
         self.0.get(gateway).map(|reporter| reporter.incarnation)
     }
 
-    /// The incarnations that reported.
+    /// Returns the incarnations that reported.
     pub(super) fn incarnations(&self) -> impl Iterator<Item = GatewayIncarnation> {
         self.0.iter().map(|(gateway, reporter)| GatewayIncarnation {
             gateway: gateway.clone(),
@@ -61,48 +62,56 @@
         })
     }
 
-    /// An incarnation is over.
+    /// Removes a gateway whose incarnation has ended.
     pub(super) fn remove(&mut self, gateway: &ProxyName) {
         self.0.remove(gateway);
     }
 
-    /// Notes a report of the incarnation that is known, or of the first one.
-    pub(super) fn note_report(&mut self, now: Timestamp, report: &AllowanceReport) -> ReportStatus {
-        let new = || Reporter {
+    /// Records a report of the known incarnation of a gateway, or of its first one.
+    pub(super) fn record_report(
+        &mut self,
+        now: Timestamp,
+        report: &AllowanceReport,
+    ) -> ReportStatus {
+        let new_reporter = || Reporter {
             incarnation: report.incarnation,
             sequence: 0,
             reported_at: now,
-            number: 0,
+            last_grant_number: 0,
             recalled_at: None,
-            reported_whole: false,
+            has_reported_fully: false,
         };
-        let reporter = self.0.entry(report.gateway.clone()).or_insert_with(new);
+        let reporter = self.0.entry(report.gateway.clone()).or_insert_with(new_reporter);
         if report.sequence <= reporter.sequence {
-            return ReportStatus::Overtaken;
+            return ReportStatus::Stale;
         }
         reporter.sequence = report.sequence;
         reporter.reported_at = now;
-        reporter.reported_whole |= report.whole;
-        if reporter.reported_whole { ReportStatus::Whole } else { ReportStatus::InPart }
+        reporter.has_reported_fully |= report.whole;
+        if reporter.has_reported_fully { ReportStatus::Complete } else { ReportStatus::Partial }
     }
 
-    /// Gateways that have been silent for so long; what they hold must be reported anew. The numbers of
-    /// their grants go on if they come back.
-    pub(super) fn silent_since(
+    /// Returns gateways that have been silent for at least `limit`, and requires a new full report of
+    /// them. The numbers of their grants continue if they report again.
+    pub(super) fn expire_silent(
         &mut self,
         now: Timestamp,
         limit: Duration,
     ) -> Vec<GatewayIncarnation> {
         let is_silent = |reporter: &Reporter| now.saturating_since(reporter.reported_at) >= limit;
-        let silent = self.0.iter_mut().filter(|(_, it)| it.reported_whole && is_silent(it));
+        let silent = self
+            .0
+            .iter_mut()
+            .filter(|(_, reporter)| reporter.has_reported_fully && is_silent(reporter));
         let silent = silent.map(|(gateway, reporter)| {
-            reporter.reported_whole = false;
+            reporter.has_reported_fully = false;
             GatewayIncarnation { gateway: gateway.clone(), incarnation: reporter.incarnation }
         });
         silent.collect()
     }
 
-    /// The grant to a gateway that is being put together.
+    /// Returns the grant to a gateway in the answer being built, and adds one if there is none; none
+    /// where the gateway has not reported.
     pub(super) fn grant<'a>(
         &mut self,
         answer: &'a mut AnswerBuilder,
@@ -111,12 +120,12 @@
     ) -> Option<&'a mut AllowanceGrant> {
         if !answer.grants.contains_key(gateway) {
             let reporter = self.0.get_mut(gateway)?;
-            reporter.number += 1;
+            reporter.last_grant_number += 1;
             let grant = AllowanceGrant {
                 gateway: gateway.clone(),
                 incarnation: reporter.incarnation,
                 term,
-                number: reporter.number,
+                number: reporter.last_grant_number,
                 answers: reporter.sequence,
                 wants_whole: false,
                 allowances: Vec::new(),
@@ -127,8 +136,8 @@
         answer.grants.get_mut(gateway)
     }
 
-    /// As [`Reporters::grant`], to recall some of what a gateway holds; none where that was done a moment
-    /// ago.
+    /// As [`Reporters::grant`], for recalling some of what a gateway holds; none where something was
+    /// recalled from it less than [`RECALL_SPACING`] ago.
     pub(super) fn recall<'a>(
         &mut self,
         answer: &'a mut AnswerBuilder,
@@ -137,8 +146,10 @@
         gateway: &ProxyName,
     ) -> Option<&'a mut AllowanceGrant> {
         let reporter = self.0.get_mut(gateway)?;
-        let recently = |at: Timestamp| at < now && now.saturating_since(at) < RECALL_SPACING;
-        if reporter.recalled_at.is_some_and(recently) {
+        let is_recent = |recalled_at: Timestamp| {
+            recalled_at < now && now.saturating_since(recalled_at) < RECALL_SPACING
+        };
+        if reporter.recalled_at.is_some_and(is_recent) {
             return None;
         }
         reporter.recalled_at = Some(now);
--- a/crates/core/src/limits/ledger/tenant/mod.rs
+++ b/crates/core/src/limits/ledger/tenant/mod.rs
@@ -1,8 +1,8 @@
-//! What has been given of one tenant's limit.
+//! Allocations of one tenant's limit.
 //!
-//! Counts what gateways may hold (`bookings`), what incarnations that are over may have begun, and what
-//! earlier leaders gave that nobody has reported; works out from these what a gateway may have
-//! (`sharing`). Relies on [`super::LimitLedger`] for which incarnations are over.
+//! Adds up what gateways may hold (`bookings`), what ended incarnations may have begun, and what
+//! earlier leaders allocated that no gateway has reported; computes from these what a gateway may have
+//! (`sharing`). [`super::LimitLedger`] says which incarnations have ended.
 
 mod bookings;
 mod sharing;
@@ -16,20 +16,21 @@
 use bookings::Bookings;
 use std::collections::BTreeSet;
 
-/// What has been given of one tenant's limit.
+/// Allocations of one tenant's limit.
 #[derive(Debug, Default)]
 pub(super) struct TenantLedger {
-    /// The most that earlier leaders gave and nobody has reported; none where the log names no ceiling.
+    /// The most that earlier leaders may have allocated; none where the log holds no ceiling and the
+    /// default applies.
     inherited: Option<u64>,
-    /// What was reported of that.
-    reported: u64,
+    /// Operations of the inherited allocation that have been reported.
+    reported_inherited: u64,
     bookings: Bookings,
-    ended: Vec<EndedIncarnation>,
-    /// Gateways that will be given more.
-    lacking: BTreeSet<ProxyName>,
+    ended_incarnations: Vec<EndedIncarnation>,
+    /// Gateways that have less than their share and will be offered more.
+    gateways_below_share: BTreeSet<ProxyName>,
 }
 
-/// What an incarnation may have begun that is over, or whose lease has ended.
+/// What an incarnation may have begun that has ended, or whose lease has expired.
 #[derive(Debug)]
 struct EndedIncarnation {
     incarnation: GatewayIncarnation,
@@ -42,31 +43,32 @@
         Self { inherited, ..Self::default() }
     }
 
-    /// Takes what a gateway reports. `was_awaited`: some of it may be of an earlier leader's giving.
+    /// Books what a gateway reports. With `was_awaited`, the gateway may hold allowances of an earlier
+    /// leader.
     pub(super) fn book(
         &mut self,
         gateway: &ProxyName,
         demand: &AllowanceDemand,
-        taken: u64,
+        applied_grant: u64,
         was_awaited: bool,
     ) {
         self.bookings.change(gateway, |booking| {
-            booking.note_taken(taken);
+            booking.acknowledge_grants(applied_grant);
             booking.held = demand.held;
             booking.needed = demand.needed;
             booking.wanted = demand.wanted;
-            booking.granted = None;
+            booking.granted_since_report = None;
         });
         if was_awaited {
-            self.reported += demand.held;
+            self.reported_inherited += demand.held;
         }
     }
 
-    /// A gateway that reported everything holds nothing of this tenant's.
-    pub(super) fn book_nothing(&mut self, gateway: &ProxyName, taken: u64) {
+    /// Clears the booking of a gateway whose full report doesn't name this tenant.
+    pub(super) fn clear_booking(&mut self, gateway: &ProxyName, applied_grant: u64) {
         if self.bookings.get(gateway).is_some() {
             self.bookings.change(gateway, |booking| {
-                booking.note_taken(taken);
+                booking.acknowledge_grants(applied_grant);
                 booking.held = 0;
                 booking.needed = 0;
                 booking.wanted = 0;
@@ -74,79 +76,93 @@
         }
     }
 
-    /// An incarnation is over, or its lease has ended.
-    pub(super) fn end(&mut self, incarnation: &GatewayIncarnation, counts_until: Timestamp) {
+    /// Moves the booking of an incarnation that has ended, or whose lease has expired, to the ended
+    /// ones.
+    pub(super) fn end_incarnation(
+        &mut self,
+        incarnation: &GatewayIncarnation,
+        counts_until: Timestamp,
+    ) {
         if let Some(booking) = self.bookings.remove(&incarnation.gateway) {
-            self.lacking.remove(&incarnation.gateway);
+            self.gateways_below_share.remove(&incarnation.gateway);
             let (incarnation, operations) = (incarnation.clone(), booking.amount());
-            self.ended.push(EndedIncarnation { incarnation, operations, counts_until });
+            self.ended_incarnations.push(EndedIncarnation {
+                incarnation,
+                operations,
+                counts_until,
+            });
         }
     }
 
-    /// The incarnations of a gateway before this one ended earlier than was known.
-    pub(super) fn ended_earlier(
+    /// Shortens the time for which the predecessors of an incarnation count, as they ended earlier than
+    /// was known.
+    pub(super) fn shorten_ended(
         &mut self,
         successor: &GatewayIncarnation,
         counts_until: Timestamp,
     ) {
-        let is_before = |it: &GatewayIncarnation| {
-            it.gateway == successor.gateway && it.incarnation != successor.incarnation
+        let is_predecessor = |candidate: &GatewayIncarnation| {
+            candidate.gateway == successor.gateway && candidate.incarnation != successor.incarnation
         };
-        for ended in self.ended.iter_mut().filter(|ended| is_before(&ended.incarnation)) {
+        for ended in
+            self.ended_incarnations.iter_mut().filter(|ended| is_predecessor(&ended.incarnation))
+        {
             ended.counts_until = ended.counts_until.min(counts_until);
         }
     }
 
-    /// Forgets what no longer counts.
+    /// Drops what no longer counts.
     pub(super) fn expire(&mut self, now: Timestamp) {
-        self.ended.retain(|ended| now < ended.counts_until);
-        self.bookings.drop_unused();
+        self.ended_incarnations.retain(|ended| now < ended.counts_until);
+        self.bookings.remove_unused();
     }
 
-    /// What earlier leaders gave and nobody has reported.
-    fn unreported(&self, default: u64, settled: bool) -> u64 {
-        if settled {
+    /// Returns what earlier leaders allocated and no gateway has reported.
+    fn unreported(&self, default: u64, inherited_expired: bool) -> u64 {
+        if inherited_expired {
             return 0;
         }
-        self.inherited.unwrap_or(default).saturating_sub(self.reported)
+        self.inherited.unwrap_or(default).saturating_sub(self.reported_inherited)
     }
 
-    /// What incarnations that are over may have begun.
-    fn ended_amount(&mut self, now: Timestamp) -> u64 {
-        self.ended.retain(|ended| now < ended.counts_until);
-        self.ended.iter().map(|ended| ended.operations).sum()
+    /// Returns the operations that ended incarnations may have begun.
+    fn ended_operations(&mut self, now: Timestamp) -> u64 {
+        self.ended_incarnations.retain(|ended| now < ended.counts_until);
+        self.ended_incarnations.iter().map(|ended| ended.operations).sum()
     }
 
-    /// What is given, or may have begun. Settled: nothing of earlier leaders is left.
-    pub(super) fn given(&mut self, now: Timestamp, settled: bool) -> u64 {
-        self.bookings.sums().amount + self.ended_amount(now) + self.unreported(0, settled)
+    /// Returns the operations that are allocated, or may have begun.
+    pub(super) fn allocated(&mut self, now: Timestamp, inherited_expired: bool) -> u64 {
+        self.bookings.totals().amount
+            + self.ended_operations(now)
+            + self.unreported(0, inherited_expired)
     }
 
-    /// Operations that all gateways need.
+    /// Returns the operations that all gateways need.
     pub(super) const fn needed(&self) -> u64 {
-        self.bookings.sums().needed
+        self.bookings.totals().needed
     }
 
-    /// Operations that gateways may hold.
+    /// Returns the operations that gateways may hold.
     pub(super) const fn booked(&self) -> u64 {
-        self.bookings.sums().amount
+        self.bookings.totals().amount
     }
 
-    /// Gateways that will be given more of what they need.
-    pub(super) const fn lacking(&self) -> &BTreeSet<ProxyName> {
-        &self.lacking
+    /// Returns the gateways that have less than their share and will be offered more.
+    pub(super) const fn gateways_below_share(&self) -> &BTreeSet<ProxyName> {
+        &self.gateways_below_share
     }
 
-    /// Some of what a gateway holds was recalled.
-    pub(super) fn note_recalled(&mut self, gateway: &ProxyName, number: u64) {
-        self.bookings.note_recalled(gateway, number);
+    /// Records the grant that recalled some of what a gateway holds.
+    pub(super) fn record_recall(&mut self, gateway: &ProxyName, number: u64) {
+        self.bookings.record_recall(gateway, number);
     }
 
-    /// An allowance was sent.
-    pub(super) fn note_granted(&mut self, gateway: &ProxyName, number: u64, operations: u64) {
+    /// Records a granted allowance.
+    pub(super) fn record_grant(&mut self, gateway: &ProxyName, number: u64, operations: u64) {
         self.bookings.change(gateway, |booking| {
-            booking.unanswered.push((number, operations));
-            booking.granted = Some(operations);
+            booking.unacknowledged.push((number, operations));
+            booking.granted_since_report = Some(operations);
         });
     }
 }
--- a/crates/core/src/limits/messages.rs
+++ b/crates/core/src/limits/messages.rs
@@ -1,7 +1,7 @@
-//! What gateways and the leader say to each other about limits.
+//! Messages about limits between gateways and the leader: reports and grants.
 //!
-//! The forms of reports and grants. They travel between processes: order and number of fields stay.
-//! What each side does with them is in [`super::gateway`] and [`super::ledger`].
+//! The messages travel between processes in an encoding by position, so the order and number of their
+//! fields must not change. [`super::gateway`] and [`super::ledger`] process them.
 
 use crate::identity::{Incarnation, ProxyName};
 use crate::position::Term;
@@ -12,81 +12,86 @@
 /// What a gateway holds of one tenant's limit, and what it could use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllowanceDemand {
-    /// The tenant.
+    /// Tenant whose limit is concerned.
     pub tenant: TenantName,
-    /// Operations that it may begin in a window: never more until it gets another allowance.
+    /// Operations that the gateway may begin in a window; it begins no more until it gets another
+    /// allowance.
     pub held: u64,
-    /// Operations that it needs: those begun within the last window, and those that wait.
+    /// Operations that the gateway needs: those begun within the last window, and those that wait.
     pub needed: u64,
-    /// Operations that it could use in a window, for those that come to begin at once.
+    /// Operations that the gateway could use in a window, including headroom for new operations that
+    /// should begin without waiting for the leader.
     pub wanted: u64,
 }
 
-/// From a gateway to the leader of a term.
+/// Report from a gateway to the leader of a term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllowanceReport {
-    /// The gateway.
+    /// Gateway that reports.
     pub gateway: ProxyName,
-    /// Its incarnation.
+    /// Incarnation of the gateway's process.
     pub incarnation: Incarnation,
-    /// Term of the leader that this is for; the gateway takes allowances of no other from now on.
+    /// Term of the leader that the report is addressed to; from now on the gateway accepts allowances
+    /// of no other term.
     pub term: Term,
-    /// Rises with each report of this incarnation.
+    /// Sequence number, which rises with each report of this incarnation.
     pub sequence: u64,
-    /// How long this incarnation had been running: the one before it ended earlier.
+    /// Uptime of this incarnation: its predecessor ended before it started.
     pub running: Duration,
-    /// Number of the newest grant of this term that the gateway has taken.
+    /// Number of the newest grant of this term that the gateway has applied.
     pub taken: u64,
-    /// Whether the gateway holds nothing beside what is reported here.
+    /// Whether the report is full: the gateway holds nothing beyond what is reported here.
     pub whole: bool,
-    /// Tenants.
+    /// Demands, one for each reported tenant.
     pub demands: Vec<AllowanceDemand>,
 }
 
-/// What a gateway may use of one tenant's limit.
+/// Allowance of a gateway from one tenant's limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantAllowance {
-    /// The tenant.
+    /// Tenant whose limit is concerned.
     pub tenant: TenantName,
     /// Operations that the gateway may begin in any window.
     pub operations: u64,
-    /// Operations that all gateways may begin in a window, by which this was worked out. Where the
-    /// gateway knows a lower limit, the allowance falls in proportion.
+    /// Window limit of all gateways together from which the allowance was computed. Where the gateway
+    /// knows a lower limit, the allowance is reduced in proportion.
     pub window_limit: u64,
-    /// Whether the leader is about to give more: others are asked to give some back.
+    /// Whether the leader is about to grant more: other gateways have been asked to give some back.
     pub more_follows: bool,
-    /// After how long more can be given, where less is given than is wanted since processes that are over
-    /// may have begun operations that still count; none where it is not that, or not known.
+    /// Time until more can be granted, where less is granted than is wanted because operations begun by
+    /// terminated processes may still count; none where there is another reason, or the time is
+    /// unknown.
     pub more_after: Option<Duration>,
 }
 
-/// What a gateway may keep of an allowance, for the sake of others that need some of it.
+/// Upper bound for a gateway's allowance, sent because other gateways need part of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllowanceRecall {
-    /// The tenant.
+    /// Tenant whose limit is concerned.
     pub tenant: TenantName,
     /// Operations that the gateway may begin in any window at most.
     pub kept: u64,
 }
 
-/// From the leader to a gateway: an answer to a report, or lower allowances that others need.
+/// Message from the leader to a gateway: an answer to a report, or lower allowances because others need
+/// some of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllowanceGrant {
-    /// The gateway.
+    /// Gateway that the grant is addressed to.
     pub gateway: ProxyName,
-    /// The incarnation that it is for.
+    /// Incarnation that the grant is addressed to.
     pub incarnation: Incarnation,
     /// Term of the leader.
     pub term: Term,
-    /// Rises with each grant of a term to a gateway.
+    /// Number of the grant, which rises with each grant of a term to a gateway.
     pub number: u64,
-    /// Sequence of the newest report that it goes by: the life of the allowances counts from when that
-    /// was made.
+    /// Sequence number of the newest report that the grant is based on: the life of the allowances
+    /// counts from the time at which that report was made.
     pub answers: u64,
-    /// Whether the leader wants a report of everything that the gateway holds first.
+    /// Whether the leader first wants a full report of everything that the gateway holds.
     pub wants_whole: bool,
-    /// Allowances, each in place of the one before.
+    /// Allowances, each of which replaces the previous one of its tenant.
     pub allowances: Vec<TenantAllowance>,
-    /// Allowances that are lowered, if they are higher.
+    /// Upper bounds for allowances, applied where an allowance is higher.
     pub recalls: Vec<AllowanceRecall>,
 }
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -1,40 +1,45 @@
-//! How many operations a tenant may begin, over all gateways together.
+//! Limits how many operations a tenant may begin, over all gateways together.
 //!
-//! Limits of tenants that hold over the whole fleet. Owns what each gateway may begin (`account`,
-//! `gateway`) and what the leader has given (`ledger`); only ceilings are in the log. Relies on control
-//! for the leader, for the rates in force, and for which incarnations of gateways there are.
+//! `account` and `gateway` hold what each gateway may begin; `ledger` holds what the leader of the
+//! control cell has allocated to the gateways. Only ceilings are written to the replicated log. The
+//! caller supplies the current leader, the rates in force and the incarnations of gateways that exist.
 //!
-//! A tenant's rate and burst make its *window limit* `L`: the operations that may begin in any span of
-//! one window ([`LimitBounds::window_limit`]). The leader of the control cell gives gateways
-//! *allowances*: a gateway with the allowance `a` begins at most `a` operations in any window. An
-//! allowance is a lease: it ends [`LimitBounds::allowance_life`] after the gateway asked for it, on the
-//! gateway's own clock.
+//! A tenant's rate and burst determine its *window limit* `L`: the operations that may begin in any
+//! span of one window ([`LimitBounds::window_limit`]). The leader grants *allowances* to gateways: a
+//! gateway with the allowance `a` begins at most `a` operations in any window. An allowance is a lease:
+//! it expires [`LimitBounds::allowance_life`] after the gateway asked for it, on the gateway's own
+//! clock.
 //!
-//! In each zone one gateway counts a tenant's operations for all, its *home* there: near a limit a few
-//! holders use it up where hundreds of small allowances would each have something left
-//! (`docs/design/limits.md`). Nothing below rests on who the homes are: a gateway begins only what it was
-//! given.
+//! In each zone one gateway, the tenant's *home* there, counts the tenant's operations for all gateways
+//! of the zone: near a limit a few large allowances can be used up completely, where hundreds of small
+//! ones would each leave a remainder unused (`docs/design/limits.md`). Safety doesn't depend on which
+//! gateways are homes: every gateway begins only what its allowance permits.
 //!
 //! # Invariant
 //!
-//! At any moment the allowances that can still be used, and what ones that were taken back may have let
-//! begin within the last window, add up to at most `L`. Then no window holds more than `L` operations.
-//!
-//! It rests on these rules:
-//!
-//! 1. A gateway counts an operation before it sends it to a member, and lowers its allowance at most to
-//!    what it has begun within the last window ([`GatewayLimits`]).
-//! 2. The leader books a gateway with the largest allowance that the gateway may hold: what it reported
-//!    last, and every allowance sent to it that the report did not answer ([`LimitLedger`]).
-//! 3. What a process that is gone may have begun stays booked for one window after it has ended: by the
-//!    time that is known, or earlier by as long as its successor says that it has been running. What one
-//!    that is silent holds stays booked until its lease has ended and a window more.
-//! 4. Before the bookings of a tenant exceed its *ceiling*, a higher ceiling is in the log. A new leader
-//!    books the whole ceiling as given by others, and takes off only what gateways report to it.
-//! 5. A report names the term of the leader that it is for. From then on its gateway takes allowances of
-//!    that term only, so that a leader that was replaced gives nothing that the new one does not know.
-//!
-//! Clocks may differ in their origin, and by a hundredth in their rate.
+//! At any moment the sum of the allowances that can still be used and of the operations that revoked or
+//! expired allowances may have let begin within the last window is at most `L`. Hence no window holds
+//! more than `L` operations.
+//!
+//! The invariant follows from these rules:
+//!
+//! 1. A gateway counts an operation before it sends the operation to a member, and never reports less as
+//!    held than the operations that it has begun within the last window ([`GatewayLimits`]).
+//! 2. The leader books each gateway with the largest allowance that the gateway may hold: the amount in
+//!    its last report, and every allowance sent to it that the report did not acknowledge
+//!    ([`LimitLedger`]).
+//! 3. The operations that a terminated process may have begun stay booked for one window after the
+//!    process ended. The leader uses the time at which it learned of the end, or an earlier time if the
+//!    successor process reports an uptime that proves one. The allowance of a silent process stays
+//!    booked until its lease has expired, plus one window.
+//! 4. Before the bookings of a tenant exceed its *ceiling*, a higher ceiling is committed to the log. A
+//!    new leader assumes that the whole ceiling is allocated, and subtracts only what gateways report
+//!    to it.
+//! 5. A report names the term of the leader that it is addressed to. From then on the gateway accepts
+//!    allowances of that term only, so that a replaced leader cannot grant anything that the new leader
+//!    doesn't know of.
+//!
+//! Clocks may have different origins, and their rates may differ by 1 %.
 
 mod account;
 mod bounds;
@@ -53,4 +58,4 @@
 pub use messages::{
     AllowanceDemand, AllowanceGrant, AllowanceRecall, AllowanceReport, TenantAllowance,
 };
-pub use sliding_window::SlidingWindowCount;
+pub use sliding_window::SlidingWindowCounter;
--- a/crates/core/tests/limits/main.rs
+++ b/crates/core/tests/limits/main.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants: what a gateway may begin, and how a leader shares what there is.
+//! Limits of tenants: what a gateway admits, and how a leader shares a limit between gateways.
 
 mod admission;
 mod retry_time;
--- a/crates/core/tests/limits/sliding_window.rs
+++ b/crates/core/tests/limits/sliding_window.rs
@@ -1,24 +1,25 @@
-//! The count of the last window.
+//! Sliding-window counter.
 
 use crate::support::WINDOW;
-use corktack_core::limits::SlidingWindowCount;
+use corktack_core::limits::SlidingWindowCounter;
 use corktack_core::time::Timestamp;
 use proptest::prelude::*;
 
 proptest! {
-    /// The count is never below what happened within the window, and forgets what is two slots older.
+    /// The count is never below the operations of the last window, and includes none that are more than
+    /// two slots older.
     #[test]
-    fn a_trailing_count_is_never_too_low(gaps in prop::collection::vec(0_u64..900_000, 1..200)) {
-        let mut count = SlidingWindowCount::default();
+    fn the_count_is_never_too_low(gaps in prop::collection::vec(0_u64..900_000, 1..200)) {
+        let mut counter = SlidingWindowCounter::default();
         let (mut now, mut times) = (0, Vec::new());
         for gap in gaps {
             now += gap;
-            count.add(Timestamp::from_micros(now), WINDOW, 1);
+            counter.add(Timestamp::from_micros(now), WINDOW, 1);
             times.push(now);
-            let counted = count.count(Timestamp::from_micros(now), WINDOW);
-            let since = |span: u64| times.iter().filter(|time| **time + span > now).count() as u64;
-            prop_assert!(counted >= since(5_000_000));
-            prop_assert!(counted <= since(5_200_001));
+            let counted = counter.count(Timestamp::from_micros(now), WINDOW);
+            let within = |span: u64| times.iter().filter(|time| **time + span > now).count() as u64;
+            prop_assert!(counted >= within(5_000_000));
+            prop_assert!(counted <= within(5_200_001));
         }
     }
 }
--- a/crates/core/tests/limits/support.rs
+++ b/crates/core/tests/limits/support.rs
@@ -1,4 +1,4 @@
-//! Gateways and a leader that hear each other at once, with one tenant's limit.
+//! Gateways and a leader that exchange messages without delay, with one tenant.
 
 use corktack_core::identity::{Incarnation, ProxyName};
 use corktack_core::limits::{
@@ -32,11 +32,11 @@
     directory
 }
 
-pub fn at(millis: u64) -> Timestamp {
+pub fn at_ms(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
 }
 
-/// Ceilings in the log.
+/// Ceilings in the log; every tenant has the rate [`RATE`].
 pub struct Terms(pub BTreeMap<TenantName, u64>);
 
 impl LimitTerms for Terms {
@@ -49,24 +49,25 @@
     }
 }
 
-/// A gateway and a leader that hear each other at once.
-pub struct Pair {
+/// Gateways and a leader that exchange messages without delay.
+pub struct TestCluster {
     pub gateways: Vec<GatewayLimits>,
     pub ledger: LimitLedger,
     pub ceilings: BTreeMap<TenantName, u64>,
     pub term: Term,
 }
 
-pub fn incarnation(number: usize, incarnation: u64) -> GatewayIncarnation {
-    GatewayIncarnation { gateway: name(number), incarnation: Incarnation(incarnation) }
+pub fn incarnation(index: usize, incarnation: u64) -> GatewayIncarnation {
+    GatewayIncarnation { gateway: gateway_name(index), incarnation: Incarnation(incarnation) }
 }
 
-pub fn name(number: usize) -> ProxyName {
-    ProxyName::new(format!("g{number}")).expect("a valid name")
+pub fn gateway_name(index: usize) -> ProxyName {
+    ProxyName::new(format!("g{index}")).expect("a valid name")
 }
 
-pub fn gateway(number: usize, incarnation: u64, now: Timestamp, term: Term) -> GatewayLimits {
-    let mut gateway = GatewayLimits::new(now, name(number), Incarnation(incarnation), bounds());
+pub fn gateway(index: usize, incarnation: u64, now: Timestamp, term: Term) -> GatewayLimits {
+    let mut gateway =
+        GatewayLimits::new(now, gateway_name(index), Incarnation(incarnation), bounds());
     gateway.follow(Some(&directory(RATE)));
     gateway.follow_leader(now, term);
     gateway
@@ -76,7 +77,7 @@
     OperationRequest { operations, priority: 1, until }
 }
 
-/// Asks for an operation that does not wait.
+/// Requests one operation that may not wait.
 pub fn try_begin(
     gateway: &mut GatewayLimits,
     now: Timestamp,
@@ -85,18 +86,18 @@
         OperationOutcome::Admitted(begun) => Ok(begun),
         OperationOutcome::Refused(over) => Err(over),
         OperationOutcome::Unlimited | OperationOutcome::Waiting(_) => {
-            panic!("it is limited and does not wait")
+            panic!("the tenant is limited and the operation may not wait")
         }
     }
 }
 
-impl Pair {
-    /// Gateways whose leader has been in office for long.
+impl TestCluster {
+    /// Creates gateways whose leader has long been in office.
     pub fn new(count: usize) -> Self {
         let term = Term(3);
-        let gateways = (0..count).map(|number| gateway(number, 1, at(0), term)).collect();
-        let none = BTreeSet::new();
-        let ledger = LimitLedger::new(at(0), term, bounds(), none, BTreeMap::new());
+        let gateways = (0..count).map(|index| gateway(index, 1, at_ms(0), term)).collect();
+        let no_gateways = BTreeSet::new();
+        let ledger = LimitLedger::new(at_ms(0), term, bounds(), no_gateways, BTreeMap::new());
         Self { gateways, ledger, ceilings: BTreeMap::new(), term }
     }
 
@@ -115,18 +116,18 @@
         own.into_iter().next()
     }
 
-    /// One round of a report and its answer.
-    pub fn exchange(&mut self, number: usize, now: Timestamp) -> bool {
-        let Some(report) = self.gateways[number].report(now) else { return false };
+    /// Sends the report of a gateway that is due, and applies the answer; reports whether one was due.
+    pub fn exchange(&mut self, index: usize, now: Timestamp) -> bool {
+        let Some(report) = self.gateways[index].report(now) else { return false };
         if let Some(grant) = self.answer(now, &report) {
-            self.gateways[number].take(now, &grant);
+            self.gateways[index].take(now, &grant);
         }
         true
     }
 
-    /// Begins as many of so many operations as may begin.
-    pub fn begin(&mut self, number: usize, now: Timestamp, asked: u64) -> u64 {
-        let gateway = &mut self.gateways[number];
+    /// Requests `asked` operations one by one, and returns how many begin.
+    pub fn begin(&mut self, index: usize, now: Timestamp, asked: u64) -> u64 {
+        let gateway = &mut self.gateways[index];
         let begins = (0..asked).filter(|_| try_begin(gateway, now).is_ok());
         begins.count() as u64
     }
--- a/crates/core/tests/limits_load/world/callers.rs
+++ b/crates/core/tests/limits_load/world/callers.rs
@@ -1,49 +1,53 @@
-//! Callers: when they come, what becomes of their operations, and when they come back.
+//! Simulated callers: when they arrive, what becomes of their operations, and when they retry.
 
-use super::losses::DOCUMENTS;
-use super::{GATEWAYS, HOT, HOT_TENANT, STEP, TENANTS, World, at};
+use super::losses::DOCUMENT_DELAY;
+use super::{GATEWAYS, HOT_FROM, HOT_TENANT, STEP, TENANTS, World, at_ms};
 use corktack_core::limits::{OperationOutcome, OperationRequest, OverLimit, SettledRequest};
 use rand::Rng;
 
-/// Milliseconds that an operation may wait (0.8 of 0.22 of an objective of 500 ms).
-const WAIT: u64 = 88;
-/// Milliseconds: when what is counted begins, and the time in which all ask for more.
-const SETTLED: u64 = 15_000;
-const BURST: std::ops::Range<u64> = 20_000..26_000;
-/// Milliseconds over which callers come back that found nobody.
-const RETURN: u64 = 500;
-/// Milliseconds that a caller goes on for, and how often it comes back.
+/// Milliseconds that an operation may wait: 0.8 of 0.22 of an objective of 500 ms.
+const MAX_WAIT: u64 = 88;
+/// Time from which operations are counted, in milliseconds.
+const COUNTED_FROM: u64 = 15_000;
+/// Time range in which all tenants send more, in milliseconds.
+const BURST_TIME: std::ops::Range<u64> = 20_000..26_000;
+/// Milliseconds over which the callers that found no gateway return.
+const RETURN_SPREAD: u64 = 500;
+/// Milliseconds for which a caller goes on retrying.
 pub const PATIENCE: u64 = 6_000;
-const RETRIES: u32 = 2;
-/// What callers of a tenant got.
+/// Times that a refused caller retries.
+const MAX_RETRIES: u32 = 2;
+/// Operations that callers of a tenant requested and began.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Served {
-    pub asked: u64,
+    pub requested: u64,
     pub begun: u64,
 }
 
-/// A caller with one operation.
+/// Caller with one operation.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller {
     tenant: usize,
-    /// When it came, and since when it could be let in.
-    came: u64,
-    let_in: u64,
+    /// Time of arrival, in milliseconds.
+    arrived_at: u64,
+    /// Time at which a gateway could first admit the caller, in milliseconds.
+    admissible_at: u64,
     retries: u32,
 }
 
-/// What became of the callers that came while everything was lost, or in the second after.
+/// Results of the callers that arrived while all processes were lost, or in the second after.
 #[derive(Clone, Debug, Default)]
 pub struct Returned {
     pub callers: usize,
-    /// Milliseconds from when a caller could be let in until its operation began, of those that began.
+    /// For each operation that began, the milliseconds since a gateway could first admit its caller.
     pub begun_after: Vec<u64>,
-    /// Milliseconds after which refused callers were told to come back.
+    /// Milliseconds after which refused callers were told to retry.
     pub retry_after: Vec<u64>,
 }
 
 impl Returned {
-    /// Part of the callers whose operation began so many milliseconds after they could be let in.
+    /// Returns the fraction of the callers whose operation began within `millis` of when a gateway
+    /// could first admit them.
     pub fn begun_within(&self, millis: u64) -> f64 {
         let begun = self.begun_after.iter().filter(|after| **after <= millis).count();
         begun as f64 / self.callers as f64
@@ -51,117 +55,124 @@
 }
 
 impl World {
-    /// Operations a second of a tenant now.
+    /// Returns the operations a second that a tenant's callers request now.
     fn rate(&self, tenant: usize) -> f64 {
         let usual = self.tenants[tenant].1;
-        if BURST.contains(&self.now) {
+        if BURST_TIME.contains(&self.now) {
             usual * 1.5
-        } else if tenant == HOT_TENANT && self.now >= HOT && self.loss.is_none() {
+        } else if tenant == HOT_TENANT && self.now >= HOT_FROM && self.loss.is_none() {
             usual * 5.0
         } else {
             usual
         }
     }
 
-    pub fn arrive(&mut self) {
+    pub fn generate_callers(&mut self) {
         for tenant in 0..TENANTS {
             let expected = self.rate(tenant) * STEP as f64 / 1_000.0;
-            // As good as Poisson: several in a step are rare.
-            let whole =
-                expected.floor() as u64 + u64::from(self.draws.random_bool(expected.fract()));
-            for _ in 0..whole {
-                let (came, let_in) = (self.now, self.now);
-                self.come(Caller { tenant, came, let_in, retries: 0 });
+            // Approximates Poisson arrivals: several in a step are rare.
+            let count = expected.floor() as u64 + u64::from(self.rng.random_bool(expected.fract()));
+            for _ in 0..count {
+                let (arrived_at, admissible_at) = (self.now, self.now);
+                self.admit_or_return_later(Caller {
+                    tenant,
+                    arrived_at,
+                    admissible_at,
+                    retries: 0,
+                });
             }
         }
-        let due = self.coming.range(..=self.now).map(|(at, _)| *at).collect::<Vec<_>>();
-        for at in due {
-            let callers = self.coming.remove(&at).unwrap_or_default();
-            callers.into_iter().for_each(|caller| self.come(caller));
+        let due_times = self.returning.range(..=self.now).map(|(due, _)| *due).collect::<Vec<_>>();
+        for due in due_times {
+            let callers = self.returning.remove(&due).unwrap_or_default();
+            callers.into_iter().for_each(|caller| self.admit_or_return_later(caller));
         }
     }
 
-    /// A caller comes; where nobody lets it in it comes back once somebody does.
-    fn come(&mut self, mut caller: Caller) {
+    /// Lets a caller send its operation; where no gateway admits callers, it returns once one does.
+    fn admit_or_return_later(&mut self, mut caller: Caller) {
         let loss = self.loss.clone().filter(|loss| self.now >= loss.start);
-        let Some(loss) = loss else { return self.ask(caller) };
-        let open = loss.end + DOCUMENTS.end;
-        if self.now < open {
-            caller.let_in = open + self.draws.random_range(0..RETURN) / STEP * STEP;
-            self.coming.entry(caller.let_in).or_default().push(caller);
+        let Some(loss) = loss else { return self.request_operation(caller) };
+        let admitting_from = loss.end + DOCUMENT_DELAY.end;
+        if self.now < admitting_from {
+            caller.admissible_at =
+                admitting_from + self.rng.random_range(0..RETURN_SPREAD) / STEP * STEP;
+            self.returning.entry(caller.admissible_at).or_default().push(caller);
         } else {
-            self.ask(caller);
+            self.request_operation(caller);
         }
     }
 
-    fn ask(&mut self, caller: Caller) {
-        // Callers are spread over the gateways, and each gateway's operations are counted at one.
-        let counter = self.draws.random_range(0..GATEWAYS) % self.counters.len();
-        let now = at(self.now);
+    fn request_operation(&mut self, caller: Caller) {
+        // Callers are spread over the gateways; each gateway's operations are counted at one counter.
+        let counter = self.rng.random_range(0..GATEWAYS) % self.counters.len();
+        let now = at_ms(self.now);
         let name = &self.tenants[caller.tenant].0;
-        let ask = OperationRequest { operations: 1, priority: 1, until: at(self.now + WAIT) };
-        let asked = self.counters[counter].request(now, name, ask);
+        let request =
+            OperationRequest { operations: 1, priority: 1, until: at_ms(self.now + MAX_WAIT) };
+        let outcome = self.counters[counter].request(now, name, request);
         if caller.retries == 0 {
-            self.note(caller.tenant, |served| served.asked += 1);
+            self.record(caller.tenant, |served| served.requested += 1);
             self.returned.callers += usize::from(self.is_observed(caller));
         }
-        self.at_first.asked += u64::from(counter == 0);
-        match asked {
+        self.first_counter_served.requested += u64::from(counter == 0);
+        match outcome {
             OperationOutcome::Admitted(_) | OperationOutcome::Unlimited => {
-                self.begun(counter, caller);
+                self.record_begun(counter, caller);
             }
             OperationOutcome::Waiting(number) => {
                 self.waiting.insert((counter, number), caller);
             }
-            OperationOutcome::Refused(over) => self.refused(caller, over),
+            OperationOutcome::Refused(refusal) => self.handle_refusal(caller, refusal),
         }
     }
 
-    fn begun(&mut self, counter: usize, caller: Caller) {
-        self.at_first.begun += u64::from(counter == 0);
-        self.note(caller.tenant, |served| served.begun += 1);
+    fn record_begun(&mut self, counter: usize, caller: Caller) {
+        self.first_counter_served.begun += u64::from(counter == 0);
+        self.record(caller.tenant, |served| served.begun += 1);
         if self.is_observed(caller) {
-            self.returned.begun_after.push(self.now - caller.let_in);
+            self.returned.begun_after.push(self.now - caller.admissible_at);
         }
     }
 
-    fn refused(&mut self, caller: Caller, over: OverLimit) {
+    fn handle_refusal(&mut self, caller: Caller, refusal: OverLimit) {
         if self.loss.is_none() {
             return;
         }
-        let retry_after = over.retry_after.as_millis() as u64;
+        let retry_after = refusal.retry_after.as_millis() as u64;
         if self.is_observed(caller) {
             self.returned.retry_after.push(retry_after);
         }
-        let back = (self.now + retry_after).next_multiple_of(STEP);
-        if caller.retries < RETRIES && back < caller.came + PATIENCE {
+        let retry_at = (self.now + retry_after).next_multiple_of(STEP);
+        if caller.retries < MAX_RETRIES && retry_at < caller.arrived_at + PATIENCE {
             let caller = Caller { retries: caller.retries + 1, ..caller };
-            self.coming.entry(back).or_default().push(caller);
+            self.returning.entry(retry_at).or_default().push(caller);
         }
     }
 
-    /// Whether it came while everything was lost, or in the second after.
+    /// Reports whether a caller arrived while all processes were lost, or in the second after.
     fn is_observed(&self, caller: Caller) -> bool {
-        let near = |loss: &std::ops::Range<u64>| {
-            (loss.start..loss.end + DOCUMENTS.end + 1_000).contains(&caller.came)
+        let includes_arrival = |loss: &std::ops::Range<u64>| {
+            (loss.start..loss.end + DOCUMENT_DELAY.end + 1_000).contains(&caller.arrived_at)
         };
-        self.loss.as_ref().is_some_and(near)
+        self.loss.as_ref().is_some_and(includes_arrival)
     }
 
-    fn note(&mut self, tenant: usize, note: impl FnOnce(&mut Served)) {
-        if self.now >= SETTLED {
-            let phase = usize::from(self.now >= HOT);
-            note(&mut self.served[phase][tenant]);
+    fn record(&mut self, tenant: usize, update: impl FnOnce(&mut Served)) {
+        if self.now >= COUNTED_FROM {
+            let phase = usize::from(self.now >= HOT_FROM);
+            update(&mut self.served[phase][tenant]);
         }
     }
 
     pub fn settle(&mut self) {
         for counter in 0..self.counters.len() {
-            for SettledRequest { number, outcome } in self.counters[counter].settle(at(self.now)) {
-                let caller = self.waiting.remove(&(counter, number)).expect("it waited");
+            for SettledRequest { number, outcome } in self.counters[counter].settle(at_ms(self.now))
+            {
+                let caller = self.waiting.remove(&(counter, number)).expect("a waiting caller");
                 match outcome {
-                    Ok(_) => self.begun(counter, caller),
-                    Err(over) => self.refused(caller, over),
+                    Ok(_) => self.record_begun(counter, caller),
+                    Err(refusal) => self.handle_refusal(caller, refusal),
                 }
             }
         }
--- a/crates/core/tests/limits_load/world/messages.rs
+++ b/crates/core/tests/limits_load/world/messages.rs
@@ -1,33 +1,35 @@
-//! Messages between gateways, the leader and its log, and how long they take.
+//! Messages between gateways, the leader and its log, and their delays.
 
-use super::{World, at};
+use super::{World, at_ms};
 use corktack_core::limits::{AllowanceGrant, AllowanceReport, CeilingChange, LedgerAnswer};
 
-/// Milliseconds: on the way to the leader, until a ceiling is in the log, between regular and between urgent
-/// reports.
-const WAY: u64 = 21;
-const COMMIT: u64 = 45;
+/// Milliseconds that a message to or from the leader takes.
+const MESSAGE_DELAY: u64 = 21;
+/// Milliseconds until a change of a ceiling is committed to the log.
+const COMMIT_DELAY: u64 = 45;
+/// Milliseconds between two regular reports.
 const REPORT_INTERVAL: u64 = 250;
+/// Milliseconds between two urgent reports.
 const REPORT_SPACING: u64 = 20;
 pub enum Message {
     Report(AllowanceReport),
     Grant(AllowanceGrant),
-    /// Changes of ceilings are in the log.
-    Logged(Vec<CeilingChange>),
+    /// Changes of ceilings that have been committed to the log.
+    CeilingsLogged(Vec<CeilingChange>),
 }
 
 impl World {
-    pub fn take_messages(&mut self) {
+    pub fn deliver_messages(&mut self) {
         while let Some(entry) = self.messages.first_entry()
             && entry.key().0 <= self.now
         {
             match entry.remove() {
                 Message::Report(report) => self.answer(&report),
                 Message::Grant(grant) => {
-                    let now = at(self.now);
+                    let now = at_ms(self.now);
                     self.counters.iter_mut().for_each(|counter| counter.take(now, &grant));
                 }
-                Message::Logged(changes) => self.apply(changes),
+                Message::CeilingsLogged(changes) => self.apply(changes),
             }
         }
     }
@@ -46,39 +48,39 @@
         for counter in 0..self.counters.len() {
             let limits = &mut self.counters[counter];
             let spacing =
-                if limits.is_urgent(at(self.now)) { REPORT_SPACING } else { REPORT_INTERVAL };
+                if limits.is_urgent(at_ms(self.now)) { REPORT_SPACING } else { REPORT_INTERVAL };
             if self.now < self.reported_at[counter] + spacing {
                 continue;
             }
             self.reported_at[counter] = self.now;
-            if let Some(report) = limits.report(at(self.now)) {
+            if let Some(report) = limits.report(at_ms(self.now)) {
                 self.send(Message::Report(report));
             }
         }
     }
 
     fn answer(&mut self, report: &AllowanceReport) {
-        let answer = self.ledger.take_report(at(self.now), report, &self.terms);
+        let answer = self.ledger.take_report(at_ms(self.now), report, &self.terms);
         self.send_answer(answer);
     }
 
     pub fn send_answer(&mut self, LedgerAnswer { grants, ceilings }: LedgerAnswer) {
-        self.log(ceilings);
+        self.log_ceilings(ceilings);
         grants.into_iter().for_each(|grant| self.send(Message::Grant(grant)));
     }
 
-    pub fn log(&mut self, changes: Vec<CeilingChange>) {
+    pub fn log_ceilings(&mut self, changes: Vec<CeilingChange>) {
         if !changes.is_empty() {
-            self.send_after(COMMIT, Message::Logged(changes));
+            self.send_after(COMMIT_DELAY, Message::CeilingsLogged(changes));
         }
     }
 
     fn send(&mut self, message: Message) {
-        self.send_after(WAY, message);
+        self.send_after(MESSAGE_DELAY, message);
     }
 
     fn send_after(&mut self, delay: u64, message: Message) {
-        self.sent += 1;
-        self.messages.insert((self.now + delay, self.sent), message);
+        self.messages_sent += 1;
+        self.messages.insert((self.now + delay, self.messages_sent), message);
     }
 }
