--- a/crates/core/src/failover/calls.rs
+++ b/crates/core/src/failover/calls.rs
@@ -1,6 +1,6 @@
-//! What the failover manager takes in and what it wants done.
+//! Events that the failover manager handles and actions that it requests.
 //!
-//! Forms only: the shell carries out each action and answers it with an event, if only that it failed.
+//! The calling process performs each action and answers it with an event, also when the action failed.
 
 use super::evidence::MemberHealth;
 use crate::backend::MemberStatus;
@@ -9,47 +9,47 @@
 use crate::state::command::{Command, Outcome};
 use std::net::SocketAddr;
 
-/// Number of a proposal of one manager.
+/// Identifies a proposal among those of one manager.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProposalId(pub u64);
 
 /// The member of a group that a call goes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallTarget {
-    /// The group.
+    /// Group of the member.
     pub group: GroupName,
-    /// The member.
+    /// Name of the member within the group.
     pub member: MemberName,
-    /// Its address.
+    /// Address of the member.
     pub address: SocketAddr,
     /// Database to connect to.
     pub database: String,
 }
 
-/// What the shell is to do. Every call gets an answer, if only that it failed.
+/// An action that the calling process performs. Every action gets an answer, also when it failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FailoverAction {
     /// Propose a command, and report with [`FailoverEvent::Proposed`].
     Propose {
-        /// Number for the report.
+        /// Identifies the proposal in the report.
         proposal: ProposalId,
-        /// The command.
+        /// Command for the control log.
         command: Command,
     },
     /// Ask a member for its status, and report with [`FailoverEvent::Probed`].
     Probe(CallTarget),
     /// Make a member promise a term, and report with [`FailoverEvent::Fenced`].
     Fence {
-        /// The member.
+        /// Member to fence.
         target: CallTarget,
-        /// The term.
+        /// Term that the member must promise.
         term: Term,
     },
     /// Make a fenced member primary, and report with [`FailoverEvent::Promoted`].
     Promote {
-        /// The member.
+        /// Member to promote; it is fenced at the term.
         target: CallTarget,
-        /// The term.
+        /// Term of the new primary.
         term: Term,
     },
 }
@@ -57,10 +57,10 @@
 /// Why a fence or a promotion did not succeed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallFailure {
-    /// The member promised a higher term, named where the answer does.
+    /// The member has promised a higher term, given if the answer names it.
     #[error("a higher term was promised")]
     HigherTerm(Option<Term>),
-    /// No answer, or another error: it may or may not have happened.
+    /// The call had no answer or another error; it may have taken effect or not.
     #[error("the call failed")]
     Failed,
 }
@@ -68,62 +68,62 @@
 /// A member's answer to a fence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FenceAnswer {
-    /// The highest term it promised.
+    /// Highest term that the member promised.
     pub promised: Term,
-    /// Term and index of the last entry of its log.
+    /// Term and index of the last entry of the member's log.
     pub last_position: Position,
 }
 
-/// What the manager takes in.
+/// An observation, or the answer to an action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FailoverEvent {
     /// A proxy saw a change in the health of a member.
     Observed {
-        /// The proxy.
+        /// Proxy that reports.
         proxy: ProxyName,
-        /// The group.
+        /// Group of the member.
         group: GroupName,
-        /// The member.
+        /// Member that was observed.
         member: MemberName,
-        /// What it saw.
+        /// Health that the proxy found.
         health: MemberHealth,
     },
-    /// Answer to [`FailoverAction::Probe`]; none when the member gave none.
+    /// Answer to [`FailoverAction::Probe`].
     Probed {
-        /// The group.
+        /// Group of the member.
         group: GroupName,
-        /// The member.
+        /// Member that was called.
         member: MemberName,
-        /// What it said.
+        /// Status of the member; none when the member did not answer.
         status: Option<MemberStatus>,
     },
     /// Answer to [`FailoverAction::Fence`].
     Fenced {
-        /// The group.
+        /// Group of the member.
         group: GroupName,
-        /// The member.
+        /// Member that was called.
         member: MemberName,
         /// Term of the call.
         term: Term,
-        /// What it answered.
+        /// The member's answer, or why the call failed.
         result: Result<FenceAnswer, CallFailure>,
     },
     /// Answer to [`FailoverAction::Promote`].
     Promoted {
-        /// The group.
+        /// Group of the member.
         group: GroupName,
-        /// The member.
+        /// Member that was called.
         member: MemberName,
         /// Term of the call.
         term: Term,
-        /// An entry of the new term that a majority holds.
+        /// Position of an entry of the new term that a majority holds, or why the call failed.
         result: Result<Position, CallFailure>,
     },
     /// Answer to [`FailoverAction::Propose`].
     Proposed {
-        /// Number of the proposal.
+        /// Proposal that the outcome belongs to.
         proposal: ProposalId,
-        /// The outcome once committed and applied; none when it is not known.
+        /// Outcome after the command was committed and applied; none when the outcome is unknown.
         outcome: Option<Outcome>,
     },
 }
--- a/crates/core/src/failover/evaluation.rs
+++ b/crates/core/src/failover/evaluation.rs
@@ -1,4 +1,4 @@
-//! What one evaluation of a group has at hand, and what the evaluations of all groups want done.
+//! Inputs of one evaluation of a group, and the actions that the evaluations of all groups request.
 
 use super::calls::FailoverAction;
 use super::settings::FailoverSettings;
@@ -8,16 +8,16 @@
 use crate::time::Timestamp;
 use crate::view::GroupView;
 
-/// What the groups want done at one time.
+/// Calls and steps that the evaluations of all groups request.
 #[derive(Debug, Default)]
-pub(super) struct Wanted {
+pub(super) struct RequestedActions {
     pub calls: Vec<FailoverAction>,
     pub steps: Vec<(GroupName, FailoverStep)>,
 }
 
-/// What one evaluation of a group has at hand.
+/// Inputs of one evaluation of a group.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Evaluation<'a> {
+pub(super) struct EvaluationContext<'a> {
     pub now: Timestamp,
     pub settings: &'a FailoverSettings,
     pub state: &'a ControlState,
--- a/crates/core/src/failover/evidence.rs
+++ b/crates/core/src/failover/evidence.rs
@@ -1,7 +1,8 @@
-//! What is known of the members of one group, and by whom.
+//! Latest observations of the members of one group, by control and by the proxies.
 //!
-//! Owns what control's own probes and the proxies saw last, with its time. Relies on the manager to bring it;
-//! what it means for the primary is decided in [`super::suspicion`] and [`super::decide`].
+//! The module keeps the last result of control's own probes and the last report of each proxy, with
+//! their times. The manager records the observations; [`super::suspicion`] and [`super::decide`]
+//! derive decisions from them.
 
 use crate::backend::{MemberRole, MemberStatus};
 use crate::identity::{MemberName, ProxyName};
@@ -10,25 +11,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long the word of a proxy counts that is not the owner of the group. Chosen, not measured: with less,
-/// a primary may have no second observer; with more, an outdated word counts against it.
-pub(super) const OBSERVER_MEMORY: Duration = Duration::from_secs(5);
+/// How long the observation of a proxy counts that is not the owner of the group. With less time, a
+/// primary may have no second observer; with more, an outdated observation counts against the
+/// primary.
+pub(super) const OBSERVATION_MAX_AGE: Duration = Duration::from_secs(5);
 
-/// What an observer saw of one member.
+/// Health of one member as an observer found it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberHealth {
-    /// It answers as primary of a term.
+    /// The member answers as primary of this term.
     Primary(Term),
-    /// It answers and follows.
+    /// The member answers as a replica at this term.
     Replica(Term),
-    /// It answers and is fenced at a term.
+    /// The member answers and is fenced at this term.
     Fenced(Term),
-    /// It does not answer.
+    /// The member does not answer.
     Unreachable,
 }
 
 impl MemberHealth {
-    /// The term that the member named.
+    /// Returns the term that the member named; none if the member did not answer.
     #[must_use]
     pub const fn term(self) -> Option<Term> {
         match self {
@@ -37,13 +39,15 @@
         }
     }
 
-    /// Whether this speaks for or against a member being primary of `term`; none
-    /// when it was seen before that term.
+    /// Returns what the health says about the member as primary of `term`; none when
+    /// the observation belongs to an earlier term.
     pub(super) fn verdict(self, term: Term) -> Option<Verdict> {
         match self {
-            Self::Primary(seen) if seen >= term => Some(Verdict::Alive),
-            Self::Replica(seen) | Self::Fenced(seen) if seen >= term => Some(Verdict::Deposed),
-            Self::Unreachable => Some(Verdict::Missed),
+            Self::Primary(observed) if observed >= term => Some(Verdict::Alive),
+            Self::Replica(observed) | Self::Fenced(observed) if observed >= term => {
+                Some(Verdict::Deposed)
+            }
+            Self::Unreachable => Some(Verdict::Unreachable),
             _ => None,
         }
     }
@@ -60,78 +64,80 @@
     }
 }
 
-/// What an observation says about the primary of a term.
+/// What an observation says about the primary of a term: alive or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// It is primary.
+    /// The member is primary of the term or a higher one.
     Alive,
-    /// It says itself that it is not.
+    /// The member says that it is not primary.
     Deposed,
-    /// It does not answer.
-    Missed,
+    /// The member does not answer.
+    Unreachable,
 }
 
-/// A health and when it was asked for (by control) or reported (by a proxy).
+/// The health of a member, and when control asked for it or a proxy reported it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seen {
+pub(super) struct Observation {
     pub health: MemberHealth,
-    pub at: Timestamp,
+    pub observed_at: Timestamp,
 }
 
-/// What is known of one member.
+/// All observations of one member.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberEvidence {
-    /// What control's own probe saw last.
-    pub control: Option<Seen>,
-    /// When the probe under way was sent.
+    /// Result of control's last answered probe.
+    pub control: Option<Observation>,
+    /// When the probe in flight was sent.
     pub probe_sent: Option<Timestamp>,
     /// Highest term that the member is known to have promised.
     pub promised: Term,
-    /// What proxies saw last.
-    pub proxies: BTreeMap<ProxyName, Seen>,
+    /// Last report of each proxy.
+    pub proxies: BTreeMap<ProxyName, Observation>,
 }
 
 impl MemberEvidence {
-    /// Notes what a proxy saw.
-    pub fn observe(&mut self, now: Timestamp, proxy: ProxyName, health: MemberHealth) {
-        self.note_term(health.term());
-        self.proxies.insert(proxy, Seen { health, at: now });
+    /// Records the report of a proxy.
+    pub fn record_observation(&mut self, now: Timestamp, proxy: ProxyName, health: MemberHealth) {
+        self.record_term(health.term());
+        self.proxies.insert(proxy, Observation { health, observed_at: now });
     }
 
-    /// Notes the answer to control's own probe. It counts from when it was sent:
-    /// what the member said may have been true only then.
-    pub fn probed(&mut self, now: Timestamp, status: Option<&MemberStatus>) {
+    /// Records the answer to control's own probe. The observation carries the time at which the
+    /// probe was sent, as the answer may have been true only then.
+    pub fn record_probe(&mut self, now: Timestamp, status: Option<&MemberStatus>) {
         let health = status.map_or(MemberHealth::Unreachable, MemberHealth::from);
-        self.note_term(health.term());
-        let at = self.probe_sent.take().unwrap_or(now);
-        self.control = Some(Seen { health, at });
+        self.record_term(health.term());
+        let observed_at = self.probe_sent.take().unwrap_or(now);
+        self.control = Some(Observation { health, observed_at });
     }
 
-    /// Whether a probe is under way that may still be answered.
+    /// Reports whether a probe is in flight and has not timed out.
     pub fn is_being_probed(&self, now: Timestamp, timeout: Duration) -> bool {
         self.probe_sent.is_some_and(|sent| now.saturating_since(sent) < timeout)
     }
 
-    /// Notes a term that the member named.
-    pub fn note_term(&mut self, term: Option<Term>) {
+    /// Records a term that the member named as promised.
+    pub fn record_term(&mut self, term: Option<Term>) {
         self.promised = self.promised.max(term.unwrap_or_default());
     }
 
-    /// What control's own probe sent at `since` or later saw.
+    /// Returns the result of control's own probe if it was sent at `since` or later.
     pub fn control_since(&self, since: Timestamp) -> Option<MemberHealth> {
-        self.control.filter(|seen| seen.at >= since).map(|seen| seen.health)
+        self.control
+            .filter(|observation| observation.observed_at >= since)
+            .map(|observation| observation.health)
     }
 
-    /// All that is known, by control and by proxies.
+    /// Returns the health as found by control and by each proxy.
     pub fn healths(&self) -> impl Iterator<Item = MemberHealth> {
-        self.control.iter().chain(self.proxies.values()).map(|seen| seen.health)
+        self.control.iter().chain(self.proxies.values()).map(|observation| observation.health)
     }
 }
 
-/// What is known of all members of a group.
+/// Observations of all members of a group.
 pub(super) type GroupEvidence = BTreeMap<MemberName, MemberEvidence>;
 
-/// Members that answered a probe sent at `since` or later.
+/// Returns the members that answered a probe sent at `since` or later.
 pub(super) fn reachable(
     evidence: &GroupEvidence,
     since: Timestamp,
@@ -142,13 +148,13 @@
     answered.map(|(name, _)| name)
 }
 
-/// The highest term that any member is known to have promised.
-pub(super) fn highest_promise(evidence: &GroupEvidence) -> Term {
+/// Returns the highest term that any member is known to have promised.
+pub(super) fn highest_promised_term(evidence: &GroupEvidence) -> Term {
     evidence.values().map(|member| member.promised).max().unwrap_or_default()
 }
 
-/// The primary of the highest term that a majority of the members confirms: they
-/// follow it, or are it. A primary that is not confirmed cannot commit.
+/// Returns the primary of the highest term that a majority of the members confirms, as
+/// replicas of the term or as its primary. A primary that is not confirmed cannot commit.
 pub(super) fn confirmed_primary(
     evidence: &GroupEvidence,
     majority: usize,
@@ -162,7 +168,7 @@
     });
     let confirmed = primaries.filter(|(term, _)| {
         let confirms = |health| match health {
-            MemberHealth::Primary(seen) | MemberHealth::Replica(seen) => seen == *term,
+            MemberHealth::Primary(observed) | MemberHealth::Replica(observed) => observed == *term,
             _ => false,
         };
         let count = evidence.values().filter(|member| member.healths().any(confirms)).count();
--- a/crates/core/src/failover/mod.rs
+++ b/crates/core/src/failover/mod.rs
@@ -1,23 +1,24 @@
-//! Changes of a group's primary, decided by the leader of the control cell.
+//! Failover of a group's primary, decided by the leader of the control cell.
 //!
-//! [`FailoverManager`] lives on the leader only and is made afresh when a replica
-//! becomes leader. What must survive is in the control state: the term of a group
-//! and its primary, none while a failover is under way.
+//! [`FailoverManager`] exists on the leader only and is created anew when a replica
+//! becomes leader. The control state stores what must survive a change of leader: the
+//! term and the primary of each group. A group has no primary while a failover is under way.
 //!
 //! Safety rests on two invariants:
 //!
-//! 1. A term is begun by one entry of the control log, and only the leader that
+//! 1. One entry of the control log begins a term, and only the leader that
 //!    proposed that entry and saw it committed acts on the term. A leader that
-//!    finds a failover half done waits for a primary of its term, and begins a
-//!    higher term when there is none.
+//!    finds an unfinished failover waits for a primary of its term, and begins a
+//!    higher term when no primary appears.
 //! 2. In one term at most one member is ever asked to become primary, after a
 //!    majority of the members was fenced at exactly that term.
 //!
-//! So no term has two primaries, and a primary of an older term reaches no majority.
+//! So no term has two primaries, and a primary of an older term cannot reach a majority.
 //!
-//! Relies on the control log for terms, on proxies and on probes of its own for the health of members, and on
-//! the members to keep their promises. `manager` holds all groups, `monitor` one group, `decide` its rules,
-//! `suspicion` who counts as failed, `procedure` the steps to a new primary, `evidence` what is known.
+//! The module takes terms from the control log and the health of members from proxies and from its
+//! own probes, and relies on the members to keep their promises. `manager` holds all groups and
+//! `monitor` one group; `decide` holds the rules, `suspicion` the failure detection, `procedure`
+//! the steps to a new primary, and `evidence` the observations of members.
 
 mod calls;
 mod decide;
--- a/crates/core/src/failover/monitor.rs
+++ b/crates/core/src/failover/monitor.rs
@@ -1,10 +1,11 @@
-//! One group as the leader follows it.
+//! State that the leader keeps for one group.
 //!
-//! Owns the phase of the group, what is known of its members, and how often it has failed over lately. Takes in
-//! events and changes of the control state; what follows from them is decided in [`super::decide`].
+//! A monitor holds the phase of the group, the observations of its members, and the number of
+//! recent failovers. It applies events and changes of the control state; [`super::decide`] decides
+//! what follows from them.
 
 use super::calls::{CallFailure, FenceAnswer};
-use super::evaluation::Evaluation;
+use super::evaluation::EvaluationContext;
 use super::evidence::{GroupEvidence, MemberEvidence, MemberHealth};
 use super::procedure::{Fencing, Phase, Promoting, StepResult};
 use super::settings::FailoverSettings;
@@ -19,83 +20,91 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One group as the leader follows it.
+/// Failover state of one group.
 #[derive(Debug)]
 pub(super) struct Monitor {
-    /// The view that was followed last, to tell quickly whether it changed.
+    /// View of the group that was applied last; pointer equality tells cheaply that it is unchanged.
     view: Arc<GroupView>,
     pub evidence: GroupEvidence,
-    /// The stored primary and term.
+    /// Primary and term in the control state.
     stored: (Option<MemberName>, Term),
-    /// Since when they are known here.
+    /// When this leader first saw the stored primary and term.
     pub stored_at: Timestamp,
     pub phase: Phase,
     pub suspected_since: Option<Timestamp>,
     pub last_probe: Option<Timestamp>,
     /// When the next evaluation is due.
     pub due: Timestamp,
-    /// Terms begun since the last primary was announced.
+    /// Number of terms begun since the last primary was announced.
     attempts: u32,
-    /// Recent failovers.
+    /// Number of recent failovers, from which the cooldown follows.
     failovers: u32,
     last_failover: Option<Timestamp>,
 }
 
 impl Monitor {
-    /// Follows a group from now on, with the first evaluation at `start`.
+    /// Returns a monitor of the group whose first evaluation is due at `first_evaluation`.
     pub fn new(
         now: Timestamp,
-        start: Timestamp,
+        first_evaluation: Timestamp,
         settings: &FailoverSettings,
         group: &GroupRecord,
     ) -> Self {
         let members = group.view.spec.members.iter();
         let mut monitor = Self {
             view: Arc::clone(&group.view),
-            evidence: members.map(|it| (it.name.clone(), MemberEvidence::default())).collect(),
+            evidence: members
+                .map(|member| (member.name.clone(), MemberEvidence::default()))
+                .collect(),
             stored: (group.view.primary.clone(), group.view.term),
             stored_at: now,
             phase: Phase::Steady,
             suspected_since: None,
             last_probe: None,
-            due: start,
+            due: first_evaluation,
             attempts: 0,
             failovers: 0,
             last_failover: None,
         };
-        monitor.phase = monitor.stored_phase(now, settings);
+        monitor.phase = monitor.phase_from_stored(now, settings);
         monitor
     }
 
-    /// Takes in what the control state says of the group.
-    pub fn follow(&mut self, now: Timestamp, settings: &FailoverSettings, group: &GroupRecord) {
+    /// Applies the group's record in the control state.
+    pub fn apply_record(
+        &mut self,
+        now: Timestamp,
+        settings: &FailoverSettings,
+        group: &GroupRecord,
+    ) {
         if Arc::ptr_eq(&self.view, &group.view) {
             return;
         }
         let before = std::mem::replace(&mut self.view, Arc::clone(&group.view));
         self.due = now;
-        self.follow_members(&before.spec);
+        self.apply_members(&before.spec);
         let stored = (group.view.primary.clone(), group.view.term);
         if self.stored != stored {
             self.stored = stored;
             self.stored_at = now;
             self.suspected_since = None;
         }
-        self.follow_phase(now, settings);
+        self.revise_phase(now, settings);
     }
 
-    /// A failover under way counts members that may have changed, so it starts over.
-    /// What is known of a member holds for its address only.
-    fn follow_members(&mut self, before: &DatabaseGroupSpec) {
+    /// Applies a change of the members or their addresses. A failover under way starts over, as the
+    /// majority may be another one. Observations of a member are valid for its address only.
+    fn apply_members(&mut self, before: &DatabaseGroupSpec) {
         let spec = &self.view.spec;
-        let moved = |it: &MemberSpec| {
-            before.member(&it.name).is_none_or(|before| before.address != it.address)
+        let moved = |member: &MemberSpec| {
+            before.member(&member.name).is_none_or(|before| before.address != member.address)
         };
-        let same = spec.members.len() == before.members.len() && !spec.members.iter().any(moved);
-        if same {
+        let is_unchanged =
+            spec.members.len() == before.members.len() && !spec.members.iter().any(moved);
+        if is_unchanged {
             return;
         }
-        self.evidence.retain(|name, _| spec.member(name).is_some_and(|it| !moved(it)));
+        self.evidence.retain(|name, _| spec.member(name).is_some_and(|member| !moved(member)));
         for member in &spec.members {
             self.evidence.entry(member.name.clone()).or_default();
         }
@@ -104,63 +113,66 @@
         }
     }
 
-    fn follow_phase(&mut self, now: Timestamp, settings: &FailoverSettings) {
+    /// Restarts from the stored primary and term if they supersede the current phase.
+    fn revise_phase(&mut self, now: Timestamp, settings: &FailoverSettings) {
         let (primary, term) = &self.stored;
-        let overtaken = match &self.phase {
+        let is_superseded = match &self.phase {
             Phase::Steady => primary.is_none(),
             Phase::Assessing { .. } => primary.is_some() && self.stored_at == now,
-            // The outcome of the proposal tells how to go on.
+            // The outcome of the proposal decides the next phase.
             Phase::Decided(_) | Phase::Proposed { .. } => false,
-            Phase::Fencing(Fencing { term: own, .. })
-            | Phase::Promoting(Promoting { term: own, .. }) => {
-                term > own || (term == own && primary.is_some())
+            Phase::Fencing(Fencing { term: phase_term, .. })
+            | Phase::Promoting(Promoting { term: phase_term, .. }) => {
+                term > phase_term || (term == phase_term && primary.is_some())
             }
         };
-        if overtaken {
-            self.phase = self.stored_phase(now, settings);
+        if is_superseded {
+            self.phase = self.phase_from_stored(now, settings);
         }
     }
 
-    /// The phase that follows from the stored primary alone.
-    pub fn stored_phase(&mut self, now: Timestamp, settings: &FailoverSettings) -> Phase {
+    /// Returns the phase that follows from the stored primary and term alone.
+    pub fn phase_from_stored(&mut self, now: Timestamp, settings: &FailoverSettings) -> Phase {
         if self.stored.0.is_some() {
             self.attempts = 0;
             return Phase::Steady;
         }
         let new_group = self.stored.1 == Term::default();
-        let patience = if new_group { settings.bootstrap_wait } else { settings.resume_wait };
-        self.assessing(now, settings, patience)
+        let min_wait = if new_group { settings.bootstrap_wait } else { settings.resume_wait };
+        self.assessing_phase(now, settings, min_wait)
     }
 
-    /// Looks for a primary, the longer the more terms were begun in vain.
-    pub fn assessing(
+    /// Returns the phase that looks for an existing primary. Its wait grows with the number of terms
+    /// that were begun without a primary.
+    pub fn assessing_phase(
         &self,
         now: Timestamp,
         settings: &FailoverSettings,
-        patience: Duration,
+        min_wait: Duration,
     ) -> Phase {
         let backoff =
-            if self.attempts == 0 { Duration::ZERO } else { settings.retry(self.attempts) };
-        Phase::Assessing { since: now, patience: patience.max(backoff) }
+            if self.attempts == 0 { Duration::ZERO } else { settings.retry_delay(self.attempts) };
+        Phase::Assessing { since: now, min_wait: min_wait.max(backoff) }
     }
 
-    /// Whether the last failover is long enough ago for a next one.
-    pub fn has_cooled_down(&self, evaluation: Evaluation<'_>) -> bool {
+    /// Reports whether the cooldown after the last failover has passed.
+    pub fn has_cooled_down(&self, context: EvaluationContext<'_>) -> bool {
         self.last_failover.is_none_or(|last| {
-            evaluation.now.saturating_since(last) >= evaluation.settings.cooldown(self.failovers)
+            context.now.saturating_since(last) >= context.settings.cooldown(self.failovers)
         })
     }
 
-    fn count_failover(&mut self, now: Timestamp, settings: &FailoverSettings) {
-        let quiet = |last: Timestamp| now.saturating_since(last) >= settings.quiet_time;
-        if self.last_failover.is_some_and(quiet) {
+    fn record_failover(&mut self, now: Timestamp, settings: &FailoverSettings) {
+        let is_quiet = |last: Timestamp| now.saturating_since(last) >= settings.quiet_time;
+        if self.last_failover.is_some_and(is_quiet) {
             self.failovers = 0;
         }
         self.failovers += 1;
         self.last_failover = Some(now);
     }
 
-    pub fn observed(
+    /// Records the report of a proxy on a member.
+    pub fn on_observation(
         &mut self,
         now: Timestamp,
         proxy: ProxyName,
@@ -169,18 +181,25 @@
     ) {
         self.due = now;
         if let Some(evidence) = self.evidence.get_mut(member) {
-            evidence.observe(now, proxy, health);
+            evidence.record_observation(now, proxy, health);
         }
     }
 
-    pub fn probed(&mut self, now: Timestamp, member: &MemberName, status: Option<&MemberStatus>) {
+    /// Records the answer to a probe; `status` is none when the member did not answer.
+    pub fn on_probe_result(
+        &mut self,
+        now: Timestamp,
+        member: &MemberName,
+        status: Option<&MemberStatus>,
+    ) {
         self.due = now;
         if let Some(evidence) = self.evidence.get_mut(member) {
-            evidence.probed(now, status);
+            evidence.record_probe(now, status);
         }
     }
 
-    pub fn fenced(
+    /// Records the answer to a fence call.
+    pub fn on_fence_result(
         &mut self,
         now: Timestamp,
         member: MemberName,
@@ -191,7 +210,7 @@
         let Some(evidence) = self.evidence.get_mut(&member) else { return };
         match result {
             Ok(answer) => {
-                evidence.note_term(Some(answer.promised));
+                evidence.record_term(Some(answer.promised));
                 if let Phase::Fencing(fencing) = &mut self.phase
                     && fencing.term == term
                     && answer.promised == term
@@ -199,11 +218,12 @@
                     fencing.answers.insert(member, answer.last_position);
                 }
             }
-            Err(failure) => evidence.note_term(higher_term(failure, term)),
+            Err(failure) => evidence.record_term(promised_term(failure, term)),
         }
     }
 
-    pub fn promoted(
+    /// Records the answer to a promotion call.
+    pub fn on_promotion_result(
         &mut self,
         now: Timestamp,
         settings: &FailoverSettings,
@@ -214,29 +234,32 @@
         self.due = now;
         if let Err(failure) = result {
             let evidence = self.evidence.get_mut(member);
-            evidence.into_iter().for_each(|it| it.note_term(higher_term(failure, term)));
+            evidence
+                .into_iter()
+                .for_each(|evidence| evidence.record_term(promised_term(failure, term)));
         }
         let Phase::Promoting(promoting) = &mut self.phase else { return };
         if promoting.term != term || promoting.member != *member {
             return;
         }
         if result.is_err() {
-            promoting.ask_at = now + settings.retry(promoting.attempts);
+            promoting.next_ask_at = now + settings.retry_delay(promoting.attempts);
         } else {
             let step = FailoverStep::Complete { primary: member.clone(), term };
             self.phase = Phase::Decided(step);
         }
     }
 
-    pub fn proposed(
+    /// Handles the result of a proposed step.
+    pub fn on_step_result(
         &mut self,
         now: Timestamp,
         settings: &FailoverSettings,
         step: &FailoverStep,
         result: &StepResult,
     ) {
-        let Phase::Proposed { step: own, .. } = &self.phase else { return };
-        if own != step {
+        let Phase::Proposed { step: proposed, .. } = &self.phase else { return };
+        if proposed != step {
             return;
         }
         self.due = now;
@@ -247,18 +270,19 @@
             }
             (_, StepResult::Accepted) => {
                 if self.attempts > 0 {
-                    self.count_failover(now, settings);
+                    self.record_failover(now, settings);
                 }
-                self.phase = self.stored_phase(now, settings);
+                self.phase = self.phase_from_stored(now, settings);
             }
-            // Whatever became of it, the state and the members tell how to go on.
-            _ => self.phase = self.stored_phase(now, settings),
+            // The step was refused or its outcome is unknown: the control state and the members decide
+            // the next phase.
+            _ => self.phase = self.phase_from_stored(now, settings),
         }
     }
 }
 
-/// What a failed call tells of the member's promise.
-fn higher_term(failure: CallFailure, term: Term) -> Option<Term> {
+/// Returns the term that the member must have promised for the call to fail as it did.
+fn promised_term(failure: CallFailure, term: Term) -> Option<Term> {
     match failure {
         CallFailure::HigherTerm(promised) => Some(promised.unwrap_or(Term(term.0 + 1))),
         CallFailure::Failed => None,
--- a/crates/core/src/failover/settings.rs
+++ b/crates/core/src/failover/settings.rs
@@ -1,49 +1,50 @@
-//! Times of the failover procedure.
+//! Timeouts and intervals of the failover procedure.
 //!
-//! Measured together on real processes with these values and urgent observations: from the last write before a
-//! fault to the first one after, 0.8 to 1.1 s where a primary is killed, frozen or cut off (3 runs each); with
-//! a second observer's probes at 0.8 s instead of 0.4 s (a setting of the owner) 1.4 to 1.5 s where it is frozen
-//! or cut off. No single value below was measured against others: lower ones make a failover sooner and replace
-//! more primaries that serve, higher ones the other way round.
+//! With the default values and urgent observations, 0.8 to 1.1 s pass from the last write before a
+//! fault to the first write after it, where a primary is killed, frozen or cut off. If the second
+//! observer probes every 0.8 s instead of every 0.4 s (a setting of the owner), a frozen or cut off
+//! primary takes 1.4 to 1.5 s. Lower values make a failover sooner and replace more primaries that
+//! still serve; higher values do the opposite.
 
 use std::time::Duration;
 
-/// Most doublings of a delay, so that the shift cannot overflow.
+/// Highest number of doublings of a delay, so that the shift cannot overflow.
 const DOUBLING_LIMIT: u32 = 16;
 
-/// Times of the failover procedure.
+/// Timeouts, intervals and back-off limits of the failover procedure.
 #[derive(Clone, Debug)]
 pub struct FailoverSettings {
-    /// How long several observers must miss a primary before a failover begins.
+    /// How long several observers must find a primary unreachable before a failover begins.
     pub suspicion: Duration,
-    /// Between two probes of a member while there is doubt about its group.
+    /// Interval between two probes of a member while the state of its group is in doubt.
     pub probe_interval: Duration,
-    /// Between two probes of a primary that no owner reports on.
+    /// Interval between two probes of a primary that no proxy reports on.
     pub unobserved_interval: Duration,
-    /// Between two probes of a primary that its owner reports as well.
+    /// Interval between two probes of a primary that a proxy also reports on.
     pub sweep_interval: Duration,
-    /// How long a new leader leaves a failover of an earlier one to show its primary.
+    /// How long a new leader waits for the primary of a failover that an earlier leader began.
     pub resume_wait: Duration,
-    /// How long a group that moved to a higher term by itself has to show its primary.
+    /// How long the leader waits for the primary of a group that moved to a higher term by itself.
     pub adoption_wait: Duration,
-    /// How long a new group has to show its primary before one is chosen.
+    /// How long the leader waits for the primary of a new group before it promotes a member.
     pub bootstrap_wait: Duration,
-    /// How long a fenced majority waits for further members when it would
-    /// otherwise promote one that is draining.
+    /// How long the leader waits for further members to be fenced when the fenced
+    /// majority would otherwise promote a draining member.
     pub fence_settle: Duration,
-    /// Before a call without an answer, or a failed one, is made again the first time.
+    /// Delay before the first retry of a call that failed or had no answer.
     pub retry_first: Duration,
-    /// Longest such delay; it doubles from the first.
+    /// Longest retry delay; the delay doubles from [`FailoverSettings::retry_first`].
     pub retry_last: Duration,
-    /// Before a probe, promotion or proposal without an answer is given up; over the
-    /// timeouts of the shell, which answers every one of them.
+    /// Timeout for the answer to a probe, a promotion or a proposal. Exceeds the timeouts of
+    /// the calling process, which answers each of them.
     pub answer_timeout: Duration,
-    /// Between a failover of a group and its next one, the first time.
+    /// Shortest time between a failover of a group and its next failover.
     pub cooldown_first: Duration,
-    /// Longest such time; it doubles with every failover that follows within
+    /// Longest cooldown; the cooldown doubles with every failover that follows within
     /// [`FailoverSettings::quiet_time`].
     pub cooldown_last: Duration,
-    /// After this time without a failover the cooldown starts from the first again.
+    /// Time without a failover after which the cooldown starts from
+    /// [`FailoverSettings::cooldown_first`] again.
     pub quiet_time: Duration,
 }
 
@@ -69,17 +70,17 @@
 }
 
 impl FailoverSettings {
-    /// Delay before the attempt that follows `attempts` failed ones.
-    pub(super) fn retry(&self, attempts: u32) -> Duration {
-        doubled(self.retry_first, attempts.saturating_sub(1)).min(self.retry_last)
+    /// Returns the delay before the attempt that follows `attempts` failed attempts.
+    pub(super) fn retry_delay(&self, attempts: u32) -> Duration {
+        exponential_delay(self.retry_first, attempts.saturating_sub(1)).min(self.retry_last)
     }
 
-    /// Time to the next failover after this many recent ones.
+    /// Returns the least time to the next failover after `failovers` recent failovers.
     pub(super) fn cooldown(&self, failovers: u32) -> Duration {
-        doubled(self.cooldown_first, failovers.saturating_sub(1)).min(self.cooldown_last)
+        exponential_delay(self.cooldown_first, failovers.saturating_sub(1)).min(self.cooldown_last)
     }
 }
 
-fn doubled(first: Duration, times: u32) -> Duration {
-    first.saturating_mul(1 << times.min(DOUBLING_LIMIT))
+fn exponential_delay(first: Duration, doublings: u32) -> Duration {
+    first.saturating_mul(1 << doublings.min(DOUBLING_LIMIT))
 }
--- a/crates/core/src/failover/suspicion.rs
+++ b/crates/core/src/failover/suspicion.rs
@@ -1,45 +1,47 @@
-//! When a primary counts as failed.
+//! Failure detection for a primary, by a vote of its observers.
 //!
 //! One observer is never enough, as it may itself be cut off. A primary is
-//! suspected when more observers miss it than see it and at least two miss it
-//! (its owner, another proxy, control's own probe), or when it tells control's
-//! probe itself that it is not primary. Control's probe alone counts only while
-//! no proxy has anything to say, and then for [`LONE_OBSERVER_FACTOR`] times as long.
+//! suspected when more observers find it unreachable than find it alive, and at least
+//! two find it unreachable (its owner, another proxy, control's own probe), or when it
+//! answers control's probe that it is not primary. Control's probe alone decides only
+//! while no proxy reports on the primary, and then takes [`SINGLE_OBSERVER_FACTOR`] times as long.
 //!
-//! Owns nothing. Relies on [`super::evidence`] for what was seen, and on the view for who owns the group.
+//! The module holds no state. The observations come from [`super::evidence`], and the owner of the
+//! group from the view.
 
-use super::evidence::{MemberEvidence, MemberHealth, OBSERVER_MEMORY, Seen, Verdict};
+use super::evidence::{MemberEvidence, MemberHealth, OBSERVATION_MAX_AGE, Observation, Verdict};
 use crate::identity::ProxyName;
 use crate::position::Term;
 use crate::state::ControlState;
 use crate::time::Timestamp;
 use crate::view::{GroupView, ProxyState};
 
-/// How much longer control must miss a primary that no proxy reports on: 1.5 s by default. Chosen, not measured:
-/// with less, a cut that only control sees replaces a primary that serves.
-pub(super) const LONE_OBSERVER_FACTOR: u32 = 3;
+/// Factor on the suspicion time when control is the only observer of a primary: 1.5 s by default.
+/// With a lower factor, a network partition that only control sees replaces a primary that still
+/// serves.
+pub(super) const SINGLE_OBSERVER_FACTOR: u32 = 3;
 
-/// Fewest observers that must miss a primary: one may itself be cut off.
-const OBSERVERS_NEEDED: usize = 2;
+/// Least number of observers that must find a primary unreachable: one observer may itself be cut off.
+const MIN_OBSERVERS: usize = 2;
 
-/// What the observers of a primary say together.
+/// Combined result of all observations of a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Suspicion {
-    /// It is primary.
+    /// No observer reports the primary as failed.
     None,
-    /// Somebody misses it, which is not enough.
-    Doubt,
-    /// Only control misses it and no proxy reports on it.
-    LoneObserver,
-    /// Enough observers miss it.
-    Missed,
-    /// It says that it is not primary, at this term.
+    /// Too few observers report the primary as failed.
+    Inconclusive,
+    /// Only control finds the primary failed, and no proxy reports on it.
+    SingleObserver,
+    /// Enough observers report the primary as failed.
+    Unreachable,
+    /// The member says that it is not primary, at this term.
     Deposed(Term),
 }
 
-/// Weighs what is known of the primary of a group. Control's word counts when it
-/// asked after the primary was announced at `announced`.
-pub(super) fn weigh(
+/// Combines the observations of the primary of a group. Control's observation counts only if
+/// its probe was sent at `announced`, when the primary was announced, or later.
+pub(super) fn evaluate_observations(
     evidence: &MemberEvidence,
     view: &GroupView,
     state: &ControlState,
@@ -52,41 +54,47 @@
         let term = control.and_then(MemberHealth::term).unwrap_or(view.term);
         return Suspicion::Deposed(term);
     }
-    let valid =
-        evidence.proxies.iter().filter(|(proxy, seen)| counts(proxy, seen, view, state, now));
-    let proxies: Vec<_> = valid.filter_map(|(_, seen)| seen.health.verdict(view.term)).collect();
-    let verdicts = || proxies.iter().chain(&control_verdict);
+    let valid = evidence
+        .proxies
+        .iter()
+        .filter(|(proxy, observation)| is_current(proxy, observation, view, state, now));
+    let proxy_verdicts: Vec<_> =
+        valid.filter_map(|(_, observation)| observation.health.verdict(view.term)).collect();
+    let verdicts = || proxy_verdicts.iter().chain(&control_verdict);
     let alive = verdicts().filter(|verdict| **verdict == Verdict::Alive).count();
-    let against = verdicts().count() - alive;
-    if against >= OBSERVERS_NEEDED && against > alive {
-        return Suspicion::Missed;
+    let failed = verdicts().count() - alive;
+    if failed >= MIN_OBSERVERS && failed > alive {
+        return Suspicion::Unreachable;
     }
-    if against == 0 {
+    if failed == 0 {
         return Suspicion::None;
     }
-    if proxies.is_empty() { Suspicion::LoneObserver } else { Suspicion::Doubt }
+    if proxy_verdicts.is_empty() { Suspicion::SingleObserver } else { Suspicion::Inconclusive }
 }
 
-/// Whether any proxy's word on the primary counts.
+/// Reports whether any proxy has a current observation of the primary.
 pub(super) fn is_observed(
     evidence: &MemberEvidence,
     view: &GroupView,
     state: &ControlState,
     now: Timestamp,
 ) -> bool {
-    evidence.proxies.iter().any(|(proxy, seen)| counts(proxy, seen, view, state, now))
+    evidence
+        .proxies
+        .iter()
+        .any(|(proxy, observation)| is_current(proxy, observation, view, state, now))
 }
 
-/// A proxy reports changes only, so an owner's word stands until it goes; that of
-/// another proxy may be out of date.
-fn counts(
+/// Reports whether an observation by a proxy still counts. A proxy reports changes only, so the
+/// observation of the owner counts as long as the owner runs; that of another proxy may be out of date.
+fn is_current(
     proxy: &ProxyName,
-    seen: &Seen,
+    observation: &Observation,
     view: &GroupView,
     state: &ControlState,
     now: Timestamp,
 ) -> bool {
     let running = state.proxy(proxy).is_some_and(|proxy| proxy.state != ProxyState::Down);
     let owner = view.owner.as_ref() == Some(proxy);
-    running && (owner || now.saturating_since(seen.at) <= OBSERVER_MEMORY)
+    running && (owner || now.saturating_since(observation.observed_at) <= OBSERVATION_MAX_AGE)
 }
