--- a/crates/core/src/registry/back_end.rs
+++ b/crates/core/src/registry/back_end.rs
@@ -1,6 +1,7 @@
-//! Back ends as they report themselves.
+//! Heartbeats of back ends and the registration that follows from them.
 //!
-//! Forms only: heartbeats travel and are stored in the log, so that the order and number of fields stay.
+//! Heartbeats are sent between replicas and stored in the log by position, so the order and number
+//! of the fields must not change.
 
 use crate::identity::{GroupName, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -10,46 +11,46 @@
 /// Whether a back end takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum BackEndState {
-    /// It does.
+    /// The back end takes new work.
     Ready,
-    /// It is leaving; this state is final for its identity.
+    /// The back end is leaving; the state is final for its identity.
     Draining,
 }
 
-/// How a back end sees itself in its group.
+/// Role in its group that a back end reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackEndRole {
-    /// It takes writes.
+    /// The back end takes writes.
     Primary,
-    /// It follows.
+    /// The back end replicates from the primary.
     Replica,
 }
 
 /// A registered back end as proxies see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegisteredBackEnd {
-    /// Its group.
+    /// Group that the back end belongs to.
     pub group: GroupName,
-    /// Where it is reached.
+    /// Address at which proxies connect to the back end.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone that the back end runs in.
     pub zone: ZoneName,
-    /// Statements that it runs at once.
+    /// Number of statements that the back end runs concurrently.
     pub capacity: u32,
-    /// Whether it takes new work.
+    /// Whether the back end takes new work.
     pub state: BackEndState,
-    /// How it sees itself.
+    /// Role that the back end reports.
     pub role: BackEndRole,
 }
 
 /// One heartbeat of a back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackEndReport {
-    /// What it says of itself.
+    /// The back end's description of itself.
     pub back_end: RegisteredBackEnd,
-    /// Rises with each heartbeat, so that a late one is known.
+    /// Rises with each heartbeat, so that a delayed heartbeat is recognised.
     pub sequence: u64,
-    /// How much longer it is slow after its start. Nothing reads it; it stays since reports are stored and sent in
-    /// this form.
+    /// Remaining warm-up time after the start of the back end. Unused; kept because reports are
+    /// stored and sent with this field.
     pub warmup: Duration,
 }
--- a/crates/core/src/registry/document.rs
+++ b/crates/core/src/registry/document.rs
@@ -1,7 +1,8 @@
 //! The whole configuration of a deployment as one versioned document.
 //!
-//! Owns the checks of what its parts say of each other. The document is stored and sent: order and number of
-//! fields stay. Its text is read elsewhere and kept beside it.
+//! The module checks the references between the parts of a document. Documents are stored and sent
+//! by position, so the order and number of the fields must not change. The source text is parsed
+//! elsewhere and stored with the document.
 
 use crate::identity::GroupName;
 use crate::tenancy::{TenantError, TenantRule, check_tenants};
@@ -11,81 +12,81 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a read on a route may miss.
+/// Which acknowledged commits a read on a route may miss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Consistency {
-    /// No commit that was acknowledged before the read began.
+    /// The read misses no commit that was acknowledged before the read began.
     Linearizable,
-    /// Commits acknowledged less than this long before the read began.
+    /// The read may miss commits acknowledged less than this time before the read began.
     BoundedStaleness(Duration),
-    /// As [`Consistency::BoundedStaleness`], but never a commit of the same session.
+    /// As [`Consistency::BoundedStaleness`], but the read misses no commit of the same session.
     ReadYourWrites(Duration),
 }
 
-/// How statements of one database name are served.
+/// Rule by which statements for one database name are served.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteRule {
     /// Name of the route.
     pub name: String,
     /// Database name that callers ask for.
     pub database: String,
-    /// Path below the database name; two routes may share a name and differ here.
+    /// Path below the database name; two routes with the same database name differ in the path.
     pub path_prefix: String,
-    /// What a read may miss.
+    /// Consistency of the reads on the route.
     pub consistency: Consistency,
-    /// Longest time for one statement.
+    /// Timeout of one statement; must be above 0.
     pub statement_timeout: Duration,
-    /// Time within which an operation should be answered.
+    /// Target latency of an operation.
     pub latency_objective: Duration,
     /// Priority class; 0 is served first.
     pub priority: u32,
-    /// The group that serves it.
+    /// Group that serves the route.
     pub group: GroupName,
-    /// Members that a read may be offered to.
+    /// Highest number of members that a read is tried on.
     pub attempts: u32,
-    /// Whether callers are served without a key, also where there are tenants.
+    /// Whether callers are served without a key, even if the document declares tenants.
     pub public: bool,
 }
 
-/// What is declared of one group of back ends.
+/// Declared settings of one group of back ends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRule {
-    /// Its name.
+    /// Name of the group.
     pub name: GroupName,
-    /// Connections that each member accepts from all proxies together.
+    /// Number of connections that each member accepts from all proxies together.
     pub max_connections: u32,
-    /// Replicas that hold a commit before it is acknowledged.
+    /// Number of replicas that hold a commit before it is acknowledged.
     pub synchronous_replicas: u32,
 }
 
-/// Limits that hold for all routes.
+/// Limits that apply to all routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentLimits {
-    /// Longest time that a transaction may be idle between two statements.
+    /// Timeout of an idle transaction between two statements.
     pub transaction_idle: Duration,
 }
 
-/// The whole configuration.
+/// A version of the whole configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The highest version is in force.
+    /// Version number; the document with the highest version is in force.
     pub version: u64,
-    /// The routes.
+    /// Routes by which statements are served.
     pub routes: Vec<RouteRule>,
-    /// The groups.
+    /// Groups of back ends that the routes refer to.
     pub services: Vec<ServiceRule>,
-    /// Limits for all routes.
+    /// Limits that apply to all routes.
     pub limits: DocumentLimits,
-    /// The tenants; none where callers are served without a key.
+    /// Declared tenants; none if callers are served without a key.
     pub tenants: Option<Vec<TenantRule>>,
 }
 
-/// A document together with the text it was read from, which is given back as it came.
+/// A document and its source text, which is returned unchanged.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredDocument {
-    /// What the text says.
+    /// Parsed content of the text.
     pub document: Arc<Document>,
-    /// The text, which holds callers' keys.
+    /// Source text, which contains callers' keys and is left out of `Debug` output.
     pub source: Arc<str>,
 }
 
@@ -96,45 +97,45 @@
     }
 }
 
-/// Why a document cannot be put in force.
+/// Why a document is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum DocumentError {
     /// A route names a group that the document does not declare.
     #[error("route {route:?}: service {service:?} is not declared")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The name that is missing.
+        /// Name of the undeclared group.
         service: String,
     },
-    /// Two routes answer for the same database name and path.
+    /// Two routes have the same database name and path.
     #[error("route {route:?}: another route has the same database name and path")]
     DuplicateRoute {
-        /// The second of the routes.
+        /// Name of the second of the two routes.
         route: String,
     },
-    /// A route gives its statements no time at all.
+    /// The statement timeout of a route is 0.
     #[error("route {route:?}: the statement timeout is 0")]
     NoTime {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// Two groups have the same name.
     #[error("service {service:?} is declared twice")]
     DuplicateService {
-        /// The name.
+        /// Name that is declared twice.
         service: String,
     },
-    /// The tenants cannot be put in force.
+    /// The declared tenants are invalid.
     #[error(transparent)]
     Tenants(#[from] TenantError),
 }
 
 impl Document {
-    /// Checks what the parts of a document say of each other.
+    /// Checks the references between the parts of the document, and the tenants.
     ///
     /// # Errors
-    /// [`DocumentError`], which names the route, service or tenant.
+    /// [`DocumentError`], which names the invalid route, service or tenant.
     pub fn check(&self) -> Result<(), DocumentError> {
         let mut services = BTreeSet::new();
         for service in &self.services {
@@ -143,9 +144,9 @@
                 return Err(DocumentError::DuplicateService { service });
             }
         }
-        let mut places = BTreeSet::new();
+        let mut paths = BTreeSet::new();
         for route in &self.routes {
-            self.check_route(route, &services, &mut places)?;
+            self.check_route(route, &services, &mut paths)?;
         }
         check_tenants(self.tenants.as_deref().unwrap_or_default())?;
         Ok(())
@@ -155,13 +156,13 @@
         &self,
         rule: &'d RouteRule,
         services: &BTreeSet<&GroupName>,
-        places: &mut BTreeSet<(&'d str, &'d str)>,
+        paths: &mut BTreeSet<(&'d str, &'d str)>,
     ) -> Result<(), DocumentError> {
         let route = rule.name.clone();
         if !services.contains(&rule.group) {
             return Err(DocumentError::UnknownService { route, service: rule.group.to_string() });
         }
-        if !places.insert((&rule.database, &rule.path_prefix)) {
+        if !paths.insert((&rule.database, &rule.path_prefix)) {
             return Err(DocumentError::DuplicateRoute { route });
         }
         if rule.statement_timeout.is_zero() {
@@ -170,13 +171,13 @@
         Ok(())
     }
 
-    /// The route of a database name.
+    /// Returns the first route of a database name.
     #[must_use]
     pub fn route(&self, database: &str) -> Option<&RouteRule> {
         self.routes.iter().find(|route| route.database == database)
     }
 
-    /// What is declared of a group.
+    /// Returns the declared settings of a group.
     #[must_use]
     pub fn service(&self, name: &GroupName) -> Option<&ServiceRule> {
         self.services.iter().find(|service| service.name == *name)
--- a/crates/core/src/registry/document_change.rs
+++ b/crates/core/src/registry/document_change.rs
@@ -1,51 +1,51 @@
-//! What turns a configuration document into the next one.
+//! Difference between two versions of the configuration document.
 //!
-//! Gateways are sent what is other in a new document: a document of 1,500 routes is 66 KB, a
-//! changed time-out of one route some 60 bytes, and both go to every gateway.
-//!
-//! Owns nothing; a gateway that holds another version than the change is for asks for the whole document.
+//! Gateways are sent the difference to the previous document: a document of 1,500 routes is 66 KB, a
+//! changed timeout of one route some 60 bytes, and either goes to every gateway. A gateway that holds
+//! another version than the base of the change requests the whole document.
 
 use super::document::{Document, DocumentLimits, RouteRule, ServiceRule};
 use crate::list_difference::{ListStep, StepsMismatch, follow_steps, list_steps};
 use crate::tenancy::TenantRule;
 use serde::{Deserialize, Serialize};
 
-/// Part of the entries of a document that may be new in it for the change to be sent in its place. Chosen, not
-/// measured: with more, changes are sent that save little.
-const LARGEST_PART: f64 = 0.5;
+/// Largest fraction of new or changed entries at which a change is sent instead of the document.
+/// With a larger fraction, changes are sent that save little.
+const MAX_CHANGED_FRACTION: f64 = 0.5;
 
-/// What turns a document into the next one.
+/// The change that turns one document into a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentChange {
-    /// Version of the document that it is for.
+    /// Version of the document that the change applies to.
     pub former: u64,
-    /// Version of the document that it leads to.
+    /// Version of the document that results from the change.
     pub version: u64,
     routes: Vec<ListStep<RouteRule>>,
     services: Vec<ListStep<ServiceRule>>,
     limits: DocumentLimits,
-    /// None where callers are served without a key.
+    /// Changes of the tenants; none if callers are served without a key after the change.
     tenants: Option<Vec<ListStep<TenantRule>>>,
 }
 
-/// A change that cannot be applied to the document that is there.
+/// Why a change cannot be applied to the document in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentChangeError {
-    /// It is for another document.
+    /// The change is for another version of the document.
     #[error("the change is for version {expected}, and version {found:?} is there")]
     OtherVersion {
-        /// Version that it is for.
+        /// Version that the change applies to.
         expected: u64,
-        /// Version that is there; none where there is no document.
+        /// Version of the document in force; none if there is no document.
         found: Option<u64>,
     },
-    /// A list has another length than in the document that it is for.
+    /// A list of the document has another length than the change expects.
     #[error(transparent)]
     OtherList(#[from] StepsMismatch),
 }
 
 impl DocumentChange {
-    /// What turns one document into another; none where that would not be much less than the whole.
+    /// Returns the change from `former` to `document`; none if the change would not be much smaller
+    /// than the document.
     #[must_use]
     pub fn between(former: &Document, document: &Document) -> Option<Self> {
         let tenants_before = former.tenants.as_deref().unwrap_or_default();
@@ -56,29 +56,30 @@
             routes: list_steps(&former.routes, &document.routes, |route| &route.name),
             services: list_steps(&former.services, &document.services, |service| &service.name),
             limits: document.limits,
-            tenants: tenants.map(|it| list_steps(tenants_before, it, |tenant| &tenant.name)),
+            tenants: tenants
+                .map(|tenants| list_steps(tenants_before, tenants, |tenant| &tenant.name)),
         };
         let entries = document.routes.len() + tenants.map_or(0, <[_]>::len);
-        let is_small = change.weight() as f64 <= entries as f64 * LARGEST_PART;
+        let is_small = change.weight() as f64 <= entries as f64 * MAX_CHANGED_FRACTION;
         is_small.then_some(change)
     }
 
-    /// Routes and tenants that it brings.
+    /// Returns the number of routes and tenants that the change inserts.
     #[must_use]
     pub fn weight(&self) -> usize {
         let tenants = self.tenants.as_deref().unwrap_or_default();
-        inserted(&self.routes) + inserted(tenants)
+        inserted_count(&self.routes) + inserted_count(tenants)
     }
 
-    /// The document that it leads to.
+    /// Returns the document that results from applying the change to `former`.
     ///
     /// # Errors
-    /// [`DocumentChangeError`] where it is for another document.
+    /// [`DocumentChangeError`] if the change is for another document.
     pub fn apply(&self, former: Option<&Document>) -> Result<Document, DocumentChangeError> {
-        let found = former.map(|it| it.version);
-        let former = former.filter(|it| it.version == self.former);
-        let other = DocumentChangeError::OtherVersion { expected: self.former, found };
-        let former = former.ok_or(other)?;
+        let found = former.map(|document| document.version);
+        let former = former.filter(|document| document.version == self.former);
+        let mismatch = DocumentChangeError::OtherVersion { expected: self.former, found };
+        let former = former.ok_or(mismatch)?;
         let tenants_before = former.tenants.as_deref().unwrap_or_default();
         let tenants = self.tenants.as_ref();
         Ok(Document {
@@ -86,12 +87,12 @@
             routes: follow_steps(&former.routes, &self.routes)?,
             services: follow_steps(&former.services, &self.services)?,
             limits: self.limits,
-            tenants: tenants.map(|it| follow_steps(tenants_before, it)).transpose()?,
+            tenants: tenants.map(|steps| follow_steps(tenants_before, steps)).transpose()?,
         })
     }
 }
 
-fn inserted<T>(steps: &[ListStep<T>]) -> usize {
+fn inserted_count<T>(steps: &[ListStep<T>]) -> usize {
     let count = |step: &ListStep<T>| match step {
         ListStep::Insert(entries) => entries.len(),
         ListStep::Keep(_) | ListStep::Drop(_) => 0,
--- a/crates/core/src/registry/mod.rs
+++ b/crates/core/src/registry/mod.rs
@@ -1,12 +1,12 @@
-//! Back ends that register themselves, and the configuration as one versioned document.
+//! Registration of back ends by heartbeat, and the configuration as one versioned document.
 //!
-//! Beside the resources that operators declare one by one, a deployment may hand its whole
-//! configuration over as one [`Document`] and let its back ends register by heartbeat. Both are
+//! Besides the resources that operators declare one by one, a deployment may submit its whole
+//! configuration as one [`Document`] and let its back ends register by heartbeat. Both are
 //! part of the control state: a change is acknowledged only once the log has committed it.
 //!
-//! Owns the document in force, the registered back ends, the decisions on who leads and the ceilings of limits
-//! ([`RegistryState`]); beside it what the leader decides from them (`promotion`, `cell_repair`). Relies on the
-//! log of the cell for order.
+//! [`RegistryState`] holds the document in force, the registered back ends, the promotion decisions
+//! and the ceilings of tenants' limits. The cell's log orders all changes. The leader replaces
+//! primaries (`promotion`) and cell replicas (`cell_repair`) on the basis of this state.
 
 mod back_end;
 mod cell_repair;
--- a/crates/core/src/registry/promotion/evaluation.rs
+++ b/crates/core/src/registry/promotion/evaluation.rs
@@ -1,107 +1,114 @@
-//! Decides whether the primary of a group has to be replaced, or the leader has to ask it itself.
+//! Decides whether the primary of a group must be replaced, or must first be asked by the leader.
 //!
-//! Inputs: the group's registered members, the gateways that report that they don't reach the primary, how many
-//! gateways report and how many have gone silent ([`GatewayContact`]), and times of [`super::PromotionSettings`].
-//! Owns nothing but when a suspicion or a vacancy began. The first that applies decides:
-//! 1. No primary is registered for [`super::PromotionSettings::vacancy_limit`]: the members are asked.
-//! 2. The primary is leaving: the members are asked at once.
-//! 3. At least [`SUSPECTING_PART`] of the gateways, silent ones counted in the whole, and no fewer than
-//!    [`FEWEST_SUSPECTING`] don't reach it: the members are asked at once.
-//! 4. Fewer don't reach it, for [`super::PromotionSettings::suspicion_pause`] (and for
-//!    [`super::PromotionSettings::cut_patience`] while more are silent): the leader asks the primary as well.
+//! The decision depends on the group's registered members, the gateways that report the primary as
+//! unreachable, the numbers of reporting and silent gateways ([`GatewayContact`]), and the timeouts
+//! of [`super::PromotionSettings`]. The state of a group records only when a suspicion or a vacancy
+//! began. The first rule that applies decides:
+//! 1. No primary is registered for [`super::PromotionSettings::vacancy_timeout`]: the leader asks
+//!    the members.
+//! 2. The primary is leaving: the leader asks the members at once.
+//! 3. The primary is unreachable for at least [`SUSPECTING_FRACTION`] of all gateways, including
+//!    the silent ones, and for no fewer than [`MIN_SUSPECTING`]: the leader asks the members at
+//!    once.
+//! 4. The primary is unreachable for fewer gateways, for
+//!    [`super::PromotionSettings::suspicion_delay`] (and for
+//!    [`super::PromotionSettings::partition_grace`] while more gateways are silent): the leader
+//!    asks the primary as well.
 
 use super::evidence::{candidates, primary_of};
-use super::{GatewayContact, GroupDuty, LOG_TARGET, PromotionDuty};
+use super::{GatewayContact, GroupState, LOG_TARGET, PromotionDuty};
 use crate::identity::{GroupName, MemberName};
 use crate::registry::back_end::BackEndState;
 use crate::registry::state::RegistryState;
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// Part of the gateways whose word is enough, without a sample of the leader's own: fewer are served
-/// through the others meanwhile. With 0.3, and fewer believed at once, a cut that left one gateway of seven with
-/// control replaced a primary that the other six reached, and they had none for 6.5 s; with this, and with
-/// detours, worth of that day rose from 0.884 to 0.909 (trial).
-const SUSPECTING_PART: f64 = 0.5;
-/// Gateways whose word is enough where there are few: one may itself be cut off. Chosen, not measured.
-const FEWEST_SUSPECTING: usize = 2;
+/// Fraction of the gateways whose reports suffice, without a probe by the leader. If fewer gateways
+/// cannot reach the primary, the other gateways serve their callers in the meantime. With a
+/// fraction of 0.3, where the reports of fewer gateways count at once, a network partition that
+/// left one gateway of seven connected to control replaced a primary that the other six reached,
+/// and these six had no primary for 6.5 s. Together with detours through other gateways, a fraction
+/// of 0.5 raises the score of that scenario from 0.884 to 0.909.
+const SUSPECTING_FRACTION: f64 = 0.5;
+/// Least number of gateways whose reports suffice, as one gateway may itself be cut off.
+const MIN_SUSPECTING: usize = 2;
 
 impl PromotionDuty {
-    /// Goes on to asking the members where the primary must be replaced, or may have to be.
+    /// Starts to ask the members if the primary must be replaced or may have failed.
     pub(super) fn evaluate_primary(
         &self,
         now: Timestamp,
         state: &RegistryState,
         group: &GroupName,
-        duty: &mut GroupDuty,
+        group_state: &mut GroupState,
         gateways: GatewayContact,
     ) {
         let Some(primary) = primary_of(state, group) else {
-            self.evaluate_vacancy(now, state, group, duty);
+            self.evaluate_vacancy(now, state, group, group_state);
             return;
         };
-        duty.vacant_since = None;
+        group_state.vacant_since = None;
         let Some(back_end) = state.back_end(&primary) else { return };
         if back_end.state == BackEndState::Draining {
             log::info!(
                 target: LOG_TARGET, group:% = group, member:% = primary;
                 "primary leaves: it is replaced"
             );
-            duty.phase = Self::asking(None);
+            group_state.phase = Self::asking_phase(None);
             return;
         }
-        self.evaluate_suspicion(now, group, primary, duty, gateways);
+        self.evaluate_suspicion(now, group, primary, group_state, gateways);
     }
 
-    /// Has a primary chosen for a group that has had none for long enough.
+    /// Starts to ask the members of a group that has had no primary for the vacancy timeout.
     fn evaluate_vacancy(
         &self,
         now: Timestamp,
         state: &RegistryState,
         group: &GroupName,
-        duty: &mut GroupDuty,
+        group_state: &mut GroupState,
     ) {
-        let since = *duty.vacant_since.get_or_insert(now);
-        let anyone = candidates(state, group).next().is_some();
-        if anyone && now.saturating_since(since) >= self.settings.vacancy_limit {
-            duty.phase = Self::asking(None);
+        let since = *group_state.vacant_since.get_or_insert(now);
+        let has_candidate = candidates(state, group).next().is_some();
+        if has_candidate && now.saturating_since(since) >= self.settings.vacancy_timeout {
+            group_state.phase = Self::asking_phase(None);
         }
     }
 
-    /// Weighs the word of the gateways that don't reach a primary.
+    /// Evaluates the reports of the gateways that cannot reach the primary.
     fn evaluate_suspicion(
         &self,
         now: Timestamp,
         group: &GroupName,
         primary: MemberName,
-        duty: &mut GroupDuty,
+        group_state: &mut GroupState,
         gateways: GatewayContact,
     ) {
-        let suspecting = self.unreached.get(&(group.clone(), primary.clone()));
+        let suspecting = self.unreachable_reports.get(&(group.clone(), primary.clone()));
         let suspecting = suspecting.map_or(0, BTreeSet::len);
         if suspecting == 0 {
-            duty.suspected_since = None;
+            group_state.suspected_since = None;
             return;
         }
         let GatewayContact { reporting, silent } = gateways;
-        let enough = ((reporting + silent) as f64 * SUSPECTING_PART).ceil() as usize;
-        if suspecting >= enough.max(FEWEST_SUSPECTING) {
+        let required = ((reporting + silent) as f64 * SUSPECTING_FRACTION).ceil() as usize;
+        if suspecting >= required.max(MIN_SUSPECTING) {
             log::warn!(
                 target: LOG_TARGET, group:% = group, member:% = primary, suspecting, heard = reporting, silent;
-                "primary cannot be reached: it is replaced"
+                "primary is unreachable: it is replaced"
             );
-            duty.phase = Self::asking(None);
+            group_state.phase = Self::asking_phase(None);
             return;
         }
-        let waited = now.saturating_since(*duty.suspected_since.get_or_insert(now));
-        let cut = silent > suspecting && waited < self.settings.cut_patience;
-        if cut || waited < self.settings.suspicion_pause {
+        let waited = now.saturating_since(*group_state.suspected_since.get_or_insert(now));
+        let within_grace = silent > suspecting && waited < self.settings.partition_grace;
+        if within_grace || waited < self.settings.suspicion_delay {
             return;
         }
         log::info!(
             target: LOG_TARGET, group:% = group, member:% = primary, suspecting, heard = reporting, silent;
             "primary is suspected"
         );
-        duty.phase = Self::asking(Some(primary));
+        group_state.phase = Self::asking_phase(Some(primary));
     }
 }
--- a/crates/core/src/registry/promotion/evidence.rs
+++ b/crates/core/src/registry/promotion/evidence.rs
@@ -1,6 +1,6 @@
-//! What the registry and the members' answers allow: who may be chosen, and whether enough is known to choose.
+//! Candidates for a promotion, and whether the members' answers suffice to choose among them.
 //!
-//! Owns nothing. Relies on answers that were asked for after the primary went out of reach.
+//! The module holds no state. The answers must have been requested after the primary became unreachable.
 
 use super::super::back_end::{BackEndRole, BackEndState, RegisteredBackEnd};
 use super::super::state::RegistryState;
@@ -9,43 +9,50 @@
 use crate::statement::MemberStatus;
 use std::collections::BTreeMap;
 
-/// The member that leads a group as far as the registry knows.
+/// Returns the primary of a group according to the registry.
 pub(super) fn primary_of(state: &RegistryState, group: &GroupName) -> Option<MemberName> {
-    let leads = |member: &MemberName| {
-        state.back_end(member).is_some_and(|it| it.role == BackEndRole::Primary)
+    let is_primary = |member: &MemberName| {
+        state.back_end(member).is_some_and(|back_end| back_end.role == BackEndRole::Primary)
     };
     let promoted = state.promotion(group).map(|promotion| promotion.target.clone());
-    promoted.filter(leads).or_else(|| {
-        let mut members = state.back_ends().filter(|(_, it)| it.group == *group);
-        members.find(|(_, it)| it.role == BackEndRole::Primary).map(|(name, _)| name.clone())
+    promoted.filter(is_primary).or_else(|| {
+        let mut members = state.back_ends().filter(|(_, back_end)| back_end.group == *group);
+        members
+            .find(|(_, back_end)| back_end.role == BackEndRole::Primary)
+            .map(|(name, _)| name.clone())
     })
 }
 
+/// Returns the members of a group that are ready.
 pub(super) fn candidates<'s>(
     state: &'s RegistryState,
     group: &'s GroupName,
 ) -> impl Iterator<Item = (&'s MemberName, &'s RegisteredBackEnd)> {
-    let members = state.back_ends().map(|(name, it)| (name, it.as_ref()));
-    members.filter(move |(_, it)| it.group == *group && it.state == BackEndState::Ready)
+    let members = state.back_ends().map(|(name, back_end)| (name, back_end.as_ref()));
+    members.filter(move |(_, back_end)| {
+        back_end.group == *group && back_end.state == BackEndState::Ready
+    })
 }
 
-/// What the answers so far allow.
+/// Whether the answers so far allow a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Evidence {
-    /// A member leads and answers.
+pub(super) enum AnswerAssessment {
+    /// A member answers that it is primary.
     PrimaryServes,
-    /// A choice, and nothing more will come.
+    /// The answers allow a choice, and no answer is outstanding.
     Complete,
-    /// A choice; more may come.
-    Enough,
-    /// The suspected primary may be alive.
-    Doubtful,
-    /// No choice yet.
-    Lacking,
+    /// The answers allow a choice, and more answers may arrive.
+    Sufficient,
+    /// The suspected primary is not known to be unreachable for the leader, and may still serve.
+    SuspectMayServe,
+    /// The answers do not allow a choice yet.
+    Insufficient,
 }
 
+/// Answers by member; none while an answer is outstanding.
 pub(super) type Answers = BTreeMap<MemberName, Option<MemberAnswer>>;
 
+/// Returns the members that answered with their status.
 pub(super) fn statuses(
     answers: &Answers,
 ) -> impl Iterator<Item = (&MemberName, &MemberStatus)> + Clone {
@@ -55,31 +62,32 @@
     })
 }
 
-/// Judges the answers: one replica's is enough, but every replica's is needed where the log of any
-/// of them may hold the only copy of an acknowledged commit; a primary that is only suspected must
-/// be out of the leader's reach as well.
-pub(super) fn judge(
+/// Assesses the answers. One replica's status suffices, unless the log of any replica may hold the
+/// only copy of an acknowledged commit (`hold_replicas`): then the status of every replica is needed.
+/// A primary that is only suspected must be unreachable for the leader as well.
+pub(super) fn assess_answers(
     state: &RegistryState,
     group: &GroupName,
     suspect: Option<&MemberName>,
     answers: &Answers,
-    holds: bool,
-) -> Evidence {
+    hold_replicas: bool,
+) -> AnswerAssessment {
     if statuses(answers).any(|(_, status)| status.primary) {
-        return Evidence::PrimaryServes;
+        return AnswerAssessment::PrimaryServes;
     }
     let answer_of = |name: &MemberName| answers.get(name).and_then(Option::as_ref);
     if suspect.is_some_and(|name| answer_of(name) != Some(&MemberAnswer::Unreachable)) {
-        return Evidence::Doubtful;
+        return AnswerAssessment::SuspectMayServe;
     }
     let answered = |name: &MemberName| matches!(answer_of(name), Some(MemberAnswer::Status(_)));
     let primary = primary_of(state, group);
-    let members = state.back_ends().filter(|(_, it)| it.group == *group).map(|(name, _)| name);
+    let members =
+        state.back_ends().filter(|(_, back_end)| back_end.group == *group).map(|(name, _)| name);
     let mut replicas = members.filter(|name| primary.as_ref() != Some(name));
-    let enough = if holds { replicas.all(answered) } else { replicas.any(answered) };
-    match (enough, answers.values().all(Option::is_some)) {
-        (true, true) => Evidence::Complete,
-        (true, false) => Evidence::Enough,
-        (false, _) => Evidence::Lacking,
+    let sufficient = if hold_replicas { replicas.all(answered) } else { replicas.any(answered) };
+    match (sufficient, answers.values().all(Option::is_some)) {
+        (true, true) => AnswerAssessment::Complete,
+        (true, false) => AnswerAssessment::Sufficient,
+        (false, _) => AnswerAssessment::Insufficient,
     }
 }
--- a/crates/core/src/registry/promotion/messages.rs
+++ b/crates/core/src/registry/promotion/messages.rs
@@ -1,4 +1,4 @@
-//! What the duty of promotions takes in and asks for: its settings, the answers, the actions.
+//! Settings, inputs and actions of the replacement of primaries.
 
 use super::super::state::RegistryCommand;
 use crate::identity::{GroupName, MemberName, ProxyName};
@@ -6,122 +6,126 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Settings of the duty, all times. Each is chosen, not measured, where nothing else is said at it.
+/// Timeouts and delays of the replacement of primaries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromotionSettings {
-    /// How long answers of the members are waited for before the best of them is taken: eight round trips
-    /// between the users' regions. With less, a member that is more advanced may answer too late; with more, a
-    /// group whose members are lost together stays longer without a primary.
-    pub answers_limit: Duration,
-    /// How long a promoted member may take to lead before another decision. With less, members that are
-    /// merely slow are given up.
-    pub lead_limit: Duration,
-    /// Pause before a call to the authority without an answer is made again.
-    pub call_pause: Duration,
-    /// How long a group may be without a primary before one is chosen: members that register after a start
-    /// have it to say that they lead.
-    pub vacancy_limit: Duration,
-    /// How long a member that the authority refused, or that did not come to lead, is not chosen again.
-    pub refused_pause: Duration,
-    /// How long a few gateways may not reach a primary before the leader asks it itself: by then
-    /// the others have said the same, or are silent. With less, a cut that only a few see replaces a primary;
-    /// with more, one that is gone stays longer where few gateways use it.
-    pub suspicion_pause: Duration,
-    /// How long a primary is kept that those who report do not reach while more gateways are
-    /// silent: they may be on its side of a cut, and served by it. The cut of that day lasted 8 s.
-    pub cut_patience: Duration,
+    /// How long the leader waits for the members' answers before it chooses among those received:
+    /// eight round trips between the users' regions. With less time, a more advanced member may
+    /// answer too late; with more, a group whose members are lost together stays longer without a
+    /// primary.
+    pub answer_timeout: Duration,
+    /// How long a promoted member may take to become primary before the leader decides anew. With
+    /// less time, members that are merely slow are given up.
+    pub promotion_timeout: Duration,
+    /// Delay before the leader retries a call to the promotion authority that had no answer.
+    pub call_retry_delay: Duration,
+    /// How long a group may be without a primary before the leader promotes a member. Members that
+    /// register after a start have this time to report that they are primary.
+    pub vacancy_timeout: Duration,
+    /// How long a member is not chosen again after the authority refused it or it did not become
+    /// primary.
+    pub refusal_cooldown: Duration,
+    /// How long a primary may be unreachable for a few gateways before the leader asks the primary
+    /// itself: by then the other gateways have reported the same, or are silent. With less time, a
+    /// network partition that only a few gateways see replaces a primary; with more, a lost primary
+    /// that few gateways use stays in place longer.
+    pub suspicion_delay: Duration,
+    /// How long the leader keeps a primary that is unreachable for the reporting gateways while
+    /// more gateways are silent: the silent gateways may be on the primary's side of a network
+    /// partition and be served by it. One such partition lasted 8 s.
+    pub partition_grace: Duration,
 }
 
-/// The gateways as they report to the leader.
+/// Numbers of gateways that report to the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GatewayContact {
-    /// That reported within the last moments.
+    /// Number of gateways that reported recently.
     pub reporting: usize,
-    /// That don't report now, but did not long ago.
+    /// Number of gateways that have not reported recently, but did shortly before.
     pub silent: usize,
 }
 
 impl Default for PromotionSettings {
     fn default() -> Self {
         Self {
-            answers_limit: Duration::from_millis(350),
-            lead_limit: Duration::from_millis(3_500),
-            call_pause: Duration::from_millis(300),
-            vacancy_limit: Duration::from_secs(3),
-            refused_pause: Duration::from_secs(3),
-            suspicion_pause: Duration::from_millis(800),
-            cut_patience: Duration::from_secs(7),
+            answer_timeout: Duration::from_millis(350),
+            promotion_timeout: Duration::from_millis(3_500),
+            call_retry_delay: Duration::from_millis(300),
+            vacancy_timeout: Duration::from_secs(3),
+            refusal_cooldown: Duration::from_secs(3),
+            suspicion_delay: Duration::from_millis(800),
+            partition_grace: Duration::from_secs(7),
         }
     }
 }
 
-/// What a gateway found when it used a member as primary.
+/// Whether a gateway reached a member that it used as primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReachReport {
-    /// The gateway.
+    /// Gateway that reports.
     pub gateway: ProxyName,
-    /// The group.
+    /// Group of the member.
     pub group: GroupName,
-    /// The member.
+    /// Member that the gateway used as primary.
     pub member: MemberName,
-    /// Whether it could be reached.
+    /// Whether the gateway reached the member.
     pub reached: bool,
 }
 
-/// What came of a question to a member.
+/// Result of asking a member for its status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberAnswer {
-    /// Nothing accepts connections at its address.
+    /// No process accepts connections at the member's address.
     Unreachable,
-    /// It accepts connections and gave no answer: it may only have too much to do.
+    /// The member accepts connections but did not answer; it may only be overloaded.
     Silent,
-    /// Its status.
+    /// The member answered with its status.
     Status(MemberStatus),
 }
 
-/// What the authority answered to a call.
+/// Answer of the promotion authority to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromotionAnswer {
-    /// It carries the call out.
+    /// The authority performs the promotion.
     Accepted,
-    /// It refuses: the fence is too low, or the member is not running.
+    /// The authority refuses: the fence is too low, or the member is not running.
     Refused,
-    /// No answer: the call may be carried out later.
+    /// No answer arrived: the authority may still perform the promotion.
     Unknown,
 }
 
-/// What the leader must do.
+/// An action that the leader performs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PromotionAction {
     /// Ask a member for its status.
     Ask {
-        /// Its group.
+        /// Group of the member.
         group: GroupName,
-        /// The member.
+        /// Member to ask.
         member: MemberName,
-        /// Where it is.
+        /// Address of the member.
         address: SocketAddr,
-        /// Whether to keep it from receiving before it answers.
+        /// Whether the member must stop receiving from the primary before it answers.
         hold: bool,
     },
-    /// Let a member receive again that was held for a choice that is not made.
+    /// Let a member receive from the primary again after it was held for a choice that is not made.
     Release {
-        /// Its group.
+        /// Group of the member.
         group: GroupName,
-        /// The member.
+        /// Member to release.
         member: MemberName,
-        /// Where it is.
+        /// Address of the member.
         address: SocketAddr,
     },
-    /// Put a decision into the log.
+    /// Propose a decision to the log.
     Propose(RegistryCommand),
-    /// Call the authority.
+    /// Call the promotion authority.
     Call {
-        /// The group.
+        /// Group of the member.
         group: GroupName,
-        /// The member that shall lead.
+        /// Member to promote.
         target: MemberName,
-        /// The fence of the decision.
+        /// Fence of the decision, its index in the log.
         fence: u64,
     },
 }
--- a/crates/core/src/registry/promotion/mod.rs
+++ b/crates/core/src/registry/promotion/mod.rs
@@ -1,16 +1,18 @@
-//! Replaces primaries of registered groups through an outside authority.
+//! Replaces primaries of registered groups through an external promotion authority.
 //!
-//! Only the leader of the cell does this. A decision stands in the log before the authority is
-//! called, and its index fences the call: a later decision has a higher fence, so that a call that
-//! is carried out late is refused once the newer one was seen, and no two leaders share a fence.
+//! Only the leader of the cell replaces primaries. The log holds a decision before the leader calls the
+//! authority, and the index of the decision is the fence of the call: a later decision has a higher
+//! fence, so that the authority refuses a delayed call once it has seen the newer one, and no two
+//! leaders use the same fence.
 //!
-//! The candidate is the most advanced member, asked after the primary is out of reach. Where
-//! commits are acknowledged only once replicas hold them, the replicas are first held from
-//! receiving, all of them answer, and none is chosen that is behind another.
+//! The candidate is the most advanced member, asked after the primary became unreachable. Where
+//! commits are acknowledged only once replicas hold them, the replicas first stop receiving from the
+//! primary, all of them must answer, and no replica is chosen that is behind another.
 //!
-//! Owns the phase of each group and the gateways' word on primaries, for one leadership. Relies on the registry
-//! in the log for who leads and what was decided, and on the leader to carry out its actions. `evaluation` says
-//! when a primary is replaced, `evidence` what the members' answers allow, `steps` what is done.
+//! The module holds the phase of each group and the gateways' reports on primaries, for one
+//! leadership. Primaries and decisions come from the registry state, and the leader performs the
+//! actions. `evaluation` decides when a primary is replaced, `evidence` whether the members'
+//! answers suffice, and `steps` performs the replacement.
 
 mod evaluation;
 mod evidence;
@@ -24,27 +26,28 @@
 use super::state::RegistryState;
 use crate::identity::{GroupName, MemberName, ProxyName};
 use crate::time::Timestamp;
-use evidence::{Evidence, judge};
+use evidence::{AnswerAssessment, assess_answers};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Target of the log lines of `evaluation` and `steps`: operators may filter by it.
+/// Target of the log lines of `evaluation` and `steps`, by which operators may filter.
 const LOG_TARGET: &str = module_path!();
 
 #[derive(Clone, Debug)]
 enum Phase {
-    /// The primary serves, as far as is known.
+    /// No failure of the primary is known.
     Steady,
-    /// The members are asked how far they are.
+    /// The leader asks the members for their positions.
     Asking {
         since: Timestamp,
-        /// The primary, where the leader has to see for itself that it is out of reach.
+        /// Primary that must be unreachable for the leader before another member is chosen; none if
+        /// the leader need not check.
         suspect: Option<MemberName>,
-        /// Answers; none while one is waited for.
+        /// Answers by member; none while an answer is outstanding.
         answers: BTreeMap<MemberName, Option<MemberAnswer>>,
     },
-    /// The decision is on its way into the log.
+    /// The decision is proposed to the log.
     Deciding { since: Timestamp, target: MemberName },
-    /// The authority is called until the member leads.
+    /// The leader calls the authority until the member is primary.
     Calling {
         since: Timestamp,
         target: MemberName,
@@ -55,74 +58,80 @@
     },
 }
 
+/// Replacement state of one group.
 #[derive(Clone, Debug)]
-struct GroupDuty {
+struct GroupState {
     phase: Phase,
     vacant_since: Option<Timestamp>,
-    /// Since when too few gateways do not reach the primary.
+    /// Start of the current suspicion, in which too few gateways for a replacement report the primary
+    /// as unreachable.
     suspected_since: Option<Timestamp>,
+    /// Members that are not chosen before the given time.
     refused: BTreeMap<MemberName, Timestamp>,
-    /// The fence of a decision made by this leadership; those of others are not acted on.
-    known_fence: u64,
+    /// Highest fence handled so far; only decisions above it are acted on, which excludes decisions
+    /// of earlier leaders.
+    last_fence: u64,
 }
 
-/// Replaces primaries of registered groups; lasts as long as one leadership.
+/// Replaces primaries of registered groups, for the duration of one leadership.
 #[derive(Clone, Debug)]
 pub struct PromotionDuty {
     settings: PromotionSettings,
-    groups: BTreeMap<GroupName, GroupDuty>,
-    unreached: BTreeMap<(GroupName, MemberName), BTreeSet<ProxyName>>,
+    groups: BTreeMap<GroupName, GroupState>,
+    /// Gateways that report a member as unreachable.
+    unreachable_reports: BTreeMap<(GroupName, MemberName), BTreeSet<ProxyName>>,
 }
 
-impl GroupDuty {
-    fn new(known_fence: u64) -> Self {
+impl GroupState {
+    fn new(last_fence: u64) -> Self {
         Self {
             phase: Phase::Steady,
             vacant_since: None,
             suspected_since: None,
             refused: BTreeMap::new(),
-            known_fence,
+            last_fence,
         }
     }
 }
 
 impl PromotionDuty {
-    /// The duty of a new leadership.
+    /// Returns the state of a new leadership.
     #[must_use]
     pub fn new(settings: PromotionSettings) -> Self {
-        Self { settings, groups: BTreeMap::new(), unreached: BTreeMap::new() }
+        Self { settings, groups: BTreeMap::new(), unreachable_reports: BTreeMap::new() }
     }
 
-    /// Takes a gateway's word.
+    /// Records a gateway's report.
     pub fn report(&mut self, report: ReachReport) {
         let key = (report.group, report.member);
         if report.reached {
-            if let Some(gateways) = self.unreached.get_mut(&key) {
+            if let Some(gateways) = self.unreachable_reports.get_mut(&key) {
                 gateways.remove(&report.gateway);
             }
         } else {
-            self.unreached.entry(key).or_default().insert(report.gateway);
+            self.unreachable_reports.entry(key).or_default().insert(report.gateway);
         }
     }
 
-    /// Forgets what gateways said that are gone.
+    /// Removes the reports of gateways that are not in `live`.
     pub fn retain_gateways(&mut self, live: &BTreeSet<ProxyName>) {
-        for gateways in self.unreached.values_mut() {
+        for gateways in self.unreachable_reports.values_mut() {
             gateways.retain(|gateway| live.contains(gateway));
         }
-        self.unreached.retain(|_, gateways| !gateways.is_empty());
+        self.unreachable_reports.retain(|_, gateways| !gateways.is_empty());
     }
 
-    /// Takes what came of [`PromotionAction::Ask`].
+    /// Records the result of [`PromotionAction::Ask`].
     pub fn take_status(&mut self, group: &GroupName, member: &MemberName, answer: MemberAnswer) {
-        let Some(duty) = self.groups.get_mut(group) else { return };
-        let Phase::Asking { answers, .. } = &mut duty.phase else { return };
-        if let Some(place) = answers.get_mut(member) {
-            *place = Some(answer);
+        let Some(group_state) = self.groups.get_mut(group) else { return };
+        let Phase::Asking { answers, .. } = &mut group_state.phase else { return };
+        if let Some(entry) = answers.get_mut(member) {
+            *entry = Some(answer);
         }
     }
 
-    /// Takes the authority's answer to [`PromotionAction::Call`].
+    /// Handles the authority's answer to [`PromotionAction::Call`]. An answer to an older call is
+    /// ignored.
     pub fn take_answer(
         &mut self,
         now: Timestamp,
@@ -131,9 +140,9 @@
         answer: PromotionAnswer,
     ) {
         let settings = self.settings;
-        let Some(duty) = self.groups.get_mut(group) else { return };
+        let Some(group_state) = self.groups.get_mut(group) else { return };
         let Phase::Calling { fence: current, target, next_call, in_flight, accepted, .. } =
-            &mut duty.phase
+            &mut group_state.phase
         else {
             return;
         };
@@ -143,20 +152,20 @@
         *in_flight = false;
         match answer {
             PromotionAnswer::Accepted => *accepted = true,
-            PromotionAnswer::Unknown => *next_call = now + settings.call_pause,
+            PromotionAnswer::Unknown => *next_call = now + settings.call_retry_delay,
             PromotionAnswer::Refused => {
-                duty.refused.insert(target.clone(), now + settings.refused_pause);
-                duty.phase = Self::asking(None);
+                group_state.refused.insert(target.clone(), now + settings.refusal_cooldown);
+                group_state.phase = Self::asking_phase(None);
             }
         }
     }
 
-    /// A phase that asks everyone at the next evaluation.
-    fn asking(suspect: Option<MemberName>) -> Phase {
+    /// Returns the phase that asks all members at the next evaluation.
+    fn asking_phase(suspect: Option<MemberName>) -> Phase {
         Phase::Asking { since: Timestamp::ZERO, suspect, answers: BTreeMap::new() }
     }
 
-    /// Decides what is due.
+    /// Advances every group and returns the actions that the leader must perform.
     pub fn advance(
         &mut self,
         now: Timestamp,
@@ -169,11 +178,19 @@
         self.groups.retain(|name, _| services.iter().any(|service| service.name == *name));
         for service in services {
             let group = &service.name;
-            let known = state.promotion(group).map_or(0, |promotion| promotion.fence.0);
-            let mut duty = self.groups.remove(group).unwrap_or_else(|| GroupDuty::new(known));
-            let holds = service.synchronous_replicas > 0;
-            self.advance_group(now, state, group, &mut duty, (gateways, holds), &mut actions);
-            self.groups.insert(group.clone(), duty);
+            let last_fence = state.promotion(group).map_or(0, |promotion| promotion.fence.0);
+            let mut group_state =
+                self.groups.remove(group).unwrap_or_else(|| GroupState::new(last_fence));
+            let hold_replicas = service.synchronous_replicas > 0;
+            self.advance_group(
+                now,
+                state,
+                group,
+                &mut group_state,
+                (gateways, hold_replicas),
+                &mut actions,
+            );
+            self.groups.insert(group.clone(), group_state);
         }
         actions
     }
@@ -183,42 +200,48 @@
         now: Timestamp,
         state: &RegistryState,
         group: &GroupName,
-        duty: &mut GroupDuty,
-        (gateways, holds): (GatewayContact, bool),
+        group_state: &mut GroupState,
+        (gateways, hold_replicas): (GatewayContact, bool),
         actions: &mut Vec<PromotionAction>,
     ) {
-        if let Phase::Steady = duty.phase {
-            self.evaluate_primary(now, state, group, duty, gateways);
+        if let Phase::Steady = group_state.phase {
+            self.evaluate_primary(now, state, group, group_state, gateways);
         }
-        self.advance_asking(now, state, group, duty, holds, actions);
-        self.advance_decision(now, state, group, duty);
-        self.call(now, state, group, duty, actions);
+        self.advance_asking(now, state, group, group_state, hold_replicas, actions);
+        self.advance_decision(now, state, group, group_state);
+        self.call_authority(now, state, group, group_state, actions);
     }
 
-    /// Judges the members' answers, and asks again, chooses or leaves the lead where it is.
+    /// Assesses the members' answers, and asks again, chooses a candidate or keeps the primary.
     fn advance_asking(
         &mut self,
         now: Timestamp,
         state: &RegistryState,
         group: &GroupName,
-        duty: &mut GroupDuty,
-        holds: bool,
+        group_state: &mut GroupState,
+        hold_replicas: bool,
         actions: &mut Vec<PromotionAction>,
     ) {
-        let Phase::Asking { since, suspect, answers } = &duty.phase else { return };
-        let overdue = now.saturating_since(*since) >= self.settings.answers_limit;
-        let evidence = judge(state, group, suspect.as_ref(), answers, holds);
-        match evidence {
-            _ if answers.is_empty() => self.ask(now, state, group, duty, holds, actions),
-            Evidence::PrimaryServes => self.stand_down(state, group, duty, holds, actions),
-            Evidence::Complete => self.choose(now, group, duty, actions),
-            Evidence::Enough if overdue => {
-                self.choose(now, group, duty, actions);
+        let Phase::Asking { since, suspect, answers } = &group_state.phase else { return };
+        let overdue = now.saturating_since(*since) >= self.settings.answer_timeout;
+        let assessment = assess_answers(state, group, suspect.as_ref(), answers, hold_replicas);
+        match assessment {
+            _ if answers.is_empty() => {
+                self.ask_members(now, state, group, group_state, hold_replicas, actions)
             }
-            Evidence::Doubtful if overdue => {
-                self.stand_down(state, group, duty, holds, actions);
+            AnswerAssessment::PrimaryServes => {
+                self.keep_primary(state, group, group_state, hold_replicas, actions)
+            }
+            AnswerAssessment::Complete => self.choose_candidate(now, group, group_state, actions),
+            AnswerAssessment::Sufficient if overdue => {
+                self.choose_candidate(now, group, group_state, actions);
+            }
+            AnswerAssessment::SuspectMayServe if overdue => {
+                self.keep_primary(state, group, group_state, hold_replicas, actions);
+            }
+            AnswerAssessment::Insufficient if overdue => {
+                self.ask_members(now, state, group, group_state, hold_replicas, actions)
             }
-            Evidence::Lacking if overdue => self.ask(now, state, group, duty, holds, actions),
             _ => (),
         }
     }
@@ -229,14 +252,16 @@
         now: Timestamp,
         state: &RegistryState,
         group: &GroupName,
-        duty: &mut GroupDuty,
+        group_state: &mut GroupState,
     ) {
-        let Phase::Deciding { since, target } = &duty.phase else { return };
+        let Phase::Deciding { since, target } = &group_state.phase else { return };
         let decided = state.promotion(group);
-        let decided = decided.filter(|it| it.fence.0 > duty.known_fence && it.target == *target);
+        let decided = decided.filter(|promotion| {
+            promotion.fence.0 > group_state.last_fence && promotion.target == *target
+        });
         if let Some(promotion) = decided {
-            duty.known_fence = promotion.fence.0;
-            duty.phase = Phase::Calling {
+            group_state.last_fence = promotion.fence.0;
+            group_state.phase = Phase::Calling {
                 since: now,
                 target: target.clone(),
                 fence: promotion.fence.0,
@@ -244,8 +269,8 @@
                 in_flight: false,
                 accepted: false,
             };
-        } else if now.saturating_since(*since) >= self.settings.lead_limit {
-            duty.phase = Self::asking(None);
+        } else if now.saturating_since(*since) >= self.settings.promotion_timeout {
+            group_state.phase = Self::asking_phase(None);
         }
     }
 }
--- a/crates/core/src/registry/state.rs
+++ b/crates/core/src/registry/state.rs
@@ -1,7 +1,8 @@
 //! The registry as part of the control state.
 //!
-//! Owns the document in force, the back ends, the decisions on who leads and the ceilings. Applies commands of the
-//! log, the same on each replica; stored in snapshots, so that order and number of fields stay.
+//! The state holds the document in force, the registered back ends, the promotion decisions and the
+//! ceilings of tenants' limits. Each replica applies the same commands of the log. Snapshots store
+//! the state by position, so the order and number of the fields must not change.
 
 use super::back_end::{BackEndReport, BackEndState, RegisteredBackEnd};
 use super::document::{Document, StoredDocument};
@@ -13,107 +14,108 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Identities of back ends that left and are still remembered, so that a heartbeat that comes
-/// late does not bring one back. Chosen, not measured: a bound on the state.
+/// Highest number of identities remembered of back ends that left, so that a delayed heartbeat
+/// does not register one of them again. Bounds the size of the state.
 const DEPARTED_LIMIT: usize = 1_024;
 
-/// A change of the registry.
+/// A command of the log that changes the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RegistryCommand {
-    /// Puts a checked document in force if its version is above the one held.
+    /// Puts a checked document in force if its version is above the version in force.
     PutDocument(StoredDocument),
-    /// A back end came, or says something new of itself.
+    /// Registers a back end or updates its registration.
     Report {
-        /// Its identity.
+        /// Identity of the back end.
         member: MemberName,
-        /// What it says.
+        /// Latest heartbeat of the back end.
         report: BackEndReport,
     },
-    /// A back end is gone for good.
+    /// Removes a back end permanently.
     Leave {
-        /// Its identity.
+        /// Identity of the back end.
         member: MemberName,
     },
-    /// Decides that a member shall lead its group. The index of the entry fences the calls.
+    /// Decides to promote a member to primary of its group. The index of the entry is the fence of the
+    /// calls to the promotion authority.
     Promote {
-        /// The group.
+        /// Group of the member.
         group: GroupName,
-        /// The member that shall lead.
+        /// Member to promote.
         target: MemberName,
     },
-    /// Changes how much of tenants' limits may be given at most.
+    /// Changes the ceilings of tenants' limits.
     ChangeCeilings(Vec<CeilingChange>),
 }
 
-/// A decision on who leads a group.
+/// A decision to promote a member to primary of its group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Promotion {
-    /// The member that shall lead.
+    /// Member to promote.
     pub target: MemberName,
-    /// Index of the decision in the log: rises with each decision, so that a call of an older
-    /// one is known. Two holders of the duty never share one.
+    /// Index of the decision in the log. The fence rises with each decision, so that a call of an
+    /// older decision is recognised, and no two leaders use the same fence.
     pub fence: Revision,
 }
 
-/// Answer to a [`RegistryCommand`].
+/// Result of applying a [`RegistryCommand`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RegistryOutcome {
-    /// The document in force after the command.
+    /// Result of [`RegistryCommand::PutDocument`].
     Document {
-        /// Its version.
+        /// Version of the document in force after the command.
         held: u64,
     },
-    /// The back end's word is in the state, or an older or final word of it stands.
+    /// The state holds the report of the back end, or a newer or final report overrides it.
     Registered,
-    /// The decision is in the log.
+    /// The promotion decision is in the log.
     Promoting {
-        /// Its fence.
+        /// Fence of the decision.
         fence: Revision,
     },
-    /// The member named is not one of the group, or is leaving.
+    /// The member to promote is not in the group, or is leaving.
     NoSuchMember,
-    /// The ceilings are in the state.
+    /// The ceilings were changed.
     CeilingsChanged,
 }
 
-/// A back end with what only the registry needs of it.
+/// A registered back end, with the sequence number of its last applied heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct BackEndRecord {
     back_end: Arc<RegisteredBackEnd>,
     sequence: u64,
 }
 
-/// That another document is in force.
+/// Another document was put in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DocumentReplaced {
-    /// The one before; none where this is the first.
+    /// Document that was in force before; none if there was none.
     pub former: Option<Arc<Document>>,
 }
 
-/// What one command touched, for the view.
+/// Changes by one command that the view must include.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RegistryChanges {
-    /// Another document is in force.
+    /// Set if another document was put in force.
     pub document: Option<DocumentReplaced>,
-    /// Back ends that came, changed or left.
+    /// Back ends that registered, changed or left.
     pub back_ends: BTreeSet<MemberName>,
-    /// Groups with a new decision on who leads.
+    /// Groups with a new promotion decision.
     pub promotions: BTreeSet<GroupName>,
 }
 
-/// The registry.
+/// The document, the back ends, the promotion decisions and the ceilings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegistryState {
     document: Option<StoredDocument>,
     back_ends: BTreeMap<MemberName, BackEndRecord>,
     departed: BTreeMap<MemberName, Revision>,
     promotions: BTreeMap<GroupName, Promotion>,
-    /// The most that is given of tenants' limits, where it is more than the default.
+    /// Ceilings of tenants' limits, for tenants whose ceiling is above the default.
     ceilings: BTreeMap<TenantName, u64>,
 }
 
 impl RegistryState {
-    /// Applies the command of the log entry at `revision`.
+    /// Applies the command of the log entry at `revision` and adds what it changed to `changes`.
     pub fn apply(
         &mut self,
         revision: Revision,
@@ -131,19 +133,20 @@
         }
     }
 
-    /// The highest version is in force; one that is not above it changes nothing.
+    /// Puts the document in force if its version is above the version in force, else changes nothing.
     fn put_document(
         &mut self,
         offered: StoredDocument,
         changes: &mut RegistryChanges,
     ) -> RegistryOutcome {
-        let held = self.document.as_ref().map(|held| held.document.version);
+        let held = self.document.as_ref().map(|stored| stored.document.version);
         let version = offered.document.version;
         if held.is_some_and(|held| held >= version) {
             return RegistryOutcome::Document { held: held.unwrap_or(version) };
         }
         let replaced = self.document.replace(offered);
-        changes.document = Some(DocumentReplaced { former: replaced.map(|it| it.document) });
+        changes.document =
+            Some(DocumentReplaced { former: replaced.map(|stored| stored.document) });
         RegistryOutcome::Document { held: version }
     }
 
@@ -157,29 +160,29 @@
             return RegistryOutcome::Registered;
         }
         let mut back_end = report.back_end;
-        let known = self.back_ends.get(&member).map(|record| record.back_end.state);
-        // Leaving is final, whatever a confused process says later.
-        back_end.state = known.map_or(back_end.state, |known| known.max(back_end.state));
+        let stored = self.back_ends.get(&member).map(|record| record.back_end.state);
+        // `Draining` is final, whatever state a faulty process reports later.
+        back_end.state = stored.map_or(back_end.state, |stored| stored.max(back_end.state));
         let record = BackEndRecord { back_end: Arc::new(back_end), sequence: report.sequence };
         self.back_ends.insert(member.clone(), record);
         changes.back_ends.insert(member);
         RegistryOutcome::Registered
     }
 
-    /// Whether a heartbeat says something that the registry does not hold yet: only such a one
-    /// goes through the log.
+    /// Reports whether a heartbeat changes the registration of the back end. Only such heartbeats
+    /// go through the log.
     #[must_use]
     pub fn is_news(&self, member: &MemberName, report: &BackEndReport) -> bool {
         if self.departed.contains_key(member) {
             return false;
         }
         let Some(record) = self.back_ends.get(member) else { return true };
-        let known = &record.back_end;
+        let stored = &record.back_end;
         let mut offered = report.back_end.clone();
-        offered.state = offered.state.max(known.state);
-        // A drain is taken also from a heartbeat that was overtaken: it cannot be taken back.
-        let newer = report.sequence > record.sequence || offered.state > known.state;
-        newer && offered != **known
+        offered.state = offered.state.max(stored.state);
+        // `Draining` is applied even from a heartbeat that was overtaken, as the state is final.
+        let newer = report.sequence > record.sequence || offered.state > stored.state;
+        newer && offered != **stored
     }
 
     fn leave(
@@ -192,11 +195,12 @@
             changes.back_ends.insert(member.clone());
         }
         self.departed.entry(member).or_insert(revision);
-        self.forget_departed();
+        self.trim_departed();
         RegistryOutcome::Registered
     }
 
-    fn forget_departed(&mut self) {
+    /// Removes the oldest departed identities above [`DEPARTED_LIMIT`].
+    fn trim_departed(&mut self) {
         while self.departed.len() > DEPARTED_LIMIT {
             let oldest = self.departed.iter().min_by_key(|(_, revision)| **revision);
             let Some(oldest) = oldest.map(|(member, _)| member.clone()) else { return };
@@ -227,36 +231,36 @@
         RegistryOutcome::CeilingsChanged
     }
 
-    /// The most that is given of tenants' limits, where it is more than the default.
+    /// Returns the ceilings of tenants' limits, for tenants whose ceiling is above the default.
     #[must_use]
     pub const fn ceilings(&self) -> &BTreeMap<TenantName, u64> {
         &self.ceilings
     }
 
-    /// The document in force, with its text.
+    /// Returns the document in force, with its source text.
     #[must_use]
     pub const fn document(&self) -> Option<&StoredDocument> {
         self.document.as_ref()
     }
 
-    /// One back end.
+    /// Returns the registration of a back end.
     #[must_use]
     pub fn back_end(&self, member: &MemberName) -> Option<&Arc<RegisteredBackEnd>> {
         self.back_ends.get(member).map(|record| &record.back_end)
     }
 
-    /// All back ends, by identity.
+    /// Returns all registered back ends, in order of identity.
     pub fn back_ends(&self) -> impl Iterator<Item = (&MemberName, &Arc<RegisteredBackEnd>)> {
         self.back_ends.iter().map(|(member, record)| (member, &record.back_end))
     }
 
-    /// The last decision on who leads a group.
+    /// Returns the last promotion decision for a group.
     #[must_use]
     pub fn promotion(&self, group: &GroupName) -> Option<&Promotion> {
         self.promotions.get(group)
     }
 
-    /// All last decisions, by group.
+    /// Returns the last promotion decision of each group, in order of group.
     pub fn promotions(&self) -> impl Iterator<Item = (&GroupName, &Promotion)> {
         self.promotions.iter()
     }
--- a/crates/core/tests/registry/cell_repair.rs
+++ b/crates/core/tests/registry/cell_repair.rs
@@ -1,4 +1,4 @@
-//! How a cell grows to its size and replaces what is gone.
+//! Growth of a cell to its number of voters, and replacement of lost replicas.
 
 use corktack_core::consensus::{CellChange, CellConfig, CellMember};
 use corktack_core::identity::ReplicaId;
@@ -18,24 +18,24 @@
     CellConfig { voters: members(voters), learners: members(learners) }
 }
 
-/// Time since each last answered, and whether it has caught up.
-fn health(of: &[(u64, u64, bool)]) -> BTreeMap<ReplicaId, CellMemberHealth> {
+/// Builds the health of replicas from identity, seconds without an answer, and whether caught up.
+fn health(replicas: &[(u64, u64, bool)]) -> BTreeMap<ReplicaId, CellMemberHealth> {
     let entry = |(id, seconds, caught_up): &(u64, u64, bool)| {
         let silent_for = Duration::from_secs(*seconds);
         (ReplicaId(*id), CellMemberHealth { silent_for, caught_up: *caught_up })
     };
-    of.iter().map(entry).collect()
+    replicas.iter().map(entry).collect()
 }
 
 #[test]
-fn a_joiner_becomes_a_learner_once() {
+fn a_joining_replica_becomes_a_learner_once() {
     let cell = cell(&[1, 2], &[]);
     assert_eq!(REPAIR.admit(&cell, &replica(3)), Some(CellChange::AddLearner(replica(3))));
     assert_eq!(REPAIR.admit(&cell, &replica(2)), None);
 }
 
 #[test]
-fn an_earlier_life_at_the_address_leaves_before_its_successor_joins() {
+fn an_earlier_incarnation_at_the_address_is_removed_before_its_successor_joins() {
     let mut successor = replica(9);
     successor.address = replica(2).address;
     let change = REPAIR.admit(&cell(&[1, 2, 3], &[]), &successor);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_caught_up_learner_becomes_a_voter_while_voters_lack() {
+fn a_caught_up_learner_becomes_a_voter_while_voters_are_missing() {
     let cell = cell(&[1, 2], &[3]);
     assert_eq!(REPAIR.next_change(&cell, &health(&[(2, 0, true), (3, 0, false)])), None);
     let change = REPAIR.next_change(&cell, &health(&[(2, 0, true), (3, 0, true)]));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_silent_voter_goes_only_when_another_stands_ready() {
+fn a_silent_voter_is_removed_only_when_a_learner_is_ready() {
     let silent = (3, 60, true);
     assert_eq!(REPAIR.next_change(&cell(&[1, 2, 3], &[]), &health(&[silent])), None);
     let with_learner = cell(&[1, 2, 3], &[4]);
@@ -65,13 +65,13 @@
 }
 
 #[test]
-fn a_voter_that_was_silent_for_a_moment_stays() {
+fn a_voter_that_was_silent_for_a_moment_is_kept() {
     let health = health(&[(2, 0, true), (3, 3, true), (4, 0, true)]);
     assert_eq!(REPAIR.next_change(&cell(&[1, 2, 3], &[4]), &health), None);
 }
 
 #[test]
-fn a_learner_that_is_silent_is_not_ready() {
+fn a_silent_learner_is_not_ready() {
     let health = health(&[(2, 0, true), (3, 60, true)]);
     assert_eq!(REPAIR.next_change(&cell(&[1, 2], &[3]), &health), None);
 }
--- a/crates/core/tests/registry/heartbeats.rs
+++ b/crates/core/tests/registry/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what is news, what is late, what is final.
+//! Heartbeats of back ends: which of them change the registry, and the effect of delayed ones.
 
 use super::support::{Registry, group, member, report};
 use corktack_core::registry::BackEndRole::{Primary, Replica};
@@ -7,10 +7,10 @@
 use rstest::rstest;
 
 #[test]
-fn only_what_changes_goes_through_the_log() {
+fn only_heartbeats_with_changes_go_through_the_log() {
     let registry = Registry::with_group(0);
     let is_news = |report| registry.state.is_news(&member(2), &report);
-    assert!(!is_news(report(2, Ready, Replica, 2)), "a bare heartbeat");
+    assert!(!is_news(report(2, Ready, Replica, 2)), "an unchanged heartbeat");
     assert!(is_news(report(2, Ready, Primary, 2)), "another role");
     assert!(is_news(report(2, Draining, Replica, 2)), "another state");
     assert!(!is_news(report(2, Ready, Primary, 1)), "a heartbeat that was overtaken");
@@ -18,36 +18,36 @@
 }
 
 #[test]
-fn leaving_is_final() {
+fn draining_is_final() {
     let mut registry = Registry::with_group(0);
-    registry.say(2, Draining, Replica, 2);
-    let changes = registry.say(2, Ready, Replica, 3);
+    registry.apply_report(2, Draining, Replica, 2);
+    let changes = registry.apply_report(2, Ready, Replica, 3);
     assert!(changes.back_ends.is_empty());
     assert_eq!(registry.state_of(2), Some(Draining));
-    registry.say(2, Ready, Primary, 4);
-    let back_end = registry.state.back_end(&member(2)).expect("it is registered");
+    registry.apply_report(2, Ready, Primary, 4);
+    let back_end = registry.state.back_end(&member(2)).expect("a registered back end");
     assert_eq!((back_end.state, back_end.role), (Draining, Primary));
 }
 
 #[test]
-fn a_drain_is_taken_even_from_a_heartbeat_that_was_overtaken() {
+fn draining_is_applied_even_from_an_overtaken_heartbeat() {
     let mut registry = Registry::with_group(0);
-    registry.say(2, Ready, Primary, 5);
-    registry.say(2, Draining, Replica, 4);
+    registry.apply_report(2, Ready, Primary, 5);
+    registry.apply_report(2, Draining, Replica, 4);
     assert_eq!(registry.state_of(2), Some(Draining));
 }
 
 #[test]
-fn a_late_heartbeat_does_not_bring_back_who_left() {
+fn a_late_heartbeat_does_not_register_a_departed_back_end_again() {
     let mut registry = Registry::with_group(0);
     registry.apply(RegistryCommand::Leave { member: member(2) });
     assert!(!registry.state.is_news(&member(2), &report(2, Ready, Replica, 9)));
-    registry.say(2, Ready, Replica, 9);
+    registry.apply_report(2, Ready, Replica, 9);
     assert_eq!(registry.state_of(2), None);
 }
 
 #[test]
-fn leaving_twice_or_unknown_is_acknowledged_and_changes_nothing() {
+fn leaving_twice_or_while_unknown_is_acknowledged_without_a_change() {
     let mut registry = Registry::with_group(0);
     registry.apply(RegistryCommand::Leave { member: member(2) });
     let (_, changes) = registry.apply(RegistryCommand::Leave { member: member(2) });
@@ -56,7 +56,8 @@
     assert!(changes.back_ends.is_empty());
 }
 
-/// What a later life at the address of an earlier one may have become before a heartbeat of that comes.
+/// What happens between the registration of the later incarnation and the delayed heartbeat of the
+/// earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Between {
     Nothing,
@@ -65,16 +66,17 @@
     LaterIsPromoted,
 }
 
-/// The earlier life is 1 and the later one 2, at the same address: they differ in their identity alone.
-fn at_one_address(number: u16, state: BackEndState, sequence: u64) -> RegistryCommand {
+/// Returns a report of a primary at the shared address, so that incarnations differ in their
+/// identity alone.
+fn report_at_shared_address(number: u16, state: BackEndState, sequence: u64) -> RegistryCommand {
     let mut report = report(number, state, Primary, sequence);
     report.back_end.address = ([10, 0, 0, 1], 9_000).into();
     RegistryCommand::Report { member: member(number), report }
 }
 
 #[rstest]
-fn a_late_heartbeat_of_an_earlier_life_changes_nothing_of_the_later_one(
-    #[values(true, false)] earlier_was_known: bool,
+fn a_late_heartbeat_of_an_earlier_incarnation_does_not_change_the_later_one(
+    #[values(true, false)] earlier_was_registered: bool,
     #[values(
         Between::Nothing,
         Between::EarlierLeft,
@@ -89,29 +91,33 @@
     let leave = |number| RegistryCommand::Leave { member: member(number) };
     (1..=3).for_each(|number| drop(registry.apply(leave(number))));
     let (earlier, later) = (11, 12);
-    if earlier_was_known {
-        registry.apply(at_one_address(earlier, Ready, 5));
+    if earlier_was_registered {
+        registry.apply(report_at_shared_address(earlier, Ready, 5));
     }
-    registry.apply(at_one_address(later, Ready, 1));
+    registry.apply(report_at_shared_address(later, Ready, 1));
     match between {
         Between::Nothing => (),
         Between::EarlierLeft => drop(registry.apply(leave(earlier))),
         Between::LaterDrains => {
-            registry.apply(at_one_address(later, Draining, 2));
+            registry.apply(report_at_shared_address(later, Draining, 2));
         }
         Between::LaterIsPromoted => {
             let promote = RegistryCommand::Promote { group: group(), target: member(later) };
             registry.apply(promote);
         }
     }
-    let known = registry.state.back_end(&member(later)).cloned();
+    let stored = registry.state.back_end(&member(later)).cloned();
     let promotion = registry.state.promotion(&group()).cloned();
-    assert!(known.is_some());
-    let (_, changes) = registry.apply(at_one_address(earlier, late, late_sequence));
-    assert_eq!(registry.state.back_end(&member(later)).cloned(), known);
+    assert!(stored.is_some());
+    let (_, changes) = registry.apply(report_at_shared_address(earlier, late, late_sequence));
+    assert_eq!(registry.state.back_end(&member(later)).cloned(), stored);
     assert_eq!(registry.state.promotion(&group()).cloned(), promotion);
     assert!(!changes.back_ends.contains(&member(later)));
     if between == Between::EarlierLeft {
-        assert_eq!(registry.state_of(earlier), None, "who left does not come back");
+        assert_eq!(
+            registry.state_of(earlier),
+            None,
+            "a back end that left is not registered again"
+        );
     }
 }
--- a/crates/core/tests/registry/main.rs
+++ b/crates/core/tests/registry/main.rs
@@ -1,4 +1,4 @@
-//! The registry of back ends: documents, heartbeats, promotions, the repair of the cell.
+//! Registry of back ends: documents, heartbeats, promotions and cell repair.
 
 mod cell_repair;
 mod documents;
--- a/crates/core/tests/registry/promotion.rs
+++ b/crates/core/tests/registry/promotion.rs
@@ -1,4 +1,4 @@
-//! The replacement of primaries: evidence, choice, fences, late and lost calls.
+//! Replacement of primaries of registered groups: evidence, choice, fences, late and lost calls.
 
 use super::support::{Registry, group, member};
 use corktack_core::identity::{MemberName, ProxyName};
@@ -13,13 +13,14 @@
 use corktack_core::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// Gateways that are heard, and those of them whose word is enough: half.
+/// Number of reporting gateways.
 const GATEWAYS: usize = 6;
-const ENOUGH: usize = 3;
-/// Milliseconds for which fewer may not reach a primary before the leader looks for itself.
-const SUSPICION_PAUSE: u64 = 800;
+/// Number of gateways whose reports suffice to replace a primary: half.
+const REQUIRED_GATEWAYS: usize = 3;
+/// Milliseconds after which the leader asks a primary that fewer gateways report as unreachable.
+const SUSPICION_DELAY_MS: u64 = 800;
 
-/// A leader's duty over a registry, on a clock of its own.
+/// A registry and the leader's promotions for it, on a virtual clock.
 struct World {
     registry: Registry,
     duty: PromotionDuty,
@@ -54,11 +55,11 @@
         self.duty.advance(self.now, &self.registry.state, self.gateways)
     }
 
-    /// Too few gateways do not reach the primary, for long enough that the leader looks.
-    fn suspected_by_one(&mut self) -> Vec<PromotionAction> {
-        self.unreached(1, 1);
-        assert!(self.advance().is_empty(), "others may say the same");
-        assert!(self.after(SUSPICION_PAUSE - 1).is_empty());
+    /// Lets one gateway, too few, report the primary as unreachable until the leader asks the members.
+    fn suspect_by_one_gateway(&mut self) -> Vec<PromotionAction> {
+        self.report_unreachable(1, 1);
+        assert!(self.advance().is_empty(), "other gateways may report the same");
+        assert!(self.after(SUSPICION_DELAY_MS - 1).is_empty());
         self.after(1)
     }
 
@@ -67,10 +68,11 @@
         self.advance()
     }
 
-    fn unreached(&mut self, gateways: usize, number: u16) {
-        for place in 0..gateways {
+    /// Lets this number of gateways report a member as unreachable.
+    fn report_unreachable(&mut self, gateways: usize, number: u16) {
+        for gateway_number in 0..gateways {
             self.duty.report(ReachReport {
-                gateway: gateway(place),
+                gateway: gateway(gateway_number),
                 group: group(),
                 member: member(number),
                 reached: false,
@@ -82,24 +84,24 @@
         self.duty.take_status(&group(), &member(number), answer);
     }
 
-    /// Both replicas tell their positions; the second member is ahead.
-    fn replicas_answer(&mut self) {
+    /// Delivers the positions of both replicas; member 2 is ahead.
+    fn answer_replicas(&mut self) {
         self.answer(2, status(false, 1, 20));
         self.answer(3, status(false, 1, 10));
     }
 
-    /// Puts a proposed decision into the log; gives its fence.
+    /// Commits a proposed decision to the log and returns its fence.
     fn commit(&mut self, actions: &[PromotionAction]) -> u64 {
         let [PromotionAction::Propose(command)] = actions else { panic!("{actions:?}") };
         self.registry.apply(command.clone());
         self.registry.state.promotion(&group()).expect("a decision").fence.0
     }
 
-    /// Goes on to the call for member 2.
-    fn call_for_second(&mut self) -> u64 {
-        self.unreached(ENOUGH, 1);
+    /// Runs until the leader calls the authority for member 2, and returns the fence.
+    fn call_for_member_2(&mut self) -> u64 {
+        self.report_unreachable(REQUIRED_GATEWAYS, 1);
         assert_eq!(asked(&self.advance()), names(&[2, 3]));
-        self.replicas_answer();
+        self.answer_replicas();
         let proposed = self.advance();
         let fence = self.commit(&proposed);
         assert_eq!(called(&self.advance()), Some((member(2), fence)));
@@ -134,103 +136,109 @@
 }
 
 #[test]
-fn a_primary_that_serves_is_left_alone() {
+fn a_healthy_primary_is_kept() {
     let mut world = World::new(0);
     assert!(world.advance().is_empty());
     assert!(world.after(60_000).is_empty());
 }
 
 #[test]
-fn the_word_of_one_gateway_needs_a_look_of_the_leaders_own() {
+fn the_report_of_one_gateway_must_be_confirmed_by_the_leader() {
     let mut world = World::new(0);
-    assert_eq!(asked(&world.suspected_by_one()), names(&[1, 2, 3]));
-    world.replicas_answer();
-    assert!(world.advance().is_empty(), "the primary may still answer");
+    assert_eq!(asked(&world.suspect_by_one_gateway()), names(&[1, 2, 3]));
+    world.answer_replicas();
+    assert!(world.advance().is_empty(), "the suspected primary may still answer");
     world.answer(1, status(true, 1, 30));
     assert!(world.advance().is_empty());
-    assert!(world.after(10_000).is_empty(), "the lead stays where it is");
+    assert!(world.after(10_000).is_empty(), "the primary is kept");
 }
 
 #[test]
-fn a_primary_that_only_has_too_much_to_do_keeps_the_lead() {
+fn an_overloaded_primary_is_kept() {
     let mut world = World::new(0);
-    world.suspected_by_one();
+    world.suspect_by_one_gateway();
     world.answer(1, MemberAnswer::Silent);
-    world.replicas_answer();
+    world.answer_replicas();
     assert_eq!(proposed(&world.advance()), None);
     assert_eq!(proposed(&world.after(10_000)), None);
 }
 
 #[test]
-fn one_gateway_and_the_leader_together_are_evidence() {
+fn one_gateway_and_the_leader_together_suffice() {
     let mut world = World::new(0);
-    world.suspected_by_one();
+    world.suspect_by_one_gateway();
     world.answer(1, MemberAnswer::Unreachable);
-    world.replicas_answer();
+    world.answer_replicas();
     assert_eq!(proposed(&world.advance()), Some(member(2)));
 }
 
 #[test]
-fn half_of_the_gateways_are_evidence_enough() {
+fn half_of_the_gateways_suffice() {
     let mut world = World::new(0);
-    world.unreached(ENOUGH, 1);
-    assert_eq!(asked(&world.advance()), names(&[2, 3]), "the primary need not be asked");
+    world.report_unreachable(REQUIRED_GATEWAYS, 1);
+    assert_eq!(asked(&world.advance()), names(&[2, 3]), "the leader does not ask the primary");
 }
 
 #[test]
-fn fewer_than_half_of_them_are_not() {
+fn fewer_than_half_of_the_gateways_do_not_suffice() {
     let mut world = World::new(0);
-    world.unreached(ENOUGH - 1, 1);
-    assert!(world.advance().is_empty(), "the others reach it, and serve for those that do not");
+    world.report_unreachable(REQUIRED_GATEWAYS - 1, 1);
+    assert!(
+        world.advance().is_empty(),
+        "the other gateways reach the primary and serve the callers of these"
+    );
 }
 
 #[test]
-fn a_primary_that_silent_gateways_may_reach_is_kept_for_long() {
+fn a_primary_that_silent_gateways_may_reach_is_kept_for_the_grace_period() {
     let mut world = World::new(0);
     world.gateways = GatewayContact { reporting: 1, silent: 5 };
-    world.unreached(1, 1);
+    world.report_unreachable(1, 1);
     assert!(world.advance().is_empty());
-    assert!(world.after(6_999).is_empty(), "those on its side of the cut are served");
-    assert_eq!(asked(&world.after(1)), names(&[1, 2, 3]), "but not for ever");
+    assert!(
+        world.after(6_999).is_empty(),
+        "silent gateways on the primary's side of the partition are served"
+    );
+    assert_eq!(asked(&world.after(1)), names(&[1, 2, 3]), "the grace period has ended");
 }
 
 #[test]
-fn a_cut_that_heals_leaves_the_primary_where_it_is() {
+fn the_primary_is_kept_when_a_partition_heals() {
     let mut world = World::new(0);
     world.gateways = GatewayContact { reporting: 2, silent: 4 };
-    world.unreached(2, 1);
+    world.report_unreachable(2, 1);
     assert!(world.advance().is_empty());
     assert!(world.after(5_000).is_empty());
-    for place in 0..2 {
-        let (gateway, group, member) = (gateway(place), group(), member(1));
+    for number in 0..2 {
+        let (gateway, group, member) = (gateway(number), group(), member(1));
         world.duty.report(ReachReport { gateway, group, member, reached: true });
     }
     assert!(world.after(1).is_empty());
-    world.unreached(1, 1);
-    assert!(world.after(3_000).is_empty(), "another suspicion counts from its own beginning");
+    world.report_unreachable(1, 1);
+    assert!(world.after(3_000).is_empty(), "a new suspicion starts its own delay");
 }
 
 #[test]
-fn a_few_silent_gateways_hold_nothing_up() {
+fn a_few_silent_gateways_do_not_delay_a_suspicion() {
     let mut world = World::new(0);
     world.gateways = GatewayContact { reporting: 4, silent: 2 };
-    world.unreached(2, 1);
+    world.report_unreachable(2, 1);
     assert!(world.advance().is_empty());
-    assert_eq!(asked(&world.after(SUSPICION_PAUSE)), names(&[1, 2, 3]));
+    assert_eq!(asked(&world.after(SUSPICION_DELAY_MS)), names(&[1, 2, 3]));
 }
 
 #[test]
-fn two_gateways_are_enough_where_there_are_no_more() {
+fn two_gateways_suffice_if_there_are_only_two() {
     let mut world = World::new(0);
     world.gateways = GatewayContact { reporting: 2, silent: 0 };
-    world.unreached(2, 1);
+    world.report_unreachable(2, 1);
     assert_eq!(asked(&world.advance()), names(&[2, 3]));
 }
 
 #[test]
-fn gateways_that_are_gone_do_not_count_as_reporting() {
+fn reports_of_departed_gateways_do_not_count() {
     let mut world = World::new(0);
-    world.unreached(ENOUGH, 1);
+    world.report_unreachable(REQUIRED_GATEWAYS, 1);
     world.duty.retain_gateways(&BTreeSet::from([gateway(5)]));
     assert!(world.advance().is_empty());
 }
@@ -238,7 +246,7 @@
 #[test]
 fn the_most_advanced_member_is_chosen_by_term_first() {
     let mut world = World::new(0);
-    world.unreached(ENOUGH, 1);
+    world.report_unreachable(REQUIRED_GATEWAYS, 1);
     world.advance();
     world.answer(2, status(false, 1, 90));
     world.answer(3, status(false, 2, 40));
@@ -246,22 +254,23 @@
 }
 
 #[test]
-fn a_member_that_does_not_answer_holds_nothing_up() {
+fn a_member_that_does_not_answer_does_not_block_the_choice() {
     let mut world = World::new(0);
-    world.unreached(ENOUGH, 1);
+    world.report_unreachable(REQUIRED_GATEWAYS, 1);
     world.advance();
     world.answer(3, status(false, 1, 10));
-    assert!(world.advance().is_empty(), "the other may still answer");
+    assert!(world.advance().is_empty(), "the other replica may still answer");
     assert_eq!(proposed(&world.after(400)), Some(member(3)));
 }
 
 #[test]
 fn where_replicas_hold_acknowledged_commits_all_of_them_must_answer() {
     let mut world = World::new(1);
-    world.unreached(ENOUGH, 1);
+    world.report_unreachable(REQUIRED_GATEWAYS, 1);
     let actions = world.advance();
-    let held = |action: &PromotionAction| matches!(action, PromotionAction::Ask { hold: true, .. });
-    assert!(actions.iter().all(held), "{actions:?}");
+    let is_hold =
+        |action: &PromotionAction| matches!(action, PromotionAction::Ask { hold: true, .. });
+    assert!(actions.iter().all(is_hold), "{actions:?}");
     world.answer(3, status(false, 1, 10));
     assert_eq!(proposed(&world.after(400)), None);
     world.answer(2, status(false, 1, 11));
@@ -270,70 +279,71 @@
 }
 
 #[test]
-fn held_replicas_receive_again_when_the_lead_stays() {
+fn held_replicas_are_released_when_the_primary_is_kept() {
     let mut world = World::new(1);
-    world.suspected_by_one();
+    world.suspect_by_one_gateway();
     world.answer(1, status(true, 1, 30));
     let actions = world.advance();
-    let released = actions.iter().filter(|it| matches!(it, PromotionAction::Release { .. }));
+    let released =
+        actions.iter().filter(|action| matches!(action, PromotionAction::Release { .. }));
     assert_eq!(released.count(), 3);
 }
 
 #[test]
-fn a_draining_primary_is_replaced_while_it_answers() {
+fn a_draining_primary_is_replaced_although_it_answers() {
     let mut world = World::new(0);
-    world.registry.say(1, Draining, Primary, 2);
+    world.registry.apply_report(1, Draining, Primary, 2);
     assert_eq!(asked(&world.advance()), names(&[2, 3]));
 }
 
 #[test]
-fn a_group_whose_primary_left_gets_another() {
+fn a_group_whose_primary_left_gets_a_new_one() {
     let mut world = World::new(0);
     world.registry.apply(RegistryCommand::Leave { member: member(1) });
-    assert!(world.advance().is_empty(), "its successor may register any moment");
+    assert!(world.advance().is_empty(), "a new primary may still register");
     assert_eq!(asked(&world.after(3_100)), names(&[2, 3]));
 }
 
 #[test]
 fn a_decision_is_in_the_log_before_the_authority_is_called() {
     let mut world = World::new(0);
-    world.unreached(ENOUGH, 1);
+    world.report_unreachable(REQUIRED_GATEWAYS, 1);
     world.advance();
-    world.replicas_answer();
+    world.answer_replicas();
     let actions = world.advance();
     assert_eq!(called(&actions), None);
-    assert_eq!(called(&world.after(50)), None, "not before it is committed");
+    assert_eq!(called(&world.after(50)), None, "the decision is not committed yet");
     let fence = world.commit(&actions);
     assert_eq!(called(&world.advance()), Some((member(2), fence)));
 }
 
 #[test]
-fn a_lost_call_is_made_again_under_the_same_fence() {
+fn a_lost_call_is_retried_with_the_same_fence() {
     let mut world = World::new(0);
-    let fence = world.call_for_second();
+    let fence = world.call_for_member_2();
     world.duty.take_answer(world.now, &group(), fence, PromotionAnswer::Unknown);
     assert_eq!(called(&world.advance()), None);
     assert_eq!(called(&world.after(350)), Some((member(2), fence)));
 }
 
 #[test]
-fn an_accepted_call_is_not_repeated_and_ends_when_the_member_leads() {
+fn an_accepted_call_is_not_repeated_and_ends_when_the_member_is_primary() {
     let mut world = World::new(0);
-    let fence = world.call_for_second();
+    let fence = world.call_for_member_2();
     world.duty.take_answer(world.now, &group(), fence, PromotionAnswer::Accepted);
     assert_eq!(called(&world.after(1_000)), None);
-    world.registry.say(2, Ready, Primary, 2);
+    world.registry.apply_report(2, Ready, Primary, 2);
     assert!(world.advance().is_empty());
-    world.registry.say(1, Ready, Replica, 2);
+    world.registry.apply_report(1, Ready, Replica, 2);
     assert!(world.after(10_000).is_empty());
 }
 
 #[test]
 fn each_new_decision_has_a_higher_fence() {
     let mut world = World::new(0);
-    let first = world.call_for_second();
+    let first = world.call_for_member_2();
     world.duty.take_answer(world.now, &group(), first, PromotionAnswer::Refused);
-    assert_eq!(asked(&world.advance()), names(&[3]), "the refused member is left out");
+    assert_eq!(asked(&world.advance()), names(&[3]), "the refused member is excluded");
     world.answer(3, status(false, 1, 10));
     let actions = world.advance();
     let second = world.commit(&actions);
@@ -343,26 +353,26 @@
     assert!(world.after(10).is_empty());
     world.duty.take_answer(world.now, &group(), second, PromotionAnswer::Unknown);
     let again = called(&world.after(350));
-    assert_eq!(again, Some((member(3), second)), "the answer to the older call changed nothing");
+    assert_eq!(again, Some((member(3), second)), "the answer to the older call has no effect");
 }
 
 #[test]
-fn a_member_that_never_leads_is_given_up() {
+fn a_member_that_never_becomes_primary_is_given_up() {
     let mut world = World::new(0);
-    let fence = world.call_for_second();
+    let fence = world.call_for_member_2();
     world.duty.take_answer(world.now, &group(), fence, PromotionAnswer::Accepted);
     assert_eq!(asked(&world.after(3_600)), BTreeSet::new());
     assert_eq!(asked(&world.after(10)), names(&[3]));
 }
 
 #[test]
-fn a_new_leader_does_not_call_under_the_fence_of_the_one_before() {
+fn a_new_leader_does_not_reuse_the_fence_of_its_predecessor() {
     let mut world = World::new(0);
-    let first = world.call_for_second();
+    let first = world.call_for_member_2();
     world.duty = PromotionDuty::new(PromotionSettings::default());
-    world.unreached(ENOUGH, 1);
+    world.report_unreachable(REQUIRED_GATEWAYS, 1);
     world.advance();
-    world.replicas_answer();
+    world.answer_replicas();
     let actions = world.advance();
     assert_eq!(called(&actions), None);
     let second = world.commit(&actions);
@@ -370,9 +380,9 @@
 }
 
 #[test]
-fn a_late_call_that_was_carried_out_is_seen_before_another_is_made() {
+fn a_late_promotion_that_took_effect_is_noticed_before_another_is_decided() {
     let mut world = World::new(0);
-    world.unreached(ENOUGH, 1);
+    world.report_unreachable(REQUIRED_GATEWAYS, 1);
     world.advance();
     world.answer(2, status(true, 2, 20));
     world.answer(3, status(false, 1, 10));
--- a/crates/core/tests/registry/support.rs
+++ b/crates/core/tests/registry/support.rs
@@ -1,4 +1,4 @@
-//! A registry with one group of three members.
+//! A registry with one group of three members, for the tests of the registry.
 
 use corktack_core::identity::{GroupName, MemberName, ZoneName};
 use corktack_core::registry::{
@@ -64,7 +64,7 @@
     BackEndReport { back_end: back_end(number, state, role), sequence, warmup: Duration::ZERO }
 }
 
-/// A registry and the log entries that it was made of.
+/// A registry and the revision of its last applied command.
 #[derive(Default)]
 pub struct Registry {
     pub state: RegistryState,
@@ -72,15 +72,15 @@
 }
 
 impl Registry {
-    /// With a document and the members 1 (primary) to 3.
+    /// Returns a registry with a document and the members 1 (the primary), 2 and 3.
     pub fn with_group(synchronous_replicas: u32) -> Self {
         let mut registry = Self::default();
         let mut first = document(1);
         first.services[0].synchronous_replicas = synchronous_replicas;
         registry.apply(RegistryCommand::PutDocument(stored(first, "first")));
-        registry.say(1, BackEndState::Ready, BackEndRole::Primary, 1);
-        registry.say(2, BackEndState::Ready, BackEndRole::Replica, 1);
-        registry.say(3, BackEndState::Ready, BackEndRole::Replica, 1);
+        registry.apply_report(1, BackEndState::Ready, BackEndRole::Primary, 1);
+        registry.apply_report(2, BackEndState::Ready, BackEndRole::Replica, 1);
+        registry.apply_report(3, BackEndState::Ready, BackEndRole::Replica, 1);
         registry
     }
 
@@ -91,7 +91,8 @@
         (outcome, changes)
     }
 
-    pub fn say(
+    /// Applies a heartbeat of a member.
+    pub fn apply_report(
         &mut self,
         number: u16,
         state: BackEndState,
