--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,18 +1,17 @@
-//! Which proxies are alive, as the leader of the control cell judges.
+//! Liveness of the proxies, as the leader of the control cell determines it.
 //!
-//! [`Membership`] lives on the leader only and is made afresh when a replica
+//! [`Membership`] exists on the leader only and is created anew when a replica
 //! becomes leader; every proxy in the control state then has a grace period for its
-//! first heartbeat. Heartbeats alone decide who is live. The platform's list is a hint:
-//! a machine that it calls leaving is obeyed at once, but one that it calls live
-//! and that misses its heartbeats is down all the same.
+//! first heartbeat. Heartbeats alone decide which proxies are live. The platform's list is a
+//! hint: a machine that it lists as leaving is drained at once, but a machine that it lists
+//! as live is still declared down if its heartbeats are missing.
 //!
 //! When over half of the proxies miss their heartbeats together, the likelier
-//! cause is this leader itself, that was frozen or cut off. Then nobody is
-//! declared down for a further grace period, in which the heartbeats that were
-//! under way come in.
+//! cause is that this leader was itself frozen or cut off. The leader then declares no
+//! proxy down for a further grace period, in which the delayed heartbeats arrive.
 //!
-//! Owns each proxy's last heartbeat. Relies on the control state for which proxies there are; what it finds goes into
-//! the log as a command.
+//! The module holds the last heartbeat of each proxy. The control state says which proxies exist,
+//! and the changes that the module finds go into the log as commands.
 
 mod platform;
 mod tracker;
--- a/crates/core/src/membership/platform.rs
+++ b/crates/core/src/membership/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's list of machines.
+//! The platform's list of machines and its differences to the control state.
 //!
-//! Compares the list with the control state. Owns nothing; the list is a hint, see [`super`].
+//! The list is a hint; see [`super`].
 
 use crate::identity::{GroupName, Incarnation, MemberName, ProxyName};
 use crate::state::{ControlState, GroupRecord};
@@ -8,18 +8,18 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The platform's list of live and leaving machines, by the address they serve at.
+/// The platform's list of live and leaving machines, by the address at which they serve.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlatformList {
-    /// Machines that run.
+    /// Addresses of the running machines.
     pub live: BTreeSet<SocketAddr>,
-    /// Machines that are about to go.
+    /// Addresses of the machines that will stop soon.
     pub leaving: BTreeSet<SocketAddr>,
 }
 
 impl PlatformList {
-    /// What the list says of a machine that is or was called leaving: still leaving,
-    /// live again, or nothing. One that it lists twice is leaving.
+    /// Reports whether the list has the machine as leaving; none if the machine is not on the list.
+    /// A machine that is listed both as live and as leaving is leaving.
     fn is_leaving(&self, address: &SocketAddr) -> Option<bool> {
         if self.leaving.contains(address) {
             return Some(true);
@@ -27,29 +27,29 @@
         self.live.contains(address).then_some(false)
     }
 
-    /// Back ends whose state differs from what the list says. One that is on
-    /// neither list keeps its state.
+    /// Returns the back ends whose stored state differs from the list, with the state of the list.
+    /// A back end that is not on the list keeps its state.
     pub(super) fn changed_members(
         &self,
         state: &ControlState,
     ) -> Vec<(GroupName, MemberName, bool)> {
         let groups = state.groups();
-        groups.flat_map(|(name, group)| self.changed_of_group(name, group)).collect()
+        groups.flat_map(|(name, group)| self.changed_members_of_group(name, group)).collect()
     }
 
-    fn changed_of_group<'a>(
+    fn changed_members_of_group<'a>(
         &'a self,
         name: &'a GroupName,
         group: &'a GroupRecord,
     ) -> impl Iterator<Item = (GroupName, MemberName, bool)> + 'a {
         group.view.spec.members.iter().filter_map(move |member| {
             let leaving = self.is_leaving(&member.address)?;
-            let known = group.leaving.contains(&member.name);
-            (leaving != known).then(|| (name.clone(), member.name.clone(), leaving))
+            let stored = group.leaving.contains(&member.name);
+            (leaving != stored).then(|| (name.clone(), member.name.clone(), leaving))
         })
     }
 
-    /// Live proxies that the list calls leaving.
+    /// Returns the live proxies that the list has as leaving.
     pub(super) fn leaving_proxies(
         &self,
         state: &ControlState,
--- a/crates/core/src/membership/tracker.rs
+++ b/crates/core/src/membership/tracker.rs
@@ -1,7 +1,7 @@
-//! Heartbeats of the proxies: who came, who is silent, and what the control state should hold of it.
+//! Tracks the heartbeats of the proxies and proposes the resulting changes of the control state.
 //!
-//! Owns, of each proxy, its last heartbeat and what was proposed of it. Relies on the leader's clock and on
-//! control replicas that pass heartbeats on.
+//! The tracker holds the last heartbeat of each proxy and the time of the last proposal. Control
+//! replicas forward heartbeats to the leader, whose clock decides which proxies are silent.
 
 use super::platform::PlatformList;
 use crate::identity::{Incarnation, ProxyName, ZoneName};
@@ -13,19 +13,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Fewest silent proxies that are blamed on the leader itself. Chosen, not measured: with fewer, a small fleet
-/// that loses most of its proxies waits for a grace period more.
+/// Least number of silent proxies for which the leader assumes that it was itself cut off. With a
+/// lower number, a small fleet that loses most of its proxies waits for a further grace period.
 const IMPLAUSIBLE_MINIMUM: usize = 3;
 
-/// Times of the membership. Chosen, not measured: with lower ones, proxies that are frozen for a moment lose
-/// their groups; with higher ones, groups of proxies that are gone are taken over later.
+/// Timeouts of the membership. With lower values, proxies that are frozen for a moment lose
+/// their groups; with higher values, the groups of lost proxies are taken over later.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// A proxy without a heartbeat for this long is down.
+    /// Time without a heartbeat after which a proxy is declared down.
     pub heartbeat_timeout: Duration,
-    /// What a new leader gives every proxy, and every leader when over half are silent.
+    /// Extra time that a new leader grants to every proxy, and any leader when over half of the
+    /// proxies are silent.
     pub grace_period: Duration,
-    /// Between two proposals of the same batch while its outcome is not known.
+    /// How long the leader waits for the outcome of a proposal before it proposes again.
     pub proposal_timeout: Duration,
 }
 
@@ -42,17 +43,17 @@
 /// A heartbeat of a proxy, received directly or through another replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProxyHeartbeat {
-    /// The proxy.
+    /// Name of the proxy.
     pub proxy: ProxyName,
-    /// Its incarnation.
+    /// Incarnation of the proxy process.
     pub incarnation: Incarnation,
-    /// Address of its owner interface.
+    /// Address of the proxy's owner interface.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone that the proxy runs in.
     pub zone: ZoneName,
-    /// Revision in force there.
+    /// Revision of the configuration in force on the proxy.
     pub revision: Revision,
-    /// Whether it is stopping.
+    /// Whether the proxy is stopping.
     pub draining: bool,
 }
 
@@ -66,9 +67,9 @@
         }
     }
 
-    /// Whether the control state must change: another incarnation or place, or a return.
-    /// A proxy that is stopping is not taken up again, so that no group moves to it.
-    fn is_news(&self, stored: Option<&ProxyView>) -> bool {
+    /// Reports whether the proxy must be registered: it is new, has returned, or its incarnation,
+    /// address or zone changed. A stopping proxy is not registered again, so that no group moves to it.
+    fn needs_registration(&self, stored: Option<&ProxyView>) -> bool {
         let Some(stored) = stored.filter(|stored| stored.state != ProxyState::Down) else {
             return !self.draining;
         };
@@ -78,23 +79,23 @@
     }
 }
 
-/// The last word of one proxy.
+/// Last heartbeat of one proxy.
 #[derive(Clone, Debug)]
 struct LastHeartbeat {
-    at: Timestamp,
+    received_at: Timestamp,
     heartbeat: ProxyHeartbeat,
-    /// The incarnation before; what is still under way from it is left out.
-    former: Option<Incarnation>,
+    /// Previous incarnation of the proxy, whose delayed heartbeats are ignored.
+    previous_incarnation: Option<Incarnation>,
 }
 
-/// On how many proxies a revision is in force.
+/// Number of proxies on which a revision is in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InForce {
-    /// Proxies that have it.
-    pub on: usize,
-    /// Proxies that are not down.
-    pub of: usize,
-    /// Those that have not reported it.
+    /// Number of proxies on which the revision is in force.
+    pub applied: usize,
+    /// Number of proxies that are not down.
+    pub total: usize,
+    /// Proxies that are not down and have not reported the revision.
     pub missing: Vec<ProxyName>,
 }
 
@@ -103,7 +104,7 @@
 pub struct Membership {
     settings: MembershipSettings,
     heartbeats: BTreeMap<ProxyName, LastHeartbeat>,
-    /// Proxies of the state that have sent no heartbeat yet count from here.
+    /// Start of the grace period of stored proxies that have sent no heartbeat to this leader yet.
     leading_since: Timestamp,
     platform: PlatformList,
     implausible_since: Option<Timestamp>,
@@ -111,7 +112,7 @@
 }
 
 impl Membership {
-    /// A tracker for a replica that just became leader.
+    /// Returns a tracker for a replica that just became leader.
     #[must_use]
     pub const fn new(settings: MembershipSettings, now: Timestamp) -> Self {
         Self {
@@ -124,45 +125,51 @@
         }
     }
 
-    /// Takes in a heartbeat that reached the cell at `now`.
+    /// Records a heartbeat that reached the cell at `now`. A heartbeat of the previous incarnation
+    /// is ignored unless the proxy has been silent for the heartbeat timeout.
     pub fn on_report(&mut self, now: Timestamp, heartbeat: ProxyHeartbeat) {
         let Some(last) = self.heartbeats.get_mut(&heartbeat.proxy) else {
             let name = heartbeat.proxy.clone();
-            self.heartbeats.insert(name, LastHeartbeat { at: now, heartbeat, former: None });
+            self.heartbeats.insert(
+                name,
+                LastHeartbeat { received_at: now, heartbeat, previous_incarnation: None },
+            );
             return;
         };
         let same_incarnation = last.heartbeat.incarnation == heartbeat.incarnation;
-        let silent = now.saturating_since(last.at) >= self.settings.heartbeat_timeout;
-        if !same_incarnation && last.former == Some(heartbeat.incarnation) && !silent {
+        let silent = now.saturating_since(last.received_at) >= self.settings.heartbeat_timeout;
+        if !same_incarnation && last.previous_incarnation == Some(heartbeat.incarnation) && !silent
+        {
             return;
         }
         if !same_incarnation {
-            last.former = Some(last.heartbeat.incarnation);
+            last.previous_incarnation = Some(last.heartbeat.incarnation);
         }
-        last.at = now;
+        last.received_at = now;
         last.heartbeat = heartbeat;
     }
 
-    /// Takes in the platform's list.
+    /// Replaces the platform's list.
     pub fn on_platform(&mut self, list: PlatformList) {
         self.platform = list;
     }
 
-    /// Notes that the commands of the last tick were committed or lost.
+    /// Records that the commands of the last tick were committed or lost.
     pub fn on_outcome(&mut self) {
         self.proposed_at = None;
     }
 
-    /// Commands to propose, at most one of each sort. While their outcome is not
-    /// known no further ones are given.
+    /// Returns the commands to propose, at most one of each kind. Returns none while the outcome of
+    /// the last commands is unknown, for at most the proposal timeout.
     pub fn on_tick(&mut self, now: Timestamp, state: &ControlState) -> Vec<Command> {
-        let waiting = |at| now.saturating_since(at) < self.settings.proposal_timeout;
-        if self.proposed_at.is_some_and(waiting) {
+        let is_waiting =
+            |proposed_at| now.saturating_since(proposed_at) < self.settings.proposal_timeout;
+        if self.proposed_at.is_some_and(is_waiting) {
             return Vec::new();
         }
         let down = self.silent_proxies(now, state);
-        let down = self.plausible(now, state, down);
-        self.forget(state, now);
+        let down = self.defer_if_implausible(now, state, down);
+        self.remove_stale(state, now);
         let batches = [
             batch(Command::RegisterProxies, self.registrations(now, state)),
             batch(Command::ProxiesDraining, self.draining_proxies(now, state)),
@@ -175,16 +182,17 @@
     }
 
     fn is_silent(&self, now: Timestamp, last: &LastHeartbeat) -> bool {
-        now.saturating_since(last.at) >= self.settings.heartbeat_timeout
+        now.saturating_since(last.received_at) >= self.settings.heartbeat_timeout
     }
 
     fn registrations(&self, now: Timestamp, state: &ControlState) -> Vec<ProxyRegistration> {
         let fresh = self.heartbeats.values().filter(|last| !self.is_silent(now, last));
-        let news = fresh.filter(|last| last.heartbeat.is_news(state.proxy(&last.heartbeat.proxy)));
-        news.map(|last| last.heartbeat.registration()).collect()
+        let changed = fresh
+            .filter(|last| last.heartbeat.needs_registration(state.proxy(&last.heartbeat.proxy)));
+        changed.map(|last| last.heartbeat.registration()).collect()
     }
 
-    /// Proxies that say they are stopping, or that the platform calls leaving.
+    /// Returns the proxies that report to be stopping, or that the platform lists as leaving.
     fn draining_proxies(
         &self,
         now: Timestamp,
@@ -194,17 +202,17 @@
         for last in self.heartbeats.values() {
             let heartbeat = &last.heartbeat;
             let stored = state.proxy(&heartbeat.proxy);
-            let owns = stored.is_some_and(|stored| {
+            let is_undrained = stored.is_some_and(|stored| {
                 stored.state == ProxyState::Live || stored.incarnation != heartbeat.incarnation
             });
-            if heartbeat.draining && owns && !self.is_silent(now, last) {
+            if heartbeat.draining && is_undrained && !self.is_silent(now, last) {
                 draining.insert((heartbeat.proxy.clone(), heartbeat.incarnation));
             }
         }
         Vec::from_iter(draining)
     }
 
-    /// Proxies of the state that sent no heartbeat in time.
+    /// Returns the stored proxies that sent no heartbeat in time.
     fn silent_proxies(
         &self,
         now: Timestamp,
@@ -219,8 +227,8 @@
         silent.map(|(name, proxy)| (name.clone(), proxy.incarnation)).collect()
     }
 
-    /// Holds back an implausible number of proxies for a further grace period.
-    fn plausible(
+    /// Returns the silent proxies, or none for a further grace period if their number is implausible.
+    fn defer_if_implausible(
         &mut self,
         now: Timestamp,
         state: &ControlState,
@@ -236,28 +244,29 @@
         if confirmed { silent } else { Vec::new() }
     }
 
-    /// Drops what is known of proxies that are silent and down or unknown.
-    fn forget(&mut self, state: &ControlState, now: Timestamp) {
+    /// Removes the heartbeats of silent proxies that are down or not stored.
+    fn remove_stale(&mut self, state: &ControlState, now: Timestamp) {
         let timeout = self.settings.heartbeat_timeout;
         self.heartbeats.retain(|name, last| {
             let up = state.proxy(name).is_some_and(|proxy| proxy.state != ProxyState::Down);
-            up || now.saturating_since(last.at) < timeout
+            up || now.saturating_since(last.received_at) < timeout
         });
     }
 
-    /// On which proxies that are not down a revision is in force. A new leader
-    /// counts a proxy once it has sent a heartbeat.
+    /// Returns on how many proxies that are not down a revision is in force. A new leader
+    /// counts the revision of a proxy once the proxy has sent a heartbeat.
     #[must_use]
     pub fn in_force(&self, revision: Revision, state: &ControlState) -> InForce {
         let mut result = InForce::default();
         let watched = state.proxies().filter(|(_, proxy)| proxy.state != ProxyState::Down);
         for (name, proxy) in watched {
             let heartbeat = self.heartbeats.get(name).map(|last| &last.heartbeat);
-            let has_it = heartbeat
-                .is_some_and(|it| it.incarnation == proxy.incarnation && it.revision >= revision);
-            result.of += 1;
-            if has_it {
-                result.on += 1;
+            let is_applied = heartbeat.is_some_and(|heartbeat| {
+                heartbeat.incarnation == proxy.incarnation && heartbeat.revision >= revision
+            });
+            result.total += 1;
+            if is_applied {
+                result.applied += 1;
             } else {
                 result.missing.push(name.clone());
             }
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -1,15 +1,16 @@
-//! Which proxy owns which group.
+//! Assignment of groups to owning proxies.
 //!
 //! Owners are chosen by rendezvous (highest random weight) hashing over the live
-//! proxies, nearest to the group's primary first, with capped load: see [`Rank`].
-//! A group keeps its owner while that proxy is live, also when its primary moves
+//! proxies, nearest to the group's primary first, with bounded load: see [`Rank`].
+//! A group keeps its owner while that proxy is live, even if its primary moves
 //! to another zone. Only a proxy that registers takes groups from others, at most
-//! [`MOVES_PER_REGISTRATION`] at a time: first those it owned before it went, then
-//! those that rank it above their owner. So a proxy that was away gets its groups
-//! back, and a fleet that restarts one by one stays balanced.
+//! [`MOVES_PER_REGISTRATION`] at a time: first the groups that it owned before it left,
+//! then the groups that rank it above their owner. So a returning proxy gets its groups
+//! back, and a fleet whose proxies restart one after the other stays balanced.
 //!
-//! Inputs: the zones of proxies and primaries, who owns what, and names. Owns nothing between two commands of the
-//! log. Relies on fixed hash keys, so that every replica chooses the same.
+//! The choice depends on the zones of proxies and primaries, the current owners and the names. The
+//! module keeps no state between two commands of the log. The hash keys are fixed, so that every
+//! replica chooses the same owners.
 
 use crate::distance::Distance;
 use crate::identity::{GroupName, ProxyName, ZoneName};
@@ -17,44 +18,45 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Most groups that move to one proxy because it registered. Chosen, not measured beside other values: with more,
-/// a start moves more sessions at once; with fewer, a proxy that was away gets its groups back later.
+/// Highest number of groups that move to one proxy because it registered. With more groups, a start
+/// moves more sessions at once; with fewer, a returning proxy gets its groups back later.
 pub const MOVES_PER_REGISTRATION: usize = 64;
 
-/// A proxy may own this many quarters of the mean. Chosen, not measured beside other values: with fewer, groups
-/// are placed farther from their primaries; with more, loads differ more.
+/// Capacity of a proxy, in quarters of the mean number of groups. With fewer quarters, groups are
+/// placed farther from their primaries; with more, loads differ more.
 const CAPACITY_QUARTERS: usize = 5;
 
-/// A proxy in the primary's region may own this many times the capacity before
-/// one in another region is chosen: a busier owner costs less than a far one. With 1,100 proxies and 733 groups,
-/// whose capacity is 1, 182 groups were owned in another region without it, and none with it; the highest load
-/// was 2 in place of 1.
-const NEAR_OVERLOAD: usize = 2;
+/// Factor on the capacity of proxies in the primary's region, which may own that many groups before
+/// a proxy in another region is chosen: a busier owner costs less than a distant one. With 1,100
+/// proxies and 733 groups, where the capacity is 1, 182 groups are owned in another region without
+/// the factor and none with it; the highest load is 2 instead of 1.
+const NEAR_OVERLOAD_FACTOR: usize = 2;
 
-/// Fixed keys: every replica, of any build, must choose the same owner.
+/// Fixed hash keys: every replica, of any build, must choose the same owner.
 const HASH_KEYS: (u64, u64) = (0x636f_726b_7461_636b, 0x6f77_6e65_7273_6869);
 
-/// Keeps the two names apart in the hashed bytes; no name holds it.
+/// Separates the two names in the hashed bytes; no name contains this byte.
 const NAME_SEPARATOR: u8 = 0;
 
-/// How well a proxy suits a group; the highest wins, then the highest weight.
+/// How well a proxy suits a group. The proxy of the highest rank is chosen, among equal ranks the
+/// one of the highest weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// It is full.
+    /// The proxy may not own more groups at its distance.
     Full,
-    /// Another region, below capacity.
+    /// In another region than the primary, below capacity.
     Far,
-    /// The primary's region, over capacity and below twice that.
+    /// In the primary's region, at or above capacity and below twice the capacity.
     BusyRegion,
-    /// The primary's zone, over capacity and below twice that.
+    /// In the primary's zone, at or above capacity and below twice the capacity.
     BusyZone,
-    /// The primary's region, below capacity.
+    /// In the primary's region, below capacity.
     Region,
-    /// The primary's zone, below capacity.
+    /// In the primary's zone, below capacity.
     Zone,
 }
 
-/// Most groups given to one proxy: five quarters of the mean, rounded up.
+/// Returns the capacity of a proxy in groups: five quarters of the mean, rounded up.
 #[must_use]
 pub const fn capacity(groups: usize, proxies: usize) -> usize {
     if proxies == 0 {
@@ -66,29 +68,30 @@
 /// A group that needs an owner.
 #[derive(Clone, Copy, Debug)]
 pub struct Placement<'a> {
-    /// The group.
+    /// Name of the group.
     pub group: &'a GroupName,
-    /// Zone of its primary, where known.
+    /// Zone of the group's primary; none if the group has no primary.
     pub zone: Option<&'a ZoneName>,
 }
 
 impl Placement<'_> {
-    /// Rank of a proxy of that zone which owns so many groups.
+    /// Returns the rank of a proxy in `zone` that owns `groups` groups.
     fn rank(&self, zone: &ZoneName, groups: usize, capacity: usize) -> Rank {
         let between = |primary| Distance::between(primary, zone);
-        // Where no primary is known every proxy is as far as in another region.
+        // Without a primary every proxy counts as in another region.
         let distance = self.zone.map_or(Distance::OtherRegion, between);
         rank(distance, groups, capacity)
     }
 }
 
-/// How well a proxy suits a group.
+/// Rank of a proxy for a group, and its weight in the rendezvous hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Suitability {
     rank: Rank,
     weight: u64,
 }
 
+/// Returns the weight of a proxy for a group in the rendezvous hash.
 fn weight(group: &GroupName, proxy: &ProxyName) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(HASH_KEYS.0, HASH_KEYS.1);
     hasher.write(group.as_str().as_bytes());
@@ -97,49 +100,51 @@
     hasher.finish()
 }
 
+/// Zone of a live proxy and the number of groups that it owns.
 #[derive(Debug)]
-struct Seat<'a> {
+struct ProxyLoad<'a> {
     zone: &'a ZoneName,
     groups: usize,
 }
 
-/// The live proxies and how many groups each owns, while owners are chosen.
+/// The live proxies and the number of groups of each, while owners are chosen.
 #[derive(Debug)]
 pub struct Balancer<'a> {
-    seats: BTreeMap<&'a ProxyName, Seat<'a>>,
+    loads: BTreeMap<&'a ProxyName, ProxyLoad<'a>>,
     capacity: usize,
 }
 
 impl<'a> Balancer<'a> {
-    /// Counts the groups of each live proxy. Owners that are not live are left out.
+    /// Returns a balancer that counts the groups of each live proxy. Owners that are not live are
+    /// left out.
     pub fn new<'b>(
         live: impl Iterator<Item = (&'a ProxyName, &'a ZoneName)>,
         owners: impl Iterator<Item = Option<&'b ProxyName>>,
     ) -> Self {
-        let mut seats: BTreeMap<_, _> =
-            live.map(|(proxy, zone)| (proxy, Seat { zone, groups: 0 })).collect();
+        let mut loads: BTreeMap<_, _> =
+            live.map(|(proxy, zone)| (proxy, ProxyLoad { zone, groups: 0 })).collect();
         let mut groups = 0;
         for owner in owners {
             groups += 1;
-            let seat = owner.and_then(|owner| seats.get_mut(owner));
-            seat.into_iter().for_each(|seat| seat.groups += 1);
+            let load = owner.and_then(|owner| loads.get_mut(owner));
+            load.into_iter().for_each(|load| load.groups += 1);
         }
-        let capacity = capacity(groups, seats.len());
-        Self { seats, capacity }
+        let capacity = capacity(groups, loads.len());
+        Self { loads, capacity }
     }
 
-    /// Whether the proxy is live.
+    /// Reports whether the proxy is live.
     #[must_use]
     pub fn is_live(&self, proxy: &ProxyName) -> bool {
-        self.seats.contains_key(proxy)
+        self.loads.contains_key(proxy)
     }
 
-    /// Gives the group to the proxy that suits it best, none when no proxy is live.
+    /// Assigns the group to the proxy that suits it best; none if no proxy is live.
     pub fn assign(&mut self, placement: Placement<'_>) -> Option<ProxyName> {
         let mut best: Option<(Suitability, &ProxyName)> = None;
-        for (proxy, seat) in &self.seats {
-            let rank = placement.rank(seat.zone, seat.groups, self.capacity);
-            // Weights are only computed where they can decide.
+        for (proxy, load) in &self.loads {
+            let rank = placement.rank(load.zone, load.groups, self.capacity);
+            // Weights are computed only where they can decide.
             if best.as_ref().is_some_and(|(best, _)| rank < best.rank) {
                 continue;
             }
@@ -149,18 +154,18 @@
             }
         }
         let proxy = best?.1;
-        self.seats.get_mut(proxy).into_iter().for_each(|seat| seat.groups += 1);
+        self.loads.get_mut(proxy).into_iter().for_each(|load| load.groups += 1);
         Some(proxy.clone())
     }
 
-    /// Takes a group away from its owner, before it is assigned again.
+    /// Removes a group from the load of its owner, before the group is assigned again.
     pub fn release(&mut self, owner: &ProxyName) {
-        if let Some(seat) = self.seats.get_mut(owner) {
-            seat.groups = seat.groups.saturating_sub(1);
+        if let Some(load) = self.loads.get_mut(owner) {
+            load.groups = load.groups.saturating_sub(1);
         }
     }
 
-    /// Moves groups to a proxy that registered and names them.
+    /// Moves groups to a proxy that registered, and returns the names of the moved groups.
     pub fn attract<'b>(
         &mut self,
         newcomer: &ProxyName,
@@ -168,68 +173,74 @@
     ) -> Vec<GroupName> {
         let foreign = groups.filter(|group| group.owner != newcomer);
         let mut moves: Vec<_> =
-            foreign.filter_map(|group| self.wanted_move(newcomer, group)).collect();
-        moves.sort_by(|one, other| other.order().cmp(&one.order()));
+            foreign.filter_map(|group| self.improving_move(newcomer, group)).collect();
+        moves.sort_by(|left, right| right.sort_key().cmp(&left.sort_key()));
         let mut moved = Vec::new();
-        for wanted in moves {
+        for candidate in moves {
             if moved.len() == MOVES_PER_REGISTRATION {
                 break;
             }
-            // Loads changed since: the move must still be wanted.
-            if self.wanted_move(newcomer, wanted.group).is_none() {
+            // Earlier moves changed the loads, so the move may no longer be an improvement.
+            if self.improving_move(newcomer, candidate.group).is_none() {
                 continue;
             }
-            self.release(wanted.group.owner);
-            self.seats.get_mut(newcomer).into_iter().for_each(|seat| seat.groups += 1);
-            moved.push(wanted.group.placement.group.clone());
+            self.release(candidate.group.owner);
+            self.loads.get_mut(newcomer).into_iter().for_each(|load| load.groups += 1);
+            moved.push(candidate.group.placement.group.clone());
         }
         moved
     }
 
-    /// The move of a group to a newcomer, where that suits it better than its owner.
-    fn wanted_move<'b>(&self, newcomer: &ProxyName, group: Owned<'b>) -> Option<Move<'b>> {
+    /// Returns the move of a group to a newcomer, if the newcomer suits it better than its owner or
+    /// owned it before.
+    fn improving_move<'b>(&self, newcomer: &ProxyName, group: Owned<'b>) -> Option<Move<'b>> {
         let placement = group.placement;
         let offered = self.rank_of(newcomer, placement, 0)?;
-        let present = self.rank_of(group.owner, placement, 1)?;
+        let current = self.rank_of(group.owner, placement, 1)?;
         let returning = group.former_owner == Some(newcomer) && offered > Rank::Full;
-        if offered < present && !returning {
+        if offered < current && !returning {
             return None;
         }
         let offered_weight = weight(placement.group, newcomer);
         let heavier = || offered_weight > weight(placement.group, group.owner);
-        let preferred = offered > present || heavier();
+        let preferred = offered > current || heavier();
         let offered = Suitability { rank: offered, weight: offered_weight };
         (returning || preferred).then_some(Move { returning, offered, group })
     }
 
-    /// Rank of a proxy, `counted` of whose groups do not count.
-    fn rank_of(&self, proxy: &ProxyName, placement: Placement<'_>, counted: usize) -> Option<Rank> {
-        let seat = self.seats.get(proxy)?;
-        Some(placement.rank(seat.zone, seat.groups.saturating_sub(counted), self.capacity))
+    /// Returns the rank of a proxy, without `excluded` of its groups; none if the proxy is not live.
+    fn rank_of(
+        &self,
+        proxy: &ProxyName,
+        placement: Placement<'_>,
+        excluded: usize,
+    ) -> Option<Rank> {
+        let load = self.loads.get(proxy)?;
+        Some(placement.rank(load.zone, load.groups.saturating_sub(excluded), self.capacity))
     }
 }
 
 fn rank(distance: Distance, groups: usize, capacity: usize) -> Rank {
-    let free = groups < capacity;
-    let bearable = groups < capacity * NEAR_OVERLOAD;
+    let below_capacity = groups < capacity;
+    let below_overload = groups < capacity * NEAR_OVERLOAD_FACTOR;
     match distance {
-        Distance::SameZone if free => Rank::Zone,
-        Distance::SameZone if bearable => Rank::BusyZone,
-        Distance::SameRegion if free => Rank::Region,
-        Distance::SameRegion if bearable => Rank::BusyRegion,
-        Distance::OtherRegion if free => Rank::Far,
+        Distance::SameZone if below_capacity => Rank::Zone,
+        Distance::SameZone if below_overload => Rank::BusyZone,
+        Distance::SameRegion if below_capacity => Rank::Region,
+        Distance::SameRegion if below_overload => Rank::BusyRegion,
+        Distance::OtherRegion if below_capacity => Rank::Far,
         _ => Rank::Full,
     }
 }
 
-/// A group with its owner.
+/// A group and its current owner.
 #[derive(Clone, Copy, Debug)]
 pub struct Owned<'a> {
-    /// The group.
+    /// Name of the group and zone of its primary.
     pub placement: Placement<'a>,
-    /// Its owner.
+    /// Current owner of the group.
     pub owner: &'a ProxyName,
-    /// The proxy that owned it last and went.
+    /// Proxy that owned the group before and left.
     pub former_owner: Option<&'a ProxyName>,
 }
 
@@ -242,7 +253,8 @@
 }
 
 impl Move<'_> {
-    fn order(&self) -> (bool, Suitability, &GroupName) {
+    /// Returns the sort key; moves with the highest key are made first.
+    fn sort_key(&self) -> (bool, Suitability, &GroupName) {
         (self.returning, self.offered, self.group.placement.group)
     }
 }
--- a/crates/core/src/routing/observers.rs
+++ b/crates/core/src/routing/observers.rs
@@ -1,131 +1,132 @@
-//! Second observers of all groups, kept from view to view.
+//! Second observers of all groups, updated with each view.
 //!
-//! Owns the heaviest proxies of each group, so that a change of the view weighs few of them anew. Relies on the view
-//! for which proxies are live.
+//! The module keeps the proxies of highest weight for each group, so that a change of the view
+//! computes few weights anew. The view says which proxies are live.
 
 use super::observer_weight;
 use crate::identity::{GroupName, ProxyName};
 use crate::view::{ProxyState, View};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Heaviest proxies kept for a group when all are weighed. Two answer for every
-/// owner; the others spare weighing all again when one of the two goes.
-const KEPT: usize = 4;
-/// Proxies that answer for every owner: the first, or the next if that owns it.
-const NEEDED: usize = 2;
+/// Number of highest-weight proxies kept for a group. Two suffice for every
+/// owner; the others avoid computing all weights again when one of the two leaves.
+const KEPT_PROXIES: usize = 4;
+/// Number of kept proxies that suffice for every owner: the first, or the second if the first owns
+/// the group.
+const REQUIRED_PROXIES: usize = 2;
 
-/// The second observers of all groups, as [`super::second_observer`] gives them
-/// view by view. Weights depend on names only, so what is kept of a group changes
-/// only with the set of live proxies; its owner is left out when it is asked for.
+/// The second observers of all groups, equal to those of [`super::second_observer`] for each
+/// view. Weights depend on names only, so the kept proxies of a group change only with the
+/// set of live proxies; [`SecondObservers::of`] leaves out the owner.
 #[derive(Debug, Default)]
 pub struct SecondObservers {
     live: BTreeSet<ProxyName>,
     heaviest: BTreeMap<GroupName, Heaviest>,
 }
 
-/// Live proxies and their weights for a group, the heaviest first: none that is
-/// left out is heavier than one that is kept.
+/// Live proxies and their weights for a group, in descending order of weight. No live proxy that
+/// is left out has a higher weight than a kept one.
 #[derive(Debug, Default)]
 struct Heaviest {
     kept: Vec<(u64, ProxyName)>,
 }
 
 impl SecondObservers {
-    /// Takes over a view, whichever came before; gives the number of weights that
-    /// had to be worked out.
+    /// Updates the observers to a view, whichever view came before; returns the number of
+    /// weights that were computed.
     pub fn follow(&mut self, view: &View) -> usize {
-        let weighed = self.follow_proxies(view) + self.weigh_new_groups(view);
-        // All groups of the view are known now, so others are left only if more are.
+        let computed = self.update_proxies(view) + self.add_new_groups(view);
+        // All groups of the view are stored by now, so others remain only if there are more.
         if self.heaviest.len() > view.groups.len() {
             self.heaviest.retain(|name, _| view.groups.contains_key(name));
         }
-        weighed
+        computed
     }
 
-    /// The second observer of a group of the view that was followed last.
+    /// Returns the second observer of a group of the last view.
     #[must_use]
     pub fn of(&self, group: &GroupName, owner: Option<&ProxyName>) -> Option<&ProxyName> {
         let kept = &self.heaviest.get(group)?.kept;
         kept.iter().map(|(_, proxy)| proxy).find(|proxy| Some(*proxy) != owner)
     }
 
-    fn follow_proxies(&mut self, view: &View) -> usize {
+    fn update_proxies(&mut self, view: &View) -> usize {
         if live_proxies(view).eq(&self.live) {
             return 0;
         }
         let live: BTreeSet<ProxyName> = live_proxies(view).cloned().collect();
-        let left: BTreeSet<&ProxyName> = self.live.difference(&live).collect();
-        let came: Vec<&ProxyName> = live.difference(&self.live).collect();
-        let known = self.heaviest.iter_mut();
-        let weighed =
-            known.map(|(group, heaviest)| heaviest.follow(group, &live, &left, &came)).sum();
+        let departed: BTreeSet<&ProxyName> = self.live.difference(&live).collect();
+        let joined: Vec<&ProxyName> = live.difference(&self.live).collect();
+        let groups = self.heaviest.iter_mut();
+        let computed =
+            groups.map(|(group, heaviest)| heaviest.update(group, &live, &departed, &joined)).sum();
         self.live = live;
-        weighed
+        computed
     }
 
-    fn weigh_new_groups(&mut self, view: &View) -> usize {
-        let mut weighed = 0;
+    fn add_new_groups(&mut self, view: &View) -> usize {
+        let mut computed = 0;
         for name in view.groups.keys() {
             if !self.heaviest.contains_key(name) {
                 self.heaviest.insert(name.clone(), Heaviest::of(name, &self.live));
-                weighed += self.live.len();
+                computed += self.live.len();
             }
         }
-        weighed
+        computed
     }
 }
 
 impl Heaviest {
-    /// Weighs all live proxies.
+    /// Computes the weights of all live proxies.
     fn of(group: &GroupName, live: &BTreeSet<ProxyName>) -> Self {
         let mut heaviest = Self::default();
         for proxy in live {
             let weight = observer_weight(group, proxy);
-            if heaviest.kept.len() < KEPT || heaviest.outweighs_last(weight, proxy) {
+            if heaviest.kept.len() < KEPT_PROXIES || heaviest.outweighs_last(weight, proxy) {
                 heaviest.insert(weight, proxy);
             }
         }
         heaviest
     }
 
-    /// Drops those that left and weighs those that came; weighs all only when too few
-    /// are left to answer. Gives the number of weights worked out.
-    fn follow(
+    /// Removes departed proxies and computes the weights of joined ones; computes all weights only
+    /// when too few kept proxies remain. Returns the number of weights computed.
+    fn update(
         &mut self,
         group: &GroupName,
         live: &BTreeSet<ProxyName>,
-        left: &BTreeSet<&ProxyName>,
-        came: &[&ProxyName],
+        departed: &BTreeSet<&ProxyName>,
+        joined: &[&ProxyName],
     ) -> usize {
-        self.kept.retain(|(_, proxy)| !left.contains(proxy));
-        if self.kept.len() < NEEDED {
+        self.kept.retain(|(_, proxy)| !departed.contains(proxy));
+        if self.kept.len() < REQUIRED_PROXIES {
             *self = Self::of(group, live);
             return live.len();
         }
-        came.iter().for_each(|proxy| self.weigh_newcomer(group, proxy));
-        came.len()
+        joined.iter().for_each(|proxy| self.consider_joined(group, proxy));
+        joined.len()
     }
 
-    /// Keeps a newcomer only if it is heavier than one that is kept. That one left
-    /// makes no room: a proxy that was left out may be heavier than the newcomer.
-    fn weigh_newcomer(&mut self, group: &GroupName, proxy: &ProxyName) {
+    /// Keeps a joined proxy only if its weight is above that of a kept one. A departed proxy
+    /// makes no room: a proxy that was left out may have a higher weight than the joined one.
+    fn consider_joined(&mut self, group: &GroupName, proxy: &ProxyName) {
         let weight = observer_weight(group, proxy);
         if self.outweighs_last(weight, proxy) {
             self.insert(weight, proxy);
         }
     }
 
-    /// Of equal weights the last by name is the heavier, as for
-    /// [`super::second_observer`].
+    /// Reports whether a proxy ranks above the last kept one. Of equal weights the last by name
+    /// ranks higher, as in [`super::second_observer`].
     fn outweighs_last(&self, weight: u64, proxy: &ProxyName) -> bool {
         self.kept.last().is_some_and(|(last, name)| (weight, proxy) > (*last, name))
     }
 
     fn insert(&mut self, weight: u64, proxy: &ProxyName) {
         let entry = (weight, proxy.clone());
-        let place = self.kept.partition_point(|kept| *kept > entry);
-        self.kept.insert(place, entry);
-        self.kept.truncate(KEPT);
+        let index = self.kept.partition_point(|kept| *kept > entry);
+        self.kept.insert(index, entry);
+        self.kept.truncate(KEPT_PROXIES);
     }
 }
 
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,7 +1,8 @@
 //! The configuration as proxies apply it: revisions, snapshots and deltas.
 //!
-//! Owns the forms that control sends to proxies (order and number of variants and fields stay) and the rule by which
-//! a delta changes a view. Relies on control for the order of revisions.
+//! The module defines the messages that control sends to proxies and the rule by which a delta
+//! changes a view. The messages are encoded by position, so the order and number of variants and
+//! fields must not change. Control orders the revisions.
 
 use crate::identity::{
     BindingName, ClassName, GroupName, Incarnation, MemberName, ProxyName, ZoneName,
@@ -25,39 +26,39 @@
 /// A group as proxies see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupView {
-    /// The declared part.
+    /// Declared spec of the group.
     pub spec: DatabaseGroupSpec,
-    /// The primary decided last, none while a failover is under way.
+    /// Last decided primary; none while a failover is under way.
     pub primary: Option<MemberName>,
     /// Term of that primary, or of the failover under way.
     pub term: Term,
-    /// The proxy that owns the group's server connections and wait queue.
+    /// Proxy that owns the group's server connections and wait queue.
     pub owner: Option<ProxyName>,
-    /// Members that get no new work: the operator's word or the platform's list.
+    /// Members that get no new work, by the operator's declaration or the platform's list.
     pub draining: BTreeSet<MemberName>,
 }
 
 /// State of a proxy process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProxyState {
-    /// Sends heartbeats and may own groups.
+    /// The proxy sends heartbeats and may own groups.
     Live,
-    /// Is stopping; owns nothing and takes no new callers.
+    /// The proxy is stopping; it owns no groups and accepts no new callers.
     Draining,
-    /// Missed its heartbeats.
+    /// The proxy's heartbeats are missing.
     Down,
 }
 
 /// A proxy as other proxies see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyView {
-    /// Address of its owner interface, for edges.
+    /// Address of the proxy's owner interface, to which edges connect.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone that the proxy runs in.
     pub zone: ZoneName,
-    /// Number of this incarnation of the process.
+    /// Incarnation of the proxy process.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// Liveness of the proxy.
     pub state: ProxyState,
 }
 
@@ -76,53 +77,53 @@
     PutBinding(BindingName, BindingSpec),
     /// A binding was deleted.
     DeleteBinding(BindingName),
-    /// A proxy came or changed.
+    /// A proxy was registered or changed.
     PutProxy(ProxyName, ProxyView),
-    /// A proxy was forgotten.
+    /// A proxy was removed from the control state.
     DeleteProxy(ProxyName),
-    /// Another configuration document is in force.
+    /// Another configuration document was put in force.
     PutDocument(Arc<Document>),
-    /// A registered back end came or changed.
+    /// A back end registered or its registration changed.
     PutBackEnd(MemberName, Arc<RegisteredBackEnd>),
     /// A registered back end left.
     DeleteBackEnd(MemberName),
-    /// It was decided who shall lead a group of registered back ends.
+    /// A promotion was decided for a group of registered back ends.
     PutPromotion(GroupName, Promotion),
-    /// Another configuration document is in force, which differs in this from the one before.
+    /// Another configuration document was put in force, given as the change from the document before.
     ChangeDocument(Arc<DocumentChange>),
 }
 
 /// The changes of one revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The revision after the changes.
+    /// Revision after the changes.
     pub revision: Revision,
-    /// The changes, in order.
+    /// Changes in the order in which they are applied.
     pub changes: Vec<ViewChange>,
 }
 
 /// The whole configuration in force at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// The revision.
+    /// Revision of the last applied change.
     pub revision: Revision,
-    /// The groups.
+    /// Groups by name.
     pub groups: BTreeMap<GroupName, Arc<GroupView>>,
-    /// The priority classes.
+    /// Priority classes by name.
     pub classes: BTreeMap<ClassName, PriorityClassSpec>,
-    /// The bindings.
+    /// Bindings by name.
     pub bindings: BTreeMap<BindingName, BindingSpec>,
-    /// The proxies.
+    /// Registered proxies by name.
     pub proxies: BTreeMap<ProxyName, ProxyView>,
-    /// The configuration document, where a deployment uses one.
+    /// Configuration document in force; none if the deployment does not use one.
     pub document: Option<Arc<Document>>,
-    /// The back ends that registered themselves.
+    /// Back ends that registered by heartbeat, by identity.
     pub back_ends: BTreeMap<MemberName, Arc<RegisteredBackEnd>>,
-    /// The last decision on who leads each of their groups.
+    /// Last promotion decision for each group of registered back ends.
     pub promotions: BTreeMap<GroupName, Promotion>,
 }
 
-/// A delta or snapshot that must not be applied.
+/// Why a delta or snapshot is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ViewError {
     /// The revision is not above the one in force.
@@ -133,7 +134,7 @@
         /// Revision in force.
         in_force: Revision,
     },
-    /// It changes another document than the one in force.
+    /// The delta changes another document than the one in force.
     #[error(transparent)]
     Document(#[from] DocumentChangeError),
 }
@@ -142,8 +143,9 @@
     /// Applies the changes of a later revision.
     ///
     /// # Errors
-    /// [`ViewError::NotNewer`] when the revision is not above the one in force: configuration never
-    /// reverts. [`ViewError::Document`] when it is not for this view, which stays as it is.
+    /// [`ViewError::NotNewer`] if the revision is not above the one in force: configuration never
+    /// reverts. [`ViewError::Document`] if the delta changes another document than the one in force.
+    /// The view is unchanged after an error.
     pub fn apply(&mut self, delta: Delta) -> Result<(), ViewError> {
         self.check_newer(delta.revision)?;
         let document = self.document_after(&delta)?;
@@ -155,7 +157,7 @@
         Ok(())
     }
 
-    /// Replaces the whole view by a later snapshot.
+    /// Replaces the whole view with a later snapshot.
     ///
     /// # Errors
     /// [`ViewError::NotNewer`] as for [`View::apply`].
@@ -172,12 +174,12 @@
         Err(ViewError::NotNewer { offered, in_force: self.revision })
     }
 
-    /// The document that is in force after a delta.
+    /// Returns the document that is in force after a delta.
     fn document_after(&self, delta: &Delta) -> Result<Option<Arc<Document>>, ViewError> {
         let mut document = self.document.clone();
         for change in &delta.changes {
             match change {
-                ViewChange::PutDocument(other) => document = Some(Arc::clone(other)),
+                ViewChange::PutDocument(replacement) => document = Some(Arc::clone(replacement)),
                 ViewChange::ChangeDocument(change) => {
                     document = Some(Arc::new(change.apply(document.as_deref())?));
                 }
@@ -197,7 +199,7 @@
             ViewChange::DeleteBinding(name) => drop(self.bindings.remove(&name)),
             ViewChange::PutProxy(name, proxy) => drop(self.proxies.insert(name, proxy)),
             ViewChange::DeleteProxy(name) => drop(self.proxies.remove(&name)),
-            // The document is worked out before anything is changed.
+            // `document_after` computes the document before the view is changed.
             ViewChange::PutDocument(_) | ViewChange::ChangeDocument(_) => (),
             ViewChange::PutBackEnd(name, back_end) => drop(self.back_ends.insert(name, back_end)),
             ViewChange::DeleteBackEnd(name) => drop(self.back_ends.remove(&name)),
--- a/crates/core/src/watch/deltas.rs
+++ b/crates/core/src/watch/deltas.rs
@@ -1,42 +1,42 @@
-//! Recent deltas of the view, for the proxies that watch.
+//! Recent deltas of the view, for the watching proxies.
 //!
-//! Owns a bounded number of changes; a watcher that asks for older ones gets the whole view.
+//! The log holds a bounded number of changes; a watcher that needs older changes gets the whole view.
 
 use super::log::{RevisionLog, TooOld};
 use crate::view::{Delta, Revision, ViewChange};
 use std::sync::Arc;
 
-/// Changes held over all recent deltas; about 10 MB at 600 bytes each. With fewer, proxies that were away for a
-/// moment need the whole view.
+/// Highest number of changes in the log; about 10 MB at 600 bytes each. With fewer changes, proxies
+/// that were disconnected for a moment need the whole view.
 pub const DELTA_CHANGE_LIMIT: usize = 16_384;
 
-/// Routes of a document that count as one change, by their encoded size.
+/// Number of routes of a document that count as one change, according to their encoded size.
 const ROUTES_PER_CHANGE: usize = 4;
 
-/// Most changes given to a watcher in one step, so that one that is far behind
-/// does not hold up the others of its thread. Chosen, not measured.
+/// Highest number of changes sent to a watcher in one step, so that a watcher that is far
+/// behind does not delay the other watchers of its thread.
 const STEP_CHANGE_LIMIT: usize = 1_024;
 
-/// The recent deltas, oldest first, bounded by their number of changes.
+/// The recent deltas in order of revision, bounded by their number of changes.
 #[derive(Clone, Debug)]
 pub struct DeltaLog {
     log: RevisionLog<Arc<Delta>>,
 }
 
 impl DeltaLog {
-    /// An empty log beside a state whose view has this revision.
+    /// Returns an empty log for a state whose view has this revision.
     #[must_use]
     pub fn new(view_revision: Revision) -> Self {
         Self::with_limit(view_revision, DELTA_CHANGE_LIMIT)
     }
 
-    /// As [`DeltaLog::new`], with another bound on the number of changes.
+    /// Returns an empty log as [`DeltaLog::new`], with another bound on the number of changes.
     #[must_use]
     pub fn with_limit(view_revision: Revision, change_limit: usize) -> Self {
         Self { log: RevisionLog::new(view_revision, change_limit) }
     }
 
-    /// Appends what one entry changed. An entry that changed nothing makes no delta.
+    /// Appends the changes by one entry as a delta. An entry without changes adds no delta.
     pub fn push(&mut self, revision: Revision, changes: Vec<ViewChange>) {
         if changes.is_empty() {
             return;
@@ -45,22 +45,22 @@
         self.log.push(revision, weight, Arc::new(Delta { revision, changes }));
     }
 
-    /// Revision of the newest delta.
+    /// Returns the revision of the newest delta.
     #[must_use]
     pub fn head(&self) -> Revision {
         self.log.head()
     }
 
-    /// The deltas above a revision; none when the watcher is ahead of this replica.
+    /// Returns the deltas above a revision; none when the watcher is ahead of this replica.
     ///
     /// # Errors
-    /// [`TooOld`] when deltas above the revision were dropped: the watcher needs a snapshot.
+    /// [`TooOld`] if deltas above the revision were dropped: the watcher needs a snapshot.
     pub fn since(&self, revision: Revision) -> Result<impl Iterator<Item = &Arc<Delta>>, TooOld> {
         self.log.since(revision)
     }
 }
 
-/// How many changes of ordinary size a change counts as.
+/// Returns the size of a change, in changes of ordinary size.
 fn weight(change: &ViewChange) -> usize {
     match change {
         ViewChange::PutDocument(document) => 1 + document.routes.len() / ROUTES_PER_CHANGE,
@@ -69,44 +69,45 @@
     }
 }
 
-/// What to send to a watcher next.
+/// The next message for a watcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchStep {
-    /// Nothing: it has all that this replica has applied.
+    /// Nothing to send: the watcher has all changes that this replica has applied.
     UpToDate,
-    /// These deltas, in order.
+    /// Send these deltas, in order.
     Deltas(Vec<Arc<Delta>>),
-    /// The whole view; then report it with [`WatchCursor::snapshot_sent`].
+    /// Send the whole view, then call [`WatchCursor::snapshot_sent`].
     Snapshot,
 }
 
-/// How far one watcher has been told.
+/// Revision up to which one watcher was sent changes.
 ///
-/// It starts at the revision that the watcher has in force and never goes back.
-/// A watcher ahead of this replica is told nothing until the replica passes it.
+/// The cursor starts at the revision that the watcher has in force and never goes back.
+/// A watcher ahead of this replica is sent nothing until the replica passes its revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchCursor {
     sent: Revision,
 }
 
 impl WatchCursor {
-    /// A watcher that has this revision in force; zero for none.
+    /// Returns the cursor of a watcher that has this revision in force; 0 if it has none.
     #[must_use]
     pub const fn new(in_force: Revision) -> Self {
         Self { sent: in_force }
     }
 
-    /// Revision up to which the watcher has been told.
+    /// Returns the revision up to which the watcher was sent changes.
     #[must_use]
     pub const fn sent(&self) -> Revision {
         self.sent
     }
 
-    /// What to send next; deltas count as sent. Call again until it is up to date.
+    /// Returns what to send next, and counts returned deltas as sent. The caller repeats the call
+    /// until the result is [`WatchStep::UpToDate`].
     ///
-    /// A watcher with nothing in force gets a snapshot, also when the log goes back to
-    /// the start: deltas would put every old configuration in force on the way, on a
-    /// proxy that may have had a newer one before it lost its data folder.
+    /// A watcher without a configuration in force gets a snapshot, even if the log is complete from
+    /// the start: deltas would put every old configuration in force in turn, on a proxy that may
+    /// have had a newer configuration before it lost its data folder.
     pub fn advance(&mut self, log: &DeltaLog) -> WatchStep {
         if self.sent == Revision::default() && log.head() > self.sent {
             return WatchStep::Snapshot;
@@ -126,7 +127,7 @@
         WatchStep::Deltas(step)
     }
 
-    /// Notes that a snapshot of this revision was sent.
+    /// Records that a snapshot of this revision was sent.
     pub fn snapshot_sent(&mut self, revision: Revision) {
         self.sent = self.sent.max(revision);
     }
--- a/crates/core/src/watch/events.rs
+++ b/crates/core/src/watch/events.rs
@@ -1,6 +1,7 @@
-//! Changes of single resources, for the operators that watch.
+//! Recent changes of single resources, for the watching operators.
 //!
-//! Owns a bounded number of events. Relies on the control state for the resource before and after a command.
+//! The log holds a bounded number of events. The control state supplies the resource before and
+//! after a command.
 
 use super::log::{RevisionLog, TooOld};
 use crate::resources::{Kind, ResourceKey};
@@ -9,53 +10,55 @@
 use crate::view::{GroupView, Revision, ViewChange};
 use std::sync::Arc;
 
-/// Events held. Chosen, not measured: a bound on memory; a watcher that is farther behind starts over from a list.
+/// Highest number of events in the log, which bounds its memory. A watcher that is farther behind
+/// starts over from a list.
 pub const EVENT_LIMIT: usize = 8_192;
 
-/// What happened to a resource.
+/// Kind of change of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// It was created.
+    /// The resource was created.
     Added,
-    /// Its spec or, for a group, what the system decided about it changed.
+    /// The spec of the resource changed, or the system's decisions about a group.
     Modified,
-    /// It was deleted.
+    /// The resource was deleted.
     Deleted,
 }
 
 /// One change of one resource.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResourceEvent {
-    /// Revision of the change; the place to go on watching from.
+    /// Revision of the change, from which a watch can be resumed.
     pub revision: Revision,
-    /// What happened.
+    /// Kind of the change.
     pub kind: EventKind,
-    /// The resource after it; the last one stored when it was deleted.
+    /// The resource after the change; after a deletion, the resource as last stored.
     pub resource: StoredResource,
-    /// Decisions about a group after it.
+    /// The system's decisions about a group after the change; none for other kinds and for deleted
+    /// groups.
     pub group: Option<Arc<GroupView>>,
 }
 
-/// The recent events, oldest first.
+/// The recent events in order of revision.
 #[derive(Clone, Debug)]
 pub struct OperatorEvents {
     log: RevisionLog<ResourceEvent>,
 }
 
 impl OperatorEvents {
-    /// An empty log beside a state whose view has this revision.
+    /// Returns an empty log for a state whose view has this revision.
     #[must_use]
     pub fn new(view_revision: Revision) -> Self {
         Self::with_limit(view_revision, EVENT_LIMIT)
     }
 
-    /// As [`OperatorEvents::new`], with another bound on the number of events.
+    /// Returns an empty log as [`OperatorEvents::new`], with another bound on the number of events.
     #[must_use]
     pub fn with_limit(view_revision: Revision, event_limit: usize) -> Self {
         Self { log: RevisionLog::new(view_revision, event_limit) }
     }
 
-    /// Applies a command to the state and keeps the events that follow from it.
+    /// Applies a command to the state and appends the resulting events.
     pub fn apply(
         &mut self,
         state: &mut ControlState,
@@ -72,10 +75,10 @@
         applied
     }
 
-    /// The events of one kind above a revision, in order.
+    /// Returns the events for one kind of resource above a revision, in order.
     ///
     /// # Errors
-    /// [`TooOld`] when events above the revision were dropped: list again.
+    /// [`TooOld`] if events above the revision were dropped: the watcher must list the resources again.
     pub fn since(
         &self,
         revision: Revision,
@@ -86,6 +89,7 @@
     }
 }
 
+/// Returns the key of the resource that a command puts or deletes.
 fn operated_key(command: &Command) -> Option<&ResourceKey> {
     match command {
         Command::Resource {
@@ -96,7 +100,7 @@
     }
 }
 
-/// The event of one change of the view; none for what is no resource.
+/// Returns the event for one change of the view; none if the change is not of a resource.
 fn event(
     state: &ControlState,
     revision: Revision,
@@ -126,7 +130,7 @@
         let resource = before.filter(|resource| resource.key == key)?.clone();
         return Some(ResourceEvent { revision, kind: EventKind::Deleted, resource, group });
     };
-    // A first generation written by this very entry did not exist before it.
+    // A resource of the first generation whose version is this revision was created by this entry.
     let created = resource.generation == 1 && resource.version.0 == revision.0;
     let kind = if created { EventKind::Added } else { EventKind::Modified };
     Some(ResourceEvent { revision, kind, resource, group })
--- a/crates/core/src/watch/log.rs
+++ b/crates/core/src/watch/log.rs
@@ -1,17 +1,17 @@
-//! Bounded log of items by revision.
+//! Bounded log of items by revision, used for deltas and events.
 //!
-//! Shared by deltas and events. Owns the items and the revision after which it is complete.
+//! The log holds the items and the revision after which it is complete.
 
 use crate::view::Revision;
 use std::collections::VecDeque;
 
-/// The revision asked for is older than what the log holds.
+/// The requested revision is older than the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("revision {asked:?} is too old, the log starts after {floor:?}")]
 pub struct TooOld {
-    /// Revision asked for.
+    /// Requested revision.
     pub asked: Revision,
-    /// The log is complete after this revision.
+    /// Revision after which the log is complete.
     pub floor: Revision,
 }
 
@@ -24,8 +24,8 @@
 
 /// Items in order of revision, the oldest dropped once their weights exceed a limit.
 ///
-/// Invariant: every item above `floor` is held. Items of one revision may be
-/// dropped apart; those left are at the floor and are never given out.
+/// Invariant: the log holds every item above `floor`. If only some items of a revision are
+/// dropped, the revision is the floor, so that the remaining ones are never returned.
 #[derive(Clone, Debug)]
 pub(super) struct RevisionLog<T> {
     items: VecDeque<Item<T>>,
@@ -35,12 +35,13 @@
 }
 
 impl<T> RevisionLog<T> {
-    /// An empty log that is complete after `floor`.
+    /// Returns an empty log that is complete after `floor`. `limit` bounds the sum of the weights.
     pub fn new(floor: Revision, limit: usize) -> Self {
         Self { items: VecDeque::new(), floor, weight: 0, limit }
     }
 
-    /// Appends an item; one of an older revision than the last is a repeat and is left out.
+    /// Appends an item and drops the oldest items above the limit. An item of an older revision than
+    /// the last is a repetition and is ignored.
     pub fn push(&mut self, revision: Revision, weight: usize, value: T) {
         if revision < self.head() {
             return;
@@ -54,12 +55,12 @@
         }
     }
 
-    /// Revision of the last item, or the floor.
+    /// Returns the revision of the last item, or the floor if the log is empty.
     pub fn head(&self) -> Revision {
         self.items.back().map_or(self.floor, |item| item.revision)
     }
 
-    /// The items above a revision, in order.
+    /// Returns the items above a revision, in order.
     pub fn since(&self, revision: Revision) -> Result<impl Iterator<Item = &T>, TooOld> {
         if revision < self.floor {
             return Err(TooOld { asked: revision, floor: self.floor });
--- a/crates/core/src/watch/mod.rs
+++ b/crates/core/src/watch/mod.rs
@@ -1,11 +1,11 @@
-//! What watchers are told: recent deltas for proxies, events for operators.
+//! Change logs for watchers: recent deltas for proxies, events for operators.
 //!
-//! Both are bounded logs kept in memory by each control replica beside the
-//! control state. They are not part of it: a replica that restarted, or that
-//! installed a snapshot, starts with empty ones, and a watcher that asks for
-//! more than they hold starts over from a whole view or list.
+//! Each control replica keeps both logs in memory, with a bounded size. The logs are not
+//! part of the control state: a replica that restarted, or that installed a snapshot,
+//! starts with empty logs, and a watcher that asks for older changes than the log holds
+//! starts over from a whole view or list.
 //!
-//! Owns the logs; relies on the control state for every change, in the order of revisions.
+//! The control state supplies every change, in the order of revisions.
 
 mod deltas;
 mod events;
--- a/crates/core/tests/failover/main.rs
+++ b/crates/core/tests/failover/main.rs
@@ -1,4 +1,4 @@
-//! Changes of primary: each fault on its own here, all of them at random in `histories`.
+//! Failover after single faults; `histories` covers random sequences of faults.
 
 mod histories;
 #[path = "../support/mod.rs"]
@@ -27,7 +27,7 @@
 fn a_new_group_with_a_primary_is_adopted() {
     let mut world = World::new(3, 3);
     let took = world.run_until(|cell| cell.group("g2").primary.is_some());
-    println!("adopted after {took:?}");
+    println!("primaries adopted after {took:?}");
     world.run(5_000);
     assert_eq!(primary(&world), Some(name("m0")));
     assert_eq!(world.cell.group("g0").term, Term(1));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_new_group_without_a_primary_gets_one_after_a_while() {
+fn a_new_group_without_a_primary_gets_one_after_the_bootstrap_wait() {
     let mut world = World::new(1, 3);
     for (member, index) in [("m0", 10), ("m1", 12), ("m2", 11)] {
         world.node("g0", member).role = MemberRole::Fenced;
@@ -43,7 +43,7 @@
     }
     let took = world.run_until(has_new_primary);
     assert!(took >= settings().bootstrap_wait, "{took:?}");
-    assert_eq!(primary(&world), Some(name("m1")), "the most advanced one");
+    assert_eq!(primary(&world), Some(name("m1")), "the most advanced member is promoted");
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let mut world = World::steady(1, 3);
     world.lose_primary("g0");
     let took = world.run_until(has_new_primary);
-    println!("primary replaced {took:?} after its owner missed it");
+    println!("primary replaced {took:?} after its owner reported it unreachable");
     assert!(took >= settings().suspicion);
     assert!(took < settings().suspicion + Duration::from_secs(1));
     assert!(world.is_healthy("g0"));
@@ -61,31 +61,31 @@
 #[test]
 fn one_observer_is_not_enough() {
     let mut world = World::steady(1, 3);
-    world.owner_sees("g0", "m0", MemberHealth::Unreachable);
+    world.report_by_owner("g0", "m0", MemberHealth::Unreachable);
     world.run(10_000);
-    assert!(world.terms_begun().is_empty(), "control sees it");
+    assert!(world.terms_begun().is_empty(), "control still reaches the primary");
 
     let mut world = World::steady(1, 3);
-    world.node("g0", "m0").seen = false;
+    world.node("g0", "m0").reachable = false;
     world.run(30_000);
-    assert!(world.terms_begun().is_empty(), "its owner sees it");
+    assert!(world.terms_begun().is_empty(), "the owner still reaches the primary");
 }
 
 #[test]
-fn control_alone_is_enough_when_nobody_else_can_tell() {
+fn control_alone_is_enough_when_no_proxy_observes_the_primary() {
     let mut world = World::steady(1, 3);
     world.change_leader();
-    world.cut("g0", "m0");
+    world.isolate("g0", "m0");
     let took = world.run_until(has_new_primary);
-    println!("found by control alone after {took:?}");
+    println!("primary replaced on control's observation alone after {took:?}");
     assert!(took >= settings().suspicion * 3);
 }
 
 #[test]
-fn a_primary_that_says_it_is_none_is_replaced() {
+fn a_primary_that_reports_another_role_is_replaced() {
     let mut world = World::steady(1, 3);
     world.node("g0", "m0").role = MemberRole::Replica;
-    world.owner_sees("g0", "m0", MemberHealth::Replica(Term(1)));
+    world.report_by_owner("g0", "m0", MemberHealth::Replica(Term(1)));
     let took = world.run_until(has_new_primary);
     assert!(took < settings().suspicion, "{took:?}");
 }
@@ -102,35 +102,35 @@
 }
 
 #[test]
-fn without_a_majority_nothing_is_begun() {
+fn no_term_is_begun_without_a_reachable_majority() {
     let mut world = World::steady(1, 3);
-    world.cut("g0", "m1");
+    world.isolate("g0", "m1");
     world.lose_primary("g0");
     world.run(20_000);
     assert!(world.terms_begun().is_empty());
-    world.node("g0", "m1").seen = true;
+    world.node("g0", "m1").reachable = true;
     world.node("g0", "m1").connected = true;
     world.run_until(has_new_primary);
     assert!(world.is_healthy("g0"));
 }
 
 #[test]
-fn a_majority_lost_between_decision_and_fence_is_waited_for_in_one_term() {
+fn a_majority_lost_between_decision_and_fence_is_awaited_within_one_term() {
     let mut world = World::steady(1, 3);
     world.lose_primary("g0");
     while world.step(|action| !matches!(action, FailoverAction::Fence { .. })) {}
-    world.cut("g0", "m1");
+    world.isolate("g0", "m1");
     world.run(20_000);
     assert_eq!(primary(&world), None);
-    assert_eq!(world.terms_begun(), [Term(2)], "no term is wasted");
-    world.node("g0", "m1").seen = true;
+    assert_eq!(world.terms_begun(), [Term(2)], "the leader begins no further term");
+    world.node("g0", "m1").reachable = true;
     world.node("g0", "m1").connected = true;
     let took = world.run_until(has_new_primary);
     assert!(took < settings().retry_last + Duration::from_secs(1), "{took:?}");
 }
 
 #[test]
-fn a_higher_promise_leads_to_a_term_above_it() {
+fn a_higher_promised_term_leads_to_a_term_above_it() {
     let mut world = World::steady(1, 3);
     world.node("g0", "m1").promised = Term(8);
     world.node("g0", "m1").role = MemberRole::Fenced;
@@ -141,22 +141,22 @@
 }
 
 #[test]
-fn a_member_that_dies_before_its_promotion_is_passed_over_in_a_higher_term() {
+fn a_member_lost_before_its_promotion_is_excluded_in_a_higher_term() {
     let mut world = World::steady(1, 3);
     world.node("g0", "m1").last.index = 12;
     world.lose_primary("g0");
     while world.step(|action| !matches!(action, FailoverAction::Promote { .. })) {}
-    world.cut("g0", "m1");
-    world.node("g0", "m0").seen = true;
+    world.isolate("g0", "m1");
+    world.node("g0", "m0").reachable = true;
     world.node("g0", "m0").connected = true;
     let took = world.run_until(has_new_primary);
-    println!("passed over after {took:?}");
+    println!("another member promoted after {took:?}");
     assert!(world.cell.group("g0").term > Term(2));
     assert!(world.is_healthy("g0"));
 }
 
 #[test]
-fn a_group_that_elects_by_itself_is_adopted_and_not_fought() {
+fn a_primary_elected_by_the_group_itself_is_adopted_without_a_new_term() {
     let mut world = World::steady(1, 3);
     world.lose_primary("g0");
     for member in ["m1", "m2"] {
@@ -170,12 +170,12 @@
 }
 
 #[test]
-fn a_draining_primary_is_switched_to_a_staying_member() {
+fn a_draining_primary_is_replaced_by_a_member_that_is_not_draining() {
     let mut world = World::steady(1, 3);
     world.node("g0", "m0").last.index = 15;
     world.cell.apply(Command::MembersLeaving(vec![(name("g0"), name("m0"), true)]));
     let took = world.run_until(has_new_primary);
-    println!("switched after {took:?}");
+    println!("switched over after {took:?}");
     assert_ne!(primary(&world), Some(name("m0")));
     assert!(world.is_healthy("g0"));
     world.run(30_000);
@@ -183,16 +183,16 @@
 }
 
 #[test]
-fn a_draining_primary_stays_while_too_few_follow_it() {
+fn a_draining_primary_is_kept_while_too_few_members_follow_it() {
     let mut world = World::steady(1, 3);
-    world.cut("g0", "m2");
+    world.isolate("g0", "m2");
     world.cell.apply(Command::MembersLeaving(vec![(name("g0"), name("m0"), true)]));
     world.run(10_000);
     assert_eq!(primary(&world), Some(name("m0")));
 }
 
 #[test]
-fn a_flapping_group_fails_over_ever_more_slowly() {
+fn a_flapping_group_fails_over_at_growing_intervals() {
     let mut world = World::steady(1, 3);
     let mut gaps = Vec::new();
     for round in 0..4 {
@@ -204,24 +204,26 @@
             }),
         );
         let node = world.node("g0", lost.as_str());
-        node.seen = true;
+        node.reachable = true;
         node.connected = true;
         assert!(world.is_healthy("g0"), "round {round}");
         let (member, term) = (primary(&world).expect("a primary"), world.cell.group("g0").term);
-        world.owner_sees("g0", member.as_str(), MemberHealth::Primary(term));
+        world.report_by_owner("g0", member.as_str(), MemberHealth::Primary(term));
     }
     println!("gaps of a flapping group: {gaps:?}");
     assert!(gaps.is_sorted() && gaps[3] >= Duration::from_secs(8));
 }
 
 #[test]
-fn a_lost_zone_is_one_command() {
+fn a_lost_zone_is_failed_over_by_one_command_per_step() {
     let mut world = World::steady(122, 3);
     for group in 0..122 {
         world.lose_primary(&format!("g{group}"));
     }
     let all_done = |cell: &Cell| {
-        cell.state.groups().all(|(_, it)| it.view.term > Term(1) && it.view.primary.is_some())
+        cell.state
+            .groups()
+            .all(|(_, group)| group.view.term > Term(1) && group.view.primary.is_some())
     };
     let took = world.run_until(all_done);
     let batches = world.actions.iter().filter_map(|action| match action {
@@ -233,9 +235,9 @@
     assert_eq!(batches, [122, 122]);
 }
 
-/// Where the leader stops: at the first action of the kind, and whether it is performed.
+/// The leader is replaced at its first action of this kind, which is performed or dropped.
 #[rstest]
-fn a_new_leader_finishes_what_the_old_one_began(
+fn a_new_leader_finishes_the_failover_of_the_old_leader(
     #[values("begin", "fence", "promote", "complete")] kind: &str,
     #[values(true, false)] performed: bool,
 ) {
@@ -263,24 +265,25 @@
     println!("{kind}, performed {performed}: finished in {took:?}");
     assert!(took < Duration::from_secs(5));
     assert!(world.is_healthy("g0"));
-    // What was promoted is adopted; everything else needs a term of its own.
+    // A promoted member is adopted in its term; any other state needs a new term, unless no term
+    // was begun.
     let promoted = kind == "complete" || (kind == "promote" && performed);
     assert_eq!(world.cell.group("g0").term == Term(2), promoted || (kind == "begin" && !performed));
 }
 
 #[rstest]
-fn a_lost_outcome_is_found_out_from_the_state(#[values(true, false)] applied: bool) {
+fn a_lost_proposal_outcome_is_recovered_from_the_state(#[values(true, false)] applied: bool) {
     let mut world = World::steady(1, 3);
     world.lose_primary("g0");
-    world.lose_outcomes = Some(applied);
+    world.lost_outcomes = Some(applied);
     world.run(3_000);
-    world.lose_outcomes = None;
+    world.lost_outcomes = None;
     world.run_until(has_new_primary);
     assert!(world.is_healthy("g0"));
 }
 
 #[test]
-fn a_deposed_leader_cannot_begin_a_term_that_is_taken() {
+fn a_deposed_leader_cannot_begin_a_term_that_was_already_begun() {
     let mut world = World::steady(1, 3);
     world.lose_primary("g0");
     let mut stale = None;
@@ -296,12 +299,12 @@
     world.change_leader();
     world.run_until(has_new_primary);
     let before = world.cell.group("g0");
-    world.cell.apply(stale.expect("a stale command"));
+    world.cell.apply(stale.expect("a proposal of the deposed leader"));
     assert_eq!(world.cell.group("g0"), before);
 }
 
 #[test]
-fn a_change_of_members_during_a_failover_starts_it_over() {
+fn a_change_of_members_restarts_a_failover() {
     let mut world = World::steady(1, 3);
     world.lose_primary("g0");
     while world.step(|action| !matches!(action, FailoverAction::Promote { .. })) {}
@@ -314,7 +317,7 @@
 }
 
 #[test]
-fn a_group_deleted_and_created_anew_is_followed_with_its_new_members() {
+fn a_recreated_group_is_monitored_with_its_new_members() {
     let mut world = World::steady(1, 3);
     world.cell.delete(group_key("g0")).expect("deleted");
     let mut spec = group_spec("g0", 5);
@@ -329,16 +332,16 @@
 }
 
 #[test]
-fn an_observation_that_comes_before_the_first_evaluation_counts() {
+fn an_observation_received_before_the_first_evaluation_counts() {
     let mut world = World::steady(1, 3);
     world.change_leader();
     world.lose_primary("g0");
     let took = world.run_until(has_new_primary);
-    assert!(took < settings().suspicion * 2, "{took:?}: its owner's word was lost");
+    assert!(took < settings().suspicion * 2, "{took:?}: the owner's report was lost");
 }
 
 #[test]
-fn a_change_of_slots_does_not_hold_up_a_failover() {
+fn a_change_of_slots_does_not_restart_a_failover() {
     let mut world = World::steady(1, 3);
     world.lose_primary("g0");
     while world.step(|action| !matches!(action, FailoverAction::Promote { .. })) {}
@@ -350,10 +353,10 @@
 }
 
 #[test]
-fn a_fleet_at_rest_costs_little() {
+fn a_healthy_fleet_costs_few_probes() {
     let mut world = World::steady(733, 3);
     let started = Instant::now();
     world.run(20_000);
     println!("733 groups, 20 s: {} probes, {:?}", world.actions.len(), started.elapsed());
-    assert!(world.actions.len() <= 2 * 733, "a sweep every ten seconds");
+    assert!(world.actions.len() <= 2 * 733, "one probe of each primary every 10 s");
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, grace periods and the platform's list.
+//! Membership of proxies: heartbeats, grace periods and the platform's list of machines.
 
 mod support;
 
@@ -11,9 +11,10 @@
 use std::collections::BTreeSet;
 use support::*;
 
-const HEARTBEAT: u64 = 500;
+/// Heartbeat interval in milliseconds.
+const HEARTBEAT_MS: u64 = 500;
 
-/// A leader whose commands are committed at once.
+/// A leader whose commands are committed immediately, on a virtual clock in milliseconds.
 struct Leader {
     cell: Cell,
     membership: Membership,
@@ -38,11 +39,11 @@
         Self { cell, membership: Membership::new(MembershipSettings::default(), start), now }
     }
 
-    /// A leader of a fleet that has registered.
-    fn of(proxies: usize) -> Self {
+    /// Returns a leader of a fleet of registered proxies.
+    fn with_fleet(proxies: usize) -> Self {
         let mut leader = Self::new(Cell::new());
         leader.run(1_000, |_| (0..proxies).map(|proxy| heartbeat(proxy, 1)).collect());
-        assert_eq!(leader.states(ProxyState::Live), proxies);
+        assert_eq!(leader.count_in(ProxyState::Live), proxies);
         leader
     }
 
@@ -60,23 +61,23 @@
         self.membership.on_report(Timestamp::from_millis(self.now), heartbeat);
     }
 
-    /// Lets the heartbeats of `alive` come in; returns the commands.
+    /// Delivers the heartbeats that `alive` returns for each interval; returns the proposed commands.
     fn run(&mut self, millis: u64, alive: impl Fn(u64) -> Vec<ProxyHeartbeat>) -> Vec<Command> {
         let until = self.now + millis;
         let mut commands = Vec::new();
         while self.now < until {
-            self.now += HEARTBEAT;
+            self.now += HEARTBEAT_MS;
             alive(self.now).into_iter().for_each(|heartbeat| self.report(heartbeat));
             commands.extend(self.tick());
         }
         commands
     }
 
-    fn states(&self, state: ProxyState) -> usize {
+    fn count_in(&self, state: ProxyState) -> usize {
         self.cell.state.proxies().filter(|(_, proxy)| proxy.state == state).count()
     }
 
-    fn state(&self, proxy: &str) -> ProxyState {
+    fn state_of(&self, proxy: &str) -> ProxyState {
         self.cell.state.proxy(&name(proxy)).expect("a stored proxy").state
     }
 }
@@ -90,57 +91,57 @@
 }
 
 #[test]
-fn a_fleet_registers_in_one_command_and_then_costs_none() {
+fn a_fleet_registers_in_one_command_and_then_causes_none() {
     let mut leader = Leader::new(Cell::new());
-    let commands = leader.run(HEARTBEAT, all_but(1_100, &[]));
+    let commands = leader.run(HEARTBEAT_MS, all_but(1_100, &[]));
     assert!(matches!(&commands[..], [Command::RegisterProxies(batch)] if batch.len() == 1_100));
     assert!(leader.run(10_000, all_but(1_100, &[])).is_empty());
 }
 
 #[test]
 fn silent_proxies_go_down_together_and_come_back() {
-    let mut leader = Leader::of(10);
+    let mut leader = Leader::with_fleet(10);
     let commands = leader.run(2_500, all_but(10, &[3, 4]));
     assert!(commands.is_empty());
     let commands = leader.run(1_000, all_but(10, &[3, 4]));
     assert!(matches!(&commands[..], [Command::ProxiesDown(batch)] if batch.len() == 2));
     leader.run(1_000, all_but(10, &[]));
-    assert_eq!(leader.states(ProxyState::Live), 10);
+    assert_eq!(leader.count_in(ProxyState::Live), 10);
 }
 
 #[test]
-fn a_new_leader_gives_everyone_a_grace_period() {
-    let cell = Leader::of(10).cell;
+fn a_new_leader_grants_every_proxy_a_grace_period() {
+    let cell = Leader::with_fleet(10).cell;
     let mut leader = Leader::new(cell);
     assert!(leader.run(2_000, |_| Vec::new()).is_empty());
     leader.run(2_000, all_but(10, &[9]));
-    assert_eq!(leader.state("p9"), ProxyState::Down);
-    assert_eq!(leader.states(ProxyState::Live), 9);
+    assert_eq!(leader.state_of("p9"), ProxyState::Down);
+    assert_eq!(leader.count_in(ProxyState::Live), 9);
 }
 
 #[test]
-fn a_leader_that_was_frozen_blames_itself_first() {
-    let mut leader = Leader::of(10);
+fn a_leader_that_was_frozen_defers_declaring_proxies_down() {
+    let mut leader = Leader::with_fleet(10);
     leader.now += 60_000;
-    assert!(leader.tick().is_empty(), "all are silent, which is not plausible");
+    assert!(leader.tick().is_empty(), "that all proxies are silent is implausible");
     leader.run(1_000, all_but(10, &[5]));
     leader.run(3_000, all_but(10, &[5]));
-    assert_eq!(leader.states(ProxyState::Live), 9);
-    assert_eq!(leader.state("p5"), ProxyState::Down);
+    assert_eq!(leader.count_in(ProxyState::Live), 9);
+    assert_eq!(leader.state_of("p5"), ProxyState::Down);
 }
 
 #[test]
-fn a_fleet_that_is_gone_is_down_after_a_second_grace() {
-    let mut leader = Leader::of(10);
+fn a_lost_fleet_is_down_after_a_second_grace_period() {
+    let mut leader = Leader::with_fleet(10);
     leader.run(5_500, all_but(10, &[0, 1, 2, 3, 4, 5]));
-    assert_eq!(leader.states(ProxyState::Down), 0);
+    assert_eq!(leader.count_in(ProxyState::Down), 0);
     leader.run(1_000, all_but(10, &[0, 1, 2, 3, 4, 5]));
-    assert_eq!(leader.states(ProxyState::Down), 6);
+    assert_eq!(leader.count_in(ProxyState::Down), 6);
 }
 
 #[test]
-fn a_word_of_the_life_before_changes_nothing() {
-    let mut leader = Leader::of(2);
+fn a_heartbeat_of_the_previous_incarnation_is_ignored() {
+    let mut leader = Leader::with_fleet(2);
     leader.report(heartbeat(0, 2));
     assert!(matches!(&leader.tick()[..], [Command::RegisterProxies(_)]));
     leader.report(heartbeat(0, 1));
@@ -150,7 +151,7 @@
 
 #[rstest]
 fn a_stopping_proxy_and_a_leaving_machine_drain_at_once(#[values(true, false)] by_itself: bool) {
-    let mut leader = Leader::of(3);
+    let mut leader = Leader::with_fleet(3);
     let stopping = ProxyHeartbeat { draining: true, ..heartbeat(1, 1) };
     if by_itself {
         leader.report(stopping);
@@ -159,7 +160,7 @@
         leader.membership.on_platform(PlatformList { leaving, ..Default::default() });
     }
     assert!(matches!(&leader.tick()[..], [Command::ProxiesDraining(_)]));
-    assert_eq!(leader.state("p1"), ProxyState::Draining);
+    assert_eq!(leader.state_of("p1"), ProxyState::Draining);
     let again = leader.run(2_000, |_| {
         vec![heartbeat(0, 1), ProxyHeartbeat { draining: true, ..heartbeat(1, 1) }, heartbeat(2, 1)]
     });
@@ -167,34 +168,37 @@
 }
 
 #[test]
-fn a_stopping_proxy_is_not_taken_up_again() {
-    let mut leader = Leader::of(3);
+fn a_stopping_proxy_is_not_registered_again() {
+    let mut leader = Leader::with_fleet(3);
     leader.run(4_000, all_but(3, &[1]));
-    assert_eq!(leader.state("p1"), ProxyState::Down);
+    assert_eq!(leader.state_of("p1"), ProxyState::Down);
     leader.report(ProxyHeartbeat { draining: true, ..heartbeat(1, 1) });
     assert!(leader.tick().is_empty());
 }
 
 #[test]
-fn the_platforms_live_does_not_override_missed_heartbeats() {
-    let mut leader = Leader::of(4);
+fn the_platforms_live_list_does_not_override_missed_heartbeats() {
+    let mut leader = Leader::with_fleet(4);
     let live = BTreeSet::from([heartbeat(1, 1).address]);
     leader.membership.on_platform(PlatformList { live, ..Default::default() });
     leader.run(4_000, all_but(4, &[1]));
-    assert_eq!(leader.state("p1"), ProxyState::Down);
+    assert_eq!(leader.state_of("p1"), ProxyState::Down);
 }
 
 #[test]
-fn the_platforms_word_on_back_ends_is_followed() {
-    let mut leader = Leader::of(1);
+fn the_platforms_list_of_leaving_back_ends_is_applied() {
+    let mut leader = Leader::with_fleet(1);
     leader.cell.put_group("calls", None).expect("accepted");
     let second = BTreeSet::from([address(6001)]);
     let leaving = PlatformList { leaving: second.clone(), live: second.clone() };
     leader.membership.on_platform(leaving);
     leader.tick();
-    assert!(leader.cell.group("calls").draining.contains(&name("m1")), "leaving goes first");
+    assert!(
+        leader.cell.group("calls").draining.contains(&name("m1")),
+        "a machine on both lists is leaving"
+    );
     leader.membership.on_platform(PlatformList::default());
-    assert!(leader.tick().is_empty(), "no word changes nothing");
+    assert!(leader.tick().is_empty(), "a machine on neither list keeps its state");
     leader.membership.on_platform(PlatformList { live: second, ..Default::default() });
     leader.tick();
     assert!(leader.cell.group("calls").draining.is_empty());
@@ -210,12 +214,12 @@
 }
 
 #[test]
-fn what_is_in_force_where_is_known() {
-    let mut leader = Leader::of(4);
+fn proxies_with_a_revision_in_force_are_counted() {
+    let mut leader = Leader::with_fleet(4);
     leader.report(ProxyHeartbeat { revision: Revision(7), ..heartbeat(0, 1) });
     leader.report(ProxyHeartbeat { revision: Revision(8), ..heartbeat(1, 1) });
     leader.report(ProxyHeartbeat { revision: Revision(8), ..heartbeat(2, 2) });
     let in_force = leader.membership.in_force(Revision(8), &leader.cell.state);
-    assert_eq!((in_force.on, in_force.of), (1, 4));
+    assert_eq!((in_force.applied, in_force.total), (1, 4));
     assert_eq!(in_force.missing, [name("p0"), name("p2"), name("p3")]);
 }
--- a/crates/core/tests/observers.rs
+++ b/crates/core/tests/observers.rs
@@ -1,4 +1,4 @@
-//! Second observers kept from view to view are those of weighing all proxies.
+//! [`SecondObservers`] returns the same observers as computing the weights of all proxies for each view.
 #![allow(clippy::unwrap_used)]
 
 use corktack_core::identity::{GroupName, Incarnation, ProxyName, ZoneName};
@@ -56,7 +56,7 @@
     view
 }
 
-fn check(observers: &SecondObservers, view: &View) -> Result<(), TestCaseError> {
+fn check_observers(observers: &SecondObservers, view: &View) -> Result<(), TestCaseError> {
     for (name, group) in &view.groups {
         let kept = observers.of(name, group.owner.as_ref());
         prop_assert_eq!(kept, second_observer(view, name, group), "{:?}", name);
@@ -68,7 +68,7 @@
 enum Change {
     Proxy(usize, Option<ProxyState>),
     Group(usize, Option<usize>),
-    NoGroup(usize),
+    DeleteGroup(usize),
 }
 
 impl Change {
@@ -81,7 +81,7 @@
             Self::Group(number, owner) => {
                 view.groups.insert(group_name(number), group(owner.map(proxy_name)));
             }
-            Self::NoGroup(number) => drop(view.groups.remove(&group_name(number))),
+            Self::DeleteGroup(number) => drop(view.groups.remove(&group_name(number))),
         }
     }
 }
@@ -93,11 +93,11 @@
         6 => (0..PROXIES, select(states)).prop_map(|(number, state)| Change::Proxy(number, state)),
         2 => (0..GROUPS, proptest::option::of(0..PROXIES))
             .prop_map(|(number, owner)| Change::Group(number, owner)),
-        1 => (0..GROUPS).prop_map(Change::NoGroup),
+        1 => (0..GROUPS).prop_map(Change::DeleteGroup),
     ]
 }
 
-/// Views that follow each other, each by some changes of the one before.
+/// Sequences of views, each given by its changes to the previous view.
 fn revisions() -> impl Strategy<Value = Vec<Vec<Change>>> {
     proptest::collection::vec(proptest::collection::vec(change(), 0..5), 1..60)
 }
@@ -111,35 +111,35 @@
     #![proptest_config(fixed_cases())]
 
     #[test]
-    fn kept_observers_are_those_of_weighing_all(
+    fn kept_observers_equal_those_of_all_weights(
         proxies in 1..=PROXIES,
         revisions in revisions(),
     ) {
         let mut view = view(proxies, GROUPS);
         let mut observers = SecondObservers::default();
         observers.follow(&view);
-        check(&observers, &view)?;
+        check_observers(&observers, &view)?;
         for changes in revisions {
             changes.iter().for_each(|change| change.apply(&mut view));
             observers.follow(&view);
-            check(&observers, &view)?;
+            check_observers(&observers, &view)?;
         }
     }
 }
 
 #[rstest]
-fn only_what_changed_is_weighed() {
+fn only_changed_weights_are_computed() {
     let mut view = view(PROXIES, GROUPS);
     let mut observers = SecondObservers::default();
     assert_eq!(observers.follow(&view), PROXIES * GROUPS);
     assert_eq!(observers.follow(&view), 0);
-    // A change of owner, also to the second observer itself.
+    // The owner changes to the second observer.
     let name = group_name(0);
-    let former = observers.of(&name, Some(&proxy_name(0))).cloned();
-    view.groups.insert(name.clone(), group(former.clone()));
+    let second = observers.of(&name, Some(&proxy_name(0))).cloned();
+    view.groups.insert(name.clone(), group(second.clone()));
     assert_eq!(observers.follow(&view), 0);
-    assert_ne!(observers.of(&name, former.as_ref()), former.as_ref());
-    // A proxy that came, one that left, a group that came.
+    assert_ne!(observers.of(&name, second.as_ref()), second.as_ref());
+    // A proxy joins, another goes down, and a group is added.
     view.proxies.insert(proxy_name(PROXIES), proxy(ProxyState::Live));
     assert_eq!(observers.follow(&view), GROUPS);
     view.proxies.insert(proxy_name(1), proxy(ProxyState::Down));
--- a/crates/core/tests/ownership.rs
+++ b/crates/core/tests/ownership.rs
@@ -1,6 +1,7 @@
-//! Balance, nearness and churn of owners at the size that decides.
+//! Balance of owners, their distance to the primaries, and the number of moves, for small and large
+//! fleets.
 //!
-//! Figures are printed (`cargo test -p corktack-core --test ownership -- --nocapture`).
+//! The tests print their figures (`cargo test -p corktack-core --test ownership -- --nocapture`).
 
 mod support;
 
@@ -22,7 +23,7 @@
     format!("g{number}")
 }
 
-/// Groups with their primaries spread over the members' zones.
+/// Adds groups whose primaries are spread over the members' zones.
 fn put_groups(cell: &mut Cell, count: usize) {
     for number in 0..count {
         let group = group_name(number);
@@ -56,8 +57,9 @@
     before.iter().filter(|(group, owner)| after[*group] != **owner).count()
 }
 
-/// Groups by nearness of owner and primary: same zone, same region, far.
-fn nearness(cell: &Cell) -> [usize; 3] {
+/// Counts the groups whose owner and primary are in the same zone, the same region, or different
+/// regions.
+fn owner_distances(cell: &Cell) -> [usize; 3] {
     let mut counts = [0; 3];
     for (_, group) in cell.state.groups() {
         let owner = group.view.owner.as_ref().and_then(|owner| cell.state.proxy(owner));
@@ -73,21 +75,26 @@
 }
 
 #[test]
-fn a_whole_fleet_is_balanced_and_near() {
+fn a_whole_fleet_is_balanced_and_owners_are_near_their_primaries() {
     let started = Instant::now();
     let cell = cell(PROXIES, GROUPS);
     let took = started.elapsed();
     println!("{PROXIES} proxies, {GROUPS} groups: built in {took:?}, {} entries", cell.last);
-    println!("highest load {}, zone/region/far {:?}", highest_load(&cell), nearness(&cell));
-    // All primaries are in one of two regions, so its proxies take up to twice the capacity.
+    println!("highest load {}, zone/region/far {:?}", highest_load(&cell), owner_distances(&cell));
+    // All primaries are in one of two regions, so the proxies of that region own up to twice the
+    // capacity.
     assert!(highest_load(&cell) <= 2 * capacity(GROUPS, PROXIES));
-    assert_eq!(nearness(&cell)[2], 0);
+    assert_eq!(owner_distances(&cell)[2], 0);
 }
 
 #[test]
-fn groups_do_not_pile_up_on_few_proxies() {
+fn groups_are_balanced_over_few_proxies() {
     let cell = cell(6, 600);
-    println!("6 proxies, 600 groups: highest load {}, {:?}", highest_load(&cell), nearness(&cell));
+    println!(
+        "6 proxies, 600 groups: highest load {}, {:?}",
+        highest_load(&cell),
+        owner_distances(&cell)
+    );
     assert!(highest_load(&cell) <= 2 * capacity(600, 6));
 }
 
@@ -95,9 +102,10 @@
 fn only_the_groups_of_a_lost_proxy_move() {
     let mut cell = cell(PROXIES, GROUPS);
     let lost: Vec<_> =
-        (0..PROXIES).step_by(9).map(|number| life(&format!("p{number}"), 1)).collect();
+        (0..PROXIES).step_by(9).map(|number| incarnation_of(&format!("p{number}"), 1)).collect();
     let before = owners(&cell);
-    let affected = before.values().flatten().filter(|owner| lost.iter().any(|it| it.0 == **owner));
+    let affected =
+        before.values().flatten().filter(|owner| lost.iter().any(|proxy| proxy.0 == **owner));
     let affected = affected.count();
     let started = Instant::now();
     let count = lost.len();
@@ -111,10 +119,10 @@
 #[rstest]
 #[case(9, 30)]
 #[case(1_100, 733)]
-fn a_proxy_that_comes_back_gets_its_groups_back(#[case] proxies: usize, #[case] groups: usize) {
+fn a_returning_proxy_gets_its_groups_back(#[case] proxies: usize, #[case] groups: usize) {
     let mut cell = cell(proxies, groups);
     let before = owners(&cell);
-    cell.apply(Command::ProxiesDown(vec![life("p2", 1)]));
+    cell.apply(Command::ProxiesDown(vec![incarnation_of("p2", 1)]));
     let lost = moved(&before, &cell);
     cell.apply(Command::RegisterProxies(vec![registration("p2", 2, ZONES[2])]));
     let gained = moved(&before, &cell);
@@ -126,26 +134,31 @@
 }
 
 #[test]
-fn an_owner_chosen_while_there_is_no_primary_is_chosen_again() {
+fn an_owner_chosen_without_a_primary_is_chosen_again_after_the_failover() {
     let mut cell = cell(60, 20);
     for number in 0..20 {
         cell.step(&group_name(number), FailoverStep::Begin { term: Term(2) }).expect("begun");
     }
     let lost = owners(&cell).into_values().flatten().collect::<BTreeSet<_>>();
-    cell.apply(Command::ProxiesDown(lost.into_iter().map(|it| (it, Incarnation(1))).collect()));
+    cell.apply(Command::ProxiesDown(
+        lost.into_iter().map(|proxy| (proxy, Incarnation(1))).collect(),
+    ));
     for number in 0..20 {
         cell.step(&group_name(number), complete("m1", 2)).expect("completed");
     }
-    assert_eq!(nearness(&cell)[2], 0, "{:?}", nearness(&cell));
+    assert_eq!(owner_distances(&cell)[2], 0, "{:?}", owner_distances(&cell));
 }
 
 #[test]
-fn half_a_fleet_that_comes_back_at_once_is_taken_up_quickly() {
+fn half_a_fleet_that_returns_at_once_is_balanced() {
     let mut cell = cell(PROXIES, GROUPS);
     let half = fleet(PROXIES).split_off(PROXIES / 2);
-    let lives = half.iter().map(|it| (it.proxy.clone(), it.incarnation)).collect();
+    let incarnations = half
+        .iter()
+        .map(|registration| (registration.proxy.clone(), registration.incarnation))
+        .collect();
     let started = Instant::now();
-    cell.apply(Command::ProxiesDown(lives));
+    cell.apply(Command::ProxiesDown(incarnations));
     let down = started.elapsed();
     let before = owners(&cell);
     cell.apply(Command::RegisterProxies(half));
@@ -161,9 +174,9 @@
     for number in 0..12 {
         let proxy = format!("p{number}");
         let before = owners(&cell);
-        cell.apply(Command::ProxiesDraining(vec![life(&proxy, 1)]));
+        cell.apply(Command::ProxiesDraining(vec![incarnation_of(&proxy, 1)]));
         moves += moved(&before, &cell);
-        cell.apply(Command::ProxiesDown(vec![life(&proxy, 1)]));
+        cell.apply(Command::ProxiesDown(vec![incarnation_of(&proxy, 1)]));
         let before = owners(&cell);
         cell.apply(Command::RegisterProxies(vec![registration(&proxy, 2, ZONES[number % 6])]));
         assert!(moved(&before, &cell) <= MOVES_PER_REGISTRATION);
@@ -174,7 +187,7 @@
 }
 
 #[test]
-fn a_fleet_that_grows_one_by_one_spreads() {
+fn a_fleet_that_grows_one_by_one_stays_balanced() {
     let mut cell = cell(1, 120);
     for registration in fleet(12).split_off(1) {
         let before = owners(&cell);
@@ -197,12 +210,12 @@
 }
 
 #[test]
-fn a_stopping_proxy_stays_so_for_its_life() {
+fn a_draining_proxy_stays_draining_for_its_incarnation() {
     let mut cell = cell(2, 4);
     let state = |cell: &Cell| cell.state.proxy(&name("p1")).expect("stored").state;
-    cell.apply(Command::ProxiesDraining(vec![life("p1", 9)]));
-    assert_eq!(state(&cell), ProxyState::Live, "another life was meant");
-    cell.apply(Command::ProxiesDraining(vec![life("p1", 1)]));
+    cell.apply(Command::ProxiesDraining(vec![incarnation_of("p1", 9)]));
+    assert_eq!(state(&cell), ProxyState::Live, "the command names another incarnation");
+    cell.apply(Command::ProxiesDraining(vec![incarnation_of("p1", 1)]));
     assert_eq!(highest_load(&cell), 4);
     cell.apply(Command::RegisterProxies(vec![registration("p1", 1, ZONES[1])]));
     assert_eq!(state(&cell), ProxyState::Draining);
@@ -211,17 +224,20 @@
 }
 
 #[test]
-fn groups_wait_for_a_first_proxy_and_old_ones_are_forgotten() {
+fn groups_wait_for_a_first_proxy_and_old_proxies_are_removed() {
     let mut cell = Cell::new();
     put_groups(&mut cell, 3);
     assert!(owners(&cell).values().all(Option::is_none));
     cell.apply(Command::RegisterProxies(fleet(300)));
     assert!(owners(&cell).values().all(Option::is_some));
-    let all = (0..300).map(|number| life(&format!("p{number}"), 1));
+    let all = (0..300).map(|number| incarnation_of(&format!("p{number}"), 1));
     for down in all {
         cell.apply(Command::ProxiesDown(vec![down]));
     }
     assert!(owners(&cell).values().all(Option::is_none));
     assert_eq!(cell.state.proxies().count(), 256);
-    assert!(cell.state.proxy(&name("p0")).is_none(), "the first down is forgotten first");
+    assert!(
+        cell.state.proxy(&name("p0")).is_none(),
+        "the proxy that went down first is removed first"
+    );
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing of reads, warm connections, observers, retries.
+//! Routing of reads, warm connections, second observers, retry budget and back-off.
 #![allow(clippy::unwrap_used)]
 
 use corktack_core::identity::{GroupName, Incarnation, MemberName, ProxyName, ZoneName};
@@ -16,7 +16,7 @@
     MemberName::new(name).unwrap()
 }
 
-fn at(index: u64) -> Position {
+fn position(index: u64) -> Position {
     Position { term: Term(1), index }
 }
 
@@ -47,9 +47,9 @@
 fn table(group: &GroupView, near: u64, far: u64) -> RoutingTable {
     let mut table = RoutingTable::default();
     table.set_members(group);
-    table.learn_position(&member("p"), at(100));
-    table.learn_position(&member("near"), at(near));
-    table.learn_position(&member("far"), at(far));
+    table.learn_position(&member("p"), position(100));
+    table.learn_position(&member("near"), position(near));
+    table.learn_position(&member("far"), position(far));
     table
 }
 
@@ -64,7 +64,7 @@
 ) {
     let group = group();
     let zone = ZoneName::new("amba.a").unwrap();
-    assert_eq!(table(&group, near, far).route_read(&group, &zone, at(5)), expected);
+    assert_eq!(table(&group, near, far).route_read(&group, &zone, position(5)), expected);
 }
 
 #[rstest]
@@ -73,9 +73,9 @@
     let zone = ZoneName::new("amba.a").unwrap();
     let mut table = table(&group, 9, 9);
     group.draining.insert(member("near"));
-    assert_eq!(table.route_read(&group, &zone, at(5)), ReadRoute::Replica(member("far")));
+    assert_eq!(table.route_read(&group, &zone, position(5)), ReadRoute::Replica(member("far")));
     table.set_reachable(&member("far"), false);
-    assert_eq!(table.route_read(&group, &zone, at(5)), ReadRoute::Unavailable);
+    assert_eq!(table.route_read(&group, &zone, position(5)), ReadRoute::Unavailable);
 }
 
 #[rstest]
@@ -116,7 +116,7 @@
 }
 
 #[rstest]
-fn retries_are_a_bounded_share() {
+fn retries_are_a_bounded_share_of_requests() {
     let mut budget = RetryBudget::default();
     while budget.try_retry() {}
     for _ in 0..5 {
@@ -127,7 +127,7 @@
 }
 
 #[rstest]
-fn backoff_grows_and_is_repeatable() {
+fn backoff_grows_and_is_deterministic() {
     let delays = |seed| {
         let mut backoff = Backoff::new(seed);
         (0..8).map(|attempt| backoff.delay(attempt)).collect::<Vec<_>>()
@@ -148,5 +148,5 @@
     assert_ne!(first, delays(8));
     assert!(first[0] >= base / 2 && first[0] <= base);
     assert!(first.iter().all(|delay| *delay >= base / 2 && *delay <= longest));
-    assert!(first[39] >= longest / 2, "the bound has grown to its end");
+    assert!(first[39] >= longest / 2, "the delay has reached its upper bound");
 }
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Builders shared by the tests of the control state.
-#![allow(dead_code, reason = "each test binary uses a part")]
+//! Builders of groups, proxies and control states for the tests of this crate.
+#![allow(dead_code, reason = "each test binary uses only some of the builders")]
 
 pub mod world;
 
@@ -34,7 +34,8 @@
     ResourceKey::DatabaseGroup(name(group))
 }
 
-/// A group of the members `m0`, `m1`, ..., one in each zone, for the database of its own name.
+/// Returns a group of the members `m0`, `m1`, ..., one in each zone, for the database of the
+/// group's name.
 pub fn group_spec(group: &str, members: u16) -> Group {
     let member = |number: u16| MemberSpec {
         name: name(&format!("m{number}")),
@@ -62,13 +63,13 @@
     }
 }
 
-/// Registrations of `p0`, `p1`, ..., spread over [`ZONES`].
+/// Returns the registrations of the proxies `p0`, `p1`, ..., spread over [`ZONES`].
 pub fn fleet(count: usize) -> Vec<ProxyRegistration> {
     let zone = |number: usize| ZONES[number % ZONES.len()];
     (0..count).map(|number| registration(&format!("p{number}"), 1, zone(number))).collect()
 }
 
-pub fn life(proxy: &str, incarnation: u64) -> (ProxyName, Incarnation) {
+pub fn incarnation_of(proxy: &str, incarnation: u64) -> (ProxyName, Incarnation) {
     (name(proxy), Incarnation(incarnation))
 }
 
@@ -96,7 +97,7 @@
     Command::Resource { change: ChangeId(id.to_owned()), operation }
 }
 
-/// A control state with the revision of its next entry.
+/// A control state with the revision of its last applied entry.
 #[derive(Clone, Default)]
 pub struct Cell {
     pub state: ControlState,
@@ -136,7 +137,7 @@
             Outcome::Accepted { version, .. } => Ok(version),
             Outcome::Refused(refusal) => Err(refusal),
             other @ (Outcome::Batch { .. } | Outcome::Registry(_)) => {
-                panic!("a resource has another outcome: {other:?}")
+                panic!("unexpected outcome of a resource command: {other:?}")
             }
         }
     }
@@ -195,7 +196,7 @@
     pub fn step(&mut self, group: &str, step: FailoverStep) -> Result<(), Refusal> {
         let batch = vec![(name(group), step)];
         let Outcome::Batch { mut refused } = self.apply(Command::Failover(batch)).outcome else {
-            panic!("a batch has a batch's outcome")
+            panic!("unexpected outcome of a failover command")
         };
         refused.pop().map_or(Ok(()), |(_, refusal)| Err(refusal))
     }
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! Back ends, a control state and a leader, for the tests of failover.
+//! Simulated members, a control state and a leader on a virtual clock, for the tests of failover.
 
 use super::*;
 use corktack_core::backend::{MemberRole, MemberStatus};
@@ -15,21 +15,21 @@
 /// One step of the virtual clock.
 const STEP: Duration = Duration::from_millis(10);
 
-/// A stand-in member of a group.
+/// A simulated member of a group.
 #[derive(Clone, Debug)]
 pub struct Node {
     pub role: MemberRole,
     pub promised: Term,
     pub last: Position,
-    /// Whether control reaches it.
-    pub seen: bool,
-    /// Whether the other members reach it.
+    /// Whether control reaches the member.
+    pub reachable: bool,
+    /// Whether the other members reach the member.
     pub connected: bool,
 }
 
 type NodeKey = (GroupName, MemberName);
 
-/// Everything around one leader.
+/// The control state, the members and the leader of a test.
 pub struct World {
     pub cell: Cell,
     pub now: Timestamp,
@@ -37,22 +37,23 @@
     pub nodes: BTreeMap<NodeKey, Node>,
     /// Highest committed position of each group.
     pub committed: BTreeMap<GroupName, Position>,
-    /// The member that was promoted in each term.
+    /// Member that was promoted in each term.
     pub promoted: BTreeMap<(GroupName, Term), MemberName>,
-    /// All that the leader asked for.
+    /// All actions that the leader requested and that were performed.
     pub actions: Vec<FailoverAction>,
-    /// Whether outcomes of proposals are lost, after they took effect or before.
-    pub lose_outcomes: Option<bool>,
-    /// Of four calls to members this many fail, by turns before and after they took effect.
-    pub flaky: u64,
+    /// Whether outcomes of proposals are lost: `Some(true)` after the command was applied,
+    /// `Some(false)` before.
+    pub lost_outcomes: Option<bool>,
+    /// Number of calls out of four to members that fail, some before and some after they took effect.
+    pub failing_of_four: u64,
     calls: u64,
     inbox: Vec<FailoverEvent>,
-    deposed: Option<Deposed>,
+    deposed: Option<DeposedLeader>,
 }
 
-/// A leader that does not know that there is another one: its state stands still,
-/// its proposals are lost, but it still reaches the members.
-struct Deposed {
+/// A deposed leader that does not know of its successor: its state does not change and its
+/// proposals are lost, but it still reaches the members.
+struct DeposedLeader {
     manager: FailoverManager,
     state: ControlState,
     inbox: Vec<FailoverEvent>,
@@ -63,7 +64,8 @@
 }
 
 impl World {
-    /// Groups of members `m0`, `m1`, ... that have elected `m0` at term 1, not adopted yet.
+    /// Returns a world of groups with the members `m0`, `m1`, ..., which have elected `m0` at term
+    /// 1. The primaries are not adopted yet.
     pub fn new(groups: usize, members: u16) -> Self {
         let mut world = Self {
             cell: Cell::new(),
@@ -73,8 +75,8 @@
             committed: BTreeMap::new(),
             promoted: BTreeMap::new(),
             actions: Vec::new(),
-            lose_outcomes: None,
-            flaky: 0,
+            lost_outcomes: None,
+            failing_of_four: 0,
             calls: 0,
             inbox: Vec::new(),
             deposed: None,
@@ -86,7 +88,7 @@
             for member in 0..members {
                 let role = if member == 0 { MemberRole::Primary } else { MemberRole::Replica };
                 let last = Position { term: Term(1), index: 10 };
-                let node = Node { role, promised: Term(1), last, seen: true, connected: true };
+                let node = Node { role, promised: Term(1), last, reachable: true, connected: true };
                 world.nodes.insert((name(&group), name(&format!("m{member}"))), node);
             }
             world.committed.insert(name(&group), Position { term: Term(1), index: 10 });
@@ -94,12 +96,13 @@
         world
     }
 
-    /// As [`World::new`], run until the primaries are adopted and owners see them.
+    /// Returns a world as [`World::new`], run until the primaries are adopted and reported by their
+    /// owners.
     pub fn steady(groups: usize, members: u16) -> Self {
         let mut world = Self::new(groups, members);
         world.run(2_000);
         for group in 0..groups {
-            world.owner_sees(&format!("g{group}"), "m0", MemberHealth::Primary(Term(1)));
+            world.report_by_owner(&format!("g{group}"), "m0", MemberHealth::Primary(Term(1)));
         }
         world.run(1_000);
         world.actions.clear();
@@ -110,38 +113,39 @@
         self.nodes.get_mut(&(name(group), name(member))).expect("a node")
     }
 
-    /// Cuts a member off from control and from the other members.
-    pub fn cut(&mut self, group: &str, member: &str) {
+    /// Disconnects a member from control and from the other members.
+    pub fn isolate(&mut self, group: &str, member: &str) {
         let node = self.node(group, member);
-        node.seen = false;
+        node.reachable = false;
         node.connected = false;
     }
 
-    pub fn owner_sees(&mut self, group: &str, member: &str, health: MemberHealth) {
+    /// Delivers a report of the group's owner on a member.
+    pub fn report_by_owner(&mut self, group: &str, member: &str, health: MemberHealth) {
         let proxy = self.cell.group(group).owner.expect("an owner");
         let (group, member) = (name(group), name(member));
         self.inbox.push(FailoverEvent::Observed { proxy, group, member, health });
     }
 
-    /// Cuts the primary off and lets its owner miss it.
+    /// Isolates the primary and lets its owner report it as unreachable.
     pub fn lose_primary(&mut self, group: &str) -> MemberName {
         let primary = self.cell.group(group).primary.expect("a primary");
-        self.cut(group, primary.as_str());
-        self.owner_sees(group, primary.as_str(), MemberHealth::Unreachable);
+        self.isolate(group, primary.as_str());
+        self.report_by_owner(group, primary.as_str(), MemberHealth::Unreachable);
         primary
     }
 
-    /// A new leader that knows only the control state.
+    /// Replaces the leader by a new one that knows only the control state.
     pub fn change_leader(&mut self) {
         self.manager = FailoverManager::new(settings());
         self.inbox.clear();
     }
 
-    /// As [`World::change_leader`], while the old leader goes on.
+    /// Replaces the leader as [`World::change_leader`], while the old leader keeps running.
     pub fn split_leaders(&mut self) {
         let manager = std::mem::replace(&mut self.manager, FailoverManager::new(settings()));
         let inbox = std::mem::take(&mut self.inbox);
-        self.deposed = Some(Deposed { manager, state: self.cell.state.clone(), inbox });
+        self.deposed = Some(DeposedLeader { manager, state: self.cell.state.clone(), inbox });
     }
 
     fn step_deposed(&mut self) {
@@ -168,18 +172,21 @@
         }
     }
 
-    /// Runs until a predicate holds of the cell; panics after a minute.
+    /// Runs until `done` holds and returns the time it took; panics after 60 s.
     pub fn run_until(&mut self, mut done: impl FnMut(&Cell) -> bool) -> Duration {
         let start = self.now;
         while !done(&self.cell) {
-            assert!(self.now - start < Duration::from_secs(60), "not done within a minute");
+            assert!(
+                self.now - start < Duration::from_secs(60),
+                "the condition did not hold within 60 s"
+            );
             self.step(|_| true);
         }
         self.now - start
     }
 
-    /// One step; actions that `perform` turns down are not performed. Tells whether
-    /// all were.
+    /// Runs one step. Stops at the first action that `perform` rejects; returns whether all
+    /// actions were performed.
     pub fn step(&mut self, mut perform: impl FnMut(&FailoverAction) -> bool) -> bool {
         self.step_deposed();
         for event in std::mem::take(&mut self.inbox) {
@@ -201,7 +208,7 @@
     fn answer(&mut self, action: FailoverAction) -> FailoverEvent {
         match action {
             FailoverAction::Propose { proposal, command } => {
-                let lost = self.lose_outcomes;
+                let lost = self.lost_outcomes;
                 let apply = lost != Some(false);
                 let outcome = apply.then(|| self.cell.apply(command).outcome);
                 let outcome = outcome.filter(|_| lost.is_none());
@@ -209,7 +216,7 @@
             }
             FailoverAction::Probe(CallTarget { group, member, .. }) => {
                 let node = &self.nodes[&(group.clone(), member.clone())];
-                let status = node.seen.then(|| MemberStatus {
+                let status = node.reachable.then(|| MemberStatus {
                     member: member.clone(),
                     role: node.role,
                     promised_term: node.promised,
@@ -220,25 +227,25 @@
             }
             FailoverAction::Fence { target: CallTarget { group, member, .. }, term } => {
                 let key = (group.clone(), member.clone());
-                let result = self.disturb(|world| world.fence(&key, term));
+                let result = self.call_with_faults(|world| world.fence(&key, term));
                 FailoverEvent::Fenced { group, member, term, result }
             }
             FailoverAction::Promote { target: CallTarget { group, member, .. }, term } => {
                 let key = (group.clone(), member.clone());
-                let result = self.disturb(|world| world.promote(&key, term));
+                let result = self.call_with_faults(|world| world.promote(&key, term));
                 FailoverEvent::Promoted { group, member, term, result }
             }
         }
     }
 
-    /// Makes a call fail as [`World::flaky`] says.
-    fn disturb<T>(
+    /// Performs a call, or makes it fail according to [`World::failing_of_four`].
+    fn call_with_faults<T>(
         &mut self,
         call: impl FnOnce(&mut Self) -> Result<T, CallFailure>,
     ) -> Result<T, CallFailure> {
         self.calls += 1;
         let draw = self.calls.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-        if draw % 4 >= self.flaky {
+        if draw % 4 >= self.failing_of_four {
             return call(self);
         }
         if draw % 8 < 4 {
@@ -248,7 +255,8 @@
     }
 
     pub fn fence(&mut self, key: &NodeKey, term: Term) -> Result<FenceAnswer, CallFailure> {
-        let node = self.nodes.get_mut(key).filter(|node| node.seen).ok_or(CallFailure::Failed)?;
+        let node =
+            self.nodes.get_mut(key).filter(|node| node.reachable).ok_or(CallFailure::Failed)?;
         if node.promised > term {
             return Err(CallFailure::HigherTerm(Some(node.promised)));
         }
@@ -259,9 +267,11 @@
         Ok(FenceAnswer { promised: node.promised, last_position: node.last })
     }
 
-    /// Promotes a member, checking both invariants of the failover module.
+    /// Promotes a member, and checks that its term has no other primary and that it holds every
+    /// committed entry.
     pub fn promote(&mut self, key: &NodeKey, term: Term) -> Result<Position, CallFailure> {
-        let node = self.nodes.get_mut(key).filter(|node| node.seen).ok_or(CallFailure::Failed)?;
+        let node =
+            self.nodes.get_mut(key).filter(|node| node.reachable).ok_or(CallFailure::Failed)?;
         if node.promised > term {
             return Err(CallFailure::HigherTerm(Some(node.promised)));
         }
@@ -270,7 +280,10 @@
         }
         let (group, member) = key.clone();
         let earlier = self.promoted.insert((group.clone(), term), member.clone());
-        assert!(earlier.is_none_or(|it| it == member), "two primaries of {group} at {term}");
+        assert!(
+            earlier.is_none_or(|promoted| promoted == member),
+            "two primaries of {group} at {term}"
+        );
         if node.role == MemberRole::Fenced {
             assert!(node.last >= self.committed[&group], "{group} lost a committed entry");
         }
@@ -278,7 +291,7 @@
         if self.write(key) { Ok(self.committed[&group]) } else { Err(CallFailure::Failed) }
     }
 
-    /// A write on a member that thinks it is primary; tells whether it was committed.
+    /// Writes on a member that considers itself primary; returns whether the write was committed.
     pub fn write(&mut self, key: &NodeKey) -> bool {
         let node = self.nodes.get_mut(key).expect("a node");
         let term = node.promised;
@@ -286,7 +299,7 @@
         let (last, connected) = (node.last, node.connected);
         let mut count = 1;
         let group = &key.0;
-        let peers = self.nodes.iter_mut().filter(|(it, _)| it.0 == *group && *it != key);
+        let peers = self.nodes.iter_mut().filter(|(peer, _)| peer.0 == *group && *peer != key);
         let mut members = 1;
         for (_, peer) in peers {
             members += 1;
@@ -299,31 +312,32 @@
         }
         let committed = count > members / 2;
         if committed {
-            let known = self.committed.get_mut(group).expect("a group");
-            *known = (*known).max(last);
+            let position = self.committed.get_mut(group).expect("a group");
+            *position = (*position).max(last);
         }
         committed
     }
 
-    /// Writes on all members that think they are primary.
+    /// Writes on all members that consider themselves primary.
     pub fn write_everywhere(&mut self) {
-        let primaries = self.nodes.iter().filter(|(_, it)| it.role == MemberRole::Primary);
+        let primaries = self.nodes.iter().filter(|(_, node)| node.role == MemberRole::Primary);
         let primaries: Vec<_> = primaries.map(|(key, _)| key.clone()).collect();
         for key in primaries {
             self.write(&key);
         }
     }
 
-    /// Whether the announced primary is the one that members follow, and writes pass.
+    /// Reports whether the announced primary has the role and term of the view and commits a write.
     pub fn is_healthy(&mut self, group: &str) -> bool {
         let view = self.cell.group(group);
         let Some(primary) = view.primary else { return false };
         let key = (name(group), primary);
         let node = &self.nodes[&key];
-        let leads = node.role == MemberRole::Primary && node.promised == view.term;
-        leads && self.write(&key)
+        let is_primary = node.role == MemberRole::Primary && node.promised == view.term;
+        is_primary && self.write(&key)
     }
 
+    /// Returns the terms of all proposed [`FailoverStep::Begin`] steps.
     pub fn terms_begun(&self) -> Vec<Term> {
         let commands = self.actions.iter().filter_map(|action| match action {
             FailoverAction::Propose { command: Command::Failover(batch), .. } => Some(batch),
--- a/crates/core/tests/watch.rs
+++ b/crates/core/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Deltas and events for watchers.
+//! Deltas for watching proxies and events for watching operators.
 
 mod support;
 
@@ -12,9 +12,9 @@
 
 const GROUPS: [&str; 4] = ["g0", "g1", "g2", "g3"];
 
-/// A step of a random history; what it refers to need not exist.
-fn step() -> impl Strategy<Value = Command> {
-    let group = || (0..GROUPS.len()).prop_map(|place| GROUPS[place]);
+/// Returns a command of a random history; the objects that it names need not exist.
+fn command() -> impl Strategy<Value = Command> {
+    let group = || (0..GROUPS.len()).prop_map(|number| GROUPS[number]);
     let proxy = || (0..8_usize).prop_map(|number| format!("p{number}"));
     let leaving = |(group, member, leaving): (&str, u8, bool)| {
         Command::MembersLeaving(vec![(name(group), name(&format!("m{member}")), leaving)])
@@ -40,8 +40,12 @@
         4 => (any::<u32>(), group(), 1..5_u16).prop_map(put),
         1 => (any::<u32>(), group()).prop_map(delete),
         3 => (proxy(), 1..3_u64, 0..ZONES.len()).prop_map(register),
-        2 => (proxy(), 1..3_u64).prop_map(|it| Command::ProxiesDown(vec![life(&it.0, it.1)])),
-        1 => (proxy(), 1..3_u64).prop_map(|it| Command::ProxiesDraining(vec![life(&it.0, it.1)])),
+        2 => (proxy(), 1..3_u64).prop_map(|proxy| {
+            Command::ProxiesDown(vec![incarnation_of(&proxy.0, proxy.1)])
+        }),
+        1 => (proxy(), 1..3_u64).prop_map(|proxy| {
+            Command::ProxiesDraining(vec![incarnation_of(&proxy.0, proxy.1)])
+        }),
         4 => (group(), 0..5_u8, 1..6_u64, 0..3_u8).prop_map(failover),
         1 => (group(), 0..5_u8, any::<bool>()).prop_map(leaving),
     ]
@@ -51,7 +55,9 @@
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn deltas_from_any_point_lead_to_the_view(history in prop::collection::vec(step(), 1..60)) {
+    fn deltas_from_any_revision_lead_to_the_view(
+        history in prop::collection::vec(command(), 1..60),
+    ) {
         let mut cell = Cell::new();
         let mut log = DeltaLog::new(Revision(0));
         let mut views = vec![cell.state.view()];
@@ -71,16 +77,18 @@
     }
 
     #[test]
-    fn a_restored_state_goes_on_alike(history in prop::collection::vec(step(), 2..40)) {
+    fn a_restored_state_applies_commands_identically(
+        history in prop::collection::vec(command(), 2..40),
+    ) {
         let mut cell = Cell::new();
         let middle = history.len() / 2;
         let mut restored = Cell::new();
-        for (place, command) in history.into_iter().enumerate() {
-            if place == middle {
+        for (index, command) in history.into_iter().enumerate() {
+            if index == middle {
                 restored = Cell { state: decode(&encode(&cell.state)), last: cell.last };
             }
             let applied = cell.apply(command.clone());
-            if place >= middle {
+            if index >= middle {
                 prop_assert_eq!(restored.apply(command), applied);
             }
         }
@@ -92,28 +100,28 @@
 fn a_watcher_catches_up_by_deltas_or_by_a_snapshot() {
     let mut cell = Cell::new();
     let mut log = DeltaLog::with_limit(Revision(0), 500);
-    let mut sleeper = (View::default(), WatchCursor::new(Revision(0)));
+    let mut watcher = (View::default(), WatchCursor::new(Revision(0)));
     for number in 0..600 {
         let command = cell.put_command(&number.to_string(), "calls", 1 + number % 2, None);
         let changes = cell.apply(command).changes;
         log.push(Revision(cell.last), changes);
         if number == 99 {
-            catch_up(&cell, &log, &mut sleeper);
+            catch_up(&cell, &log, &mut watcher);
         }
     }
     assert!(matches!(log.since(Revision(99)), Err(TooOld { floor: Revision(100), .. })));
-    assert_eq!(catch_up(&cell, &log, &mut sleeper), 0, "500 deltas are held");
+    assert_eq!(catch_up(&cell, &log, &mut watcher), 0, "the log holds 500 deltas");
     assert_eq!(catch_up(&cell, &log, &mut (View::default(), WatchCursor::new(Revision(0)))), 1);
 }
 
-/// The deltas from the start would put every old configuration in force on the way,
-/// on a proxy that may have had a newer one before it lost its data folder.
+/// Deltas from the start would put every old configuration in force in turn, on a proxy
+/// that may have had a newer configuration before it lost its data folder.
 #[test]
-fn a_watcher_with_nothing_in_force_is_given_the_whole_view() {
+fn a_watcher_with_nothing_in_force_is_sent_the_whole_view() {
     let mut cell = Cell::new();
     let mut log = DeltaLog::new(Revision(0));
     let mut cursor = WatchCursor::new(Revision(0));
-    assert_eq!(cursor.advance(&log), WatchStep::UpToDate, "there is nothing to give");
+    assert_eq!(cursor.advance(&log), WatchStep::UpToDate, "there is nothing to send");
     for group in ["a", "b", "c"] {
         let command = cell.put_command(group, group, 3, None);
         let changes = cell.apply(command).changes;
@@ -124,7 +132,7 @@
     assert_eq!(cursor.advance(&log), WatchStep::UpToDate);
 }
 
-/// Feeds a watcher until it is up to date; returns the number of snapshots it took.
+/// Sends a watcher everything until it is up to date; returns the number of snapshots sent.
 fn catch_up(cell: &Cell, log: &DeltaLog, watcher: &mut (View, WatchCursor)) -> usize {
     let mut snapshots = 0;
     let (view, cursor) = watcher;
@@ -147,24 +155,24 @@
 }
 
 #[test]
-fn a_watcher_ahead_of_the_replica_is_told_nothing_old() {
+fn a_watcher_ahead_of_the_replica_is_sent_no_old_deltas() {
     let mut cell = Cell::new();
     let mut log = DeltaLog::new(Revision(0));
     let mut cursor = WatchCursor::new(Revision(2));
-    let mut told = Vec::new();
+    let mut sent = Vec::new();
     for group in ["a", "b", "c"] {
         let command = cell.put_command(group, group, 3, None);
         let changes = cell.apply(command).changes;
         log.push(Revision(cell.last), changes);
         if let WatchStep::Deltas(deltas) = cursor.advance(&log) {
-            told.extend(deltas.iter().map(|delta| delta.revision));
+            sent.extend(deltas.iter().map(|delta| delta.revision));
         }
     }
-    assert_eq!(told, [Revision(3)]);
+    assert_eq!(sent, [Revision(3)]);
 }
 
 #[test]
-fn operators_are_told_what_happened_to_each_resource() {
+fn operators_are_sent_the_events_of_each_resource() {
     let mut cell = Cell::new();
     let mut events = OperatorEvents::with_limit(Revision(0), 4);
     let mut apply = |cell: &mut Cell, command| {
@@ -183,8 +191,8 @@
     let kinds: Vec<_> = all.iter().map(|event| (event.revision.0, event.kind)).collect();
     let expected = [EventKind::Added, EventKind::Modified, EventKind::Modified, EventKind::Deleted];
     assert_eq!(kinds, (1..=4).zip(expected).collect::<Vec<_>>());
-    assert_eq!(all[2].group.as_ref().and_then(|it| it.primary.clone()), Some(name("m1")));
-    assert_eq!(all[3].resource.generation, 2, "a deleted one is shown as it last was");
+    assert_eq!(all[2].group.as_ref().and_then(|group| group.primary.clone()), Some(name("m1")));
+    assert_eq!(all[3].resource.generation, 2, "a deleted resource is reported as last stored");
     assert_eq!(events.since(Revision(0), Kind::Binding).expect("held").count(), 0);
 
     cell.put_class("gold", 1, 0).expect("accepted");
@@ -192,6 +200,6 @@
     let put = cell.put_command("4", "calls", 3, None);
     cell.last += 1;
     events.apply(&mut cell.state, Revision(cell.last), put);
-    assert!(events.since(Revision(0), Kind::DatabaseGroup).is_err(), "list again");
+    assert!(events.since(Revision(0), Kind::DatabaseGroup).is_err(), "the watcher must list again");
     assert!(cell.state.get(&ResourceKey::Binding(name("desk"))).is_some());
 }
