--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -47,7 +47,7 @@
 #[test]
 fn without_a_sample_the_primary_must_be_asked() {
     let freshness = Freshness::default();
-    assert_eq!(freshness.needed(at(100), STALENESS, own(50, position(1, 7))), None);
+    assert_eq!(freshness.required_position(at(100), STALENESS, own(50, position(1, 7))), None);
 }
 
 /// Found by a hunt (carte-consultas, scale-1 --seed 90068085763): a session wrote 2.251 just after
@@ -56,7 +56,7 @@
 #[test]
 fn own_commit_of_a_new_term_outweighs_a_longer_log_of_the_old_one() {
     let freshness = freshness(&[(1_000, position(1, 287))]);
-    let needed = freshness.needed(at(1_500), STALENESS, own(1_400, position(2, 251)));
+    let needed = freshness.required_position(at(1_500), STALENESS, own(1_400, position(2, 251)));
     assert_eq!(needed, Some(position(2, 251)));
 }
 
@@ -70,21 +70,21 @@
 fn what_was_rolled_back_is_not_waited_for() {
     let freshness = freshness(&[(1_000, position(1, 287)), (1_400, position(1, 250))]);
     assert_eq!(freshness.floor(at(1_500), STALENESS), Some(position(1, 250)));
-    let needed = freshness.needed(at(1_500), STALENESS, own(1_100, position(1, 280)));
+    let needed = freshness.required_position(at(1_500), STALENESS, own(1_100, position(1, 280)));
     assert_eq!(needed, Some(position(1, 250)));
 }
 
 #[test]
 fn own_commit_of_an_old_term_gives_way_to_the_new_one() {
     let freshness = freshness(&[(1_400, position(2, 300))]);
-    let needed = freshness.needed(at(1_500), STALENESS, own(1_100, position(1, 310)));
+    let needed = freshness.required_position(at(1_500), STALENESS, own(1_100, position(1, 310)));
     assert_eq!(needed, Some(position(2, 300)));
 }
 
 #[test]
 fn own_commit_newer_than_every_sample_is_needed() {
     let freshness = freshness(&[(1_400, position(1, 300))]);
-    let needed = freshness.needed(at(1_600), STALENESS, own(1_500, position(1, 310)));
+    let needed = freshness.required_position(at(1_600), STALENESS, own(1_500, position(1, 310)));
     assert_eq!(needed, Some(position(1, 310)));
 }
 
@@ -128,7 +128,7 @@
     let told = freshness.note_reported(at(4_000), Duration::from_millis(2_000), position(1, 111));
     assert_eq!(told, Ok(()));
     assert_eq!(freshness.floor(at(4_100), STALENESS), Some(position(1, 153)));
-    let needed = freshness.needed(at(4_100), STALENESS, own(3_500, position(1, 154)));
+    let needed = freshness.required_position(at(4_100), STALENESS, own(3_500, position(1, 154)));
     assert_eq!(needed, Some(position(1, 154)), "nor does the session's own commit give way");
 }
 
--- a/crates/core/tests/gateway.rs
+++ b/crates/core/tests/gateway.rs
@@ -144,7 +144,7 @@
 fn load(latency: u64, running: usize) -> MemberLoad {
     MemberLoad {
         latency: Duration::from_millis(latency),
-        way: Duration::ZERO,
+        network_time: Duration::ZERO,
         age: Duration::ZERO,
         running,
         waiting: 0.0,
@@ -228,8 +228,8 @@
 
 #[test]
 fn a_member_that_is_far_stays_far_however_long_it_was_not_asked() {
-    let (way, age) = (Duration::from_millis(40), Duration::from_secs(60));
-    let far = MemberLoad { way, age, ..load(200, 0) };
+    let (network_time, age) = (Duration::from_millis(40), Duration::from_secs(60));
+    let far = MemberLoad { network_time, age, ..load(200, 0) };
     assert_eq!(choose_reader(&[far, load(20, 0)]), Some(1));
     assert_eq!(choose_reader(&[far, load(70, 0)]), Some(1), "a like one without the way");
     assert_eq!(choose_reader(&[far, load(20, 3)]), Some(0), "the nearer is busy");
@@ -262,7 +262,7 @@
     let told = ReportedLoad { spent: millis(20), latency: millis(50), waiting: 1.5 };
     estimate.note_reported(&told, millis(24), at(1_000));
     let load = estimate.load(2, 4.0, at(1_999));
-    assert_eq!((load.latency, load.way, load.waiting), (millis(54), millis(4), 1.5));
+    assert_eq!((load.latency, load.network_time, load.waiting), (millis(54), millis(4), 1.5));
     assert_eq!(estimate.load(2, 4.0, at(2_000)).waiting, 0.0, "those who waited have gone");
 }
 
--- a/crates/core/tests/gateway_choice.rs
+++ b/crates/core/tests/gateway_choice.rs
@@ -65,7 +65,7 @@
 fn reader(latency_millis: u64, is_passed_over: bool, has_room: bool) -> ReaderCandidate {
     let load = MemberLoad {
         latency: Duration::from_millis(latency_millis),
-        way: Duration::ZERO,
+        network_time: Duration::ZERO,
         age: Duration::ZERO,
         running: 0,
         capacity_share: 1.0,
--- a/crates/core/tests/holders.rs
+++ b/crates/core/tests/holders.rs
@@ -2,7 +2,7 @@
 
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{
-    GatewayPlace, HolderTable, MemberNeeds, asking_order, holder_count, zone_quotas,
+    GatewayPlace, HolderTable, MemberNeeds, holder_count, holder_order, zone_quotas,
 };
 use corktack_core::identity::{MemberName, ProxyName, ZoneName};
 use proptest::prelude::*;
@@ -92,14 +92,14 @@
 #[case::aim(1_100, 2_200)]
 fn one_gateway_that_restarts_costs_little(#[case] gateways: usize, #[case] members: usize) {
     let mut table = table(gateways, members);
-    let before = table.weighings();
+    let before = table.weights_computed();
     for number in 100..110 {
         table.remove_gateway(&gateway(number));
         table.put_gateway(&gateway(number), place(number));
     }
-    let each = (table.weighings() - before) / 10;
+    let each = (table.weights_computed() - before) / 10;
     let all = (gateways * members) as u64;
-    assert!(each <= 3 * members as u64, "{each} weighings a restart; all would be {all}");
+    assert!(each <= 3 * members as u64, "{each} weights_computed a restart; all would be {all}");
 }
 
 #[test]
@@ -209,7 +209,7 @@
     let all = gateways(72);
     let holders = &all[..12];
     for (own, own_zone) in &all {
-        let order = asking_order(own, own_zone, (&member(0), &zone("n.a")), holders);
+        let order = holder_order(own, own_zone, (&member(0), &zone("n.a")), holders);
         let expected: BTreeSet<_> = holders.iter().map(|(name, _)| name).collect();
         assert_eq!(order.iter().collect::<BTreeSet<_>>(), expected);
         let out_of_the_way = order.iter().map(|name| {
@@ -226,7 +226,7 @@
     let all = gateways(72);
     let holders = &all[..6];
     let first = |(own, own_zone): &(ProxyName, ZoneName)| {
-        asking_order(own, own_zone, (&member(0), &zone("n.a")), holders)[0].clone()
+        holder_order(own, own_zone, (&member(0), &zone("n.a")), holders)[0].clone()
     };
     let firsts: Vec<_> = all.iter().map(first).collect();
     let busiest = holders.iter().map(|(it, _)| firsts.iter().filter(|first| *first == it).count());
--- a/crates/core/tests/peers.rs
+++ b/crates/core/tests/peers.rs
@@ -33,14 +33,14 @@
 fn an_answer_is_waited_for_by_the_round_trips_seen() {
     let mut round_trip = RoundTrip::default();
     assert_eq!(round_trip.limit(), millis(100), "before the first sample");
-    (0..50).for_each(|_| round_trip.note(millis(40)));
+    (0..50).for_each(|_| round_trip.record(millis(40)));
     assert_eq!(round_trip.limit().as_millis(), 40, "steady ones leave no doubt");
-    (0..5).for_each(|_| round_trip.note(millis(70)));
+    (0..5).for_each(|_| round_trip.record(millis(70)));
     let after_jitter = round_trip.limit();
     assert!(after_jitter > millis(90), "{after_jitter:?}");
-    (0..50).for_each(|_| round_trip.note(millis(1)));
+    (0..50).for_each(|_| round_trip.record(millis(1)));
     assert_eq!(round_trip.limit(), millis(30), "a timer may be some ticks late");
-    (0..50).for_each(|_| round_trip.note(millis(900)));
+    (0..50).for_each(|_| round_trip.record(millis(900)));
     assert_eq!(round_trip.limit(), millis(200), "another gateway is the better choice by then");
 }
 
