--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The wait queue: order, shares, bounds and deadlines.
+//! The wait queue of a group: order, guaranteed shares, bounds and deadlines.
 #![allow(clippy::unwrap_used)]
 
 use corktack_core::admission::{AdmissionError, AdmissionLimits, AdmissionQueue, Lane, Ticket};
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const FAR: Timestamp = Timestamp::from_millis(1_000_000);
+const FAR_DEADLINE: Timestamp = Timestamp::from_millis(1_000_000);
 const NOW: Timestamp = Timestamp::from_millis(1_000);
 const SERVICE: Duration = Duration::from_millis(8);
 
@@ -29,7 +29,7 @@
 }
 
 fn enqueue(queue: &mut AdmissionQueue, name: &str) -> Ticket {
-    queue.enqueue(&class(name), Lane::Primary, NOW, FAR).unwrap().ticket
+    queue.enqueue(&class(name), Lane::Primary, NOW, FAR_DEADLINE).unwrap().ticket
 }
 
 #[rstest]
@@ -45,13 +45,13 @@
 }
 
 #[rstest]
-fn a_full_queue_refuses_and_tells_when_to_come_back() {
+fn a_full_queue_refuses_with_a_retry_time() {
     let mut queue = queue(1, 2, &[]);
     enqueue(&mut queue, "basic");
     assert_eq!(queue.grant(NOW, true).len(), 1);
     enqueue(&mut queue, "basic");
     enqueue(&mut queue, "basic");
-    let refused = queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR);
+    let refused = queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE);
     let Err(AdmissionError::QueueFull { retry_after_ms }) = refused else {
         panic!("the queue is full");
     };
@@ -64,7 +64,7 @@
     let mut queue = queue(1, 0, &[]);
     enqueue(&mut queue, "basic");
     assert_eq!(queue.grant(NOW, true).len(), 1);
-    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR).is_err());
+    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE).is_err());
 }
 
 #[rstest]
@@ -78,7 +78,7 @@
 }
 
 #[rstest]
-fn expire_takes_out_what_is_late() {
+fn expire_removes_requests_past_their_deadline() {
     let mut queue = queue(0, 10, &[]);
     let late = queue.enqueue(&class("basic"), Lane::Primary, Timestamp::ZERO, NOW).unwrap().ticket;
     enqueue(&mut queue, "basic");
@@ -87,56 +87,56 @@
 }
 
 #[rstest]
-fn reads_from_replicas_pass_writes_that_wait_for_a_primary() {
+fn replica_reads_overtake_writes_that_wait_for_a_primary() {
     let mut queue = queue(2, 10, &[("gold", 10, 0), ("basic", 1, 0)]);
     let write = enqueue(&mut queue, "gold");
-    let read = queue.enqueue(&class("basic"), Lane::Replica, NOW, FAR).unwrap().ticket;
+    let read = queue.enqueue(&class("basic"), Lane::Replica, NOW, FAR_DEADLINE).unwrap().ticket;
     assert_eq!(queue.grant(NOW, false), [read]);
     assert_eq!(queue.grant(NOW, true), [write]);
 }
 
 #[rstest]
-fn a_full_queue_makes_room_for_a_higher_class() {
+fn a_full_queue_displaces_a_request_for_a_higher_class() {
     let mut queue = queue(1, 3, &[("gold", 10, 0), ("silver", 5, 0), ("basic", 1, 0)]);
     enqueue(&mut queue, "basic");
     assert_eq!(queue.grant(NOW, true).len(), 1);
     enqueue(&mut queue, "basic");
     let last = enqueue(&mut queue, "basic");
     enqueue(&mut queue, "silver");
-    let admitted = queue.enqueue(&class("gold"), Lane::Primary, NOW, FAR).unwrap();
+    let admitted = queue.enqueue(&class("gold"), Lane::Primary, NOW, FAR_DEADLINE).unwrap();
     assert_eq!(admitted.displaced, Some(last));
-    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR).is_err());
+    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE).is_err());
     assert_eq!(queue.length(), 3);
     assert!(!queue.remove(last));
 }
 
 #[rstest]
-fn a_class_below_its_places_gets_one_in_a_full_queue() {
+fn a_class_with_free_reserved_places_gets_one_in_a_full_queue() {
     let mut queue = queue(1, 10, &[("gold", 10, 0), ("basic", 1, 20)]);
     enqueue(&mut queue, "gold");
     assert_eq!(queue.grant(NOW, true).len(), 1);
     let golds: Vec<_> = (0..10).map(|_| enqueue(&mut queue, "gold")).collect();
     for place in [9, 8] {
-        let admitted = queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR).unwrap();
+        let admitted = queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE).unwrap();
         assert_eq!(admitted.displaced, Some(golds[place]));
     }
-    // Its places are taken, and gold must not take them back.
-    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR).is_err());
-    assert!(queue.enqueue(&class("gold"), Lane::Primary, NOW, FAR).is_err());
+    // The reserved places of basic are taken, and gold must not take them back.
+    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE).is_err());
+    assert!(queue.enqueue(&class("gold"), Lane::Primary, NOW, FAR_DEADLINE).is_err());
 }
 
 #[rstest]
-fn reads_from_replicas_are_not_refused_for_writes_that_wait_for_a_primary() {
+fn replica_reads_are_not_refused_for_writes_that_wait_for_a_primary() {
     let mut queue = queue(2, 2, &[("gold", 10, 0)]);
     enqueue(&mut queue, "gold");
     enqueue(&mut queue, "gold");
     assert_eq!(queue.grant(NOW, false), []);
-    let read = queue.enqueue(&class("gold"), Lane::Replica, NOW, FAR).unwrap().ticket;
+    let read = queue.enqueue(&class("gold"), Lane::Replica, NOW, FAR_DEADLINE).unwrap().ticket;
     assert_eq!(queue.grant(NOW, false), [read]);
 }
 
 #[rstest]
-fn a_request_that_cannot_be_in_time_is_refused_when_it_comes() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_on_arrival() {
     let mut queue = queue(1, 100, &[("gold", 10, 0), ("basic", 1, 0)]);
     enqueue(&mut queue, "gold");
     queue.grant(NOW, true);
@@ -145,7 +145,7 @@
         enqueue(&mut queue, "gold");
     }
     assert_eq!(queue.grant(NOW, true).len(), 1);
-    // Nine wait before it, of eight milliseconds each.
+    // Nine requests of 8 ms each wait before the new one.
     let by = |millis| NOW + Duration::from_millis(millis);
     let refused = queue.enqueue(&class("basic"), Lane::Primary, NOW, by(79));
     assert!(
@@ -156,7 +156,7 @@
 }
 
 #[rstest]
-fn one_slow_transaction_does_not_make_the_rest_hopeless() {
+fn one_slow_transaction_does_not_have_later_requests_refused() {
     let mut queue = queue(1, 10, &[]);
     enqueue(&mut queue, "basic");
     queue.grant(NOW, true);
@@ -168,7 +168,7 @@
 }
 
 #[rstest]
-fn expired_requests_cost_their_class_no_share() {
+fn expired_requests_cost_their_class_no_credit() {
     let mut queue = queue(1, 100, &[("gold", 10, 0), ("basic", 1, 50)]);
     let mut basics = Vec::new();
     for _ in 0..4 {
@@ -194,7 +194,8 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// While all classes wait, each gets its share, up to one grant a class.
+    /// While all classes wait, each gets its guaranteed share, less at most one grant for each
+    /// class.
     #[test]
     fn guaranteed_shares_hold_under_contention(
         shares in proptest::collection::vec(0_u8..=25, 1..=4),
@@ -223,9 +224,8 @@
         }
     }
 
-    /// A flood of higher classes leaves the lowest class its share, though the
-    /// queue is always full: requests come at random, from seeds, and those
-    /// refused or given up do not wait.
+    /// A flood of higher classes leaves the lowest class its share although the queue is always
+    /// full. Requests arrive at random from a seed, and refused or displaced requests do not wait.
     #[test]
     fn the_lowest_class_keeps_its_share_in_a_flood(
         seed in any::<u64>(),
@@ -237,12 +237,12 @@
         let mut basics = BTreeSet::new();
         let (mut served, mut total) = (0_u64, 0_u64);
         for _ in 0..2_000 {
-            // Gold takes all places before basic comes.
+            // Gold takes all places before basic arrives.
             for _ in 0..random.random_range(6..=50) {
-                let _ = queue.enqueue(&class("gold"), Lane::Primary, NOW, FAR);
+                let _ = queue.enqueue(&class("gold"), Lane::Primary, NOW, FAR_DEADLINE);
             }
             for _ in 0..random.random_range(0..=2) {
-                let admitted = queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR);
+                let admitted = queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE);
                 basics.extend(admitted.map(|admitted| admitted.ticket));
             }
             for ticket in queue.grant(NOW, true) {
@@ -250,14 +250,14 @@
                 served += u64::from(basics.contains(&ticket));
             }
             prop_assert!(queue.length() <= 40);
-            // Fewer end than come.
+            // Fewer requests end than arrive.
             queue.release(SERVICE);
         }
         let due = total * u64::from(percent) / 100;
         prop_assert!(served + 5 >= due, "{served} of {total} served, {due} due");
     }
 
-    /// Slots and queue stay in their limits, and no ticket is granted twice.
+    /// Slots and queue length stay within their limits, and no ticket is granted twice.
     #[test]
     fn limits_hold_and_tickets_are_granted_once(
         steps in proptest::collection::vec((0_u8..5, 0_u64..50), 1..300),
--- a/crates/core/tests/balancing_load.rs
+++ b/crates/core/tests/balancing_load.rs
@@ -1,10 +1,11 @@
-//! Reads of many gateways at the members of a group under load: who gets them while one member is slow, then
-//! while another one fails, and afterwards.
+//! Load test of the choice of members for reads: the share of each member while one member is slow,
+//! then while another one fails, and afterwards.
 //!
-//! Eight members in six zones run four statements at once, 22 ms each; 48 gateways send them 0.6 of what
-//! they can do, in waves that differ between zones. From 10 to 18 s one member works 6.5 times as long, from
-//! 24 to 30 s another one fails 41 % of its statements after a millisecond. A read that was failed is offered
-//! to another member. For comparison the same reads go to the least estimate, as it was last measured.
+//! Eight members in six zones run four statements concurrently, 22 ms each. 48 gateways send them
+//! 0.6 of the load that they can serve, in waves that differ between zones. From 10 to 18 s, one
+//! member takes 6.5 times as long; from 24 to 30 s, another one fails 41 % of its statements after
+//! 1 ms. A failed read is sent to another member. For comparison, the same reads are sent to the
+//! member with the least latency as last observed.
 
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{
@@ -22,24 +23,25 @@
 const GATEWAYS: usize = 48;
 const ZONES: usize = 6;
 const SLOTS: usize = 4;
-/// Milliseconds that a statement runs, and part of the members' time that they take.
+/// Milliseconds that a statement runs.
 const WORK: f64 = 22.0;
+/// Fraction of the members' capacity that the statements take.
 const LOAD: f64 = 0.6;
-/// Microseconds, as all times of the events.
+/// End of the run in microseconds, the unit of all event times.
 const END: u64 = 40_000_000;
 const SLOW: (usize, std::ops::Range<u64>) = (1, 10_000_000..18_000_000);
 const FAILING: (usize, std::ops::Range<u64>) = (2, 24_000_000..30_000_000);
-/// Figures are taken for stretches of this length.
-const STRETCH: u64 = 5_000_000;
+/// Length of the periods for which results are collected.
+const PERIOD: u64 = 5_000_000;
 /// Milliseconds after which an answer is late.
 const OBJECTIVE: u64 = 250;
 
-/// How a member is chosen.
+/// Policy by which a member is chosen.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Choice {
-    /// As gateways do.
-    Product,
-    /// The least estimate, whatever its age and whatever was not served.
+    /// The policy of the gateways.
+    GatewayPolicy,
+    /// The least latency, whatever its age and whatever share was served.
     LeastEstimate,
 }
 
@@ -53,11 +55,11 @@
 struct Member {
     running: usize,
     waiting: VecDeque<usize>,
-    /// Mean milliseconds of a statement.
+    /// Mean latency of a statement in milliseconds.
     latency: f64,
 }
 
-/// A read on its way.
+/// A read in flight.
 #[derive(Clone, Copy)]
 struct Read {
     gateway: usize,
@@ -77,16 +79,16 @@
     Failure(usize),
 }
 
-/// What was seen in one stretch.
+/// Results of one period.
 #[derive(Clone, Debug, Default)]
-struct Stretch {
+struct Period {
     offers: [u64; MEMBERS],
     asked: u64,
     late: u64,
     failures: u64,
 }
 
-impl Stretch {
+impl Period {
     fn share(&self, member: usize) -> f64 {
         self.offers[member] as f64 * MEMBERS as f64 / self.offers.iter().sum::<u64>() as f64
     }
@@ -96,7 +98,7 @@
     }
 }
 
-struct Group {
+struct Simulation {
     choice: Choice,
     random: ChaCha8Rng,
     gateways: Vec<Gateway>,
@@ -105,10 +107,10 @@
     reads: Vec<Read>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     scheduled: u64,
-    stretches: Vec<Stretch>,
+    periods: Vec<Period>,
 }
 
-/// Gateways and members are in zones by their number; zones in two regions.
+/// Zones of gateways and members follow from their numbers; the zones are in two regions.
 fn distance(gateway: usize, member: usize) -> Distance {
     match (gateway % ZONES, member % ZONES) {
         (left, right) if left == right => Distance::SameZone,
@@ -117,8 +119,8 @@
     }
 }
 
-/// Microseconds there and back.
-fn way(gateway: usize, member: usize) -> u64 {
+/// Round trip in microseconds.
+fn round_trip(gateway: usize, member: usize) -> u64 {
     match distance(gateway, member) {
         Distance::SameZone => 1_000,
         Distance::SameRegion => 4_000,
@@ -130,10 +132,12 @@
     Timestamp::ZERO + Duration::from_micros(micros)
 }
 
-impl Group {
+impl Simulation {
     fn new(choice: Choice) -> Self {
         let gateway = |place: usize| Gateway {
-            estimates: (0..MEMBERS).map(|it| MemberEstimate::new(distance(place, it))).collect(),
+            estimates: (0..MEMBERS)
+                .map(|member| MemberEstimate::new(distance(place, member)))
+                .collect(),
             running: vec![0; MEMBERS],
             preferences: ReaderPreferences::of(
                 &ProxyName::new(format!("g{place}")).expect("a valid name"),
@@ -150,7 +154,7 @@
             reads: Vec::new(),
             events: BinaryHeap::new(),
             scheduled: 0,
-            stretches: vec![Stretch::default(); (END / STRETCH) as usize],
+            periods: vec![Period::default(); (END / PERIOD) as usize],
         }
     }
 
@@ -159,12 +163,12 @@
         self.events.push(Reverse((at, self.scheduled, event)));
     }
 
-    fn stretch(&mut self, at: u64) -> &mut Stretch {
-        let last = self.stretches.len() - 1;
-        &mut self.stretches[((at / STRETCH) as usize).min(last)]
+    fn period(&mut self, at: u64) -> &mut Period {
+        let last = self.periods.len() - 1;
+        &mut self.periods[((at / PERIOD) as usize).min(last)]
     }
 
-    fn play(mut self) -> Vec<Stretch> {
+    fn run_to_end(mut self) -> Vec<Period> {
         self.schedule(0, Event::Ask);
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now >= END {
@@ -173,12 +177,12 @@
             match event {
                 Event::Ask => self.ask(now),
                 Event::Arrive(read) => self.arrive(now, read),
-                Event::Ran(read) => self.ran(now, read),
+                Event::Ran(read) => self.finish(now, read),
                 Event::Answer(read) => self.answer(now, read),
                 Event::Failure(read) => self.fail(now, read),
             }
         }
-        self.stretches
+        self.periods
     }
 
     fn ask(&mut self, now: u64) {
@@ -202,40 +206,42 @@
             arrived: now,
             failed_at,
         });
-        self.stretch(now).asked += 1;
+        self.period(now).asked += 1;
         self.offer(now, self.reads.len() - 1);
     }
 
     fn offer(&mut self, now: u64, number: usize) {
         let read = self.reads[number];
         let gateway = &mut self.gateways[read.gateway];
-        let able: Vec<usize> = (0..MEMBERS).filter(|member| !read.failed_at[*member]).collect();
+        let candidates: Vec<usize> =
+            (0..MEMBERS).filter(|member| !read.failed_at[*member]).collect();
         let preferred = gateway.preferences.next(None);
         let load = |member: &usize| {
             let load =
                 gateway.estimates[*member].load(gateway.running[*member], SLOTS as f64, at(now));
             match self.choice {
-                Choice::Product => {
+                Choice::GatewayPolicy => {
                     let preference = preferred.weight(&self.names[*member]);
                     MemberLoad { preference, ..load }
                 }
                 Choice::LeastEstimate => MemberLoad { age: Duration::ZERO, served: 1.0, ..load },
             }
         };
-        let loads: Vec<MemberLoad> = able.iter().map(load).collect();
+        let loads: Vec<MemberLoad> = candidates.iter().map(load).collect();
         let place = choose_reader(&loads);
-        let member = able[place.expect("a member that has not failed it")];
+        let member = candidates[place.expect("a member that has not failed it")];
         gateway.running[member] += 1;
         self.reads[number] = Read { member, sent: now, ..read };
-        self.schedule(now + way(read.gateway, member) / 2, Event::Arrive(number));
+        self.schedule(now + round_trip(read.gateway, member) / 2, Event::Arrive(number));
     }
 
     fn arrive(&mut self, now: u64, number: usize) {
         self.reads[number].arrived = now;
         let Read { gateway, member, .. } = self.reads[number];
-        self.stretch(now).offers[member] += 1;
+        self.period(now).offers[member] += 1;
         if member == FAILING.0 && FAILING.1.contains(&now) && self.random.random_bool(0.41) {
-            return self.schedule(now + 1_000 + way(gateway, member) / 2, Event::Failure(number));
+            return self
+                .schedule(now + 1_000 + round_trip(gateway, member) / 2, Event::Failure(number));
         }
         if self.members[member].running == SLOTS {
             return self.members[member].waiting.push_back(number);
@@ -251,32 +257,36 @@
         self.schedule(now + (work * 1_000.0) as u64, Event::Ran(number));
     }
 
-    fn ran(&mut self, now: u64, number: usize) {
+    fn finish(&mut self, now: u64, number: usize) {
         let Read { gateway, member, arrived, .. } = self.reads[number];
         let taken = (now - arrived) as f64 / 1_000.0;
-        let host = &mut self.members[member];
-        host.latency = host.latency * 0.9 + taken * 0.1;
-        match host.waiting.pop_front() {
+        let serving = &mut self.members[member];
+        serving.latency = serving.latency * 0.9 + taken * 0.1;
+        match serving.waiting.pop_front() {
             Some(next) => self.run(now, next),
-            None => host.running -= 1,
+            None => serving.running -= 1,
         }
-        self.schedule(now + way(gateway, member) / 2, Event::Answer(number));
+        self.schedule(now + round_trip(gateway, member) / 2, Event::Answer(number));
     }
 
     fn answer(&mut self, now: u64, number: usize) {
         let Read { gateway, member, begun, sent, arrived, .. } = self.reads[number];
-        let host = &self.members[member];
-        let spent = now - way(gateway, member) / 2 - arrived;
-        let told = ReportedLoad {
+        let serving = &self.members[member];
+        let spent = now - round_trip(gateway, member) / 2 - arrived;
+        let reported = ReportedLoad {
             spent: Duration::from_micros(spent),
-            latency: Duration::from_secs_f64(host.latency / 1_000.0),
-            waiting: host.waiting.len() as f64 / SLOTS as f64,
+            latency: Duration::from_secs_f64(serving.latency / 1_000.0),
+            waiting: serving.waiting.len() as f64 / SLOTS as f64,
         };
-        let asking = &mut self.gateways[gateway];
-        asking.running[member] -= 1;
-        asking.estimates[member].note_reported(&told, Duration::from_micros(now - sent), at(now));
-        asking.estimates[member].note_served_remotely(at(now));
-        self.stretch(begun).late += u64::from(now - begun > OBJECTIVE * 1_000);
+        let gateway_state = &mut self.gateways[gateway];
+        gateway_state.running[member] -= 1;
+        gateway_state.estimates[member].note_reported(
+            &reported,
+            Duration::from_micros(now - sent),
+            at(now),
+        );
+        gateway_state.estimates[member].note_served_remotely(at(now));
+        self.period(begun).late += u64::from(now - begun > OBJECTIVE * 1_000);
     }
 
     fn fail(&mut self, now: u64, number: usize) {
@@ -284,40 +294,40 @@
         self.reads[number].failed_at[member] = true;
         self.gateways[gateway].running[member] -= 1;
         self.gateways[gateway].estimates[member].note_unserved(at(now));
-        self.stretch(now).failures += 1;
+        self.period(now).failures += 1;
         self.offer(now, number);
     }
 }
 
-fn sum(stretches: &[Stretch], of: impl Fn(&Stretch) -> u64) -> u64 {
-    stretches.iter().map(of).sum()
+fn sum(periods: &[Period], of: impl Fn(&Period) -> u64) -> u64 {
+    periods.iter().map(of).sum()
 }
 
 #[test]
-fn a_member_that_was_slow_or_failing_gets_less_and_then_its_share_again() {
-    let product = Group::new(Choice::Product).play();
-    let least = Group::new(Choice::LeastEstimate).play();
-    for (name, stretches) in [("product", &product), ("least estimate", &least)] {
-        for (place, stretch) in stretches.iter().enumerate() {
+fn a_slow_or_failing_member_gets_fewer_reads_and_then_its_share_again() {
+    let product = Simulation::new(Choice::GatewayPolicy).run_to_end();
+    let least = Simulation::new(Choice::LeastEstimate).run_to_end();
+    for (name, periods) in [("product", &product), ("least estimate", &least)] {
+        for (place, period) in periods.iter().enumerate() {
             println!(
                 "{name} from {} s: busiest {:.2}, slow one {:.2}, failing one {:.2}, late {} of {}, failures {}",
-                place as u64 * STRETCH / 1_000_000,
-                stretch.busiest(),
-                stretch.share(SLOW.0),
-                stretch.share(FAILING.0),
-                stretch.late,
-                stretch.asked,
-                stretch.failures
+                place as u64 * PERIOD / 1_000_000,
+                period.busiest(),
+                period.share(SLOW.0),
+                period.share(FAILING.0),
+                period.late,
+                period.asked,
+                period.failures
             );
         }
     }
-    assert!(product[0].busiest() < 1.2, "nothing is wrong");
-    assert!(product[3].share(SLOW.0) < 0.35, "it is slow for most of the time");
-    assert!(product[7].share(SLOW.0) > 0.8, "it is as good as the others again");
-    assert!(least[7].share(SLOW.0) < 0.1, "which the least estimate never finds out");
-    assert!(product[7].busiest() < 1.2, "nothing is wrong any more");
-    let failures = |stretches| sum(stretches, |it| it.failures);
-    assert!(failures(&product) * 4 < failures(&least) * 3, "who fails gets less");
-    let late = |stretches| sum(stretches, |it| it.late);
-    assert!(late(&product) <= late(&least), "who is slow is left in time");
+    assert!(product[0].busiest() < 1.2, "no member is slow or failing yet");
+    assert!(product[3].share(SLOW.0) < 0.35, "the member is slow for most of the period");
+    assert!(product[7].share(SLOW.0) > 0.8, "the member is as fast as the others again");
+    assert!(least[7].share(SLOW.0) < 0.1, "the least estimate never tries the member again");
+    assert!(product[7].busiest() < 1.2, "no member is slow or failing any more");
+    let failures = |periods| sum(periods, |period| period.failures);
+    assert!(failures(&product) * 4 < failures(&least) * 3, "a failing member gets fewer reads");
+    let late = |periods| sum(periods, |period| period.late);
+    assert!(late(&product) <= late(&least), "reads leave a slow member in time");
 }
--- a/crates/core/tests/flight_limit.rs
+++ b/crates/core/tests/flight_limit.rs
@@ -1,46 +1,46 @@
-//! How many statements a gateway has under way at a member.
+//! Limit of the statements that a gateway has in flight at a member.
 
 use corktack_core::gateway::FlightLimit;
 use corktack_core::time::Timestamp;
 use rstest::rstest;
 
-fn at(millis: u64) -> Timestamp {
+fn time(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
 }
 
-/// Most statements that may be under way.
-fn most(limit: &FlightLimit) -> usize {
-    (0..).take_while(|under_way| limit.allows(*under_way)).count()
+/// The highest number of statements in flight.
+fn max_in_flight(limit: &FlightLimit) -> usize {
+    (0..).take_while(|in_flight| limit.allows(*in_flight)).count()
 }
 
 #[rstest]
-#[case::large_huts(5, 6, 4)]
-#[case::large_carte(3, 4, 3)]
-#[case::alone(5, 1, 20)]
+#[case::six_holders_of_five_slots(5, 6, 4)]
+#[case::four_holders_of_three_slots(3, 4, 3)]
+#[case::single_holder(5, 1, 20)]
 #[case::many_holders(1, 50, 2)]
-fn holders_share_what_keeps_a_member_at_work(
+fn holders_share_the_statements_in_flight(
     #[case] capacity: u32,
     #[case] holders: usize,
     #[case] expected: usize,
 ) {
-    assert_eq!(most(&FlightLimit::new(capacity, holders)), expected);
+    assert_eq!(max_in_flight(&FlightLimit::new(capacity, holders)), expected);
 }
 
 #[test]
-fn a_refusal_halves_the_limit_and_what_is_served_raises_it_again() {
+fn a_refusal_halves_the_limit_and_served_statements_raise_it() {
     let mut limit = FlightLimit::new(5, 6);
-    limit.refused(at(1_000));
-    assert_eq!(most(&limit), 2);
-    limit.refused(at(1_049));
-    assert_eq!(most(&limit), 2, "refusals of the same moment count as one");
-    limit.refused(at(1_050));
-    limit.refused(at(2_000));
-    assert_eq!(most(&limit), 1, "one is always sent");
+    limit.refused(time(1_000));
+    assert_eq!(max_in_flight(&limit), 2);
+    limit.refused(time(1_049));
+    assert_eq!(max_in_flight(&limit), 2, "refusals within 50 ms count as one");
+    limit.refused(time(1_050));
+    limit.refused(time(2_000));
+    assert_eq!(max_in_flight(&limit), 1, "one statement stays allowed");
     let served = (1..).find(|_| {
         limit.served();
-        most(&limit) == 4
+        max_in_flight(&limit) == 4
     });
     assert!(served.is_some_and(|count| (6..=12).contains(&count)), "{served:?}");
     (0..100).for_each(|_| limit.served());
-    assert_eq!(most(&limit), 4, "never above where it began");
+    assert_eq!(max_in_flight(&limit), 4, "the limit does not exceed its initial value");
 }
--- a/crates/core/tests/gateway.rs
+++ b/crates/core/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Decisions of a gateway: profiles of sessions and connections, the choice of members, waiting.
+//! Gateway decisions: session and connection profiles, the choice of members, silence and detours.
 
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{
@@ -24,7 +24,7 @@
     OwnStatement::Set { name: name.to_owned(), value: value.to_owned() }
 }
 
-/// A connection that was brought to a session's values.
+/// Creates a connection with a session's values.
 fn aligned_to(session: &SessionProfile) -> ConnectionProfile {
     let mut connection = ConnectionProfile::default();
     align(&mut connection, session);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_fresh_connection_gets_every_value() {
+fn a_new_connection_gets_every_value() {
     let connection = ConnectionProfile::default();
     let alignment = connection.alignment(&session(&[("a", "1"), ("b", "2")]));
     assert_eq!(alignment, [set("a", "1"), set("b", "2")]);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_is_not_known_is_reset() {
+fn an_unknown_connection_state_is_reset() {
     let wanted = session(&[("a", "1")]);
     let mut connection = aligned_to(&wanted);
     connection.mark_unknown();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_nearest_connection_needs_the_fewest_statements() {
+fn distance_is_the_number_of_statements_to_align() {
     let wanted = session(&[("a", "1"), ("b", "2")]);
     let distances = [
         aligned_to(&wanted).distance(&wanted),
@@ -86,10 +86,10 @@
 }
 
 #[test]
-fn a_prepared_statement_is_known_by_its_shape_and_dropped_by_a_reset() {
+fn a_prepared_statement_is_found_by_its_shape_and_dropped_by_a_reset() {
     let mut connection = ConnectionProfile::default();
     let (name, prepare) = connection.name_for(&shape("q1"));
-    connection.completed(&prepare.expect("it is new to the connection"));
+    connection.completed(&prepare.expect("the shape is new to the connection"));
     assert_eq!(connection.name_for(&shape("q1")), (name.clone(), None));
     let (other, prepare) = connection.name_for(&shape("q2"));
     assert_ne!(other, name);
@@ -103,7 +103,7 @@
     let mut connection = ConnectionProfile::default();
     let (first, _) = connection.name_for(&shape("q1"));
     let (second, prepare) = connection.name_for(&shape("q1"));
-    assert_ne!(first, second, "a name that may be taken is not used again");
+    assert_ne!(first, second, "a name that may be in use is not used again");
     assert!(prepare.is_some());
 }
 
@@ -112,14 +112,14 @@
     let mut connection = ConnectionProfile::default();
     for number in 0..100 {
         let (_, prepare) = connection.name_for(&shape(&number.to_string()));
-        connection.completed(&prepare.expect("it is new to the connection"));
+        connection.completed(&prepare.expect("the shape is new to the connection"));
     }
     let alignment = connection.alignment(&SessionProfile::default());
     assert_eq!(alignment, [OwnStatement::Reset]);
 }
 
 #[test]
-fn names_of_a_session_are_its_own() {
+fn statement_names_belong_to_the_session() {
     let mut session = SessionProfile::default();
     session.prepare("s1".to_owned(), shape("q1"));
     assert_eq!(session.shape("s1"), Ok(&shape("q1")));
@@ -132,7 +132,7 @@
 #[case("amba.a", "amba.a", Distance::SameZone)]
 #[case("amba.a", "amba.b", Distance::SameRegion)]
 #[case("amba.a", "cuyo.a", Distance::OtherRegion)]
-fn distance_is_told_by_zone_and_region(
+fn distance_follows_zone_and_region(
     #[case] left: &str,
     #[case] right: &str,
     #[case] distance: Distance,
@@ -155,10 +155,10 @@
 }
 
 #[rstest]
-#[case::nobody(&[], None)]
-#[case::the_faster(&[load(60, 0), load(20, 0)], Some(1))]
+#[case::no_member(&[], None)]
+#[case::the_faster_member(&[load(60, 0), load(20, 0)], Some(1))]
 #[case::the_farther_once_the_nearer_is_busy(&[load(20, 3), load(60, 0)], Some(1))]
-fn a_read_goes_where_it_is_expected_to_end_first(
+fn a_read_goes_to_the_member_with_the_least_expected_time(
     #[case] loads: &[MemberLoad],
     #[case] place: Option<usize>,
 ) {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn the_most_preferred_is_taken_among_members_that_are_as_good_as_equal() {
+fn the_most_preferred_of_nearly_equal_members_is_chosen() {
     let preferred = |latency, preference| MemberLoad { preference, ..load(latency, 0) };
     let loads = [preferred(100, 3), preferred(104, 7), preferred(101, 5), preferred(106, 9)];
     assert_eq!(choose_reader(&loads), Some(1));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_tenant_prefers_the_same_member_everywhere_and_moves_only_from_one_that_goes() {
+fn a_tenant_prefers_the_same_member_everywhere_and_moves_only_from_a_removed_one() {
     let (mut here, mut there) = (preferences("g1"), preferences("g2"));
     let mut counts = [0; 8];
     for number in 0..400 {
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_member_that_fails_a_part_counts_as_that_much_slower() {
+fn a_member_that_fails_a_share_of_its_statements_counts_as_slower() {
     let failing = MemberLoad { served: 0.5, ..load(20, 0) };
     assert_eq!(choose_reader(&[failing, load(30, 0)]), Some(1));
     assert_eq!(choose_reader(&[failing, load(50, 0)]), Some(0));
@@ -227,92 +227,93 @@
 }
 
 #[test]
-fn a_member_that_is_far_stays_far_however_long_it_was_not_asked() {
+fn network_time_does_not_decay_with_the_age_of_an_estimate() {
     let (network_time, age) = (Duration::from_millis(40), Duration::from_secs(60));
     let far = MemberLoad { network_time, age, ..load(200, 0) };
     assert_eq!(choose_reader(&[far, load(20, 0)]), Some(1));
-    assert_eq!(choose_reader(&[far, load(70, 0)]), Some(1), "a like one without the way");
-    assert_eq!(choose_reader(&[far, load(20, 3)]), Some(0), "the nearer is busy");
+    assert_eq!(
+        choose_reader(&[far, load(70, 0)]),
+        Some(1),
+        "an equal member without the network time"
+    );
+    assert_eq!(choose_reader(&[far, load(20, 3)]), Some(0), "the nearer member is busy");
 }
 
 #[test]
-fn what_a_member_did_not_serve_is_forgotten_by_half_each_second() {
+fn the_share_of_unserved_statements_halves_each_second() {
     let mut estimate = MemberEstimate::new(Distance::SameZone);
     for _ in 0..100 {
-        estimate.note_unserved(at(0));
+        estimate.note_unserved(time(0));
     }
-    let served = |millis| estimate.load(0, 1.0, at(millis)).served;
-    assert!(
-        (served(0) - 0.05).abs() < 1e-9,
-        "a member that serves nobody is not out of all bounds"
-    );
+    let served = |millis| estimate.load(0, 1.0, time(millis)).served;
+    assert!((served(0) - 0.05).abs() < 1e-9, "a member that serves nothing keeps a share of 0.05");
     assert!((served(1_000) - 0.5).abs() < 1e-3);
     assert!((served(2_000) - 0.75).abs() < 1e-3);
     assert!(served(20_000) > 0.999);
 }
 
 #[test]
-fn an_estimate_follows_what_is_run_and_what_is_told() {
+fn an_estimate_follows_own_and_reported_statements() {
     let mut estimate = MemberEstimate::new(Distance::SameRegion);
     let millis = Duration::from_millis;
     assert_eq!(estimate.latency(), millis(24));
-    estimate.note_served(millis(124), at(0));
+    estimate.note_served(millis(124), time(0));
     assert_eq!(estimate.latency(), millis(34));
-    assert_eq!(estimate.load(0, 1.0, at(300)).age, millis(300));
-    let told = ReportedLoad { spent: millis(20), latency: millis(50), waiting: 1.5 };
-    estimate.note_reported(&told, millis(24), at(1_000));
-    let load = estimate.load(2, 4.0, at(1_999));
+    assert_eq!(estimate.load(0, 1.0, time(300)).age, millis(300));
+    let reported = ReportedLoad { spent: millis(20), latency: millis(50), waiting: 1.5 };
+    estimate.note_reported(&reported, millis(24), time(1_000));
+    let load = estimate.load(2, 4.0, time(1_999));
     assert_eq!((load.latency, load.network_time, load.waiting), (millis(54), millis(4), 1.5));
-    assert_eq!(estimate.load(2, 4.0, at(2_000)).waiting, 0.0, "those who waited have gone");
+    assert_eq!(estimate.load(2, 4.0, time(2_000)).waiting, 0.0, "the report has expired");
 }
 
-fn at(millis: u64) -> Timestamp {
+fn time(millis: u64) -> Timestamp {
     Timestamp::ZERO + Duration::from_millis(millis)
 }
 
 #[test]
-fn many_questions_without_an_answer_for_long_are_silence() {
+fn many_unanswered_questions_over_a_long_time_are_silence() {
     let mut silence = Silence::default();
-    let told: Vec<bool> =
-        [0, 600, 1_200, 1_900, 2_000].map(|millis| silence.unanswered(at(millis))).into();
-    assert_eq!(told, [false, false, false, false, true]);
+    let reported: Vec<bool> =
+        [0, 600, 1_200, 1_900, 2_000].map(|millis| silence.unanswered(time(millis))).into();
+    assert_eq!(reported, [false, false, false, false, true]);
 }
 
 #[test]
-fn few_questions_are_no_silence_however_long_it_lasts() {
+fn few_unanswered_questions_are_not_silence() {
     let mut silence = Silence::default();
-    assert!([0, 5_000, 9_000].iter().all(|millis| !silence.unanswered(at(*millis))));
+    assert!([0, 5_000, 9_000].iter().all(|millis| !silence.unanswered(time(*millis))));
 }
 
 #[test]
-fn an_answer_ends_the_silence_unless_it_came_before_it() {
+fn an_answer_ends_the_silence_unless_it_came_before_the_silence() {
     let mut silence = Silence::default();
     for millis in [1_000, 1_500, 2_500] {
-        assert!(!silence.unanswered(at(millis)));
+        assert!(!silence.unanswered(time(millis)));
     }
     let mut answered = silence;
-    answered.answered(at(2_600));
-    assert!(!answered.unanswered(at(3_200)), "it begins anew");
-    silence.answered(at(900));
-    assert!(silence.unanswered(at(3_200)), "an old answer that is noted late changes nothing");
+    answered.answered(time(2_600));
+    assert!(!answered.unanswered(time(3_200)), "the count starts over");
+    silence.answered(time(900));
+    assert!(silence.unanswered(time(3_200)), "an old answer that is recorded late is ignored");
 }
 
 #[test]
-fn one_question_at_a_time_finds_out_whether_others_reach_a_member() {
+fn one_request_at_a_time_finds_out_whether_others_reach_a_member() {
     let mut detour = Detour::default();
-    assert_eq!(detour.step(at(0)), DetourStep::Take);
-    assert_eq!(detour.step(at(1)), DetourStep::Wait);
-    assert_eq!(detour.step(at(799)), DetourStep::Wait);
-    assert_eq!(detour.step(at(800)), DetourStep::Take, "who asked first went away");
+    assert_eq!(detour.step(time(0)), DetourStep::Take);
+    assert_eq!(detour.step(time(1)), DetourStep::Wait);
+    assert_eq!(detour.step(time(799)), DetourStep::Wait);
+    assert_eq!(detour.step(time(800)), DetourStep::Take, "the first caller went away");
     detour.reached();
     assert!(detour.is_open());
-    assert_eq!([detour.step(at(802)), detour.step(at(802))], [DetourStep::Take; 2]);
+    assert_eq!([detour.step(time(802)), detour.step(time(802))], [DetourStep::Take; 2]);
 }
 
 #[test]
-fn a_detour_in_vain_is_tried_again_after_growing_pauses() {
+fn a_failed_detour_is_retried_after_growing_pauses() {
     let mut detour = Detour::default();
-    let mut now = at(0);
+    let mut now = time(0);
     let mut pauses = Vec::new();
     for _ in 0..5 {
         assert_eq!(detour.step(now), DetourStep::Take);
--- a/crates/core/tests/gateway_choice.rs
+++ b/crates/core/tests/gateway_choice.rs
@@ -1,4 +1,5 @@
-//! Which member a gateway tries as primary, offers a read to, and what it makes of gateways that do not serve.
+//! Choice of the member that a gateway tries as primary or sends a read to, and the reason when no
+//! gateway serves.
 
 use corktack_core::gateway::{
     MemberLoad, PrimaryCandidate, PrimaryEvidence, ReaderCandidate, RemoteAttempt, RemoteFailure,
@@ -25,14 +26,14 @@
         ("promoted", candidate(PrimaryEvidence::Promoted)),
         ("proven", candidate(PrimaryEvidence::Proven)),
     ];
-    for left in (1..=all.len()).rev() {
-        assert_eq!(choose_primary(all[..left].to_vec()), Some(all[left - 1].0));
+    for count in (1..=all.len()).rev() {
+        assert_eq!(choose_primary(all[..count].to_vec()), Some(all[count - 1].0));
     }
     assert_eq!(choose_primary::<&str>([]), None);
 }
 
 #[test]
-fn among_equals_the_first_is_tried() {
+fn the_first_of_equal_candidates_is_tried() {
     let equal = candidate(PrimaryEvidence::None);
     assert_eq!(choose_primary([("a", equal), ("b", equal)]), Some("a"));
 }
@@ -47,7 +48,7 @@
 #[case::detour_without_evidence(PrimaryCandidate {
     is_reached: false, has_detour: true, ..candidate(PrimaryEvidence::None)
 })]
-fn a_member_that_cannot_be_tried_leaves_the_next(#[case] unable: PrimaryCandidate) {
+fn a_member_that_cannot_be_tried_is_skipped(#[case] unable: PrimaryCandidate) {
     let other = candidate(PrimaryEvidence::None);
     assert_eq!(choose_primary([("unable", unable), ("other", other)]), Some("other"));
     assert_eq!(choose_primary([("unable", unable)]), None);
@@ -57,7 +58,7 @@
 #[case(PrimaryEvidence::Proven)]
 #[case(PrimaryEvidence::Promoted)]
 #[case(PrimaryEvidence::Registered)]
-fn a_member_that_something_speaks_for_is_tried_by_a_detour(#[case] evidence: PrimaryEvidence) {
+fn a_member_with_evidence_is_tried_by_a_detour(#[case] evidence: PrimaryEvidence) {
     let by_detour = PrimaryCandidate { is_reached: false, has_detour: true, ..candidate(evidence) };
     assert_eq!(choose_primary([("primary", by_detour)]), Some("primary"));
 }
@@ -82,7 +83,7 @@
 #[case::load_decides_among_those_with_room([reader(50, false, true), reader(1, false, true)], 1)]
 #[case::load_decides_among_the_full([reader(1, false, false), reader(50, false, false)], 0)]
 #[case::load_decides_among_the_passed_over([reader(50, true, true), reader(1, true, false)], 1)]
-fn a_read_goes_to_a_member_with_room_that_served_lately(
+fn a_read_goes_to_a_member_with_room_that_is_not_passed_over(
     #[case] candidates: [ReaderCandidate; 2],
     #[case] expected: usize,
 ) {
@@ -90,12 +91,12 @@
 }
 
 #[test]
-fn without_a_member_there_is_no_reader() {
+fn there_is_no_reader_without_candidates() {
     assert_eq!(choose_available_reader(&[]), None);
 }
 
 #[test]
-fn each_case_of_unserved_requests_has_its_reason() {
+fn every_unserved_request_has_the_expected_reason() {
     for case in 0..16_u8 {
         let attempt = RemoteAttempt {
             is_time_over: case & 1 != 0,
--- a/crates/core/tests/holders.rs
+++ b/crates/core/tests/holders.rs
@@ -1,4 +1,4 @@
-//! Which gateways hold connections to a member, and what it costs to know.
+//! Choice of the gateways that hold connections to a member, and the cost of updating it.
 
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Six zones of three regions.
+/// Six zones in three regions.
 const ZONES: [&str; 6] = ["n.a", "n.b", "s.a", "s.b", "w.a", "w.b"];
 
 fn zone(name: &str) -> ZoneName {
@@ -37,7 +37,7 @@
     MemberNeeds { zone: zone(ZONES[number % 3 * 2]), capacity: 5, max_connections: 857 }
 }
 
-/// A table as gateway 0 has it.
+/// Creates the table of gateway 0.
 fn table(gateways: usize, members: usize) -> HolderTable {
     let mut table = HolderTable::new(gateway(0), place(0));
     (0..members).for_each(|number| table.put_member(&member(number), needs(number)));
@@ -53,7 +53,7 @@
 #[case::by_load(857, 5, 295, 6)]
 #[case::few_slots(202, 1, 295, 3)]
 #[case::few_connections(8, 5, 73, 2)]
-fn holders_follow_the_load(
+fn holder_count_follows_connections_and_load(
     #[case] max_connections: u32,
     #[case] capacity: u32,
     #[case] gateways: usize,
@@ -70,12 +70,12 @@
 
 #[rstest]
 #[case::spread_over_the_region(&[("n.a", 9), ("n.b", 9), ("s.a", 9)], 5, &[("n.a", 3), ("n.b", 2)])]
-#[case::one_elsewhere(&[("n.a", 9), ("s.a", 9)], 4, &[("n.a", 3), ("s.a", 1)])]
+#[case::one_in_another_region(&[("n.a", 9), ("s.a", 9)], 4, &[("n.a", 3), ("s.a", 1)])]
 #[case::too_few_near(&[("n.a", 1), ("n.b", 1), ("s.a", 9)], 4, &[("n.a", 1), ("n.b", 1), ("s.a", 2)])]
-#[case::nobody_else(&[("n.a", 9)], 4, &[("n.a", 4)])]
-#[case::nobody_near(&[("s.a", 9), ("w.a", 9)], 3, &[("s.a", 2), ("w.a", 1)])]
-#[case::alone(&[("n.a", 9), ("s.a", 9)], 1, &[("n.a", 1)])]
-fn holders_are_in_the_members_region(
+#[case::no_other_region(&[("n.a", 9)], 4, &[("n.a", 4)])]
+#[case::no_gateway_in_the_region(&[("s.a", 9), ("w.a", 9)], 3, &[("s.a", 2), ("w.a", 1)])]
+#[case::single_holder(&[("n.a", 9), ("s.a", 9)], 1, &[("n.a", 1)])]
+fn holders_are_spread_over_the_zones_of_the_members_region(
     #[case] sizes: &[(&str, usize)],
     #[case] count: usize,
     #[case] expected: &[(&str, usize)],
@@ -85,61 +85,67 @@
     assert_eq!(quotas(sizes, count), expected);
 }
 
-/// Weighing every gateway for every member anew at each change costs gateways times members; a
-/// change must cost about a weighing a member, at any size.
+/// Computing all weights anew at each change would cost the number of gateways times the number of
+/// members. A change must cost about one weight for each member, at any size.
 #[rstest]
 #[case::large_site(295, 60)]
-#[case::aim(1_100, 2_200)]
-fn one_gateway_that_restarts_costs_little(#[case] gateways: usize, #[case] members: usize) {
+#[case::design_size(1_100, 2_200)]
+fn restarting_one_gateway_costs_about_one_weight_for_each_member(
+    #[case] gateways: usize,
+    #[case] members: usize,
+) {
     let mut table = table(gateways, members);
     let before = table.weights_computed();
     for number in 100..110 {
         table.remove_gateway(&gateway(number));
         table.put_gateway(&gateway(number), place(number));
     }
-    let each = (table.weights_computed() - before) / 10;
+    let per_restart = (table.weights_computed() - before) / 10;
     let all = (gateways * members) as u64;
-    assert!(each <= 3 * members as u64, "{each} weights_computed a restart; all would be {all}");
+    assert!(
+        per_restart <= 3 * members as u64,
+        "{per_restart} weights for each restart; all would be {all}"
+    );
 }
 
 #[test]
-fn only_members_that_a_gateway_held_change_with_it() {
+fn only_members_held_by_a_gateway_change_when_it_leaves() {
     let mut table = table(295, 60);
-    let mut touched = 0;
+    let mut changed_count = 0;
     for number in 1..295 {
         table.remove_gateway(&gateway(number));
-        touched += table.take_changed().len();
+        changed_count += table.take_changed().len();
         table.put_gateway(&gateway(number), place(number));
         table.take_changed();
     }
-    // 60 members with 6 holders each; gateway 0 does not go.
-    assert!((300..=360).contains(&touched), "{touched}");
+    // 60 members have 6 holders each; gateway 0 stays.
+    assert!((300..=360).contains(&changed_count), "{changed_count}");
 }
 
 #[test]
-fn a_gateway_at_another_address_is_asked_there() {
+fn requests_go_to_the_new_address_of_a_gateway() {
     let mut table = table(30, 20);
-    let asked = |table: &HolderTable| {
+    let members_at_old_address = |table: &HolderTable| {
         let is_asked = |number: &usize| {
             table.others(&member(*number)).iter().any(|holder| holder.address == address(7))
         };
         (0..20).filter(is_asked).count()
     };
-    let before = asked(&table);
+    let before = members_at_old_address(&table);
     assert!(before > 0);
     let moved = GatewayPlace { address: address(999), ..place(7) };
     table.put_gateway(&gateway(7), moved);
     assert_eq!(table.take_changed().len(), before);
-    assert_eq!(asked(&table), 0);
+    assert_eq!(members_at_old_address(&table), 0);
 }
 
 #[test]
-fn an_unknown_gateway_counts_itself() {
+fn a_gateway_counts_itself_when_control_does_not_list_it() {
     let mut table = HolderTable::new(gateway(0), place(0));
     table.put_member(&member(0), needs(0));
     assert!(table.holds(&member(0)));
     table.remove_gateway(&gateway(0));
-    assert!(table.holds(&member(0)), "control may take it for gone; it is there all the same");
+    assert!(table.holds(&member(0)), "the gateway is present even if control lists it as gone");
 }
 
 #[derive(Clone, Debug)]
@@ -160,41 +166,41 @@
 }
 
 proptest! {
-    /// However it came about, the table says what one says that is made anew.
+    /// A table that was updated in any order of changes equals one created from the final state.
     #[test]
-    fn changes_add_up_to_what_is_there(changes in prop::collection::vec(change(), 0..80)) {
-        let mut kept = HolderTable::new(gateway(0), place(0));
+    fn incremental_updates_equal_a_newly_created_table(changes in prop::collection::vec(change(), 0..80)) {
+        let mut updated = HolderTable::new(gateway(0), place(0));
         let mut gateways = BTreeSet::new();
         let mut members = BTreeMap::new();
         for change in changes {
             match change {
                 Change::Put(number) => {
-                    kept.put_gateway(&gateway(number), place(number));
+                    updated.put_gateway(&gateway(number), place(number));
                     gateways.insert(number);
                 }
                 Change::Remove(number) => {
-                    kept.remove_gateway(&gateway(number));
+                    updated.remove_gateway(&gateway(number));
                     gateways.remove(&number);
                 }
                 Change::PutMember(number, capacity) => {
                     let needs = MemberNeeds { capacity, ..needs(number) };
-                    kept.put_member(&member(number), needs.clone());
+                    updated.put_member(&member(number), needs.clone());
                     members.insert(number, needs);
                 }
                 Change::RemoveMember(number) => {
-                    kept.remove_member(&member(number));
+                    updated.remove_member(&member(number));
                     members.remove(&number);
                 }
             }
         }
-        let mut anew = HolderTable::new(gateway(0), place(0));
-        gateways.iter().for_each(|number| anew.put_gateway(&gateway(*number), place(*number)));
-        members.iter().for_each(|(number, needs)| anew.put_member(&member(*number), needs.clone()));
+        let mut created = HolderTable::new(gateway(0), place(0));
+        gateways.iter().for_each(|number| created.put_gateway(&gateway(*number), place(*number)));
+        members.iter().for_each(|(number, needs)| created.put_member(&member(*number), needs.clone()));
         for number in 0..6 {
             let name = member(number);
-            prop_assert_eq!(kept.others(&name), anew.others(&name));
-            prop_assert_eq!(kept.holds(&name), anew.holds(&name));
-            prop_assert_eq!(kept.count(&name), anew.count(&name));
+            prop_assert_eq!(updated.others(&name), created.others(&name));
+            prop_assert_eq!(updated.holds(&name), created.holds(&name));
+            prop_assert_eq!(updated.count(&name), created.count(&name));
         }
     }
 }
@@ -205,36 +211,39 @@
 }
 
 #[test]
-fn every_gateway_asks_every_holder_in_the_end_and_far_ones_last() {
+fn order_contains_every_holder_and_ends_with_far_ones() {
     let all = gateways(72);
     let holders = &all[..12];
     for (own, own_zone) in &all {
         let order = holder_order(own, own_zone, (&member(0), &zone("n.a")), holders);
         let expected: BTreeSet<_> = holders.iter().map(|(name, _)| name).collect();
         assert_eq!(order.iter().collect::<BTreeSet<_>>(), expected);
-        let out_of_the_way = order.iter().map(|name| {
-            let at = &holders.iter().find(|(it, _)| it == name).expect("a holder").1;
-            let near = |zone: &ZoneName| Distance::between(at, zone) != Distance::OtherRegion;
-            (at != own_zone, !near(own_zone) && !near(&zone("n.a")))
+        let detours = order.iter().map(|name| {
+            let holder_zone =
+                &holders.iter().find(|(holder, _)| holder == name).expect("a holder").1;
+            let near =
+                |zone: &ZoneName| Distance::between(holder_zone, zone) != Distance::OtherRegion;
+            (holder_zone != own_zone, !near(own_zone) && !near(&zone("n.a")))
         });
-        assert!(out_of_the_way.is_sorted(), "the own zone first, a third region last");
+        assert!(detours.is_sorted(), "the own zone first, a third region last");
     }
 }
 
 #[test]
-fn gateways_spread_over_the_holders() {
+fn gateways_spread_their_first_requests_over_the_holders() {
     let all = gateways(72);
     let holders = &all[..6];
     let first = |(own, own_zone): &(ProxyName, ZoneName)| {
         holder_order(own, own_zone, (&member(0), &zone("n.a")), holders)[0].clone()
     };
     let firsts: Vec<_> = all.iter().map(first).collect();
-    let busiest = holders.iter().map(|(it, _)| firsts.iter().filter(|first| *first == it).count());
+    let busiest =
+        holders.iter().map(|(holder, _)| firsts.iter().filter(|first| *first == holder).count());
     assert!(busiest.max() <= Some(24), "72 gateways, 6 holders");
 }
 
 mod homes {
-    use super::{address, at_hand};
+    use super::{address, same_zone_holders};
     use corktack_core::distance::Distance;
     use corktack_core::gateway::{Holder, HolderChoice, PeerTable, home_weight};
     use corktack_core::tenancy::TenantName;
@@ -248,7 +257,7 @@
 
     fn holders(numbers: std::ops::Range<usize>) -> HolderChoice {
         let mut choice = HolderChoice::default();
-        choice.replace(&at_hand(numbers));
+        choice.replace(&same_zone_holders(numbers));
         choice
     }
 
@@ -259,10 +268,10 @@
     }
 
     #[test]
-    fn the_order_is_the_tenants_and_not_the_asking_gateways() {
+    fn order_depends_on_the_tenant_and_not_on_the_requesting_gateway() {
         let forwards = holders(0..4);
         let mut backwards = HolderChoice::default();
-        let reversed: Vec<Holder> = at_hand(0..4).into_iter().rev().collect();
+        let reversed: Vec<Holder> = same_zone_holders(0..4).into_iter().rev().collect();
         backwards.replace(&reversed);
         for number in 0..50 {
             assert_eq!(order(&forwards, &tenant(number)), order(&backwards, &tenant(number)));
@@ -281,32 +290,34 @@
     }
 
     #[test]
-    fn only_the_tenants_of_a_holder_that_goes_have_another_home() {
+    fn only_tenants_of_a_removed_holder_get_another_home() {
         let (before, after) = (holders(0..4), holders(0..3));
         for number in 0..100 {
             let homes = order(&before, &tenant(number));
-            let left: Vec<_> = homes.iter().copied().filter(|it| *it != address(3)).collect();
-            assert_eq!(order(&after, &tenant(number)), left);
+            let remaining: Vec<_> =
+                homes.iter().copied().filter(|home| *home != address(3)).collect();
+            assert_eq!(order(&after, &tenant(number)), remaining);
         }
     }
 
     #[test]
-    fn a_holder_asks_only_those_that_come_before_it() {
+    fn a_holder_gets_only_the_holders_that_precede_it() {
         let choice = holders(0..3);
         let (own, peers) = (address(9), PeerTable::default());
         for number in 0..100 {
             let tenant = tenant(number);
             let asked = choice.to_ask_for(&tenant, Some(own), Timestamp::ZERO, &peers, 9);
             let own_weight = home_weight(&tenant, own);
-            assert!(asked.iter().all(|it| home_weight(&tenant, it.address) > own_weight));
+            assert!(asked.iter().all(|holder| home_weight(&tenant, holder.address) > own_weight));
             let lighter = order(&choice, &tenant).len() - asked.len();
-            let expected = (0..3).filter(|it| home_weight(&tenant, address(*it)) < own_weight);
+            let expected =
+                (0..3).filter(|number| home_weight(&tenant, address(*number)) < own_weight);
             assert_eq!(lighter, expected.count());
         }
     }
 
     #[test]
-    fn a_home_that_does_not_answer_is_passed_over() {
+    fn a_home_that_does_not_answer_is_skipped() {
         let choice = holders(0..4);
         let mut peers = PeerTable::default();
         let homes = order(&choice, &tenant(1));
@@ -317,8 +328,8 @@
     }
 }
 
-/// Holders in the zone of the gateway that asks.
-fn at_hand(numbers: std::ops::Range<usize>) -> Vec<corktack_core::gateway::Holder> {
+/// Holders in the zone of the requesting gateway.
+fn same_zone_holders(numbers: std::ops::Range<usize>) -> Vec<corktack_core::gateway::Holder> {
     let holder = |number| corktack_core::gateway::Holder {
         address: address(number),
         distance: Distance::SameZone,
--- a/crates/core/tests/region_relay.rs
+++ b/crates/core/tests/region_relay.rs
@@ -1,4 +1,4 @@
-//! Which gateway of a region asks a primary in another region for all gateways there.
+//! Choice of the gateway in a region that asks a primary in another region for all gateways there.
 
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{Holder, HolderChoice, PeerTable};
@@ -9,7 +9,7 @@
 
 /// Gateways of the region.
 const NEAR: [u8; 4] = [0, 1, 2, 3];
-/// Gateways of others.
+/// Gateways of other regions.
 const FAR: [u8; 4] = [4, 5, 6, 7];
 
 fn address(number: u8) -> SocketAddr {
@@ -20,7 +20,7 @@
     GroupName::new(format!("g{number}")).expect("a valid name")
 }
 
-/// The other holders as one of the near gateways sees them.
+/// The other holders from the point of view of one of the near gateways.
 fn others(own: u8) -> HolderChoice {
     let holder = |distance| move |number| Holder { address: address(number), distance };
     let near = NEAR.into_iter().filter(|number| *number != own).map(holder(Distance::SameRegion));
@@ -30,7 +30,7 @@
     choice
 }
 
-/// Whom a gateway asks; itself where it has no relay.
+/// The gateway that `own` gets the position from: its relay, or itself if it has none.
 fn asked_by(own: u8, group: &GroupName, peers: &PeerTable) -> SocketAddr {
     let relay = others(own).region_relay(group, address(own), Timestamp::ZERO, peers);
     relay.map_or(address(own), |relay| relay.address)
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn groups_have_relays_of_their_own() {
+fn different_groups_have_different_relays() {
     let peers = PeerTable::default();
     let relays = (0..32).map(|number| asked_by(0, &group(number), &peers));
     let different: std::collections::BTreeSet<_> = relays.collect();
@@ -56,19 +56,19 @@
 }
 
 #[test]
-fn the_next_takes_over_from_a_relay_that_does_not_answer() {
+fn the_next_gateway_replaces_a_relay_that_does_not_answer() {
     let group = group(1);
     let mut peers = PeerTable::default();
     let lost = asked_by(0, &group, &peers);
     peers.note_unanswered(lost, Timestamp::ZERO);
-    let left: Vec<_> = NEAR.into_iter().filter(|own| address(*own) != lost).collect();
-    let relay = asked_by(left[0], &group, &peers);
+    let remaining: Vec<_> = NEAR.into_iter().filter(|own| address(*own) != lost).collect();
+    let relay = asked_by(remaining[0], &group, &peers);
     assert_ne!(relay, lost);
-    assert!(left.iter().all(|own| asked_by(*own, &group, &peers) == relay));
+    assert!(remaining.iter().all(|own| asked_by(*own, &group, &peers) == relay));
 }
 
 #[test]
-fn a_gateway_that_is_alone_in_its_region_asks_itself() {
+fn a_gateway_alone_in_its_region_has_no_relay() {
     let mut choice = HolderChoice::default();
     let far =
         FAR.map(|number| Holder { address: address(number), distance: Distance::OtherRegion });
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,10 +1,10 @@
-//! Retry budget and backoff.
+//! Retry budget and back-off.
 
 use corktack_core::retry::{Backoff, RetryBudget};
 use rstest::rstest;
 use std::time::Duration;
 
-/// Retries taken until the budget refuses one.
+/// Counts the retries until the budget refuses one.
 fn retries(budget: &mut RetryBudget) -> usize {
     std::iter::repeat_with(|| budget.try_retry()).take_while(|taken| *taken).count()
 }
@@ -18,7 +18,7 @@
 }
 
 #[rstest]
-fn requests_without_retries_do_not_save_up_more_than_the_burst() {
+fn unused_tokens_do_not_exceed_the_burst() {
     let mut budget = RetryBudget::default();
     (0..10_000).for_each(|_| budget.request());
     assert_eq!(retries(&mut budget), 50);
@@ -28,10 +28,10 @@
 #[case::first(1)]
 #[case::second(2)]
 fn delays_rise_to_a_bound_and_depend_on_the_seed_only(#[case] seed: u64) {
-    let (mut one, mut other) = (Backoff::new(seed), Backoff::new(seed));
+    let (mut first, mut second) = (Backoff::new(seed), Backoff::new(seed));
     for attempt in 0..100 {
-        let delay = one.delay(attempt);
-        assert_eq!(delay, other.delay(attempt));
+        let delay = first.delay(attempt);
+        assert_eq!(delay, second.delay(attempt));
         let ceiling = Duration::from_millis(2 << attempt.min(10)).min(Duration::from_millis(100));
         assert!(delay <= ceiling && delay >= ceiling / 2, "{delay:?} at attempt {attempt}");
     }
--- a/crates/core/tests/scheduling_load.rs
+++ b/crates/core/tests/scheduling_load.rs
@@ -1,10 +1,11 @@
-//! The queue before a member under load: what callers of each class and tenant get.
+//! Load test of the wait queue for slots: the service that callers of each class and tenant get.
 //!
-//! One member runs four statements at once. Orders (class 0, 5 ms), album views (class 1, 22 ms) and links
-//! (class 2, 14 ms) come from 20 tenants in the users' mix, at 0.7 of what the member can do. For six seconds
-//! links come at 2.5 times as much, and then one tenant sends 20 times as much of everything. A statement
-//! may wait for 0.22 of its objective (500, 800 and 2,000 ms). The same arrivals are served by the queue and,
-//! for comparison, by class and arrival, each waiting until its time is over.
+//! One member runs four statements concurrently. Orders (class 0, 5 ms), album views (class 1, 22
+//! ms) and links (class 2, 14 ms) arrive from 20 tenants in a fixed mix, at 0.7 of the member's
+//! capacity. For 6 s, links arrive at 2.5 times their usual rate; later, one tenant sends 20 times
+//! its usual load of everything. A statement may wait for 0.22 of its objective (500, 800 and 2,000
+//! ms). The same arrivals are served by the queue and, for comparison, in order of class and
+//! arrival with each statement waiting until its deadline.
 
 use corktack_core::identity::MemberName;
 use corktack_core::scheduling::{
@@ -20,13 +21,14 @@
 const SLOTS: usize = 4;
 const TENANTS: usize = 20;
 const HOT_TENANT: usize = 4;
-/// How many times its usual that tenant sends: as much again as all others together.
-const HOT_TIMES: f64 = 20.0;
-/// Of each class: part of the arrivals, milliseconds of work, and how long one may wait.
+/// Factor on the hot tenant's usual load; it then sends as much as all other tenants together.
+const HOT_FACTOR: f64 = 20.0;
+/// For each class: fraction of the arrivals, mean work in milliseconds, and longest wait in
+/// milliseconds.
 const CLASSES: [(f64, f64, u64); 3] = [(0.14, 5.0, 110), (0.23, 22.0, 176), (0.63, 14.0, 440)];
-/// Part of the member's time that usual arrivals take.
+/// Fraction of the member's capacity that the usual arrivals take.
 const USUAL_LOAD: f64 = 0.7;
-/// Milliseconds.
+/// Milliseconds in which links arrive at 2.5 times their usual rate.
 const BURST: std::ops::Range<u64> = 10_000..16_000;
 const HOT: std::ops::Range<u64> = 24_000..34_000;
 const END: u64 = 40_000;
@@ -38,32 +40,32 @@
     work: u64,
 }
 
-/// What became of the statements of one kind.
+/// Outcome of the statements of one kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fate {
-    asked: u64,
+struct Counts {
+    arrived: u64,
     served: u64,
-    /// Refused after some of its time to wait.
+    /// Statements that the queue accepted and never served.
     waited_in_vain: u64,
 }
 
-impl Fate {
-    fn served_part(&self) -> f64 {
-        self.served as f64 / self.asked.max(1) as f64
+impl Counts {
+    fn served_share(&self) -> f64 {
+        self.served as f64 / self.arrived.max(1) as f64
     }
 }
 
-/// Who decides.
+/// Policy by which waiting statements are served.
 trait Policy {
-    /// Takes a statement that finds no slot; says whether it may wait.
+    /// Takes a statement that finds no free slot. Returns whether it may wait.
     fn wait(&mut self, now: u64, number: usize, arrival: &Arrival) -> bool;
-    /// The next statement that gets a slot.
+    /// Returns the next statement that gets a slot.
     fn next(&mut self, now: u64) -> Option<usize>;
-    /// A statement was run.
-    fn ran(&mut self, arrival: &Arrival);
+    /// Records that a statement was run.
+    fn record_run(&mut self, arrival: &Arrival);
 }
 
-/// By class and arrival; each waits until its time is over.
+/// Serves in order of class and arrival; each statement waits until its deadline.
 #[derive(Default)]
 struct ByArrival(BTreeMap<usize, VecDeque<(usize, u64)>>);
 
@@ -83,10 +85,10 @@
         })
     }
 
-    fn ran(&mut self, _: &Arrival) {}
+    fn record_run(&mut self, _: &Arrival) {}
 }
 
-/// The queue of the product.
+/// Serves by [`SlotQueue`].
 #[derive(Default)]
 struct Queue {
     queue: SlotQueue<usize>,
@@ -121,24 +123,23 @@
         self.queue.next(Timestamp::from_millis(now), &Self::member(), true)
     }
 
-    fn ran(&mut self, arrival: &Arrival) {
+    fn record_run(&mut self, arrival: &Arrival) {
         self.times.note(kind(arrival), Duration::from_millis(arrival.work));
     }
 }
 
 struct Outcome {
-    /// By class and whether of the hot tenant, outside the special times, in the burst and while one tenant
-    /// is hot.
-    fates: BTreeMap<(usize, bool, &'static str), Fate>,
+    /// Counts by class, whether the tenant is the hot one, and phase.
+    counts_by_kind: BTreeMap<(usize, bool, &'static str), Counts>,
 }
 
 impl Outcome {
-    fn of(&self, class: usize, hot: bool, phase: &'static str) -> Fate {
-        self.fates.get(&(class, hot, phase)).copied().unwrap_or_default()
+    fn of(&self, class: usize, hot: bool, phase: &'static str) -> Counts {
+        self.counts_by_kind.get(&(class, hot, phase)).copied().unwrap_or_default()
     }
 
     fn waited_in_vain(&self) -> u64 {
-        self.fates.values().map(|fate| fate.waited_in_vain).sum()
+        self.counts_by_kind.values().map(|counts| counts.waited_in_vain).sum()
     }
 }
 
@@ -151,11 +152,11 @@
 }
 
 fn run(policy: &mut impl Policy) -> Outcome {
-    let mut draws = ChaCha8Rng::seed_from_u64(11);
+    let mut random = ChaCha8Rng::seed_from_u64(11);
     let mean_work: f64 = CLASSES.iter().map(|(part, work, _)| part * work).sum();
     let usual = SLOTS as f64 * USUAL_LOAD / mean_work;
     let mut arrivals: Vec<Arrival> = Vec::new();
-    let mut came: Vec<u64> = Vec::new();
+    let mut arrived_at: Vec<u64> = Vec::new();
     let mut running: Vec<(u64, usize)> = Vec::new();
     let mut started: Vec<Option<u64>> = Vec::new();
     let mut admitted: Vec<bool> = Vec::new();
@@ -165,17 +166,17 @@
             for tenant in 0..TENANTS {
                 let mut rate = usual * part / TENANTS as f64;
                 rate *= if class == 2 && BURST.contains(&now) { 2.5 } else { 1.0 };
-                rate *= if tenant == HOT_TENANT && HOT.contains(&now) { HOT_TIMES } else { 1.0 };
-                if draws.random_bool(rate.min(1.0)) {
-                    let work = mean * draws.random_range(0.4..1.6);
+                rate *= if tenant == HOT_TENANT && HOT.contains(&now) { HOT_FACTOR } else { 1.0 };
+                if random.random_bool(rate.min(1.0)) {
+                    let work = mean * random.random_range(0.4..1.6);
                     arrivals.push(Arrival { class, tenant, work: work.round().max(1.0) as u64 });
-                    came.push(now);
+                    arrived_at.push(now);
                     let number = arrivals.len() - 1;
                     let free = running.len() < SLOTS;
                     started.push(free.then_some(now));
                     if free {
                         running.push((now + arrivals[number].work, number));
-                        policy.ran(&arrivals[number]);
+                        policy.record_run(&arrivals[number]);
                         admitted.push(true);
                     } else {
                         admitted.push(policy.wait(now, number, &arrivals[number]));
@@ -187,61 +188,62 @@
             let Some(number) = policy.next(now) else { break };
             started[number] = Some(now);
             running.push((now + arrivals[number].work, number));
-            policy.ran(&arrivals[number]);
+            policy.record_run(&arrivals[number]);
         }
     }
-    let mut fates: BTreeMap<_, Fate> = BTreeMap::new();
+    let mut counts_by_kind: BTreeMap<_, Counts> = BTreeMap::new();
     for (number, arrival) in arrivals.iter().enumerate() {
-        let key = (arrival.class, arrival.tenant == HOT_TENANT, phase(came[number]));
-        let fate = fates.entry(key).or_default();
-        fate.asked += 1;
-        fate.served += u64::from(started[number].is_some());
-        fate.waited_in_vain += u64::from(started[number].is_none() && admitted[number]);
+        let key = (arrival.class, arrival.tenant == HOT_TENANT, phase(arrived_at[number]));
+        let counts = counts_by_kind.entry(key).or_default();
+        counts.arrived += 1;
+        counts.served += u64::from(started[number].is_some());
+        counts.waited_in_vain += u64::from(started[number].is_none() && admitted[number]);
     }
-    Outcome { fates }
+    Outcome { counts_by_kind }
 }
 
-/// What each gets of the queue, and by class and arrival.
-fn both() -> (Outcome, Outcome) {
+/// Results of the queue, and of order by class and arrival.
+fn run_both_policies() -> (Outcome, Outcome) {
     (run(&mut Queue::default()), run(&mut ByArrival::default()))
 }
 
-/// 1.000 with the queue, and by class and arrival.
+/// Both policies serve 1.000 of the highest class.
 #[test]
-fn the_highest_class_is_served_whatever_others_ask_for() {
-    let (queue, _) = both();
+fn the_highest_class_is_served_whatever_the_load_of_others() {
+    let (queue, _) = run_both_policies();
     for phase in ["usual", "burst", "hot"] {
-        let fate = queue.of(0, false, phase);
-        assert!(fate.served_part() > 0.99, "{phase}: {fate:?}");
+        let counts = queue.of(0, false, phase);
+        assert!(counts.served_share() > 0.99, "{phase}: {counts:?}");
     }
 }
 
-/// Of the links of the other tenants 0.831 are served; 0.565 by class and arrival.
+/// The queue serves 0.831 of the other tenants' links; order by class and arrival serves 0.565.
 #[test]
-fn a_tenant_that_sends_much_more_costs_the_others_of_its_class_little() {
-    let (queue, by_arrival) = both();
+fn a_hot_tenant_costs_the_others_of_its_class_little() {
+    let (queue, by_arrival) = run_both_policies();
     let (ours, theirs) = (queue.of(2, false, "hot"), by_arrival.of(2, false, "hot"));
-    assert!(ours.served_part() > theirs.served_part() + 0.2, "{ours:?}, {theirs:?}");
+    assert!(ours.served_share() > theirs.served_share() + 0.2, "{ours:?}, {theirs:?}");
     let hot = queue.of(2, true, "hot");
-    assert!(hot.served > 0 && hot.served_part() < ours.served_part(), "{hot:?}");
+    assert!(hot.served > 0 && hot.served_share() < ours.served_share(), "{hot:?}");
 }
 
-/// In the burst 209 wait in vain where 555 do by class and arrival, and 0.677 are served where 0.688 are.
+/// In the burst, 209 statements wait in vain with the queue and 555 by class and arrival; 0.677 and
+/// 0.688 are served.
 #[test]
-fn what_cannot_be_served_is_refused_when_it_comes() {
-    let (queue, by_arrival) = both();
+fn statements_that_cannot_be_served_are_refused_on_arrival() {
+    let (queue, by_arrival) = run_both_policies();
     let (ours, theirs) = (queue.of(2, false, "burst"), by_arrival.of(2, false, "burst"));
     assert!(ours.waited_in_vain * 2 < theirs.waited_in_vain, "{ours:?}, {theirs:?}");
-    assert!(ours.served_part() > theirs.served_part() - 0.02, "{ours:?}, {theirs:?}");
+    assert!(ours.served_share() > theirs.served_share() - 0.02, "{ours:?}, {theirs:?}");
     assert!(queue.waited_in_vain() * 2 < by_arrival.waited_in_vain());
 }
 
-/// While slots are free now and then nothing is refused.
+/// Nothing is refused while slots become free now and then.
 #[test]
-fn at_the_usual_load_all_are_served() {
-    let (queue, _) = both();
+fn all_statements_are_served_at_the_usual_load() {
+    let (queue, _) = run_both_policies();
     for class in 0..CLASSES.len() {
-        let fate = queue.of(class, false, "usual");
-        assert!(fate.served_part() > 0.99, "{class}: {fate:?}");
+        let counts = queue.of(class, false, "usual");
+        assert!(counts.served_share() > 0.99, "{class}: {counts:?}");
     }
 }
