--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -51,7 +51,8 @@
 }
 
 /// A session wrote 2.251 just after a change of primary, and a member still on the old branch at
-/// 1.287 served the session's read, because positions were compared by index alone.
+/// 1.287 served the session's read, because positions were compared by index alone. Found by a
+/// randomized run (scale-1 --seed 90068085763).
 #[test]
 fn own_commit_of_a_new_term_outweighs_a_longer_log_of_the_old_one() {
     let freshness = freshness(&[(1_000, position(1, 287))]);
--- a/crates/core/tests/scheduling_load.rs
+++ b/crates/core/tests/scheduling_load.rs
@@ -1,10 +1,10 @@
 //! Load test of the wait queue for slots: the service that callers of each class and tenant get.
 //!
-//! One member runs four statements concurrently. Orders (class 0, 5 ms), album views (class 1, 22
-//! ms) and links (class 2, 14 ms) arrive from 20 tenants in a fixed mix, at 0.7 of the member's
+//! One member runs four statements concurrently. Orders (class 0, 5 ms), album views (class 1,
+//! 22 ms) and links (class 2, 14 ms) arrive from 20 tenants in a fixed mix, at 0.7 of the member's
 //! capacity. For 6 s, links arrive at 2.5 times their usual rate; later, one tenant sends 20 times
-//! its usual load of everything. A statement may wait for 0.22 of its objective (500, 800 and 2,000
-//! ms). The same arrivals are served by the queue and, for comparison, in order of class and
+//! its usual load of everything. A statement may wait for 0.22 of its objective (500, 800 and
+//! 2,000 ms). The same arrivals are served by the queue and, for comparison, in order of class and
 //! arrival with each statement waiting until its deadline.
 
 use corktack_core::identity::MemberName;
