--- a/crates/core/src/gateway/detour.rs
+++ b/crates/core/src/gateway/detour.rs
@@ -20,8 +20,8 @@
 /// Longest pause between two such requests.
 const LONGEST_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// How long other callers wait for the outcome of a request. The caller that sent the request may
-/// have gone.
+/// How long other callers wait for the outcome of a request before one of them sends a new request,
+/// because the caller that sent the first one may have gone.
 const ANSWER_LIMIT: Duration = Duration::from_millis(800);
 
 /// What a caller may do about a member that its gateway does not reach.
@@ -39,11 +39,11 @@
 enum State {
     #[default]
     Unknown,
-    Asking {
+    Probing {
         since: Timestamp,
     },
-    Open,
-    Closed {
+    Reachable,
+    Unreachable {
         until: Timestamp,
     },
 }
@@ -60,13 +60,13 @@
     /// with [`Detour::reached`] or [`Detour::failed`], unless it goes away first.
     pub fn step(&mut self, now: Timestamp) -> DetourStep {
         match self.state {
-            State::Open => DetourStep::Take,
-            State::Asking { since } if now.saturating_since(since) < ANSWER_LIMIT => {
+            State::Reachable => DetourStep::Take,
+            State::Probing { since } if now.saturating_since(since) < ANSWER_LIMIT => {
                 DetourStep::Wait
             }
-            State::Closed { until } if now < until => DetourStep::Closed,
-            State::Unknown | State::Asking { .. } | State::Closed { .. } => {
-                self.state = State::Asking { since: now };
+            State::Unreachable { until } if now < until => DetourStep::Closed,
+            State::Unknown | State::Probing { .. } | State::Unreachable { .. } => {
+                self.state = State::Probing { since: now };
                 DetourStep::Take
             }
         }
@@ -75,12 +75,12 @@
     /// Reports whether the last request through other gateways reached the member.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.state == State::Open
+        self.state == State::Reachable
     }
 
     /// Records that another gateway reaches the member.
     pub fn reached(&mut self) {
-        *self = Self { state: State::Open, failures: 0 };
+        *self = Self { state: State::Reachable, failures: 0 };
     }
 
     /// Records that none of the gateways asked reaches the member.
@@ -88,6 +88,6 @@
         let pause =
             FIRST_RETRY_PAUSE.saturating_mul(1 << self.failures.min(8)).min(LONGEST_RETRY_PAUSE);
         self.failures += 1;
-        self.state = State::Closed { until: now + pause };
+        self.state = State::Unreachable { until: now + pause };
     }
 }
--- a/crates/core/src/gateway/holders/asking.rs
+++ b/crates/core/src/gateway/holders/asking.rs
@@ -44,17 +44,17 @@
         self.holders.is_empty()
     }
 
-    /// Returns at most `most` holders to send a request to now. The list is empty when all of them
+    /// Returns at most `limit` holders to send a request to now. The list is empty when all of them
     /// are paused after a refusal or after not answering.
     #[must_use]
-    pub fn to_ask(&self, now: Timestamp, peers: &PeerTable, most: usize) -> Vec<Holder> {
+    pub fn to_ask(&self, now: Timestamp, peers: &PeerTable, limit: usize) -> Vec<Holder> {
         let available = self.holders.iter().filter(|(holder, until)| {
             until.is_none_or(|until| now >= until) && !peers.is_avoided(holder.address, now)
         });
-        available.map(|(holder, _)| *holder).take(most).collect()
+        available.map(|(holder, _)| *holder).take(limit).collect()
     }
 
-    /// Returns at most `most` holders to send a tenant's request to now, the tenant's home first. A
+    /// Returns at most `limit` holders to send a tenant's request to now, the tenant's home first. A
     /// gateway that itself holds connections passes its address in `own` and gets only the holders
     /// that precede it in the tenant's order.
     #[must_use]
@@ -64,17 +64,17 @@
         own: Option<SocketAddr>,
         now: Timestamp,
         peers: &PeerTable,
-        most: usize,
+        limit: usize,
     ) -> Vec<Holder> {
         let own_weight = own.map(|own| home_weight(tenant, own));
-        let weighed = self
+        let weighted = self
             .to_ask(now, peers, usize::MAX)
             .into_iter()
             .map(|holder| (home_weight(tenant, holder.address), holder));
         let mut preceding: Vec<_> =
-            weighed.filter(|(weight, _)| own_weight.is_none_or(|own| *weight > own)).collect();
+            weighted.filter(|(weight, _)| own_weight.is_none_or(|own| *weight > own)).collect();
         preceding.sort_by_key(|(weight, _)| std::cmp::Reverse(*weight));
-        preceding.truncate(most);
+        preceding.truncate(limit);
         preceding.into_iter().map(|(_, holder)| holder).collect()
     }
 
@@ -97,8 +97,8 @@
     ) -> Option<Holder> {
         let near = self.to_ask(now, peers, usize::MAX).into_iter();
         let near = near.filter(|holder| holder.distance != Distance::OtherRegion);
-        let weighed = near.map(|holder| (home_weight(group, holder.address), holder));
-        let (weight, heaviest) = weighed.max_by_key(|(weight, _)| *weight)?;
+        let weighted = near.map(|holder| (home_weight(group, holder.address), holder));
+        let (weight, heaviest) = weighted.max_by_key(|(weight, _)| *weight)?;
         (weight > home_weight(group, own)).then_some(heaviest)
     }
 
--- a/crates/core/src/gateway/holders/mod.rs
+++ b/crates/core/src/gateway/holders/mod.rs
@@ -165,7 +165,8 @@
         self.changed_members.remove(name);
     }
 
-    /// Returns the members for which a holder, or the address of a holder, changed since the last call.
+    /// Returns the members for which a holder, or the address of a holder, changed since the last
+    /// call.
     pub fn take_changed(&mut self) -> BTreeSet<MemberName> {
         std::mem::take(&mut self.changed_members)
     }
--- a/crates/core/src/gateway/member_choice.rs
+++ b/crates/core/src/gateway/member_choice.rs
@@ -49,16 +49,16 @@
 
 impl MemberLoad {
     /// Returns the mean latency of a statement without the network time.
-    fn work(&self) -> Duration {
+    fn service_time(&self) -> Duration {
         self.latency.saturating_sub(self.network_time)
     }
 
-    /// Returns the time in seconds that one more statement is expected to take, where `least_work`
-    /// is the least [`MemberLoad::work`] of all members. A statement that is not served is sent
-    /// again, so the time is divided by the share served.
-    fn expected_seconds(&self, least_work: Duration) -> f64 {
+    /// Returns the time in seconds that one more statement is expected to take, where
+    /// `least_service_time` is the least [`MemberLoad::service_time`] of all members. A statement
+    /// that is not served is sent again, so the time is divided by the share served.
+    fn expected_seconds(&self, least_service_time: Duration) -> f64 {
         let observed = self.latency.as_secs_f64();
-        let best_case = (least_work + self.network_time).as_secs_f64();
+        let best_case = (least_service_time + self.network_time).as_secs_f64();
         let confidence = 0.5_f64.powf(self.age.div_duration_f64(LATENCY_HALF_LIFE));
         let latency = best_case + (observed - best_case).max(0.0) * confidence;
         let queued = self.running as f64 / self.capacity_share.max(1.0);
@@ -70,8 +70,9 @@
 /// the least expected time.
 #[must_use]
 pub fn choose_reader(loads: &[MemberLoad]) -> Option<usize> {
-    let least_work = loads.iter().map(MemberLoad::work).min()?;
-    let expected: Vec<f64> = loads.iter().map(|load| load.expected_seconds(least_work)).collect();
+    let least_service_time = loads.iter().map(MemberLoad::service_time).min()?;
+    let expected: Vec<f64> =
+        loads.iter().map(|load| load.expected_seconds(least_service_time)).collect();
     let least = expected.iter().copied().min_by(f64::total_cmp)?;
     let is_nearly_least = |place: &usize| expected[*place] <= least * EQUAL_COST_FACTOR;
     (0..loads.len()).filter(is_nearly_least).max_by_key(|place| loads[*place].preference)
--- a/crates/core/src/scheduling/class.rs
+++ b/crates/core/src/scheduling/class.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(super) struct ClassQueue<W> {
     pub(super) tenants: BTreeMap<Option<TenantName>, TenantQueue<W>>,
-    /// Start tag of the tenant that was start_tag last. The start tag of a newcomer begins here.
+    /// Start tag of the tenant that was served last. The start tag of a newcomer begins here.
     virtual_time: Duration,
     pub(super) offered: OfferedLoad,
     pub(super) length: usize,
--- a/crates/core/src/scheduling/likely_wait.rs
+++ b/crates/core/src/scheduling/likely_wait.rs
@@ -64,7 +64,7 @@
     }
 
     /// Creates a refusal with the time at which the queue is likely to have room: when the excess
-    /// work has been served, and after the retry times already promised_retry to other refused callers.
+    /// work has been served, and after the retry times already promised to others.
     pub(super) fn refuse(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/scheduling/offered.rs
+++ b/crates/core/src/scheduling/offered.rs
@@ -1,7 +1,7 @@
 //! Recent load offered by a class or a tenant.
 //!
-//! [`OfferedLoad`] owns one exponentially decaying sum. The sum estimates what higher classes and other
-//! tenants will ask for while a request waits. Without it, 572 of the 1,777 requests of a burst
+//! [`OfferedLoad`] owns one exponentially decaying sum. The sum estimates what higher classes and
+//! other tenants will ask for while a request waits. Without it, 572 of the 1,777 requests of a burst
 //! wait in vain in the load test; with it, 518.
 
 use crate::time::Timestamp;
--- a/crates/core/src/scheduling/queue.rs
+++ b/crates/core/src/scheduling/queue.rs
@@ -1,7 +1,7 @@
 //! The wait queue for the members of one group.
 //!
 //! [`SlotQueue`] takes requests for which no slot is free and grants freed slots, highest class
-//! first. It owns the classes and the retry times promised_retry to refused callers. `class` defines the
+//! first. It owns the classes and the retry times promised to refused callers. `class` defines the
 //! order within a class; `likely_wait` the decision to refuse and the retry time.
 
 use super::class::ClassQueue;
@@ -20,7 +20,7 @@
 pub struct SlotQueue<W> {
     pub(super) classes: BTreeMap<u32, ClassQueue<W>>,
     last_ticket: u64,
-    /// Latest retry time promised_retry to a refused caller, for each class.
+    /// Latest retry time promised to a refused caller, for each class.
     pub(super) promised_retry: BTreeMap<u32, Timestamp>,
 }
 
--- a/crates/core/tests/holders.rs
+++ b/crates/core/tests/holders.rs
@@ -168,7 +168,7 @@
 proptest! {
     /// A table that was updated in any order of changes equals one created from the final state.
     #[test]
-    fn incremental_updates_equal_a_newly_created_table(changes in prop::collection::vec(change(), 0..80)) {
+    fn incremental_updates_equal_a_new_table(changes in prop::collection::vec(change(), 0..80)) {
         let mut updated = HolderTable::new(gateway(0), place(0));
         let mut gateways = BTreeSet::new();
         let mut members = BTreeMap::new();
@@ -195,7 +195,9 @@
         }
         let mut created = HolderTable::new(gateway(0), place(0));
         gateways.iter().for_each(|number| created.put_gateway(&gateway(*number), place(*number)));
-        members.iter().for_each(|(number, needs)| created.put_member(&member(*number), needs.clone()));
+        members
+            .iter()
+            .for_each(|(number, needs)| created.put_member(&member(*number), needs.clone()));
         for number in 0..6 {
             let name = member(number);
             prop_assert_eq!(updated.others(&name), created.others(&name));
