--- a/crates/core/src/binding.rs
+++ b/crates/core/src/binding.rs
@@ -1,6 +1,5 @@
-//! Chooses the priority class of a caller from the bindings in force.
-//!
-//! Inputs: what the caller said when it connected, and the view's bindings and classes. Owns nothing.
+//! Chooses the priority class of a caller from the caller's startup parameters and source address, and
+//! from the bindings and classes of the current view.
 
 use crate::identity::ClassName;
 use crate::resources::{BindingSpec, CallerMatch, SourceNetwork};
@@ -8,45 +7,46 @@
 use std::cmp::Reverse;
 use std::net::IpAddr;
 
-/// What is known of a caller when it connects.
+/// Startup parameters and source address of a caller, which bindings are matched against.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerIdentity {
-    /// User of the startup message.
+    /// User name of the startup message.
     pub user: String,
-    /// Database of the startup message.
+    /// Database name of the startup message.
     pub database: String,
     /// `application_name` of the startup message, or empty.
     pub application_name: String,
-    /// Address the caller connects from.
+    /// Address from which the caller connects.
     pub source: IpAddr,
 }
 
-/// The class of the binding with the highest order that covers the caller and
-/// whose class exists, then the first by name; the default class without one.
+/// Returns the class of the binding that matches the caller, or `default` if none does. Bindings
+/// whose class does not exist are ignored. Of several matching bindings, the one with the highest
+/// order decides, and among equal orders the first by name.
 #[must_use]
 pub fn choose_class(view: &View, caller: &CallerIdentity, default: &ClassName) -> ClassName {
-    let chosen = view
+    let best_match = view
         .bindings
         .iter()
         .filter(|(_, binding)| view.classes.contains_key(&binding.class))
-        .filter(|(_, binding)| covers(binding, caller))
+        .filter(|(_, binding)| matches_caller(binding, caller))
         .min_by_key(|(name, binding)| (Reverse(binding.order), *name));
-    chosen.map_or_else(|| default.clone(), |(_, binding)| binding.class.clone())
+    best_match.map_or_else(|| default.clone(), |(_, binding)| binding.class.clone())
 }
 
-fn covers(binding: &BindingSpec, caller: &CallerIdentity) -> bool {
+fn matches_caller(binding: &BindingSpec, caller: &CallerIdentity) -> bool {
     let CallerMatch { user, database, application_name, source_network } = &binding.callers;
-    same_or_absent(user.as_ref(), &caller.user)
-        && same_or_absent(database.as_ref(), &caller.database)
-        && same_or_absent(application_name.as_ref(), &caller.application_name)
-        && source_network.as_ref().is_none_or(|network| network_covers(network, caller.source))
+    absent_or_equal(user.as_ref(), &caller.user)
+        && absent_or_equal(database.as_ref(), &caller.database)
+        && absent_or_equal(application_name.as_ref(), &caller.application_name)
+        && source_network.as_ref().is_none_or(|network| network_contains(network, caller.source))
 }
 
-fn same_or_absent(wanted: Option<&String>, found: &str) -> bool {
-    wanted.is_none_or(|wanted| wanted == found)
+fn absent_or_equal(expected: Option<&String>, actual: &str) -> bool {
+    expected.is_none_or(|expected| expected == actual)
 }
 
-/// A network that cannot be parsed covers nobody.
-fn network_covers(network: &str, source: IpAddr) -> bool {
+/// Reports whether the network contains the address. A network that cannot be parsed contains none.
+fn network_contains(network: &str, source: IpAddr) -> bool {
     network.parse::<SourceNetwork>().is_ok_and(|network| network.contains(source))
 }
--- a/crates/core/src/classify/cache.rs
+++ b/crates/core/src/classify/cache.rs
@@ -1,16 +1,15 @@
-//! Bounded cache of profiles by text.
-//!
-//! Owns recent texts with what they may do, so that a statement that comes again is not read again.
+//! Bounded cache of statement profiles by text, so that a repeated statement is not classified again.
 
 use super::StatementProfile;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Longest text that is kept, in bytes. Chosen, not measured: a bound on memory; longer texts are read each time.
+/// Longest text that is cached, in bytes, which bounds the memory of the cache. Longer texts are classified
+/// each time.
 const CACHED_TEXT_LIMIT: usize = 4 * 1024;
 
-/// Keeps the profiles of recent texts in two generations: when the young
-/// one is full it becomes the old one, and the old one is forgotten.
+/// Cache of the profiles of recent texts in two generations. When the young generation is full, it
+/// replaces the old generation, whose texts are dropped.
 #[derive(Debug)]
 pub struct ProfileCache {
     generation_limit: usize,
@@ -19,39 +18,39 @@
 }
 
 impl ProfileCache {
-    /// A cache of at most this many texts.
+    /// Returns an empty cache for at most `limit` texts, half of them in each generation.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         let generation_limit = (limit / 2).max(1);
         Self { generation_limit, young: HashMap::new(), old: HashMap::new() }
     }
 
-    /// The profile of a text.
+    /// Returns the profile of a text, from the cache if the text is cached.
     pub fn profile(&mut self, text: &str) -> Arc<StatementProfile> {
         if text.len() > CACHED_TEXT_LIMIT {
             return Arc::new(StatementProfile::of(text));
         }
-        if let Some(known) = self.young.get(text) {
-            return known.clone();
+        if let Some(cached) = self.young.get(text) {
+            return cached.clone();
         }
         let profile = self.old.remove(text).unwrap_or_else(|| Arc::new(StatementProfile::of(text)));
-        self.keep(text, profile.clone());
+        self.insert(text, profile.clone());
         profile
     }
 
-    /// Texts kept now.
+    /// Returns the number of cached texts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether nothing is kept.
+    /// Reports whether the cache is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn keep(&mut self, text: &str, profile: Arc<StatementProfile>) {
+    fn insert(&mut self, text: &str, profile: Arc<StatementProfile>) {
         if self.young.len() >= self.generation_limit {
             self.old = std::mem::take(&mut self.young);
         }
--- a/crates/core/src/classify/functions.rs
+++ b/crates/core/src/classify/functions.rs
@@ -1,8 +1,7 @@
-//! Functions that only read, and words of the grammar that stand before a parenthesis.
-//!
-//! Lists only; [`super::read`] goes by them.
+//! Lists by which [`super::read`] recognizes calls: functions that only read, and words of the grammar that
+//! may stand before a parenthesis.
 
-/// Immutable and stable functions of the standard catalogue in common use.
+/// Commonly used functions of the PostgreSQL catalog that are immutable or stable.
 pub(super) const READ_FUNCTIONS: &[&str] = &[
     "abs",
     "age",
@@ -143,7 +142,7 @@
     "to_date",
 ];
 
-/// Words of the grammar that may stand before a parenthesis without calling anything.
+/// Words of the grammar that may stand before a parenthesis without being a function call.
 pub(super) const WORDS_BEFORE_PARENTHESIS: &[&str] = &[
     "all",
     "and",
--- a/crates/core/src/classify/mod.rs
+++ b/crates/core/src/classify/mod.rs
@@ -1,11 +1,10 @@
-//! Decides from a statement's text where it may run.
+//! Decides from the text of a statement where the statement may run.
 //!
-//! The decision is conservative: only what is surely a read is
-//! [`Classification::Read`]; a text that has no valid tokens is a write, so
-//! the primary sees it. Statements whose effect outlives their transaction cannot
-//! work on shared server connections and are refused before they run.
+//! The decision is conservative: a text is a [`Classification::Read`] only if it certainly writes nothing. A
+//! text that cannot be tokenized is a write, so that the primary gets it. Statements whose effect outlives
+//! their transaction cannot work on shared server connections and are refused before they run.
 //!
-//! Owns nothing but the words that it goes by. Relies on a tokenizer, not on a parser: see `read`.
+//! The decision uses a tokenizer and lists of words, not a parser; module `read` says why.
 
 mod cache;
 mod functions;
@@ -18,22 +17,22 @@
 pub use local::{IDEMPOTENCY_KEY_SETTING, LocalStatement, TOKEN_SETTING};
 pub use refused::Unsupported;
 
-use statements::{Words, split_statements};
+use statements::{StatementTokens, split_statements};
 
-/// Longest text that may be a read, in bytes; a longer one is a write. Chosen, not measured: a bound on the time
-/// that one caller's text takes.
+/// Longest text that may be a read, in bytes. A longer text is a write, which bounds the time that the text
+/// of one caller takes.
 pub const PARSED_TEXT_LIMIT: usize = 64 * 1024;
 
-/// What may be done with a text of one or more statements.
+/// Where a text of one or more statements may run, if anywhere.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Classification {
-    /// Surely reads only; a replica may serve it.
+    /// The text certainly only reads; a replica may serve it.
     Read,
-    /// Anything else; the primary serves it.
+    /// The text may write; the primary serves it.
     Write,
-    /// Answered by the edge.
+    /// The edge answers the statement itself.
     Local(LocalStatement),
-    /// Refused before it runs.
+    /// The text is refused before it runs.
     Refused(Unsupported),
 }
 
@@ -43,108 +42,109 @@
     let Some(statements) = split_statements(text) else {
         return Classification::Write;
     };
-    if let Some(unsupported) = statements.iter().find_map(refused::unsupported) {
+    if let Some(unsupported) = statements.iter().find_map(refused::unsupported_reason) {
         return Classification::Refused(unsupported);
     }
     match statements.as_slice() {
         [] => Classification::Local(LocalStatement::Empty),
-        [statement] => classify_one(text, statement),
-        several => classify_several(text, several),
+        [statement] => classify_single(text, statement),
+        multiple => classify_multiple(text, multiple),
     }
 }
 
-fn classify_one(text: &str, statement: &Words) -> Classification {
+fn classify_single(text: &str, statement: &StatementTokens) -> Classification {
     match local::local_statement(statement) {
         Some(Ok(local)) => Classification::Local(local),
         Some(Err(unsupported)) => Classification::Refused(unsupported),
-        None => by_reads(text, std::slice::from_ref(statement)),
+        None => classify_read_or_write(text, std::slice::from_ref(statement)),
     }
 }
 
-fn classify_several(text: &str, statements: &[Words]) -> Classification {
+fn classify_multiple(text: &str, statements: &[StatementTokens]) -> Classification {
     if statements.iter().any(|statement| local::local_statement(statement).is_some()) {
         return Classification::Refused(Unsupported::EdgeStatementAmongOthers);
     }
-    by_reads(text, statements)
+    classify_read_or_write(text, statements)
 }
 
-fn by_reads(text: &str, statements: &[Words]) -> Classification {
-    let reads = text.len() <= PARSED_TEXT_LIMIT && statements.iter().all(read::only_reads);
-    if reads { Classification::Read } else { Classification::Write }
+fn classify_read_or_write(text: &str, statements: &[StatementTokens]) -> Classification {
+    let is_read = text.len() <= PARSED_TEXT_LIMIT && statements.iter().all(read::is_read_only);
+    if is_read { Classification::Read } else { Classification::Write }
 }
 
-/// What a text that has run leaves behind of a transaction block.
+/// Effect of a text on the session's transaction block.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BlockEffect {
-    /// The block there was, or none.
+    /// The text leaves the transaction block as it was.
     #[default]
     None,
-    /// An open block.
+    /// A transaction block is open after the text.
     Opens,
-    /// No block.
+    /// No transaction block is open after the text.
     Ends,
 }
 
 impl BlockEffect {
-    /// The effect of this text and then another.
+    /// Returns the effect of this text followed by another text with the effect `later`.
     #[must_use]
     pub fn then(self, later: Self) -> Self {
         if later == Self::None { self } else { later }
     }
 }
 
-/// What the proxy must know of a text before it runs.
+/// Properties of a text that the proxy needs before the text runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatementProfile {
-    /// Where it may run.
+    /// Where the text may run.
     pub classification: Classification,
-    /// Whether running it may commit a transaction that is open.
+    /// Whether the text may commit the open transaction.
     pub may_commit: bool,
-    /// Whether it only starts a transaction: running it twice harms nobody.
+    /// Whether the text only starts a transaction, so that running it twice is harmless.
     pub only_starts_transaction: bool,
-    /// Whether it only ends a transaction block.
+    /// Whether the text only ends a transaction block.
     pub only_ends_transaction: bool,
-    /// What it leaves behind of a transaction block.
+    /// Effect on the transaction block.
     pub block: BlockEffect,
 }
 
 impl StatementProfile {
-    /// The profile of a text.
+    /// Returns the profile of a text.
     #[must_use]
     pub fn of(text: &str) -> Self {
         let statements = split_statements(text);
         Self {
             classification: classify(text),
-            may_commit: statements.as_deref().is_none_or(|all| all.iter().any(commits)),
+            may_commit: statements.as_deref().is_none_or(|parsed| parsed.iter().any(is_commit)),
             only_starts_transaction: statements
                 .as_deref()
-                .is_some_and(|all| all.len() == 1 && all.iter().all(starts_transaction)),
-            only_ends_transaction: statements
-                .as_deref()
-                .is_some_and(|all| all.len() == 1 && block_effect(all) == BlockEffect::Ends),
+                .is_some_and(|parsed| parsed.len() == 1 && parsed.iter().all(starts_transaction)),
+            only_ends_transaction: statements.as_deref().is_some_and(|parsed| {
+                parsed.len() == 1 && block_effect(parsed) == BlockEffect::Ends
+            }),
             block: statements.as_deref().map_or(BlockEffect::None, block_effect),
         }
     }
 }
 
-fn commits(statement: &Words) -> bool {
+fn is_commit(statement: &StatementTokens) -> bool {
     statement.is_word(0, "commit") || statement.is_word(0, "end")
 }
 
-fn starts_transaction(statement: &Words) -> bool {
+fn starts_transaction(statement: &StatementTokens) -> bool {
     statement.is_word(0, "begin") || statement.starts_with(&["start", "transaction"])
 }
 
-fn block_effect(statements: &[Words]) -> BlockEffect {
-    statements.iter().map(effect_of_one).fold(BlockEffect::None, BlockEffect::then)
+fn block_effect(statements: &[StatementTokens]) -> BlockEffect {
+    statements.iter().map(statement_effect).fold(BlockEffect::None, BlockEffect::then)
 }
 
-fn effect_of_one(statement: &Words) -> BlockEffect {
-    let ends = ["commit", "end", "rollback", "abort"].iter().any(|word| statement.is_word(0, word));
-    let of_prepared = statement.is_word(1, "prepared");
-    if starts_transaction(statement) || (ends && statement.contains(&["and", "chain"])) {
+fn statement_effect(statement: &StatementTokens) -> BlockEffect {
+    let is_end =
+        ["commit", "end", "rollback", "abort"].iter().any(|word| statement.is_word(0, word));
+    let is_two_phase = statement.is_word(1, "prepared");
+    if starts_transaction(statement) || (is_end && statement.contains(&["and", "chain"])) {
         BlockEffect::Opens
-    } else if ends && !of_prepared && !statement.contains(&["to"]) {
+    } else if is_end && !is_two_phase && !statement.contains(&["to"]) {
         BlockEffect::Ends
     } else {
         BlockEffect::None
--- a/crates/core/src/classify/read.rs
+++ b/crates/core/src/classify/read.rs
@@ -1,29 +1,28 @@
-//! Tells statements that surely read only, by their tokens.
+//! Recognizes statements that certainly only read, by their tokens.
 //!
-//! A parser that makes a tree is not used: the library's takes time by the power of two
-//! for some texts, and a stack as deep as a chain of operators is long, and a caller may
-//! send any text. What a tree would tell is told more strictly by words: any word that
-//! writes, any call that is not known and any operator that may be an extension's make a
-//! statement a write, wherever they stand.
+//! No syntax tree is built, because a caller may send any text: for some texts, the library's parser takes
+//! exponential time, and its stack grows with the length of a chain of operators. Tests of words give a
+//! stricter answer than a tree would: a word that writes, a call of a function that is not on the list or an
+//! operator that may belong to an extension makes a statement a write, wherever it stands.
 
 use super::functions::{READ_FUNCTIONS, WORDS_BEFORE_PARENTHESIS};
 use super::starts_transaction;
-use super::statements::{Words, is_one_of, word};
+use super::statements::{StatementTokens, as_word, is_one_of};
 use sqlparser::tokenizer::Token;
 
-/// Words that make a statement a write wherever they stand unquoted.
+/// Words that make a statement a write wherever they stand, unless they are quoted.
 pub(super) const WRITE_WORDS: &[&str] = &[
     "insert", "update", "delete", "merge", "into", "truncate", "create", "alter", "drop", "copy",
     "call", "vacuum", "reindex", "grant", "revoke", "lock", "refresh", "cluster", "analyze",
     "import",
 ];
 
-/// Words that make a locking clause when they follow `FOR`.
+/// Words that form a locking clause when they follow `FOR`.
 const LOCKING_WORDS: &[&str] = &["update", "share", "no", "key"];
 
-/// Whether the statement surely reads only.
-pub(super) fn only_reads(statement: &Words) -> bool {
-    if statement.has_any(WRITE_WORDS) || has_locking_clause(statement) {
+/// Reports whether the statement certainly only reads.
+pub(super) fn is_read_only(statement: &StatementTokens) -> bool {
+    if statement.has_any_word(WRITE_WORDS) || has_locking_clause(statement) {
         return false;
     }
     if !is_read_statement(statement) {
@@ -32,69 +31,77 @@
     if starts_transaction(statement) {
         return statement.contains(&["read", "only"]) && !statement.contains(&["read", "write"]);
     }
-    // The words after it stand for any others.
-    if statement.has_any(&["uescape"]) {
+    // With UESCAPE, the escape sequences of an identifier can spell any other name.
+    if statement.has_any_word(&["uescape"]) {
         return false;
     }
-    calls_read_only(statement) && operators_are_known(statement)
+    calls_only_read_functions(statement) && has_only_built_in_operators(statement)
 }
 
-/// Whether the statement is of a kind that may read only.
-fn is_read_statement(statement: &Words) -> bool {
-    let opening = statement.tokens().iter().take_while(|token| **token == Token::LParen).count();
-    if ["select", "with", "values", "table"].iter().any(|word| statement.is_word(opening, word)) {
+/// Reports whether the first words of the statement allow it to be a read.
+fn is_read_statement(statement: &StatementTokens) -> bool {
+    let open_parentheses =
+        statement.tokens().iter().take_while(|token| **token == Token::LParen).count();
+    if ["select", "with", "values", "table"]
+        .iter()
+        .any(|word| statement.is_word(open_parentheses, word))
+    {
         return true;
     }
     if ["commit", "end", "rollback", "abort"].iter().any(|word| statement.is_word(0, word)) {
-        return !statement.has_any(&["to", "prepared", "chain"]);
+        return !statement.has_any_word(&["to", "prepared", "chain"]);
     }
     statement.is_word(0, "show") || starts_transaction(statement)
 }
 
-fn has_locking_clause(statement: &Words) -> bool {
+fn has_locking_clause(statement: &StatementTokens) -> bool {
     LOCKING_WORDS.iter().any(|word| statement.contains(&["for", word]))
 }
 
-/// Whether everything that looks like a call is of a function on the allow-list.
-fn calls_read_only(statement: &Words) -> bool {
+/// Reports whether every token sequence that looks like a call calls a function on the allow-list.
+fn calls_only_read_functions(statement: &StatementTokens) -> bool {
     let tokens = statement.tokens();
-    tokens.windows(2).enumerate().all(|(place, pair)| match (&pair[0], &pair[1]) {
-        (Token::Word(called), Token::LParen) => {
-            let qualified = place > 0 && tokens[place - 1] == Token::Period;
-            is_known_call(&called.value, called.quote_style.is_some(), qualified)
-                && (!qualified || is_system_schema(tokens, place))
+    tokens.windows(2).enumerate().all(|(index, pair)| match (&pair[0], &pair[1]) {
+        (Token::Word(callee), Token::LParen) => {
+            let qualified = index > 0 && tokens[index - 1] == Token::Period;
+            is_allowed_call(&callee.value, callee.quote_style.is_some(), qualified)
+                && (!qualified || is_system_schema(tokens, index))
         }
         _ => true,
     })
 }
 
-fn is_known_call(name: &str, quoted: bool, qualified: bool) -> bool {
-    let grammar_word = !quoted && !qualified && is_one_of(name, WORDS_BEFORE_PARENTHESIS);
-    grammar_word || is_one_of(name, READ_FUNCTIONS)
+fn is_allowed_call(name: &str, quoted: bool, qualified: bool) -> bool {
+    let is_grammar_word = !quoted && !qualified && is_one_of(name, WORDS_BEFORE_PARENTHESIS);
+    is_grammar_word || is_one_of(name, READ_FUNCTIONS)
 }
 
-fn is_system_schema(tokens: &[Token], place: usize) -> bool {
-    let schema = place.checked_sub(2).and_then(|place| tokens.get(place)).and_then(word);
+fn is_system_schema(tokens: &[Token], index: usize) -> bool {
+    let schema = index.checked_sub(2).and_then(|index| tokens.get(index)).and_then(as_word);
     schema.is_some_and(|schema| schema.value.eq_ignore_ascii_case("pg_catalog"))
 }
 
-/// Operators that an extension defines may call any function.
-fn operators_are_known(statement: &Words) -> bool {
-    let custom = |token: &Token| matches!(token, Token::CustomBinaryOperator(_));
-    let qualified = statement.contains(&["operator"]);
-    !qualified && !statement.tokens().iter().any(custom) && operators_stand_alone(statement)
+/// Reports whether all operators are built in; an operator of an extension may call any function.
+fn has_only_built_in_operators(statement: &StatementTokens) -> bool {
+    let is_custom = |token: &Token| matches!(token, Token::CustomBinaryOperator(_));
+    let has_operator_syntax = statement.contains(&["operator"]);
+    !has_operator_syntax
+        && !statement.tokens().iter().any(is_custom)
+        && has_no_adjacent_operators(statement)
 }
 
-/// Whether no two operators stand together: they may be one that an extension defines.
-/// A sign after an operator of arithmetic or comparison is always one of its own.
-fn operators_stand_alone(statement: &Words) -> bool {
+/// Reports whether no two operator tokens are adjacent: together they may be an operator of an extension.
+/// A sign after an arithmetic or comparison operator is always a separate operator.
+fn has_no_adjacent_operators(statement: &StatementTokens) -> bool {
     statement.tokens().windows(2).all(|pair| {
         let is_sign = matches!(pair[1], Token::Plus | Token::Minus);
-        !is_operator(&pair[0]) || !is_operator(&pair[1]) || (is_sign && is_plain(&pair[0]))
+        !is_operator(&pair[0])
+            || !is_operator(&pair[1])
+            || (is_sign && is_arithmetic_or_comparison(&pair[0]))
     })
 }
 
-fn is_plain(operator: &Token) -> bool {
+fn is_arithmetic_or_comparison(operator: &Token) -> bool {
     matches!(
         operator,
         Token::Plus
@@ -110,7 +117,7 @@
     )
 }
 
-/// Whatever is no name, value or mark between them.
+/// Reports whether the token is an operator: not a name, a value or punctuation.
 fn is_operator(token: &Token) -> bool {
     !matches!(
         token,
--- a/crates/core/src/classify/refused.rs
+++ b/crates/core/src/classify/refused.rs
@@ -1,13 +1,11 @@
-//! Statements whose effect outlives their transaction.
-//!
-//! Owns the words that give them away. Relies on [`super::statements`] for the words of a text.
+//! Recognizes, by their words, statements whose effect outlives their transaction.
 
-use super::statements::{Words, is_one_of};
+use super::statements::{StatementTokens, is_one_of};
 
-/// Why a statement is refused before it runs.
+/// Reason why a statement is refused before it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unsupported {
-    /// `LISTEN`, `UNLISTEN`, `NOTIFY`.
+    /// `LISTEN`, `UNLISTEN` or `NOTIFY`.
     #[error("LISTEN, UNLISTEN and NOTIFY are not supported")]
     Notification,
     /// A temporary table, view or sequence.
@@ -16,19 +14,19 @@
     /// `COPY`.
     #[error("COPY is not supported")]
     Copy,
-    /// `PREPARE`, `EXECUTE`, `DEALLOCATE` as statements.
+    /// `PREPARE`, `EXECUTE` or `DEALLOCATE` as SQL statements.
     #[error("PREPARE, EXECUTE and DEALLOCATE are not supported, use the extended query protocol")]
     PreparedByStatement,
     /// `DECLARE ... WITH HOLD`.
     #[error("cursors WITH HOLD are not supported")]
     HoldCursor,
-    /// An advisory lock of the session.
+    /// An advisory lock that is held until the end of the session.
     #[error("advisory locks of a session are not supported, use those of a transaction")]
     AdvisoryLock,
-    /// A setting of the session.
+    /// An assignment to a setting of the session.
     #[error("settings of a session are not supported, use SET LOCAL")]
     SessionSetting,
-    /// A statement that the edge answers, together with others.
+    /// A statement that the edge answers, in one text with other statements.
     #[error("a statement that the proxy answers must be sent alone")]
     EdgeStatementAmongOthers,
 }
@@ -40,9 +38,9 @@
 const WORDS_BEFORE_TEMPORARY: &[&str] = &["or", "replace", "global", "local"];
 /// Words that may stand between `INTO` and `TEMPORARY`.
 const SCOPE_WORDS: &[&str] = &["global", "local"];
-/// What may follow `TEMPORARY` when it is no name itself.
+/// Words that follow `TEMPORARY` when it is a keyword and not a name.
 const TEMPORARY_OBJECTS: &[&str] = &["table", "view", "sequence", "recursive"];
-const SESSION_LOCKS: &[&str] = &[
+const SESSION_LOCK_FUNCTIONS: &[&str] = &[
     "pg_advisory_lock",
     "pg_advisory_lock_shared",
     "pg_try_advisory_lock",
@@ -51,48 +49,50 @@
     "pg_advisory_unlock_shared",
     "pg_advisory_unlock_all",
 ];
-const SESSION_SETTERS: &[&str] = &["set_config"];
-const SESSION_STATEMENTS: &[&str] = &["reset", "load"];
+const SESSION_SETTING_FUNCTIONS: &[&str] = &["set_config"];
+const SESSION_STATEMENT_WORDS: &[&str] = &["reset", "load"];
 
-/// Why the statement is refused, if it is.
-pub(super) fn unsupported(statement: &Words) -> Option<Unsupported> {
-    let first_is = |words: &[&str]| words.iter().any(|word| statement.is_word(0, word));
-    if first_is(NOTIFICATION_WORDS) {
+/// Returns the reason for refusing the statement, or `None` if it is not refused.
+pub(super) fn unsupported_reason(statement: &StatementTokens) -> Option<Unsupported> {
+    let starts_with_any = |words: &[&str]| words.iter().any(|word| statement.is_word(0, word));
+    if starts_with_any(NOTIFICATION_WORDS) {
         return Some(Unsupported::Notification);
     }
-    if first_is(&["copy"]) {
+    if starts_with_any(&["copy"]) {
         return Some(Unsupported::Copy);
     }
-    if first_is(PREPARE_WORDS) || is_deallocate_of_name(statement) {
+    if starts_with_any(PREPARE_WORDS) || is_deallocate_of_name(statement) {
         return Some(Unsupported::PreparedByStatement);
     }
-    if first_is(&["declare"]) && statement.contains(&["with", "hold"]) {
+    if starts_with_any(&["declare"]) && statement.contains(&["with", "hold"]) {
         return Some(Unsupported::HoldCursor);
     }
-    if makes_temporary_table(statement) {
+    if creates_temporary_object(statement) {
         return Some(Unsupported::TemporaryTable);
     }
-    if statement.names_any(SESSION_LOCKS) {
+    if statement.has_identifier(SESSION_LOCK_FUNCTIONS) {
         return Some(Unsupported::AdvisoryLock);
     }
-    if first_is(&["do"]) {
-        return statement.texts().find_map(unsupported_in_block);
+    if starts_with_any(&["do"]) {
+        return statement.string_literals().find_map(unsupported_reason_in_block);
     }
-    if first_is(SESSION_STATEMENTS) || statement.names_any(SESSION_SETTERS) {
+    if starts_with_any(SESSION_STATEMENT_WORDS)
+        || statement.has_identifier(SESSION_SETTING_FUNCTIONS)
+    {
         return Some(Unsupported::SessionSetting);
     }
     None
 }
 
-/// The body of a `DO` block is another language, and may put statements together
-/// from texts, so any word that could outlive the transaction is one too many.
-fn unsupported_in_block(body: &str) -> Option<Unsupported> {
-    let is_part = |character: char| character.is_alphanumeric() || character == '_';
-    let mut words = body.split(|character| !is_part(character));
+/// Returns the reason for refusing a `DO` block with this body. The body is in another language and may
+/// build statements from texts, so a single word that may have an effect beyond the transaction is enough.
+fn unsupported_reason_in_block(body: &str) -> Option<Unsupported> {
+    let is_word_character = |character: char| character.is_alphanumeric() || character == '_';
+    let mut words = body.split(|character| !is_word_character(character));
     words.find_map(|word| {
-        if is_one_of(word, SESSION_LOCKS) {
+        if is_one_of(word, SESSION_LOCK_FUNCTIONS) {
             Some(Unsupported::AdvisoryLock)
-        } else if is_one_of(word, SESSION_SETTERS) {
+        } else if is_one_of(word, SESSION_SETTING_FUNCTIONS) {
             Some(Unsupported::SessionSetting)
         } else if is_one_of(word, NOTIFICATION_WORDS) {
             Some(Unsupported::Notification)
@@ -104,43 +104,49 @@
     })
 }
 
-fn is_deallocate_of_name(statement: &Words) -> bool {
+fn is_deallocate_of_name(statement: &StatementTokens) -> bool {
     statement.is_word(0, "deallocate")
         && !statement.is_word(1, "all")
         && !statement.starts_with(&["deallocate", "prepare", "all"])
 }
 
-fn makes_temporary_table(statement: &Words) -> bool {
-    creates_temporary(statement)
-        || selects_into_temporary(statement)
-        || in_temporary_schema(statement)
+fn creates_temporary_object(statement: &StatementTokens) -> bool {
+    is_create_temporary(statement)
+        || is_select_into_temporary(statement)
+        || uses_temporary_schema(statement)
 }
 
-fn creates_temporary(statement: &Words) -> bool {
+fn is_create_temporary(statement: &StatementTokens) -> bool {
     if !statement.is_word(0, "create") {
         return false;
     }
-    let place = skip_words(statement, 1, WORDS_BEFORE_TEMPORARY);
-    is_any(statement, place, TEMPORARY_WORDS) && is_any(statement, place + 1, TEMPORARY_OBJECTS)
+    let index = skip_words(statement, 1, WORDS_BEFORE_TEMPORARY);
+    is_any_word(statement, index, TEMPORARY_WORDS)
+        && is_any_word(statement, index + 1, TEMPORARY_OBJECTS)
 }
 
-/// `SELECT ... INTO TEMPORARY`; after `INSERT` and `MERGE` the word is a table's name.
-fn selects_into_temporary(statement: &Words) -> bool {
-    (1..statement.tokens().len()).any(|place| {
-        statement.is_word(place, "into")
-            && !is_any(statement, place - 1, &["insert", "merge"])
-            && is_any(statement, skip_words(statement, place + 1, SCOPE_WORDS), TEMPORARY_WORDS)
+/// Recognizes `SELECT ... INTO TEMPORARY`. After `INSERT INTO` and `MERGE INTO` the word is
+/// the name of a table.
+fn is_select_into_temporary(statement: &StatementTokens) -> bool {
+    (1..statement.tokens().len()).any(|index| {
+        statement.is_word(index, "into")
+            && !is_any_word(statement, index - 1, &["insert", "merge"])
+            && is_any_word(
+                statement,
+                skip_words(statement, index + 1, SCOPE_WORDS),
+                TEMPORARY_WORDS,
+            )
     })
 }
 
-fn in_temporary_schema(statement: &Words) -> bool {
-    statement.names_any(&["pg_temp"])
+fn uses_temporary_schema(statement: &StatementTokens) -> bool {
+    statement.has_identifier(&["pg_temp"])
 }
 
-fn skip_words(statement: &Words, start: usize, words: &[&str]) -> usize {
-    (start..).find(|place| !is_any(statement, *place, words)).unwrap_or(start)
+fn skip_words(statement: &StatementTokens, start: usize, words: &[&str]) -> usize {
+    (start..).find(|index| !is_any_word(statement, *index, words)).unwrap_or(start)
 }
 
-fn is_any(statement: &Words, place: usize, words: &[&str]) -> bool {
-    words.iter().any(|word| statement.is_word(place, word))
+fn is_any_word(statement: &StatementTokens, index: usize, words: &[&str]) -> bool {
+    words.iter().any(|word| statement.is_word(index, word))
 }
--- a/crates/core/src/identity.rs
+++ b/crates/core/src/identity.rs
@@ -1,14 +1,15 @@
-//! Typed names of the things corktack speaks about.
+//! Typed names and ids of groups, members, classes, bindings, proxies, zones and replicas.
 //!
-//! Owns the checks of names; a name that exists is valid. Names are stored and sent.
+//! Names are checked when they are constructed or decoded, so every value of a name type is valid. Names
+//! are stored and sent between processes.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Longest name accepted for any object, in bytes.
+/// Maximum length of any name, in bytes.
 pub const NAME_LIMIT: usize = 63;
 
-/// Why a name was refused.
+/// Reason why a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NameError {
     /// The name is empty.
@@ -17,7 +18,7 @@
     /// The name is longer than [`NAME_LIMIT`].
     #[error("a name has {0} bytes, at most {NAME_LIMIT} are allowed")]
     TooLong(usize),
-    /// The name holds a character outside `a-z A-Z 0-9 . _ -`.
+    /// The name contains a character outside `a-z A-Z 0-9 . _ -`.
     #[error("a name must not hold the character {0:?}")]
     Character(char),
 }
@@ -29,8 +30,9 @@
     if text.len() > NAME_LIMIT {
         return Err(NameError::TooLong(text.len()));
     }
-    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-    match text.chars().find(|c| !allowed(*c)) {
+    let is_allowed =
+        |character: char| character.is_ascii_alphanumeric() || matches!(character, '.' | '_' | '-');
+    match text.chars().find(|character| !is_allowed(*character)) {
         Some(character) => Err(NameError::Character(character)),
         None => Ok(()),
     }
@@ -44,17 +46,17 @@
         pub struct $name(String);
 
         impl $name {
-            /// Checks and wraps a name.
+            /// Returns the name after checking the text.
             ///
             /// # Errors
-            /// A [`NameError`] that tells what is wrong with the text.
+            /// [`NameError`] if the text is empty, too long or contains a character that is not allowed.
             pub fn new(text: impl Into<String>) -> Result<Self, NameError> {
                 let text = text.into();
                 check_name(&text)?;
                 Ok(Self(text))
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -96,7 +98,7 @@
     GroupName
 );
 name_type!(
-    /// Name of one back end inside its group.
+    /// Name of a back end, unique within its group.
     MemberName
 );
 name_type!(
@@ -108,27 +110,27 @@
     BindingName
 );
 name_type!(
-    /// Name of a proxy process, stable over restarts.
+    /// Name of a proxy process, which stays the same over restarts.
     ProxyName
 );
 name_type!(
-    /// Name of a zone; zones of one region share the text before the first `.`.
+    /// Name of a zone. Zones of the same region share the text before the first `.`.
     ZoneName
 );
 
 impl ZoneName {
-    /// The region: the text before the first `.`.
+    /// Returns the region: the text before the first `.`.
     #[must_use]
     pub fn region(&self) -> &str {
         self.as_str().split('.').next().unwrap_or_default()
     }
 }
 
-/// Number drawn afresh at every start of a process, to tell its incarnations apart.
+/// Number that a process draws anew at every start, so that its incarnations can be told apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// Identity of a control replica. A replica that lost its disk gets a new one.
+/// Id of a control replica. A replica that lost its disk gets a new id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId(pub u64);
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,18 +1,19 @@
 //! Decision logic of corktack, without input or output.
 //!
-//! Everything here is a deterministic state machine: it takes events and an
-//! explicit [`time::Timestamp`], and returns actions for a shell to perform.
-//! Nothing blocks, reads a clock, opens a file or draws ambient randomness,
-//! so the same code runs in the server and in the simulator.
+//! Each component is a deterministic state machine: it takes events and an explicit [`time::Timestamp`],
+//! and returns actions that the calling process performs. No code in this crate blocks, reads a clock,
+//! opens a file or uses a global random number generator, so the same code runs in the server and in the
+//! simulator.
 //!
-//! - What control agrees on: [`consensus`] (the log), [`state`], [`resources`], [`registry`], [`tenancy`],
-//!   [`view`] and [`watch`] (what proxies get of it).
-//! - What the cell's leader decides: [`membership`] (who is live), [`ownership`] (who owns a group),
-//!   [`failover`] and [`registry`]'s promotions (who is primary), [`limits`] (what tenants may begin).
-//! - What a gateway decides: [`gateway`] (members, holders, freshness), [`scheduling`] (who gets a slot),
-//!   [`limits`].
-//! - What an owner and an edge decide (the PostgreSQL road): [`admission`], [`routing`], [`pool`], [`session`],
-//!   [`classify`], [`binding`], [`backend`].
+//! - State replicated by the control replicas: [`consensus`] (the log), [`state`], [`resources`],
+//!   [`registry`], [`tenancy`], [`view`] and [`watch`] (the parts that proxies receive).
+//! - Decisions of the cell's leader: [`membership`] (which proxies are live), [`ownership`] (which proxy owns
+//!   a group), [`failover`] and the promotions of [`registry`] (which member is primary), [`limits`] (which
+//!   operations tenants may start).
+//! - Decisions of a gateway: [`gateway`] (members, holders, freshness), [`scheduling`] (which request gets a
+//!   slot), [`limits`].
+//! - Decisions of an owner and an edge, which serve the PostgreSQL protocol: [`admission`], [`routing`],
+//!   [`pool`], [`session`], [`classify`], [`binding`], [`backend`].
 
 pub mod admission;
 pub mod backend;
--- a/crates/core/src/list_difference.rs
+++ b/crates/core/src/list_difference.rs
@@ -1,34 +1,34 @@
-//! What turns one list into another, in less than the whole.
+//! Differences between two lists, as edit steps, which are usually shorter than the new list.
 //!
-//! Owns the form of the steps, which travel, and both directions: what differs, and the list after it.
+//! [`list_steps`] computes the steps and [`follow_steps`] applies them. Steps are sent between processes.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// One step along the list before.
+/// One edit step. The steps of a difference pass over the old list from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListStep<T> {
-    /// So many entries stay.
+    /// This many entries of the old list stay.
     Keep(usize),
-    /// So many entries go.
+    /// This many entries of the old list are removed.
     Drop(usize),
-    /// These entries come here.
+    /// These entries are inserted at this point.
     Insert(Vec<T>),
 }
 
-/// Steps that do not fit the list that they are applied to.
+/// Error of steps that were computed for a list of another length than the list they are applied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the steps are for a list of {expected} entries, and there are {found}")]
 pub struct StepsMismatch {
-    /// Entries that the steps keep or drop.
+    /// Number of entries that the steps keep or drop.
     pub expected: usize,
-    /// Entries of the list.
+    /// Number of entries of the list.
     pub found: usize,
 }
 
-/// The steps from one list to another. Entries with the same key are taken for the same entry, changed
-/// or not; the result is exact for any keys, and short where keys are not used twice.
+/// Returns the steps that turn `before` into `after`. Entries with the same key count as versions of the
+/// same entry. The steps are exact for any keys, and short if no two entries of a list share a key.
 pub fn list_steps<T, K>(
     before: &[T],
     after: &[T],
@@ -38,48 +38,50 @@
     T: Clone + PartialEq,
     K: Eq + Hash + ?Sized,
 {
-    let places: HashMap<&K, usize> =
-        before.iter().enumerate().map(|(place, entry)| (key(entry), place)).collect();
-    let mut steps = Steps::default();
-    let mut next = 0;
+    let old_positions: HashMap<&K, usize> =
+        before.iter().enumerate().map(|(position, entry)| (key(entry), position)).collect();
+    let mut steps = StepBuilder::default();
+    let mut next_position = 0;
     for entry in after {
-        // What is skipped is gone, or comes later in the new list, where it is inserted.
-        if let Some(place) = places.get(key(entry)).filter(|place| **place >= next) {
-            steps.drop(place - next);
-            next = *place;
+        // An entry that is skipped here is removed, or the new list has it further on and inserts it there.
+        if let Some(position) =
+            old_positions.get(key(entry)).filter(|position| **position >= next_position)
+        {
+            steps.drop(position - next_position);
+            next_position = *position;
         }
-        if before.get(next) == Some(entry) {
+        if before.get(next_position) == Some(entry) {
             steps.keep();
-            next += 1;
+            next_position += 1;
         } else {
             steps.insert(entry.clone());
         }
     }
-    steps.drop(before.len() - next);
+    steps.drop(before.len() - next_position);
     steps.0
 }
 
-/// The list that steps lead to.
+/// Applies the steps to `before` and returns the resulting list.
 ///
 /// # Errors
-/// [`StepsMismatch`] where they were made for a list of another length.
+/// [`StepsMismatch`] if the steps were computed for a list of another length.
 pub fn follow_steps<T: Clone>(
     before: &[T],
     steps: &[ListStep<T>],
 ) -> Result<Vec<T>, StepsMismatch> {
-    let passed = |step: &ListStep<T>| match step {
+    let consumed_entries = |step: &ListStep<T>| match step {
         ListStep::Keep(count) | ListStep::Drop(count) => *count,
         ListStep::Insert(_) => 0,
     };
-    let expected = steps.iter().map(passed).fold(0, usize::saturating_add);
+    let expected = steps.iter().map(consumed_entries).fold(0, usize::saturating_add);
     if expected != before.len() {
         return Err(StepsMismatch { expected, found: before.len() });
     }
     let mut after = Vec::with_capacity(before.len());
-    let mut rest = before;
+    let mut remaining = before;
     for step in steps {
-        let (head, tail) = rest.split_at(passed(step));
-        rest = tail;
+        let (head, tail) = remaining.split_at(consumed_entries(step));
+        remaining = tail;
         match step {
             ListStep::Keep(_) => after.extend_from_slice(head),
             ListStep::Drop(_) => (),
@@ -89,17 +91,17 @@
     Ok(after)
 }
 
-/// Steps as they are found; like ones are joined.
+/// Collects steps and joins adjacent steps of the same kind.
 #[derive(Debug)]
-struct Steps<T>(Vec<ListStep<T>>);
+struct StepBuilder<T>(Vec<ListStep<T>>);
 
-impl<T> Default for Steps<T> {
+impl<T> Default for StepBuilder<T> {
     fn default() -> Self {
         Self(Vec::new())
     }
 }
 
-impl<T> Steps<T> {
+impl<T> StepBuilder<T> {
     fn keep(&mut self) {
         match self.0.last_mut() {
             Some(ListStep::Keep(count)) => *count += 1,
@@ -107,13 +109,13 @@
         }
     }
 
-    fn drop(&mut self, more: usize) {
-        if more == 0 {
+    fn drop(&mut self, additional: usize) {
+        if additional == 0 {
             return;
         }
         match self.0.last_mut() {
-            Some(ListStep::Drop(count)) => *count += more,
-            _ => self.0.push(ListStep::Drop(more)),
+            Some(ListStep::Drop(count)) => *count += additional,
+            _ => self.0.push(ListStep::Drop(additional)),
         }
     }
 
--- a/crates/core/src/map_difference.rs
+++ b/crates/core/src/map_difference.rs
@@ -1,19 +1,17 @@
-//! What differs between two sorted maps.
-//!
-//! One pass over both; owns nothing.
+//! Differences between two sorted maps, found in one pass over both.
 
 use std::collections::BTreeMap;
 
-/// One entry that differs.
+/// Change of one entry between two maps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryChange<'m, K, V> {
-    /// It is new, or has another value now.
+    /// The entry is new or has a new value; this is its key and new value.
     Put(&'m K, &'m V),
-    /// It is there no more; this was its value.
+    /// The entry is not in the later map; this is its key and former value.
     Removed(&'m K, &'m V),
 }
 
-/// The entries in which `later` differs from `earlier`, by key. `is_same` compares values.
+/// Returns the changes from `earlier` to `later` in the order of their keys. `is_same` compares values.
 pub fn differences<'m, K: Ord, V>(
     earlier: &'m BTreeMap<K, V>,
     later: &'m BTreeMap<K, V>,
@@ -32,16 +30,16 @@
                 old.next();
             }
             (old_entry, Some((key, value))) => {
-                let before = old_entry.filter(|(old_key, _)| old_key == key);
-                if !before.is_some_and(|(_, before)| is_same(before, value)) {
+                let same_key_entry = old_entry.filter(|(old_key, _)| old_key == key);
+                if !same_key_entry.is_some_and(|(_, old_value)| is_same(old_value, value)) {
                     changes.push(EntryChange::Put(key, value));
                 }
-                if before.is_some() {
+                if same_key_entry.is_some() {
                     old.next();
                 }
                 new.next();
             }
-            // A removed entry is taken by the first arm.
+            // Unreachable: the arm with the guard handles an old entry without a new one.
             (Some(_), None) => return changes,
         }
     }
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -1,7 +1,5 @@
-//! Decisions about server connections: replies, session state, sizes.
-//!
-//! Owns the rule for how many idle connections an owner keeps to each member. Relies on the view for the group's
-//! limits and for which members are draining.
+//! Decisions about pooled server connections: which reply answers which message, which statements change the
+//! session, how keyed writes are stored, and how many idle connections an owner keeps to each member.
 
 pub mod outcomes;
 pub mod replies;
@@ -12,18 +10,19 @@
 use crate::view::GroupView;
 use std::collections::BTreeMap;
 
-/// Idle server connections to keep to each member: enough to the primary for all
-/// slots, and as many to each replica as the rest of the limit allows.
+/// Returns the number of idle server connections to keep to each member that is not draining: to the
+/// primary enough for all slots, and to each replica an equal share of the rest of the group's
+/// connection limit, but at most one per slot.
 #[must_use]
 pub fn warm_targets(group: &GroupView) -> BTreeMap<MemberName, u32> {
     let spec = &group.spec;
     let names = spec.members.iter().map(|member| &member.name);
     let serving: Vec<_> = names.filter(|name| !is_draining(group, name)).collect();
     let is_primary = |name: &MemberName| group.primary.as_ref() == Some(name);
-    let to_primary = spec.slots.min(spec.connections);
-    let replicas = serving.iter().filter(|name| !is_primary(name)).count() as u32;
-    let share = (spec.connections - to_primary).checked_div(replicas).unwrap_or(0);
-    let to_replica = share.min(spec.slots);
-    let target = |name: &MemberName| if is_primary(name) { to_primary } else { to_replica };
+    let primary_target = spec.slots.min(spec.connections);
+    let replica_count = serving.iter().filter(|name| !is_primary(name)).count() as u32;
+    let replica_share = (spec.connections - primary_target).checked_div(replica_count).unwrap_or(0);
+    let replica_target = replica_share.min(spec.slots);
+    let target = |name: &MemberName| if is_primary(name) { primary_target } else { replica_target };
     serving.into_iter().map(|name| (name.clone(), target(name))).collect()
 }
--- a/crates/core/src/pool/replies.rs
+++ b/crates/core/src/pool/replies.rs
@@ -1,7 +1,7 @@
-//! Which back-end message answers which front-end message on one connection.
+//! Matches back-end messages to the front-end messages that they answer, on one server connection.
 //!
-//! Owns the messages that wait for an answer, in order. Relies on the published protocol: answers come in the order of
-//! the questions.
+//! [`ReplyTracker`] holds the messages that wait for an answer. The PostgreSQL protocol guarantees that
+//! answers arrive in the order of the messages.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -23,7 +23,7 @@
     pub const SYNC: u8 = b'S';
     /// Flush.
     pub const FLUSH: u8 = b'H';
-    /// Copy data, its end and its failure; they have no answer of their own.
+    /// CopyData, CopyDone and CopyFail; the back end does not answer them separately.
     pub const COPY: [u8; 3] = [b'd', b'c', b'f'];
 }
 
@@ -73,16 +73,16 @@
     pub const COPY_DONE: u8 = b'c';
 }
 
-/// A front-end message that was sent, with what its answer means.
+/// Front-end message whose answer is expected, or which was left out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Sent {
     /// A simple query.
     Query,
-    /// A caller's Parse of a named statement, or the unnamed one if empty.
+    /// A caller's Parse of the statement with this name; an empty name is the unnamed statement.
     Parse(String),
-    /// A Parse that the owner added; the caller does not see its completion.
+    /// A Parse that the owner added; its completion is not forwarded to the caller.
     InjectedParse(String),
-    /// A Parse that was not sent since the statement exists; its completion is made here.
+    /// A Parse that was not sent since the statement exists already; its completion is synthesized.
     SkippedParse,
     /// Bind.
     Bind,
@@ -90,78 +90,79 @@
     Describe,
     /// Execute.
     Execute,
-    /// A caller's Close of a named statement, or of a portal if none.
+    /// A caller's Close of the statement with this name, or of a portal if `None`.
     Close(Option<String>),
-    /// A Close of a statement that the owner added.
+    /// A Close, added by the owner, of the statement with this name.
     InjectedClose(String),
     /// Sync.
     Sync,
-    /// Flush: the end of a part of a batch; the back end does not answer it.
+    /// Flush, which ends a part of a batch; the back end does not answer it.
     Flush,
 }
 
-/// What to do with a back-end message.
+/// Action for a back-end message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// It is the caller's.
+    /// The message is forwarded to the caller.
     Forward,
-    /// It answers something that the owner added.
+    /// The message answers a message that the owner added, and is not forwarded.
     Swallow,
-    /// `ReadyForQuery`: the batch is answered.
+    /// The message is the `ReadyForQuery` that ends the answer to a batch or query.
     Ready,
 }
 
-/// A back-end message placed.
+/// Result of matching a back-end message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// `ParseComplete` messages to make up for the caller before this message.
+    /// Number of `ParseComplete` messages to synthesize for the caller before this message.
     pub synthesized: usize,
-    /// What to do with the message.
+    /// Action for the message.
     pub disposition: Disposition,
 }
 
-/// A back-end message that no front-end message explains. The connection must
-/// be discarded: what follows cannot be told apart.
+/// Error of a back-end message that answers no front-end message. The connection must be discarded,
+/// since later messages cannot be matched either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("back-end message with tag {tag:?} answers nothing that was sent")]
+#[error("back-end message with tag {tag:?} does not answer any message sent")]
 pub struct UnexpectedReply {
-    /// The message's tag.
+    /// Tag of the message.
     pub tag: char,
 }
 
-/// Follows the messages of one server connection and its prepared statements.
+/// Tracks the messages that wait for an answer on one server connection, and the connection's prepared
+/// statements.
 #[derive(Debug, Default)]
 pub struct ReplyTracker {
     expected: VecDeque<Sent>,
-    /// Statements the back end confirmed, with the order of their last use.
+    /// Names of the statements that the back end confirmed, with the value of `uses` at their last use.
     prepared: BTreeMap<String, u64>,
     uses: u64,
 }
 
 impl ReplyTracker {
-    /// Whether every message sent was answered.
+    /// Reports whether every message sent was answered.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.expected.is_empty()
     }
 
-    /// Whether a statement exists, or will by the messages sent so far.
+    /// Reports whether the statement will exist once all messages sent so far are answered without error.
     #[must_use]
     pub fn has_statement(&self, name: &str) -> bool {
-        let mut known = self.prepared.contains_key(name);
+        let mut exists = self.prepared.contains_key(name);
         for sent in &self.expected {
             match sent {
-                Sent::Parse(other) | Sent::InjectedParse(other) if other == name => known = true,
+                Sent::Parse(other) | Sent::InjectedParse(other) if other == name => exists = true,
                 Sent::Close(Some(other)) | Sent::InjectedClose(other) if other == name => {
-                    known = false;
+                    exists = false;
                 }
                 _ => {}
             }
         }
-        known
+        exists
     }
 
-    /// Marks a statement as used now, so that it is closed later than others.
+    /// Marks the statement as the one used most recently.
     pub fn touch_statement(&mut self, name: &str) {
         self.uses += 1;
         if let Some(last_use) = self.prepared.get_mut(name) {
@@ -169,8 +170,8 @@
         }
     }
 
-    /// The statements used longest ago that must be closed so that `limit` is
-    /// kept after one more is prepared; never one of `needed`.
+    /// Returns the least recently used statements that must be closed so that at most `limit` exist after
+    /// one more is prepared. Statements in `needed` are never returned, so fewer may be closed.
     #[must_use]
     pub fn statements_to_close(&self, limit: usize, needed: &BTreeSet<&str>) -> Vec<String> {
         let excess = (self.prepared.len() + 1).saturating_sub(limit);
@@ -183,18 +184,19 @@
         by_age.into_iter().take(excess).map(|(_, name)| name.clone()).collect()
     }
 
-    /// Forgets the statements: the session was reset.
+    /// Removes all statements, after a reset of the session dropped them on the server.
     pub fn forget_statements(&mut self) {
         self.prepared.clear();
     }
 
-    /// Records a message that was sent, or left out.
+    /// Records a message that was sent, or left out ([`Sent::SkippedParse`]).
     pub fn sent(&mut self, message: Sent) {
         self.expected.push_back(message);
     }
 
-    /// Whether everything up to a Flush is answered. If so it is taken off, and the
-    /// `ParseComplete` messages to make up for the caller before it are counted.
+    /// Removes the next Flush if every message before it is answered, and returns the number of
+    /// `ParseComplete` messages to synthesize for the caller. Returns `None` if the next message
+    /// to be answered is not a Flush.
     pub fn flushed(&mut self) -> Option<usize> {
         let skipped = self.expected.iter().take_while(|sent| **sent == Sent::SkippedParse).count();
         if self.expected.get(skipped) != Some(&Sent::Flush) {
@@ -204,20 +206,20 @@
         Some(skipped)
     }
 
-    /// Places a back-end message.
+    /// Matches a back-end message to the front-end message that it answers.
     ///
     /// # Errors
-    /// [`UnexpectedReply`] when nothing sent explains it.
+    /// [`UnexpectedReply`] if the message answers no message sent.
     pub fn received(&mut self, tag: u8) -> Result<Reply, UnexpectedReply> {
         if matches!(tag, back::PARAMETER_STATUS | back::NOTICE | back::NOTIFICATION) {
             return Ok(Reply { synthesized: 0, disposition: Disposition::Forward });
         }
-        let synthesized = self.take_skipped();
-        let disposition = self.place(tag)?;
+        let synthesized = self.pop_skipped_parses();
+        let disposition = self.match_reply(tag)?;
         Ok(Reply { synthesized, disposition })
     }
 
-    fn take_skipped(&mut self) -> usize {
+    fn pop_skipped_parses(&mut self) -> usize {
         let mut count = 0;
         while self.expected.front() == Some(&Sent::SkippedParse) {
             self.expected.pop_front();
@@ -226,28 +228,28 @@
         count
     }
 
-    fn place(&mut self, tag: u8) -> Result<Disposition, UnexpectedReply> {
+    fn match_reply(&mut self, tag: u8) -> Result<Disposition, UnexpectedReply> {
         let unexpected = UnexpectedReply { tag: char::from(tag) };
         let first = self.expected.front().cloned().ok_or(unexpected)?;
         if first == Sent::Query {
-            return Ok(self.place_in_query(tag));
+            return Ok(self.match_query_reply(tag));
         }
         if tag == back::ERROR {
-            self.skip_to_end_of_part();
+            self.drop_until_sync_or_flush();
             return Ok(Disposition::Forward);
         }
-        let (fits, completes) = answers(&first, tag);
-        if !fits {
+        let (is_expected, completes) = match_tag(&first, tag);
+        if !is_expected {
             return Err(unexpected);
         }
         if completes {
             self.expected.pop_front();
-            self.complete(&first);
+            self.apply_completion(&first);
         }
         Ok(disposition_of(&first))
     }
 
-    fn place_in_query(&mut self, tag: u8) -> Disposition {
+    fn match_query_reply(&mut self, tag: u8) -> Disposition {
         if tag != back::READY {
             return Disposition::Forward;
         }
@@ -255,16 +257,16 @@
         Disposition::Ready
     }
 
-    /// After an error the back end reads and drops everything up to the Sync. At a
-    /// Flush the caller has its whole answer so far.
-    fn skip_to_end_of_part(&mut self) {
-        let ends = |sent: &Sent| matches!(sent, Sent::Sync | Sent::Flush);
-        while self.expected.front().is_some_and(|sent| !ends(sent)) {
+    /// Removes the messages up to the next Sync or Flush, after an error: the back end discards all
+    /// messages up to the Sync, and at a Flush the caller has the whole answer so far.
+    fn drop_until_sync_or_flush(&mut self) {
+        let ends_part = |sent: &Sent| matches!(sent, Sent::Sync | Sent::Flush);
+        while self.expected.front().is_some_and(|sent| !ends_part(sent)) {
             self.expected.pop_front();
         }
     }
 
-    fn complete(&mut self, sent: &Sent) {
+    fn apply_completion(&mut self, sent: &Sent) {
         match sent {
             Sent::Parse(name) | Sent::InjectedParse(name) if !name.is_empty() => {
                 self.uses += 1;
@@ -284,9 +286,9 @@
     }
 }
 
-/// Whether the tag is part of the answer to a message, and whether it ends it.
-fn answers(sent: &Sent, tag: u8) -> (bool, bool) {
-    let (parts, ends): (&[u8], &[u8]) = match sent {
+/// Reports whether the tag belongs to the answer to a message, and whether it ends that answer.
+fn match_tag(sent: &Sent, tag: u8) -> (bool, bool) {
+    let (partial_tags, final_tags): (&[u8], &[u8]) = match sent {
         Sent::Parse(_) | Sent::InjectedParse(_) => (&[], &[back::PARSE_COMPLETE]),
         Sent::Bind => (&[], &[back::BIND_COMPLETE]),
         Sent::Close(_) | Sent::InjectedClose(_) => (&[], &[back::CLOSE_COMPLETE]),
@@ -298,6 +300,6 @@
         Sent::Sync => (&[], &[back::READY]),
         Sent::Query | Sent::SkippedParse | Sent::Flush => (&[], &[]),
     };
-    let completes = ends.contains(&tag);
-    (completes || parts.contains(&tag), completes)
+    let completes = final_tags.contains(&tag);
+    (completes || partial_tags.contains(&tag), completes)
 }
--- a/crates/core/src/resources/mod.rs
+++ b/crates/core/src/resources/mod.rs
@@ -1,6 +1,7 @@
-//! The resources that operators declare.
+//! Resources that operators declare, and the checks of each resource by itself.
 //!
-//! Owns their forms and their checks. They are read from manifests, stored and sent; names and order of fields stay.
+//! The types are read from manifests, stored and sent, so the names and the order of their fields must not
+//! change.
 
 mod network;
 mod validation;
@@ -15,57 +16,57 @@
 /// Version of the manifest format.
 pub const API_VERSION: &str = "corktack/v1";
 
-/// Version of one stored resource: the revision of the change that wrote it.
+/// Version of a stored resource: the revision of the change that last wrote it.
 ///
-/// A replace or delete carries the version it was made from, and conflicts when
-/// the stored one differs. Zero stands for "does not exist yet".
+/// A replace or delete carries the version that it is based on, and is refused as a conflict if the stored
+/// version differs. Zero means that the resource does not exist.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ResourceVersion(pub u64);
 
-/// Kind of a resource.
+/// Kind of a resource, as in the field `kind` of a manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// A replica set of databases with its connection limits.
+    /// A replica set of databases with its connection and queue limits.
     DatabaseGroup,
-    /// A level of service.
+    /// A priority for slots.
     PriorityClass,
-    /// A rule that gives callers a priority class.
+    /// A rule that assigns callers to a priority class.
     Binding,
 }
 
-/// One back end of a group.
+/// Member of a group: one back end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct MemberSpec {
-    /// Name, unique in the group.
+    /// Name of the member, unique in the group.
     pub name: MemberName,
-    /// Address of its PostgreSQL interface.
+    /// Address of the PostgreSQL interface.
     pub address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone in which the member runs.
     pub zone: ZoneName,
-    /// Set by an operator to retire the back end: it gets no new work.
+    /// Set by an operator to retire the member, which then gets no new work.
     #[serde(default)]
     pub draining: bool,
 }
 
-/// What an operator declares of a database group.
+/// Declared part of a database group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct DatabaseGroupSpec {
     /// Database name that callers connect to.
     pub database: String,
-    /// The replica set.
+    /// Members of the replica set.
     pub members: Vec<MemberSpec>,
-    /// Slots: server connections of the group that may run a transaction at once.
+    /// Maximum number of the group's server connections that may run a transaction at the same time.
     pub slots: u32,
-    /// Server connections kept open over all members, at least `slots`.
+    /// Number of server connections kept open to all members together, at least `slots`.
     pub connections: u32,
-    /// Requests that may wait for a slot before further ones are refused.
+    /// Maximum number of requests that may wait for a slot; further requests are refused.
     #[serde(default = "default_queue_limit")]
     pub queue_limit: u32,
-    /// Longest wait for a slot, in milliseconds; a request over it is refused as not run.
+    /// Longest wait for a slot, in milliseconds. A request that waits longer is refused as not run.
     #[serde(default = "default_queue_timeout_ms")]
     pub queue_timeout_ms: u32,
     /// Longest wait for a replica to reach a session's position, in milliseconds.
@@ -85,22 +86,22 @@
     20
 }
 
-/// What an operator declares of a priority class.
+/// Declared part of a priority class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct PriorityClassSpec {
-    /// Higher is served first.
+    /// Priority; a class with a higher value is served first.
     pub priority: u32,
-    /// Share of grants guaranteed to the class under contention, in percent, so
-    /// that a low class is not starved. The shares of all classes stay at or below 100.
+    /// Share of slot grants guaranteed to the class under contention, in percent, so that a class of low
+    /// priority is not starved. The shares of all classes together are at most 100.
     #[serde(default)]
     pub guaranteed_percent: u8,
 }
 
-/// Which callers a binding covers; an absent field covers all.
+/// Conditions on the callers that a binding matches; an absent field matches all callers.
 ///
-/// Absent fields are written too: the internal codec has no field names, so a
-/// field left out would shift the ones after it.
+/// Absent fields are serialized too: the internal encoding has no field names, so a field left out would
+/// shift the fields after it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct CallerMatch {
@@ -113,26 +114,26 @@
     /// `application_name` of the startup message.
     #[serde(default)]
     pub application_name: Option<String>,
-    /// Source network, `ADDRESS/PREFIX`.
+    /// Network of the caller's source address, `ADDRESS/PREFIX`.
     #[serde(default)]
     pub source_network: Option<String>,
 }
 
-/// What an operator declares of a binding.
+/// Declared part of a binding.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct BindingSpec {
-    /// The callers.
+    /// Callers that the binding matches.
     #[serde(rename = "match", default)]
     pub callers: CallerMatch,
-    /// The class they get.
+    /// Priority class of these callers.
     pub class: ClassName,
-    /// The binding with the highest order that matches wins; then the first by name.
+    /// Rank among matching bindings: the highest order decides, and among equal orders the first by name.
     #[serde(default)]
     pub order: u32,
 }
 
-/// Name of a resource together with its kind.
+/// Kind and name of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ResourceKey {
     /// A database group.
@@ -143,7 +144,7 @@
     Binding(BindingName),
 }
 
-/// The declared part of a resource.
+/// Declared part of a resource of any kind.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ResourceSpec {
     /// A database group.
@@ -155,7 +156,7 @@
 }
 
 impl ResourceKey {
-    /// Its kind.
+    /// Returns the kind of the resource.
     #[must_use]
     pub const fn kind(&self) -> Kind {
         match self {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Its name.
+    /// Returns the name of the resource.
     #[must_use]
     pub fn name(&self) -> &str {
         match self {
@@ -177,7 +178,7 @@
 }
 
 impl ResourceSpec {
-    /// Its kind.
+    /// Returns the kind of the resource.
     #[must_use]
     pub const fn kind(&self) -> Kind {
         match self {
@@ -189,13 +190,13 @@
 }
 
 impl DatabaseGroupSpec {
-    /// The member of that name.
+    /// Returns the member of that name.
     #[must_use]
     pub fn member(&self, name: &MemberName) -> Option<&MemberSpec> {
         self.members.iter().find(|member| member.name == *name)
     }
 
-    /// Smallest number of members that is more than half.
+    /// Returns the smallest number of members that is more than half of them.
     #[must_use]
     pub const fn majority(&self) -> usize {
         self.members.len() / 2 + 1
--- a/crates/core/src/resources/validation.rs
+++ b/crates/core/src/resources/validation.rs
@@ -1,22 +1,20 @@
-//! Checks of one declared resource that need no other resource.
-//!
-//! Owns the bounds of single fields; a refusal names the field's path.
+//! Checks of a declared resource that need no other resource. An error names the path of the invalid field.
 
 use super::{BindingSpec, DatabaseGroupSpec, PriorityClassSpec, ResourceSpec, SourceNetwork};
 use crate::identity::MemberName;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Most members of one group. Chosen, not measured.
+/// Maximum number of members of a group.
 pub const MEMBER_LIMIT: usize = 15;
 
-/// Longest database, user or application name, in bytes; that of a PostgreSQL name.
+/// Maximum length of a database, user or application name, in bytes: that of a PostgreSQL name.
 pub const TEXT_LIMIT: usize = 63;
 
-/// Highest value of a share in percent.
+/// Maximum value of a guaranteed share, and of all shares together, in percent.
 pub const PERCENT_LIMIT: u32 = 100;
 
-/// What is wrong with a declared resource.
+/// Reason why a declared resource is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpecError {
     /// A text is empty.
@@ -25,7 +23,7 @@
         /// Path of the field.
         field: &'static str,
     },
-    /// A text is too long or holds a control character.
+    /// A text is longer than [`TEXT_LIMIT`] or contains a control character.
     #[error("must have at most {TEXT_LIMIT} bytes and no control characters")]
     Text {
         /// Path of the field.
@@ -34,31 +32,31 @@
     /// A group has no members.
     #[error("at least one member is needed")]
     NoMembers,
-    /// A group has too many members.
+    /// A group has more than [`MEMBER_LIMIT`] members.
     #[error("{0} members are more than the {MEMBER_LIMIT} allowed")]
     TooManyMembers(usize),
     /// Two members have the same name.
     #[error("the name {name} is used by an earlier member")]
     DuplicateMember {
-        /// Place of the second one.
-        place: usize,
-        /// The name.
+        /// Index of the second member.
+        index: usize,
+        /// Name that both members have.
         name: MemberName,
     },
     /// Two members have the same address.
     #[error("the address {address} is used by an earlier member")]
     DuplicateAddress {
-        /// Place of the second one.
-        place: usize,
-        /// The address.
+        /// Index of the second member.
+        index: usize,
+        /// Address of the member.
         address: SocketAddr,
     },
-    /// A member's address cannot be connected to.
+    /// A member's address has port 0 or an unspecified IP address.
     #[error("the address {address} cannot be connected to")]
     UnusableAddress {
-        /// Place of the member.
-        place: usize,
-        /// The address.
+        /// Index of the member.
+        index: usize,
+        /// Address of the member.
         address: SocketAddr,
     },
     /// A group has no slots.
@@ -67,9 +65,9 @@
     /// A group has fewer connections than slots.
     #[error("{connections} connections are fewer than the {slots} slots")]
     TooFewConnections {
-        /// Declared connections.
+        /// Declared number of connections.
         connections: u32,
-        /// Declared slots.
+        /// Declared number of slots.
         slots: u32,
     },
     /// A share is above 100 percent.
@@ -81,15 +79,15 @@
 }
 
 impl SpecError {
-    /// Path of the field inside the manifest.
+    /// Returns the path of the invalid field inside the manifest.
     #[must_use]
     pub fn field(&self) -> String {
         match self {
             Self::EmptyText { field } | Self::Text { field } => (*field).to_owned(),
             Self::NoMembers | Self::TooManyMembers(_) => "spec.members".to_owned(),
-            Self::DuplicateMember { place, .. } => format!("spec.members[{place}].name"),
-            Self::DuplicateAddress { place, .. } | Self::UnusableAddress { place, .. } => {
-                format!("spec.members[{place}].address")
+            Self::DuplicateMember { index, .. } => format!("spec.members[{index}].name"),
+            Self::DuplicateAddress { index, .. } | Self::UnusableAddress { index, .. } => {
+                format!("spec.members[{index}].address")
             }
             Self::NoSlots => "spec.slots".to_owned(),
             Self::TooFewConnections { .. } => "spec.connections".to_owned(),
@@ -100,7 +98,7 @@
 }
 
 impl ResourceSpec {
-    /// Checks everything that can be told without other resources.
+    /// Checks the resource without reference to other resources.
     ///
     /// # Errors
     /// The first [`SpecError`] found.
@@ -114,7 +112,7 @@
 }
 
 impl DatabaseGroupSpec {
-    /// Checks the group by itself.
+    /// Checks the group without reference to other resources.
     ///
     /// # Errors
     /// The first [`SpecError`] found.
@@ -140,16 +138,16 @@
         }
         let mut names = BTreeSet::new();
         let mut addresses = BTreeSet::new();
-        for (place, member) in self.members.iter().enumerate() {
+        for (index, member) in self.members.iter().enumerate() {
             let address = member.address;
             if !names.insert(&member.name) {
-                return Err(SpecError::DuplicateMember { place, name: member.name.clone() });
+                return Err(SpecError::DuplicateMember { index, name: member.name.clone() });
             }
             if address.port() == 0 || address.ip().is_unspecified() {
-                return Err(SpecError::UnusableAddress { place, address });
+                return Err(SpecError::UnusableAddress { index, address });
             }
             if !addresses.insert(address) {
-                return Err(SpecError::DuplicateAddress { place, address });
+                return Err(SpecError::DuplicateAddress { index, address });
             }
         }
         Ok(())
@@ -157,7 +155,7 @@
 }
 
 impl PriorityClassSpec {
-    /// Checks the class by itself.
+    /// Checks the class without reference to other resources.
     ///
     /// # Errors
     /// The first [`SpecError`] found.
@@ -170,7 +168,7 @@
 }
 
 impl BindingSpec {
-    /// Checks the binding by itself.
+    /// Checks the binding without reference to other resources.
     ///
     /// # Errors
     /// The first [`SpecError`] found.
--- a/crates/core/src/session/mod.rs
+++ b/crates/core/src/session/mod.rs
@@ -1,7 +1,5 @@
-//! What the proxy remembers of one caller's session.
-//!
-//! Owns the positions that the session has seen and its prepared statements. Relies on the edge to note what members
-//! answered.
+//! State that the proxy keeps of one caller's session: the positions that the session has seen, and its
+//! prepared statements. The edge records in it what members answered.
 
 mod statements;
 mod token;
--- a/crates/core/src/session/statements.rs
+++ b/crates/core/src/session/statements.rs
@@ -1,7 +1,7 @@
-//! A session's prepared statements and the names they share on server connections.
+//! Prepared statements of a session.
 //!
-//! Owns the caller's names and texts; on server connections a statement is known by a hash of its text and types, so
-//! that sessions share it.
+//! [`SessionStatements`] maps the caller's names to texts. On server connections the name of a statement is a
+//! hash of its text and parameter types, so that sessions share the statement.
 
 use crate::classify::StatementProfile;
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -9,16 +9,17 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// Name that no shared statement ever has: closing it does nothing.
+/// Name that no shared statement ever has, so that closing the statement of this name has no effect.
 pub const MISSING_STATEMENT: &str = "ct_none";
 
-/// Most bytes of text that the prepared statements of a session hold. Chosen, not measured: a bound on memory.
+/// Maximum total length of the texts of a session's prepared statements, in bytes, which bounds the memory of
+/// a session.
 pub const TEXT_LIMIT: usize = 32 * 1024 * 1024;
 
-/// Keys of the hash behind shared names: fixed, so that all proxies agree.
+/// Keys of the hash in shared names, fixed so that all proxies compute the same names.
 const HASH_KEYS: (u64, u64) = (0x636f_726b_7461_636b, 0x7374_6174_656d_656e);
 
-/// Name on server connections of a statement with this text and these types.
+/// Returns the name on server connections of a statement with this text and these parameter types.
 #[must_use]
 pub fn shared_name(query: &str, parameter_types: &[u32]) -> String {
     let mut hasher = SipHasher13::new_with_keys(HASH_KEYS.0, HASH_KEYS.1);
@@ -27,92 +28,92 @@
     format!("ct_{:032x}", hasher.finish128().as_u128())
 }
 
-/// A statement that the caller prepared.
+/// Prepared statement of a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionStatement {
-    /// Its name on server connections.
+    /// Name of the statement on server connections.
     pub shared_name: String,
-    /// Its text.
+    /// Text of the statement.
     pub query: String,
-    /// The parameter types that the caller gave.
+    /// Object ids of the parameter types that the caller gave.
     pub parameter_types: Vec<u32>,
-    /// What its text may do.
+    /// Classification of the text.
     pub profile: Arc<StatementProfile>,
 }
 
-/// Why a message on a prepared statement is refused.
+/// Reason why a message about a prepared statement is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StatementError {
-    /// The name is taken.
+    /// A statement has this name already.
     #[error("prepared statement {0:?} already exists")]
     Duplicate(String),
-    /// The name is not known.
+    /// No statement has this name.
     #[error("prepared statement {0:?} does not exist")]
     Unknown(String),
     /// The session has too many statements.
     #[error("a session may have {0} prepared statements")]
     TooMany(usize),
-    /// The session's statements are too long together.
+    /// The texts of the session's statements are too long together.
     #[error("the prepared statements of a session may have {0} bytes of text")]
     TooMuchText(usize),
 }
 
-/// What a message will do to the session's statements once the back end has done it.
+/// Change of a session's statements that takes effect when the back end confirms the message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementEffect {
     /// `Parse`: takes effect with `ParseComplete`.
     Define(String, Arc<SessionStatement>),
     /// `Close` of a statement: takes effect with `CloseComplete`.
     Forget(String),
-    /// `Close` of a portal: no effect here.
+    /// `Close` of a portal: does not change the statements.
     ClosePortal,
 }
 
 /// The prepared statements of a session by the caller's names.
 ///
-/// Effects of a batch are visible to its later messages at once, and lasting
-/// only when the back end has confirmed them.
+/// Changes made by a message are visible to the later messages of the batch at once, but survive the
+/// batch only if the back end confirms them.
 #[derive(Debug)]
 pub struct SessionStatements {
     limit: usize,
-    lasting: HashMap<String, Arc<SessionStatement>>,
-    /// Bytes of text of the lasting ones.
-    bytes: usize,
+    confirmed: HashMap<String, Arc<SessionStatement>>,
+    /// Total length of the texts of `confirmed`, in bytes.
+    confirmed_bytes: usize,
     pending: VecDeque<StatementEffect>,
-    /// Statements that the batch so far defines.
-    defined: usize,
-    /// What the batch so far makes of each name it touched: a statement or nothing.
-    touched: HashMap<String, Option<Arc<SessionStatement>>>,
+    /// Number of statements that the batch has defined and the back end has not confirmed.
+    pending_definitions: usize,
+    /// Statement of each name that the batch changed, `None` for a closed statement.
+    batch_changes: HashMap<String, Option<Arc<SessionStatement>>>,
 }
 
 impl SessionStatements {
-    /// No statements yet; at most this many.
+    /// Returns an empty collection for at most `limit` statements.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
-            lasting: HashMap::new(),
-            bytes: 0,
+            confirmed: HashMap::new(),
+            confirmed_bytes: 0,
             pending: VecDeque::new(),
-            defined: 0,
-            touched: HashMap::new(),
+            pending_definitions: 0,
+            batch_changes: HashMap::new(),
         }
     }
 
-    /// The statement of this name, as the next message of the batch sees it.
+    /// Returns the statement of this name as the next message of the batch sees it.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<Arc<SessionStatement>> {
-        match self.touched.get(name) {
-            Some(touched) => touched.clone(),
-            None => self.lasting.get(name).cloned(),
+        match self.batch_changes.get(name) {
+            Some(statement) => statement.clone(),
+            None => self.confirmed.get(name).cloned(),
         }
     }
 
-    /// Notes a `Parse`; the unnamed statement may be parsed again, a named one not.
-    /// Texts that are still pending do not count: a batch is bounded itself.
+    /// Records a `Parse`. The unnamed statement may be replaced, a named one may not. Texts that are not
+    /// confirmed yet do not count towards [`TEXT_LIMIT`], since the size of a batch is bounded.
     ///
     /// # Errors
-    /// [`StatementError`] when the name is taken or the session has too many.
+    /// [`StatementError`] if the name is taken, or the session has too many statements or too much text.
     pub fn define(
         &mut self,
         name: &str,
@@ -121,39 +122,39 @@
         if !name.is_empty() && self.find(name).is_some() {
             return Err(StatementError::Duplicate(name.to_owned()));
         }
-        if self.lasting.len() + self.defined >= self.limit {
+        if self.confirmed.len() + self.pending_definitions >= self.limit {
             return Err(StatementError::TooMany(self.limit));
         }
-        let replaced = self.lasting.get(name).map_or(0, |known| known.query.len());
-        if self.bytes - replaced + statement.query.len() > TEXT_LIMIT {
+        let replaced_bytes = self.confirmed.get(name).map_or(0, |statement| statement.query.len());
+        if self.confirmed_bytes - replaced_bytes + statement.query.len() > TEXT_LIMIT {
             return Err(StatementError::TooMuchText(TEXT_LIMIT));
         }
         let statement = Arc::new(statement);
-        self.defined += 1;
-        self.touched.insert(name.to_owned(), Some(statement.clone()));
+        self.pending_definitions += 1;
+        self.batch_changes.insert(name.to_owned(), Some(statement.clone()));
         self.pending.push_back(StatementEffect::Define(name.to_owned(), statement));
         Ok(())
     }
 
-    /// Notes a `Close` of a statement.
+    /// Records a `Close` of a statement.
     pub fn forget(&mut self, name: &str) {
-        self.touched.insert(name.to_owned(), None);
+        self.batch_changes.insert(name.to_owned(), None);
         self.pending.push_back(StatementEffect::Forget(name.to_owned()));
     }
 
-    /// Notes a `Close` of a portal.
+    /// Records a `Close` of a portal.
     pub fn close_portal(&mut self) {
         self.pending.push_back(StatementEffect::ClosePortal);
     }
 
-    /// The back end has done the next pending `Parse` or `Close`.
+    /// Makes the next pending `Parse` or `Close` permanent, after the back end confirmed it.
     pub fn confirm(&mut self) {
         match self.pending.pop_front() {
             Some(StatementEffect::Define(name, statement)) => {
-                self.defined -= 1;
+                self.pending_definitions -= 1;
                 self.remove(&name);
-                self.bytes += statement.query.len();
-                self.lasting.insert(name, statement);
+                self.confirmed_bytes += statement.query.len();
+                self.confirmed.insert(name, statement);
             }
             Some(StatementEffect::Forget(name)) => self.remove(&name),
             Some(StatementEffect::ClosePortal) | None => {}
@@ -161,22 +162,22 @@
     }
 
     fn remove(&mut self, name: &str) {
-        if let Some(removed) = self.lasting.remove(name) {
-            self.bytes -= removed.query.len();
+        if let Some(removed) = self.confirmed.remove(name) {
+            self.confirmed_bytes -= removed.query.len();
         }
     }
 
-    /// The batch is over: what was not confirmed did not happen.
+    /// Ends the batch and discards the changes that were not confirmed.
     pub fn end_batch(&mut self) {
         self.pending.clear();
-        self.touched.clear();
-        self.defined = 0;
+        self.batch_changes.clear();
+        self.pending_definitions = 0;
     }
 
-    /// Forgets everything.
+    /// Removes all statements.
     pub fn clear(&mut self) {
-        self.lasting.clear();
-        self.bytes = 0;
+        self.confirmed.clear();
+        self.confirmed_bytes = 0;
         self.end_batch();
     }
 }
--- a/crates/core/src/session/token.rs
+++ b/crates/core/src/session/token.rs
@@ -1,6 +1,7 @@
-//! Session tokens: what a session has seen of each group.
+//! Session tokens: the position of each group that a session has seen.
 //!
-//! Owns the text form, which a caller may carry from one proxy to another, and the rule that positions only grow.
+//! A token has a text form that a caller may carry from one proxy to another. The positions in a token never
+//! decrease.
 
 use crate::identity::{GroupName, NameError};
 use crate::position::{Position, PositionError};
@@ -8,54 +9,56 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Most groups that a token may name. Chosen, not measured: a bound on what a caller may send.
+/// Maximum number of groups in a token, which bounds what a caller may send.
 pub const TOKEN_GROUP_LIMIT: usize = 1_024;
 
-/// Why a text is not a token.
+/// Reason why a text is not a token.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     /// A part is not `GROUP=TERM/INDEX`.
     #[error("{0:?} is not of the form GROUP=TERM/INDEX")]
     Part(String),
-    /// A group has no valid name.
+    /// The name of a group is not valid.
     #[error("the token names no valid group")]
     Group(#[from] NameError),
     /// A position is malformed.
     #[error(transparent)]
     Position(#[from] PositionError),
-    /// The token names too many groups.
+    /// The token contains more than [`TOKEN_GROUP_LIMIT`] groups.
     #[error("the token names more than {TOKEN_GROUP_LIMIT} groups")]
     TooManyGroups,
 }
 
 /// The positions that a session has seen, by group.
 ///
-/// As text: `GROUP=TERM/INDEX`, several joined by `,`.
+/// The text form is a comma-separated list of `GROUP=TERM/INDEX`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionToken {
     positions: BTreeMap<GroupName, Position>,
 }
 
 impl SessionToken {
-    /// What the session has seen of a group.
+    /// Returns the position that the session has seen of a group.
     #[must_use]
     pub fn position(&self, group: &GroupName) -> Option<Position> {
         self.positions.get(group).copied()
     }
 
-    /// Adds what the session has seen; a position never goes back.
+    /// Records that the session has seen a position of a group. The recorded position becomes the one that
+    /// covers the old and the new one, so it never decreases.
     pub fn advance(&mut self, group: &GroupName, position: Position) {
         let seen = self.positions.entry(group.clone()).or_default();
         *seen = seen.merge(position);
     }
 
-    /// Adds everything that another token has seen, or nothing.
+    /// Adds all positions of another token, or none on an error.
     ///
     /// # Errors
-    /// [`TokenError::TooManyGroups`] when both together name too many groups.
+    /// [`TokenError::TooManyGroups`] if both tokens together contain too many groups.
     pub fn merge(&mut self, other: &Self) -> Result<(), TokenError> {
-        let added = other.positions.keys().filter(|group| !self.positions.contains_key(*group));
-        if self.positions.len() + added.count() > TOKEN_GROUP_LIMIT {
+        let added_groups =
+            other.positions.keys().filter(|group| !self.positions.contains_key(*group));
+        if self.positions.len() + added_groups.count() > TOKEN_GROUP_LIMIT {
             return Err(TokenError::TooManyGroups);
         }
         for (group, position) in &other.positions {
@@ -67,8 +70,8 @@
 
 impl fmt::Display for SessionToken {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, (group, position)) in self.positions.iter().enumerate() {
-            let separator = if place == 0 { "" } else { "," };
+        for (index, (group, position)) in self.positions.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "," };
             write!(formatter, "{separator}{group}={position}")?;
         }
         Ok(())
--- a/crates/core/src/state/change_set.rs
+++ b/crates/core/src/state/change_set.rs
@@ -1,7 +1,6 @@
-//! Which objects of the view one command touched.
+//! Objects of the view that a command changed, and their conversion to view changes.
 //!
-//! Owns names only; what changed is read from the state once the command is done, in an order in which each change
-//! finds what it names.
+//! View changes are ordered so that each change follows the changes of the objects that it refers to.
 
 use super::ControlState;
 use crate::identity::{BindingName, ClassName, GroupName, ProxyName};
@@ -10,8 +9,8 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Names of the objects that changed. The changes themselves are read from the
-/// state once the command is done, so an object changed twice is told once.
+/// Names of the objects that a command changed. The new values are read from the state after the command,
+/// so an object that changed twice gives one view change.
 #[derive(Debug, Default)]
 pub(super) struct ChangeSet {
     pub groups: BTreeSet<GroupName>,
@@ -22,7 +21,8 @@
 }
 
 impl ChangeSet {
-    /// The changes: proxies before the groups they own, classes before the bindings that name them.
+    /// Returns the view changes: proxies before the groups that they own, classes before the bindings that
+    /// refer to them.
     pub fn into_changes(self, state: &ControlState) -> Vec<ViewChange> {
         let proxies = self.proxies.into_iter().map(|name| match state.proxies.get(&name) {
             Some(record) => ViewChange::PutProxy(name, record.view.clone()),
@@ -45,7 +45,7 @@
     }
 }
 
-/// The document before the back ends of its groups, and those before who shall lead.
+/// Returns the view changes of the registry: the document, then back ends, then promotions.
 fn registry_changes(changes: RegistryChanges, state: &ControlState) -> Vec<ViewChange> {
     let registry = &state.registry;
     let document = changes.document.and_then(|replaced| document_change(&replaced, state));
@@ -60,7 +60,8 @@
     document.into_iter().chain(back_ends).chain(promotions).collect()
 }
 
-/// The new document, or what is other in it where that is much less.
+/// Returns the view change of a replaced document: the difference from the former document if that is much
+/// smaller, else the whole document.
 fn document_change(
     DocumentReplaced { former }: &DocumentReplaced,
     state: &ControlState,
--- a/crates/core/src/state/command.rs
+++ b/crates/core/src/state/command.rs
@@ -1,6 +1,7 @@
 //! Commands of the control log and their outcomes.
 //!
-//! Forms only. They are stored in the log and sent between replicas: order and number of variants and fields stay.
+//! The types are stored in the log and sent between replicas, so the order and number of their variants and
+//! fields must not change.
 
 use crate::identity::{GroupName, Incarnation, MemberName, ProxyName, ZoneName};
 use crate::position::Term;
@@ -10,105 +11,106 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest change id accepted, in bytes.
+/// Maximum length of a change id, in bytes.
 pub const CHANGE_ID_LIMIT: usize = 128;
 
-/// Id that an operator's client draws for one change, so that a resend gets the first answer.
+/// Id that an operator's client generates for one change, so that a resend gets the first answer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangeId(pub String);
 
-/// What an operator wants done to one resource.
+/// Operation of an operator on one resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ResourceOperation {
-    /// Creates or replaces. `expected` zero: it must not exist; `None`: whatever is stored.
+    /// Creates or replaces the resource.
     Put {
-        /// Which one.
+        /// Kind and name of the resource.
         key: ResourceKey,
-        /// The declared part.
+        /// Declared part.
         spec: Box<ResourceSpec>,
-        /// Version the change was made from.
+        /// Version that the stored resource must have; zero if it must not exist, `None` for any version.
         expected: Option<ResourceVersion>,
     },
-    /// Deletes.
+    /// Deletes the resource.
     Delete {
-        /// Which one.
+        /// Kind and name of the resource.
         key: ResourceKey,
-        /// Version the change was made from.
+        /// Version that the stored resource must have, `None` for any version.
         expected: Option<ResourceVersion>,
     },
 }
 
-/// A proxy as it registers.
+/// Registration of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyRegistration {
-    /// The proxy.
+    /// Name of the proxy.
     pub proxy: ProxyName,
-    /// Its incarnation.
+    /// Incarnation of the proxy.
     pub incarnation: Incarnation,
-    /// Address of its owner interface.
+    /// Address at which the proxy serves as an owner.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the proxy.
     pub zone: ZoneName,
 }
 
-/// A step of one group's change of primary.
+/// Step of a failover or adoption, which changes the primary of one group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FailoverStep {
-    /// Decides that the group moves to `term`; from now on no primary is announced
-    /// until [`FailoverStep::Complete`]. Refused unless `term` is above the stored one.
+    /// Moves the group to `term`, without a primary until [`FailoverStep::Complete`]. Refused unless `term`
+    /// is above the stored term.
     Begin {
-        /// The new term.
+        /// New term.
         term: Term,
     },
-    /// A majority was fenced at `term` and the most advanced fenced member was promoted.
-    /// Refused unless `term` is the stored one.
+    /// Announces the new primary, after a majority was fenced at `term` and the fenced member with the
+    /// highest position was promoted. Refused unless `term` is the stored term.
     Complete {
-        /// The new primary.
+        /// New primary.
         primary: MemberName,
-        /// Its term.
+        /// Term of the primary.
         term: Term,
     },
-    /// The group was seen with a primary of a higher term that it chose itself.
-    /// Refused unless `term` is above the stored one, or equal with no primary stored.
+    /// Announces a primary that the group elected itself and that was observed. Refused unless `term` is
+    /// above the stored term, or equal to it while no primary is stored.
     Adopt {
-        /// The primary.
+        /// Observed primary.
         primary: MemberName,
-        /// Its term.
+        /// Term of the primary.
         term: Term,
     },
 }
 
-/// A command of the control log.
+/// Command of the control log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// An operator's change.
+    /// Applies an operator's change.
     Resource {
         /// Id of the change.
         change: ChangeId,
-        /// What to do.
+        /// Operation to apply.
         operation: ResourceOperation,
     },
-    /// Proxies that came, with the owners that follow from it. Batched.
+    /// Registers proxies and assigns owners accordingly. Batched.
     RegisterProxies(Vec<ProxyRegistration>),
-    /// Proxies that missed their heartbeats, in the incarnations given. Batched.
+    /// Marks proxies as down that missed their heartbeats, in the given incarnations. Batched.
     ProxiesDown(Vec<(ProxyName, Incarnation)>),
-    /// Proxies that are stopping. Batched.
+    /// Marks proxies as draining that are stopping, in the given incarnations. Batched.
     ProxiesDraining(Vec<(ProxyName, Incarnation)>),
-    /// Steps of changes of primary. Batched: a lost zone is one entry.
+    /// Applies steps of failovers. Batched, so that the loss of a zone takes one log entry.
     Failover(Vec<(GroupName, FailoverStep)>),
-    /// Members that the platform's list calls leaving (true) or no longer (false). Batched.
+    /// Records members that the platform's list reports as leaving (true) or no longer leaving
+    /// (false). Batched.
     MembersLeaving(Vec<(GroupName, MemberName, bool)>),
-    /// A change of the registry of back ends and the configuration document.
+    /// Changes the registry of back ends or the configuration document.
     Registry(Box<RegistryCommand>),
 }
 
-/// Why a command changed nothing.
+/// Reason why a command changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The stored version is not the one the change was made from.
+    /// The stored version is not the version that the change expects.
     #[error("conflict: the stored version is {stored:?}")]
     Conflict {
-        /// Stored version; zero when it does not exist.
+        /// Stored version, zero if the resource does not exist.
         stored: ResourceVersion,
     },
     /// The resource does not exist.
@@ -119,16 +121,16 @@
     Invalid {
         /// Path of the field.
         field: String,
-        /// What is wrong with its value.
+        /// Reason why the value is invalid.
         reason: String,
     },
-    /// Another resource still refers to it.
+    /// Another resource still refers to the resource.
     #[error("in use by {by:?}")]
     InUse {
-        /// The resource that refers to it.
+        /// Resource that refers to it.
         by: ResourceKey,
     },
-    /// The step does not follow from the stored term.
+    /// The step is not allowed in the stored term.
     #[error("stale: the stored term is {stored}")]
     StaleTerm {
         /// Stored term.
@@ -136,22 +138,22 @@
     },
 }
 
-/// Answer to a command.
+/// Result of a command, which its proposer gets as the answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// An operator's change was accepted (or is a resend of an accepted one).
+    /// An operator's change was accepted, now or when it was first sent.
     Accepted {
-        /// Version of the resource after it.
+        /// Version of the resource after the change.
         version: ResourceVersion,
-        /// Revision at which it took effect.
+        /// Revision at which the change took effect.
         revision: Revision,
     },
-    /// A batch was applied, with the refused items by their place.
+    /// A batch was applied except for the refused items.
     Batch {
-        /// Refused items.
+        /// Index and reason of each refused item.
         refused: Vec<(usize, Refusal)>,
     },
-    /// Nothing was changed.
+    /// The command was refused and changed nothing.
     Refused(Refusal),
     /// A change of the registry was applied.
     Registry(RegistryOutcome),
@@ -160,8 +162,8 @@
 /// Result of applying one command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// The answer.
+    /// Answer to the command.
     pub outcome: Outcome,
-    /// What changed in the proxies' view; empty when nothing did.
+    /// Changes of the proxies' view, empty if the command changed nothing in it.
     pub changes: Vec<ViewChange>,
 }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -1,7 +1,6 @@
-//! Proxies that come and go, and the owners that follow from it.
+//! Applies changes of proxies to the control state, and reassigns the owners of groups accordingly.
 //!
-//! Changes the state as a command of the log says. Relies on [`crate::membership`] for who is down, and on
-//! [`crate::ownership`] for who owns what.
+//! [`crate::membership`] decides which proxies are down, and [`crate::ownership`] which proxy owns a group.
 
 use super::ControlState;
 use super::change_set::ChangeSet;
@@ -13,20 +12,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Proxies that are down and still remembered; the ones that went down first are
-/// forgotten first. Chosen, not measured: a bound on the state; a proxy that is forgotten comes back as a new one.
+/// Maximum number of down proxies in the state, which bounds its size. Proxies that went down first are
+/// removed first; a removed proxy that returns counts as new.
 pub const DOWN_PROXY_LIMIT: usize = 256;
 
 impl ControlState {
-    /// Notes proxies that came or changed. A proxy that is new among the live ones
-    /// takes over groups.
+    /// Registers new and changed proxies. A proxy that becomes live takes over groups from other proxies.
     pub(super) fn register_proxies(
         &mut self,
         batch: Vec<ProxyRegistration>,
         changed: &mut ChangeSet,
     ) -> Vec<(usize, Refusal)> {
-        let mut newcomers = BTreeSet::new();
-        let mut orphaned = false;
+        let mut newly_live = BTreeSet::new();
+        let mut has_state_change = false;
         for registration in batch {
             let name = registration.proxy.clone();
             let before = self.proxies.get(&name).map(|record| record.view.state);
@@ -35,25 +33,26 @@
             }
             let after = self.proxies.get(&name).map(|record| record.view.state);
             if before != after && after == Some(ProxyState::Live) {
-                newcomers.insert(name.clone());
+                newly_live.insert(name.clone());
             }
-            orphaned |= before != after;
+            has_state_change |= before != after;
             changed.proxies.insert(name);
         }
-        if orphaned {
-            self.settle_owners(&newcomers, changed);
+        if has_state_change {
+            self.update_owners(&newly_live, changed);
         }
         Vec::new()
     }
 
-    /// Stores the registration; tells whether it changed anything. A proxy that is
-    /// stopping stays so for the rest of its incarnation.
+    /// Stores the registration and returns whether it changed anything. A draining proxy stays draining for
+    /// the rest of its incarnation.
     fn register_proxy(&mut self, registration: ProxyRegistration) -> bool {
         let ProxyRegistration { proxy, incarnation, address, zone } = registration;
         let stored = self.proxies.get(&proxy).map(|record| &record.view);
-        let stopping = stored
-            .is_some_and(|it| it.state == ProxyState::Draining && it.incarnation == incarnation);
-        let state = if stopping { ProxyState::Draining } else { ProxyState::Live };
+        let is_draining = stored.is_some_and(|view| {
+            view.state == ProxyState::Draining && view.incarnation == incarnation
+        });
+        let state = if is_draining { ProxyState::Draining } else { ProxyState::Live };
         let view = ProxyView { address, zone, incarnation, state };
         if stored == Some(&view) {
             return false;
@@ -62,8 +61,8 @@
         true
     }
 
-    /// Declares proxies down, in the incarnations given.
-    pub(super) fn proxies_down(
+    /// Declares proxies down, in the given incarnations. Returns the index and reason of each refused item.
+    pub(super) fn mark_proxies_down(
         &mut self,
         revision: Revision,
         batch: Vec<(ProxyName, Incarnation)>,
@@ -75,19 +74,20 @@
                 record.down_since = revision;
             }
         }
-        self.forget_proxies(changed);
-        self.settle_owners(&BTreeSet::new(), changed);
+        self.remove_excess_down_proxies(changed);
+        self.update_owners(&BTreeSet::new(), changed);
         refused
     }
 
-    /// Notes proxies that are stopping, in the incarnations given.
-    pub(super) fn proxies_draining(
+    /// Marks proxies as draining, in the given incarnations. Returns the index and reason of
+    /// each refused item.
+    pub(super) fn mark_proxies_draining(
         &mut self,
         batch: Vec<(ProxyName, Incarnation)>,
         changed: &mut ChangeSet,
     ) -> Vec<(usize, Refusal)> {
         let refused = self.set_states(batch, ProxyState::Draining, changed);
-        self.settle_owners(&BTreeSet::new(), changed);
+        self.update_owners(&BTreeSet::new(), changed);
         refused
     }
 
@@ -98,10 +98,11 @@
         changed: &mut ChangeSet,
     ) -> Vec<(usize, Refusal)> {
         let mut refused = Vec::new();
-        for (place, (name, incarnation)) in batch.into_iter().enumerate() {
+        for (index, (name, incarnation)) in batch.into_iter().enumerate() {
             let record = self.proxies.get_mut(&name);
-            let Some(record) = record.filter(|it| it.view.incarnation == incarnation) else {
-                refused.push((place, Refusal::NotFound));
+            let Some(record) = record.filter(|record| record.view.incarnation == incarnation)
+            else {
+                refused.push((index, Refusal::NotFound));
                 continue;
             };
             if record.view.state != state && record.view.state != ProxyState::Down {
@@ -112,9 +113,10 @@
         refused
     }
 
-    fn forget_proxies(&mut self, changed: &mut ChangeSet) {
-        let down = self.proxies.iter().filter(|(_, it)| it.view.state == ProxyState::Down);
-        let mut down: Vec<_> = down.map(|(name, it)| (it.down_since, name.clone())).collect();
+    fn remove_excess_down_proxies(&mut self, changed: &mut ChangeSet) {
+        let down = self.proxies.iter().filter(|(_, record)| record.view.state == ProxyState::Down);
+        let mut down: Vec<_> =
+            down.map(|(name, record)| (record.down_since, name.clone())).collect();
         let excess = down.len().saturating_sub(DOWN_PROXY_LIMIT);
         down.sort();
         for (_, name) in down.into_iter().take(excess) {
@@ -123,29 +125,30 @@
         }
     }
 
-    /// Gives an owner to each group whose owner is gone, then moves groups to newcomers.
-    fn settle_owners(&mut self, newcomers: &BTreeSet<ProxyName>, changed: &mut ChangeSet) {
+    /// Assigns an owner to each group without a live owner, then moves groups to the proxies
+    /// that became live.
+    fn update_owners(&mut self, newly_live: &BTreeSet<ProxyName>, changed: &mut ChangeSet) {
         let Self { groups, proxies, .. } = self;
         let mut balancer = balancer(proxies, groups);
-        let is_orphan = |group: &GroupRecord| {
+        let has_no_live_owner = |group: &GroupRecord| {
             group.view.owner.as_ref().is_none_or(|owner| !balancer.is_live(owner))
         };
-        let orphans = groups.iter().filter(|(_, group)| is_orphan(group));
-        let orphans: BTreeSet<_> = orphans.map(|(name, _)| name.clone()).collect();
-        for name in &orphans {
-            remember_owner(groups, name);
-            assign(groups, &mut balancer, name, changed);
+        let unowned = groups.iter().filter(|(_, group)| has_no_live_owner(group));
+        let unowned: BTreeSet<_> = unowned.map(|(name, _)| name.clone()).collect();
+        for name in &unowned {
+            record_former_owner(groups, name);
+            assign_owner(groups, &mut balancer, name, changed);
         }
-        for newcomer in newcomers {
-            let settled = groups.iter().filter(|(name, _)| !orphans.contains(*name));
-            let owned = settled.filter_map(|(name, group)| owned(name, group));
-            for name in balancer.attract(newcomer, owned) {
-                set_owner(groups, &name, Some(newcomer.clone()), changed);
+        for proxy in newly_live {
+            let movable = groups.iter().filter(|(name, _)| !unowned.contains(*name));
+            let owned = movable.filter_map(|(name, group)| owned_group(name, group));
+            for name in balancer.attract(proxy, owned) {
+                set_owner(groups, &name, Some(proxy.clone()), changed);
             }
         }
     }
 
-    /// Gives owners to groups that have none.
+    /// Assigns owners to groups that have none.
     pub(super) fn assign_owners<'n>(
         &mut self,
         names: impl IntoIterator<Item = &'n GroupName>,
@@ -154,11 +157,11 @@
         let Self { groups, proxies, .. } = self;
         let mut balancer = balancer(proxies, groups);
         for name in names {
-            assign(groups, &mut balancer, name, changed);
+            assign_owner(groups, &mut balancer, name, changed);
         }
     }
 
-    /// Chooses owners again that were chosen while there was no primary.
+    /// Chooses new owners for groups whose owner was chosen while the zone of the primary was unknown.
     pub(super) fn reassign_owners(&mut self, names: &BTreeSet<GroupName>, changed: &mut ChangeSet) {
         if names.is_empty() {
             return;
@@ -170,7 +173,7 @@
             if let Some(owner) = owner {
                 balancer.release(owner);
             }
-            assign(groups, &mut balancer, name, changed);
+            assign_owner(groups, &mut balancer, name, changed);
         }
     }
 }
@@ -188,21 +191,21 @@
     Placement { group: name, zone: group.primary_spec().map(|member| &member.zone) }
 }
 
-fn owned<'a>(name: &'a GroupName, group: &'a GroupRecord) -> Option<Owned<'a>> {
+fn owned_group<'a>(name: &'a GroupName, group: &'a GroupRecord) -> Option<Owned<'a>> {
     let owner = group.view.owner.as_ref()?;
     let former_owner = group.former_owner.as_ref();
     Some(Owned { placement: placement(name, group), owner, former_owner })
 }
 
-/// Notes the owner that went, so that it gets the group back.
-fn remember_owner(groups: &mut BTreeMap<GroupName, GroupRecord>, name: &GroupName) {
+/// Records the owner that went down or is draining, so that it gets the group back when it returns.
+fn record_former_owner(groups: &mut BTreeMap<GroupName, GroupRecord>, name: &GroupName) {
     let Some(group) = groups.get_mut(name) else { return };
     if let Some(owner) = &group.view.owner {
         group.former_owner = Some(owner.clone());
     }
 }
 
-fn assign(
+fn assign_owner(
     groups: &mut BTreeMap<GroupName, GroupRecord>,
     balancer: &mut Balancer<'_>,
     name: &GroupName,
@@ -210,9 +213,9 @@
 ) {
     let Some(group) = groups.get_mut(name) else { return };
     let placement = placement(name, group);
-    let blindly = placement.zone.is_none();
+    let is_zone_unknown = placement.zone.is_none();
     let owner = balancer.assign(placement);
-    group.placed_blindly = blindly;
+    group.placed_blindly = is_zone_unknown;
     set_owner(groups, name, owner, changed);
 }
 
--- a/crates/core/src/state/groups.rs
+++ b/crates/core/src/state/groups.rs
@@ -1,7 +1,6 @@
-//! Decisions about a group's primary, and the platform's word on its members.
+//! Applies failover steps and the platform's reports of leaving members to the control state.
 //!
-//! Changes the state as a command of the log says; a step of an older term is refused. Relies on [`crate::failover`]
-//! for the decisions.
+//! [`crate::failover`] decides on the steps. A step of an older term is refused.
 
 use super::ControlState;
 use super::change_set::ChangeSet;
@@ -13,46 +12,47 @@
 use std::sync::Arc;
 
 impl ControlState {
-    /// Takes the steps one by one; refused ones change nothing.
+    /// Applies the steps in order; a refused step changes nothing. Returns the index and reason of each
+    /// refused step.
     pub(super) fn apply_failover(
         &mut self,
         batch: Vec<(GroupName, FailoverStep)>,
         changed: &mut ChangeSet,
     ) -> Vec<(usize, Refusal)> {
         let mut refused = Vec::new();
-        let mut blind = BTreeSet::new();
-        for (place, (name, step)) in batch.into_iter().enumerate() {
+        let mut to_reassign = BTreeSet::new();
+        for (index, (name, step)) in batch.into_iter().enumerate() {
             let Some(group) = self.groups.get_mut(&name) else {
-                refused.push((place, Refusal::NotFound));
+                refused.push((index, Refusal::NotFound));
                 continue;
             };
-            match take_step(group, step) {
+            match apply_step(group, step) {
                 Ok(false) => {}
                 Ok(true) => {
                     if group.placed_blindly && group.view.primary.is_some() {
-                        blind.insert(name.clone());
+                        to_reassign.insert(name.clone());
                     }
                     changed.groups.insert(name);
                 }
-                Err(refusal) => refused.push((place, refusal)),
+                Err(refusal) => refused.push((index, refusal)),
             }
         }
-        self.reassign_owners(&blind, changed);
+        self.reassign_owners(&to_reassign, changed);
         refused
     }
 
-    /// Notes which members the platform calls leaving.
-    pub(super) fn members_leaving(
+    /// Records which members the platform reports as leaving.
+    pub(super) fn set_members_leaving(
         &mut self,
         batch: Vec<(GroupName, MemberName, bool)>,
         changed: &mut ChangeSet,
     ) -> Vec<(usize, Refusal)> {
         let mut refused = Vec::new();
-        for (place, (name, member, leaving)) in batch.into_iter().enumerate() {
+        for (index, (name, member, leaving)) in batch.into_iter().enumerate() {
             let group = self.groups.get_mut(&name);
-            let known = group.filter(|group| group.view.spec.member(&member).is_some());
-            let Some(group) = known else {
-                refused.push((place, Refusal::NotFound));
+            let group_with_member = group.filter(|group| group.view.spec.member(&member).is_some());
+            let Some(group) = group_with_member else {
+                refused.push((index, Refusal::NotFound));
                 continue;
             };
             if group.set_leaving(member, leaving) {
@@ -63,9 +63,8 @@
     }
 }
 
-/// Takes one step; tells whether it changed the group. A repeated step is accepted
-/// and changes nothing.
-fn take_step(group: &mut GroupRecord, step: FailoverStep) -> Result<bool, Refusal> {
+/// Applies one step and returns whether the group changed. A repeated step is accepted and changes nothing.
+fn apply_step(group: &mut GroupRecord, step: FailoverStep) -> Result<bool, Refusal> {
     let stored = group.view.term;
     match step {
         FailoverStep::Begin { term } if term > stored => {
@@ -73,16 +72,22 @@
             Ok(true)
         }
         FailoverStep::Complete { primary, term } if term == stored => {
-            announce(group, primary, term)
+            announce_primary(group, primary, term)
+        }
+        FailoverStep::Adopt { primary, term } if term >= stored => {
+            announce_primary(group, primary, term)
         }
-        FailoverStep::Adopt { primary, term } if term >= stored => announce(group, primary, term),
         _ => Err(Refusal::StaleTerm { stored }),
     }
 }
 
-/// Announces the primary of a term. A term has one primary for ever, so another
-/// one of the stored term is refused.
-fn announce(group: &mut GroupRecord, primary: MemberName, term: Term) -> Result<bool, Refusal> {
+/// Announces the primary of a term, and returns whether the group changed. A term never has a second primary,
+/// so another primary of the stored term is refused.
+fn announce_primary(
+    group: &mut GroupRecord,
+    primary: MemberName,
+    term: Term,
+) -> Result<bool, Refusal> {
     let stored = group.view.term;
     if group.view.spec.member(&primary).is_none() {
         return Err(Refusal::NotFound);
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,12 +1,9 @@
-//! The control state: what the replicated log agrees on.
+//! The control state: the state machine of the replicated log, with resources, proxies, owners, primaries and
+//! the registry.
 //!
-//! [`command`] holds what may be proposed. The state machine that applies
-//! commands is deterministic: every replica that applied the same entries holds
-//! the same state and gave the same outcomes. It is also what a snapshot holds,
-//! so everything that must survive a change of leader or a restart, the memory
-//! of resends included, is part of it.
-//!
-//! Owns resources, proxies, owners, primaries and the registry. Relies on the log for the order of commands.
+//! [`command`] defines the commands. Applying them is deterministic: replicas that applied the same entries
+//! have the same state and gave the same outcomes. A snapshot holds this state, so everything that must
+//! survive a change of leader or a restart is part of it, including the memory of resends.
 
 mod change_set;
 pub mod command;
@@ -31,7 +28,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Everything the cell agreed on, after one log entry.
+/// State of the cell after a log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     applied: Revision,
@@ -47,12 +44,11 @@
 impl ControlState {
     /// Applies the command of the log entry at `revision`.
     ///
-    /// Entries must be applied in order. One that is not above the last applied
-    /// one changes nothing, so that a configuration in force never reverts; an
-    /// operator's change still gets its remembered answer.
+    /// Entries must be applied in order. An entry at or below the last applied revision changes nothing,
+    /// so that a configuration in force never reverts; an operator's change still gets its remembered answer.
     pub fn apply(&mut self, revision: Revision, command: Command) -> Applied {
-        let repeated = revision <= self.applied;
-        if repeated {
+        let is_repeated = revision <= self.applied;
+        if is_repeated {
             return Applied { outcome: self.repeated_outcome(&command), changes: Vec::new() };
         }
         self.applied = revision;
@@ -76,14 +72,14 @@
                 return self.apply_resource(revision, change, operation, changed);
             }
             Command::RegisterProxies(batch) => self.register_proxies(batch, changed),
-            Command::ProxiesDown(batch) => self.proxies_down(revision, batch, changed),
-            Command::ProxiesDraining(batch) => self.proxies_draining(batch, changed),
+            Command::ProxiesDown(batch) => self.mark_proxies_down(revision, batch, changed),
+            Command::ProxiesDraining(batch) => self.mark_proxies_draining(batch, changed),
             Command::Failover(batch) => self.apply_failover(batch, changed),
-            Command::MembersLeaving(batch) => self.members_leaving(batch, changed),
+            Command::MembersLeaving(batch) => self.set_members_leaving(batch, changed),
             Command::Registry(command) => {
-                let mut touched = RegistryChanges::default();
-                let outcome = self.registry.apply(revision, *command, &mut touched);
-                changed.registry = touched;
+                let mut registry_changes = RegistryChanges::default();
+                let outcome = self.registry.apply(revision, *command, &mut registry_changes);
+                changed.registry = registry_changes;
                 return Outcome::Registry(outcome);
             }
         };
@@ -106,7 +102,7 @@
         }
         let outcome = match self.change_resource(revision, operation, changed) {
             Ok(version) => {
-                Outcome::Accepted { version, revision: version_revision(version, revision) }
+                Outcome::Accepted { version, revision: effective_revision(version, revision) }
             }
             Err(refusal) => Outcome::Refused(refusal),
         };
@@ -115,31 +111,32 @@
     }
 
     fn repeated_outcome(&self, command: &Command) -> Outcome {
-        let nothing = Outcome::Batch { refused: Vec::new() };
-        let Command::Resource { change, operation } = command else { return nothing };
-        self.resends.recall(change, operation_digest(operation)).unwrap_or(nothing)
+        let no_refusals = Outcome::Batch { refused: Vec::new() };
+        let Command::Resource { change, operation } = command else { return no_refusals };
+        self.resends.recall(change, operation_digest(operation)).unwrap_or(no_refusals)
     }
 
-    /// Index of the last log entry applied.
+    /// Returns the index of the last applied log entry.
     #[must_use]
     pub const fn applied(&self) -> Revision {
         self.applied
     }
 
-    /// Revision of the view: the last entry that changed it. A proxy that reports
-    /// at least the revision of an accepted change has it in force.
+    /// Returns the revision of the view: the index of the last entry that changed the view. A proxy that
+    /// reports at least the revision of an accepted change has that change in force.
     #[must_use]
     pub const fn view_revision(&self) -> Revision {
         self.view_revision
     }
 
-    /// The configuration as proxies apply it.
+    /// Returns the view that proxies apply.
     #[must_use]
     pub fn view(&self) -> View {
         let groups =
             self.groups.iter().map(|(name, group)| (name.clone(), Arc::clone(&group.view)));
         let classes = self.classes.iter().map(|(name, class)| (name.clone(), class.spec.clone()));
-        let bindings = self.bindings.iter().map(|(name, rule)| (name.clone(), rule.spec.clone()));
+        let bindings =
+            self.bindings.iter().map(|(name, binding)| (name.clone(), binding.spec.clone()));
         let proxies = self.proxies.iter().map(|(name, proxy)| (name.clone(), proxy.view.clone()));
         View {
             revision: self.view_revision,
@@ -148,18 +145,26 @@
             bindings: bindings.collect(),
             proxies: proxies.collect(),
             document: self.registry.document().map(|stored| Arc::clone(&stored.document)),
-            back_ends: self.registry.back_ends().map(|(k, v)| (k.clone(), Arc::clone(v))).collect(),
-            promotions: self.registry.promotions().map(|(k, v)| (k.clone(), v.clone())).collect(),
+            back_ends: self
+                .registry
+                .back_ends()
+                .map(|(member, back_end)| (member.clone(), Arc::clone(back_end)))
+                .collect(),
+            promotions: self
+                .registry
+                .promotions()
+                .map(|(group, promotion)| (group.clone(), promotion.clone()))
+                .collect(),
         }
     }
 
-    /// The back ends that registered, the document in force and who shall lead.
+    /// Returns the registry: the registered back ends, the document in force and the promotions.
     #[must_use]
     pub const fn registry(&self) -> &RegistryState {
         &self.registry
     }
 
-    /// One resource as stored.
+    /// Returns a stored resource.
     #[must_use]
     pub fn get(&self, key: &ResourceKey) -> Option<StoredResource> {
         match key {
@@ -177,7 +182,7 @@
         }
     }
 
-    /// All resources of one kind, by name.
+    /// Returns all stored resources of one kind, by name.
     #[must_use]
     pub fn list(&self, kind: Kind) -> Vec<StoredResource> {
         match kind {
@@ -195,31 +200,32 @@
         }
     }
 
-    /// One group with its decisions.
+    /// Returns the record of a group.
     #[must_use]
     pub fn group(&self, name: &GroupName) -> Option<&GroupRecord> {
         self.groups.get(name)
     }
 
-    /// All groups with their decisions, by name.
+    /// Returns the records of all groups, by name.
     pub fn groups(&self) -> impl Iterator<Item = (&GroupName, &GroupRecord)> {
         self.groups.iter()
     }
 
-    /// One proxy as stored.
+    /// Returns a proxy as other proxies see it.
     #[must_use]
     pub fn proxy(&self, name: &ProxyName) -> Option<&ProxyView> {
         self.proxies.get(name).map(|record| &record.view)
     }
 
-    /// All proxies, by name.
+    /// Returns all proxies as other proxies see them, by name.
     pub fn proxies(&self) -> impl Iterator<Item = (&ProxyName, &ProxyView)> {
         self.proxies.iter().map(|(name, record)| (name, &record.view))
     }
 }
 
-/// A change that found its spec already stored took effect when that was written.
-const fn version_revision(
+/// Returns the revision at which a change took effect. A put of a spec that was stored already took effect
+/// when that spec was written.
+const fn effective_revision(
     version: crate::resources::ResourceVersion,
     revision: Revision,
 ) -> Revision {
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -1,6 +1,6 @@
-//! What the control state keeps of each object.
+//! Records of the control state for each object.
 //!
-//! Stored in snapshots: order and number of fields stay.
+//! The records are stored in snapshots, so the order and number of their fields must not change.
 
 use crate::identity::{GroupName, MemberName, ProxyName};
 use crate::resources::{DatabaseGroupSpec, MemberSpec, ResourceKey, ResourceSpec, ResourceVersion};
@@ -9,20 +9,20 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A resource with its metadata.
+/// Stored resource with its metadata.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResource {
     /// Kind and name.
     pub key: ResourceKey,
-    /// Revision of the change that wrote it.
+    /// Revision of the change that last wrote the spec.
     pub version: ResourceVersion,
-    /// Counts the changes of the spec, from 1.
+    /// Number of times that the spec was written with a new value, from 1.
     pub generation: u64,
-    /// The declared part.
+    /// Declared part.
     pub spec: ResourceSpec,
 }
 
-/// A declared part with its metadata.
+/// Declared part of a class or binding, with its metadata.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Declared<S> {
     pub version: ResourceVersion,
@@ -41,21 +41,21 @@
     }
 }
 
-/// A group with its metadata and decisions.
+/// Group with its metadata and the decisions about it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRecord {
-    /// Revision of the change that wrote the spec.
+    /// Revision of the change that last wrote the spec.
     pub version: ResourceVersion,
-    /// Counts the changes of the spec, from 1.
+    /// Number of times that the spec was written with a new value, from 1.
     pub generation: u64,
-    /// Members that the platform's list calls leaving.
+    /// Members that the platform's list reports as leaving.
     pub leaving: BTreeSet<MemberName>,
-    /// The proxy that owned it last and went; it gets the group back when it returns.
+    /// Last owner, if that proxy went down or is draining; the proxy gets the group back when it returns.
     pub former_owner: Option<ProxyName>,
-    /// Set when the owner was chosen while the primary's zone was not known; it is
-    /// chosen again once a primary is announced.
+    /// Set if the owner was chosen while the zone of the primary was unknown. The owner is then chosen
+    /// again when a primary is announced.
     pub placed_blindly: bool,
-    /// The group as proxies see it.
+    /// Group as proxies see it.
     pub view: Arc<GroupView>,
 }
 
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Replaces the spec. A primary that is no longer a member is forgotten; the
-    /// term stays, so a later failover takes a higher one.
+    /// Replaces the spec. A primary that is no longer a member is removed; the term stays, so that a later
+    /// failover takes a higher term.
     pub(super) fn replace_spec(&mut self, spec: DatabaseGroupSpec, version: ResourceVersion) {
         self.version = version;
         self.generation += 1;
@@ -86,7 +86,7 @@
         self.refresh_draining();
     }
 
-    /// Notes the platform's word on a member; tells whether proxies see a difference.
+    /// Records whether the platform reports a member as leaving. Returns whether the proxies' view changed.
     pub(super) fn set_leaving(&mut self, member: MemberName, leaving: bool) -> bool {
         if leaving {
             self.leaving.insert(member);
@@ -106,7 +106,7 @@
         true
     }
 
-    /// The primary's declaration, none while a failover is under way.
+    /// Returns the declaration of the primary, `None` while a failover is in progress.
     #[must_use]
     pub fn primary_spec(&self) -> Option<&MemberSpec> {
         self.view.primary.as_ref().and_then(|name| self.view.spec.member(name))
@@ -127,11 +127,11 @@
     draining.map(|member| member.name.clone()).collect()
 }
 
-/// A proxy with what only the control state needs.
+/// Proxy with the metadata that only the control state needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ProxyRecord {
-    /// The proxy as others see it.
+    /// Proxy as other proxies see it.
     pub view: ProxyView,
-    /// Revision at which it was declared down; meaningless while it is not.
+    /// Revision at which the proxy was declared down; not meaningful in any other state.
     pub down_since: Revision,
 }
--- a/crates/core/src/state/resources.rs
+++ b/crates/core/src/state/resources.rs
@@ -1,7 +1,5 @@
-//! Operators' changes: compare-and-swap, and the checks that need other resources.
-//!
-//! Changes the state as a command of the log says, or refuses. Relies on [`crate::resources`] for the checks of a
-//! resource by itself.
+//! Applies operators' changes to the control state: compare-and-swap of versions, and the checks that need
+//! other resources. [`crate::resources`] checks a resource by itself.
 
 use super::ControlState;
 use super::change_set::ChangeSet;
@@ -26,9 +24,8 @@
 }
 
 impl ControlState {
-    /// Makes an operator's change; returns the version of the resource after it,
-    /// zero when it was deleted. A put of the stored spec changes nothing and
-    /// returns the stored version.
+    /// Applies an operator's change and returns the version of the resource afterwards, zero if it was
+    /// deleted. A put of the stored spec changes nothing and returns the stored version.
     pub(super) fn change_resource(
         &mut self,
         revision: Revision,
@@ -43,7 +40,9 @@
             }
             ResourceOperation::Delete { key, expected } => {
                 let stored = self.stored_version(&key);
-                if stored == ResourceVersion::default() && expected.is_none_or(|it| it == stored) {
+                if stored == ResourceVersion::default()
+                    && expected.is_none_or(|version| version == stored)
+                {
                     return Err(Refusal::NotFound);
                 }
                 self.check_version(&key, expected)?;
@@ -94,7 +93,7 @@
                 Ok(stored)
             }
             (ResourceKey::Binding(name), ResourceSpec::Binding(spec)) => {
-                self.check_class(&spec)?;
+                self.check_class_exists(&spec)?;
                 let stored = put_declared(&mut self.bindings, version, name.clone(), spec);
                 if stored == version {
                     changed.bindings.insert(name);
@@ -102,10 +101,10 @@
                 Ok(stored)
             }
             (key, spec) => {
-                let (declared, named) = (spec.kind(), key.kind());
+                let (spec_kind, key_kind) = (spec.kind(), key.kind());
                 Err(invalid(
                     "kind",
-                    format!("the spec is of a {declared:?}, the key of a {named:?}"),
+                    format!("the spec is of a {spec_kind:?}, the key of a {key_kind:?}"),
                 ))
             }
         }
@@ -118,7 +117,7 @@
         spec: DatabaseGroupSpec,
         changed: &mut ChangeSet,
     ) -> Result<ResourceVersion, Refusal> {
-        self.check_database(&name, &spec)?;
+        self.check_database_unused(&name, &spec)?;
         match self.groups.get_mut(&name) {
             Some(group) if group.view.spec == spec => return Ok(group.version),
             Some(group) => group.replace_spec(spec, version),
@@ -131,7 +130,11 @@
         Ok(version)
     }
 
-    fn check_database(&self, name: &GroupName, spec: &DatabaseGroupSpec) -> Result<(), Refusal> {
+    fn check_database_unused(
+        &self,
+        name: &GroupName,
+        spec: &DatabaseGroupSpec,
+    ) -> Result<(), Refusal> {
         let mut others = self.groups.iter().filter(|(other, _)| *other != name);
         match others.find(|(_, group)| group.view.spec.database == spec.database) {
             Some((other, _)) => {
@@ -154,7 +157,7 @@
         Err(invalid("spec.guaranteedPercent", reason))
     }
 
-    fn check_class(&self, spec: &BindingSpec) -> Result<(), Refusal> {
+    fn check_class_exists(&self, spec: &BindingSpec) -> Result<(), Refusal> {
         if self.classes.contains_key(&spec.class) {
             return Ok(());
         }
@@ -168,7 +171,7 @@
                 changed.groups.insert(name.clone());
             }
             ResourceKey::PriorityClass(name) => {
-                self.check_unused(name)?;
+                self.check_class_unused(name)?;
                 self.classes.remove(name);
                 changed.classes.insert(name.clone());
             }
@@ -180,15 +183,15 @@
         Ok(())
     }
 
-    fn check_unused(&self, class: &ClassName) -> Result<(), Refusal> {
-        let user = self.bindings.iter().find(|(_, binding)| binding.spec.class == *class);
-        let by = user.map(|(name, _): (&BindingName, _)| ResourceKey::Binding(name.clone()));
+    fn check_class_unused(&self, class: &ClassName) -> Result<(), Refusal> {
+        let referrer = self.bindings.iter().find(|(_, binding)| binding.spec.class == *class);
+        let by = referrer.map(|(name, _): (&BindingName, _)| ResourceKey::Binding(name.clone()));
         by.map_or(Ok(()), |by| Err(Refusal::InUse { by }))
     }
 }
 
-/// Stores a spec and returns the version after it: the given one, or the stored
-/// one when the spec is the stored one.
+/// Stores a spec and returns the version of the resource afterwards: the given version, or the stored version
+/// if the spec was stored already.
 fn put_declared<K: Ord, S: PartialEq>(
     map: &mut BTreeMap<K, Declared<S>>,
     version: ResourceVersion,
--- a/crates/core/src/statement.rs
+++ b/crates/core/src/statement.rs
@@ -1,98 +1,99 @@
-//! Statements and answers as the product understands them, whatever wire they came on.
+//! Statements and answers, independent of the wire protocol that carries them.
 //!
-//! A codec turns messages of its wire into these types and back. Texts of callers stay opaque:
-//! what a member is to run is passed on as it came.
+//! A codec translates the messages of its protocol into these types and back. The texts of callers are
+//! opaque: a member receives a statement exactly as the caller sent it.
 //!
-//! Forms only, which travel between gateways: order and number of variants and fields stay.
+//! Some of these types are sent between gateways in an encoding without names, so the order and number of
+//! variants and fields must not change.
 
 use crate::position::Position;
 use crate::tenancy::ApiKey;
 use serde::{Deserialize, Serialize};
 
-/// What a statement reads or writes.
+/// Whether a statement or transaction only reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Access {
-    /// It only reads.
+    /// Reads only.
     Read,
-    /// It writes.
+    /// Writes, and may read too.
     Write,
 }
 
-/// What a caller asks for.
+/// Meaning of a caller's statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
     /// Begins a transaction.
     Begin {
-        /// Whether it only reads.
+        /// Whether the transaction only reads.
         access: Access,
     },
     /// Commits the transaction.
     Commit,
     /// Rolls the transaction back.
     Rollback,
-    /// Reads or writes.
+    /// Runs a query that reads or writes.
     Run(Access),
     /// Sets a value of the session.
     Set {
-        /// Its name.
+        /// Name of the value.
         name: String,
-        /// Its value.
+        /// New value.
         value: String,
     },
     /// Prepares a statement under a name of the session.
     Prepare {
-        /// The name.
+        /// Name of the statement in the session.
         name: String,
-        /// What is prepared.
+        /// Access and text of the statement.
         shape: PreparedShape,
     },
     /// Runs a prepared statement.
     Execute {
-        /// Its name in the session.
+        /// Name of the statement in the session.
         name: String,
-        /// Its arguments as they came.
+        /// Arguments as the caller sent them.
         arguments: String,
     },
-    /// Forgets a prepared statement.
+    /// Removes a prepared statement.
     Deallocate {
-        /// Its name in the session.
+        /// Name of the statement in the session.
         name: String,
     },
-    /// Not a statement of the wire.
+    /// Is not a valid statement of the wire protocol.
     Malformed,
 }
 
-/// What a prepared statement does.
+/// Access and text of a prepared statement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PreparedShape {
-    /// Whether it reads or writes.
+    /// Whether the statement only reads.
     pub access: Access,
-    /// Its text.
+    /// Text of the statement.
     pub text: String,
 }
 
-/// A statement as it came from a caller.
+/// Statement of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The caller's id of the statement.
+    /// Id that the caller gave the statement.
     pub id: String,
-    /// The text as it came.
+    /// Text as the caller sent it.
     pub text: String,
-    /// What it means.
+    /// Meaning of the text.
     pub statement: Statement,
 }
 
-/// A message of a caller.
+/// Message from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerMessage {
     /// Opens a session on a database.
     Start {
-        /// The database's name.
+        /// Name of the database.
         database: String,
-        /// By what the caller says who it is: any word where nobody asks for a key.
+        /// Key that identifies the caller; any word where no key is required.
         key: ApiKey,
     },
-    /// A statement.
+    /// Asks for a statement to be run.
     Query(Request),
     /// Ends the session.
     Terminate,
@@ -101,60 +102,60 @@
 /// Whether a session is inside a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransactionState {
-    /// It is not.
+    /// The session is in no transaction.
     Idle,
-    /// It is.
+    /// The session is in a transaction.
     Open,
-    /// It is inside one that failed.
+    /// The session is in a transaction that failed.
     Failed,
 }
 
-/// What is ready for the next statement, and how far its log goes.
+/// State of a session that is ready for its next statement, and the member's position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadyState {
     /// Whether a transaction is open.
     pub state: TransactionState,
-    /// The member's committed position, where it tells one.
+    /// Committed position of the member, `None` if the member reported none.
     pub position: Option<Position>,
 }
 
-/// Why a statement was not answered with its result.
+/// Reason why a statement got no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ErrorCode {
     /// No slot or connection was free; nothing ran.
     Busy,
-    /// The transaction was rolled back; nothing of it is kept.
+    /// The transaction was rolled back; none of its changes are kept.
     Aborted,
-    /// The member lacks a position that was asked for; nothing ran.
+    /// The member has not reached the requested position; nothing ran.
     Lagging,
     /// The member is not the primary; nothing ran.
     ReadOnly,
-    /// Another member answers at this address; nothing ran.
+    /// A member other than the expected one answers at this address; nothing ran.
     WrongMember,
-    /// The member has all the connections that it takes; nothing ran.
+    /// The member is at its connection limit; nothing ran.
     TooManyConnections,
-    /// The prepared name is not known; nothing ran.
+    /// No prepared statement has this name; nothing ran.
     UnknownStatement,
-    /// No database of this name is served.
+    /// No database has this name.
     UnknownDatabase,
-    /// The caller's key stands for nobody; nothing ran.
+    /// The caller's key belongs to no tenant; nothing ran.
     Unauthenticated,
-    /// The tenant's limit is reached; nothing ran.
+    /// The tenant is over its limit; nothing ran.
     OverLimit,
-    /// The message does not belong here.
+    /// The message is malformed or not allowed in this state.
     Malformed,
-    /// It ran and failed.
+    /// The statement ran and failed.
     Failed,
-    /// It may have run; no answer came in time.
+    /// No answer came in time; the statement may have run.
     TimedOut,
-    /// Whether it took effect is not known.
+    /// It is unknown whether the statement took effect.
     InDoubt,
-    /// A code that this product does not know.
+    /// The member answered with a code that is not in this list.
     Other,
 }
 
 impl ErrorCode {
-    /// Whether the code promises that the statement did not run.
+    /// Reports whether the code guarantees that the statement did not run.
     #[must_use]
     pub const fn did_not_run(self) -> bool {
         matches!(
@@ -170,110 +171,111 @@
     }
 }
 
-/// A message to a caller, or of a member.
+/// Message to a caller or from a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// One row of the result.
     Row(String),
-    /// The statement is done; carries the member's signature, none for the product's own answers.
+    /// The statement is complete. Carries the signature of the member, `None` if the gateway itself answered.
     Complete(Option<String>),
     /// The statement failed.
     Error {
-        /// Why.
+        /// Reason.
         code: ErrorCode,
-        /// The code and text as they came, or the text of the product's own error.
+        /// Code and text as the member sent them, or the text of an error of the gateway itself.
         text: String,
     },
-    /// Ready for the next statement.
+    /// The session is ready for the next statement.
     Ready(ReadyState),
 }
 
-/// What the product asks a member on its own account.
+/// Statement that a gateway or the control cell itself sends to a member, not on behalf of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnStatement {
-    /// Begins a transaction; a read-only one may ask for a position that must be there.
+    /// Begins a transaction. A read-only transaction may require a position.
     Begin {
-        /// Whether it only reads.
+        /// Whether the transaction only reads.
         access: Access,
-        /// Position that the member's log must hold.
+        /// Position that the member's log must have reached.
         after: Option<Position>,
     },
-    /// Rolls back.
+    /// Rolls back the transaction.
     Rollback,
-    /// Drops session values and prepared statements.
+    /// Removes the session's values and prepared statements.
     Reset,
-    /// Sets a session value.
+    /// Sets a value of the session.
     Set {
-        /// Its name.
+        /// Name of the value.
         name: String,
-        /// Its value.
+        /// New value.
         value: String,
     },
-    /// Prepares a statement under a name of the product's choice.
+    /// Prepares a statement under a name that the gateway chooses.
     Prepare {
-        /// The name.
+        /// Name of the statement on the connection.
         name: String,
-        /// What is prepared.
+        /// Access and text of the statement.
         shape: PreparedShape,
     },
-    /// Asks for role, term and positions.
+    /// Asks for the member's role, term and positions.
     Status,
-    /// Keeps a replica from receiving, in a term above the newest.
+    /// Stops a replica from receiving log entries, in a term above the highest known term.
     Pause {
-        /// The term.
+        /// Term of the pause.
         term: u64,
     },
-    /// Lets a paused replica receive again.
+    /// Lets a paused replica receive log entries again.
     Resume,
 }
 
-/// A message to a member.
+/// Message to a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberRequest<'a> {
     /// Opens a connection.
     Start {
-        /// The group.
+        /// Group of the member.
         group: &'a str,
-        /// Who asks.
+        /// Name of the process that opens the connection.
         who: &'a str,
-        /// The member that is expected there.
+        /// Member that is expected at the address.
         member: &'a str,
     },
-    /// Passes a caller's statement on, untouched.
+    /// Forwards a caller's statement unchanged.
     Forward {
-        /// The caller's id.
+        /// Id that the caller gave the statement.
         id: &'a str,
-        /// Position that the member's log must hold.
+        /// Position that the member's log must have reached.
         after: Option<Position>,
-        /// The caller's text.
+        /// Text as the caller sent it.
         text: &'a str,
     },
-    /// Passes a caller's execution of a prepared statement on, under the product's name for it.
+    /// Forwards a caller's execution of a prepared statement, under the name that the gateway
+    /// gave the statement.
     Execute {
-        /// The caller's id.
+        /// Id that the caller gave the statement.
         id: &'a str,
-        /// Position that the member's log must hold.
+        /// Position that the member's log must have reached.
         after: Option<Position>,
-        /// The product's name of the statement.
+        /// Name of the statement on the connection.
         name: &'a str,
-        /// The caller's arguments.
+        /// Arguments as the caller sent them.
         arguments: &'a str,
     },
-    /// A statement of the product's own.
+    /// Sends a statement that does not come from a caller.
     Own(&'a OwnStatement),
     /// Ends the connection.
     Terminate,
 }
 
-/// A member's answer to a question for its status.
+/// Answer of a member to [`OwnStatement::Status`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// Whether it leads.
+    /// Whether the member is the primary.
     pub primary: bool,
-    /// Its term.
+    /// Term of the member.
     pub term: u64,
-    /// The last position it received.
+    /// Last position that the member received.
     pub received: Position,
-    /// The term at which it is held from receiving, 0 for none.
+    /// Term of the pause that keeps the member from receiving log entries, 0 if it is not paused.
     pub held_term: u64,
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,52 +1,50 @@
-//! Time as the core sees it: a number handed in by the shell.
-//!
-//! Values only. Nothing in the core reads a clock.
+//! Timestamps, which the calling process passes into the core: the core itself never reads a clock.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Microseconds since an arbitrary origin chosen by the shell.
+/// Microseconds since an arbitrary origin that the calling process chooses.
 ///
-/// Only differences between timestamps of one process have a meaning: its clock begins with it. A
-/// moment that another process names by its age may lie before the origin; [`Timestamp::before`]
-/// says so.
+/// Each process has a clock of its own that starts with the process, so only differences between
+/// timestamps of the same process have a meaning. A moment that another process reports by its age may
+/// lie before the origin; [`Timestamp::before`] returns `None` for such a moment.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The origin.
+    /// The origin of the process's clock.
     pub const ZERO: Self = Self(0);
 
-    /// A timestamp this many microseconds after the origin.
+    /// Returns the timestamp this many microseconds after the origin.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// A timestamp this many milliseconds after the origin.
+    /// Returns the timestamp this many milliseconds after the origin.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// The moment this long before. None where it lies before the origin: the origin in its place
-    /// would make what is old look as young as the clock.
+    /// Returns the timestamp that lies `age` before this one, or `None` if that is before the origin.
+    /// Returning the origin instead would make an old value look only as old as the clock.
     #[must_use]
     pub fn before(self, age: Duration) -> Option<Self> {
         let age = u64::try_from(age.as_micros()).ok()?;
         self.0.checked_sub(age).map(Self)
     }
 
-    /// The time since `earlier`, or zero when `earlier` is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this timestamp.
     #[must_use]
     pub const fn saturating_since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
