--- a/crates/core/tests/classify.rs
+++ b/crates/core/tests/classify.rs
@@ -1,4 +1,4 @@
-//! Where a statement may run, decided from its text.
+//! Tests of the classification of statements: which texts are reads, writes, answered by the edge or refused.
 
 use corktack_core::classify::{
     BlockEffect, Classification, LocalStatement, PARSED_TEXT_LIMIT, StatementProfile, Unsupported,
@@ -26,7 +26,7 @@
 #[case::several_reads("SELECT 1; SELECT 2")]
 #[case::words_in_texts("SELECT 'insert into t; LISTEN x'")]
 #[case::words_in_comments("SELECT 1 /* FOR UPDATE; /* LISTEN x */ */")]
-fn sure_reads(#[case] text: &str) {
+fn texts_that_only_read_are_reads(#[case] text: &str) {
     assert_eq!(classify(text), Classification::Read);
 }
 
@@ -60,7 +60,7 @@
 #[case::not_a_statement("FROBNICATE THE TABLES")]
 #[case::open_text("SELECT 'open")]
 #[case::transaction_lock("SELECT pg_advisory_xact_lock(1)")]
-fn anything_else_is_a_write(#[case] text: &str) {
+fn other_texts_are_writes(#[case] text: &str) {
     assert_eq!(classify(text), Classification::Write);
 }
 
@@ -130,7 +130,7 @@
 #[case::index("CREATE INDEX temp ON readings (id)")]
 #[case::insert("INSERT INTO temp VALUES (1)")]
 #[case::merge("MERGE INTO temp USING u ON true WHEN MATCHED THEN DO NOTHING")]
-fn names_that_look_temporary_are_not(#[case] text: &str) {
+fn objects_named_temp_are_not_temporary(#[case] text: &str) {
     assert_eq!(classify(text), Classification::Write);
 }
 
@@ -146,7 +146,7 @@
 #[case("DISCARD TEMP", LocalStatement::DiscardNothing("DISCARD TEMP"))]
 #[case("DISCARD PLANS", LocalStatement::DiscardNothing("DISCARD PLANS"))]
 #[case("DISCARD SEQUENCES", LocalStatement::DiscardNothing("DISCARD SEQUENCES"))]
-fn the_edge_answers(#[case] text: &str, #[case] statement: LocalStatement) {
+fn the_edge_answers_local_statements(#[case] text: &str, #[case] statement: LocalStatement) {
     assert_eq!(classify(text), Classification::Local(statement));
 }
 
@@ -157,8 +157,8 @@
 #[case("SELECT 'open", true)]
 #[case("ROLLBACK", false)]
 #[case("INSERT INTO t VALUES (1)", false)]
-fn what_may_commit(#[case] text: &str, #[case] commits: bool) {
-    assert_eq!(StatementProfile::of(text).may_commit, commits);
+fn texts_that_may_commit_are_detected(#[case] text: &str, #[case] expected: bool) {
+    assert_eq!(StatementProfile::of(text).may_commit, expected);
 }
 
 #[rstest]
@@ -173,7 +173,10 @@
 #[case("INSERT INTO t VALUES (1)", BlockEffect::None)]
 #[case("COMMIT; BEGIN; SELECT 1", BlockEffect::Opens)]
 #[case("BEGIN; SELECT 1; COMMIT", BlockEffect::Ends)]
-fn what_is_left_of_a_block(#[case] text: &str, #[case] effect: BlockEffect) {
+fn the_effect_on_the_transaction_block_is_determined(
+    #[case] text: &str,
+    #[case] effect: BlockEffect,
+) {
     assert_eq!(StatementProfile::of(text).block, effect);
 }
 
@@ -182,12 +185,12 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn no_text_makes_it_panic(text in ".{0,200}") {
+    fn classifying_any_text_does_not_panic(text in ".{0,200}") {
         let _ = StatementProfile::of(&text);
     }
 
     #[test]
-    fn a_write_is_never_a_read(
+    fn a_text_with_a_write_is_never_a_read(
         prefix in prop::sample::select(vec!["", "SELECT 1; ", "/* x */ ", "BEGIN READ ONLY; ", "WITH x AS (SELECT 1) "]),
         write in prop::sample::select(vec!["INSERT INTO t VALUES (1)", "UPDATE t SET a = 1",
             "DELETE FROM t", "TRUNCATE t", "SELECT f(1)", "SELECT 1 FOR SHARE", "CALL p()"]),
@@ -197,10 +200,10 @@
     }
 }
 
-/// Stack of a thread that judges: that of the threads of an edge.
+/// Stack size of the thread that classifies, in bytes: that of the edge's threads.
 const STACK_BYTES: usize = 2 * 1024 * 1024;
 
-/// A text of this many repetitions, as long as a parsed text may be.
+/// Returns `start`, `part` repeated, and `end` repeated as often, up to the length of [`PARSED_TEXT_LIMIT`].
 fn repeated(start: &str, part: &str, end: &str) -> String {
     let count = (PARSED_TEXT_LIMIT - start.len()) / (part.len() + end.len()).max(1);
     [start, &part.repeat(count), &end.repeat(count)].concat()
@@ -234,9 +237,9 @@
 #[case::intervals(repeated("SELECT ", "interval ", ""))]
 #[case::ends(repeated("SELECT ", "end (", ""))]
 #[case::ordering(repeated("SELECT a ORDER BY a", " AT TIME ZONE a", ""))]
-fn deep_texts_are_judged_on_a_small_stack(#[case] text: String) {
-    let judged = std::thread::Builder::new().stack_size(STACK_BYTES).spawn(move || {
+fn deeply_nested_texts_are_classified_on_a_small_stack(#[case] text: String) {
+    let thread = std::thread::Builder::new().stack_size(STACK_BYTES).spawn(move || {
         let _ = StatementProfile::of(&text);
     });
-    judged.expect("a thread starts").join().expect("it is judged");
+    thread.expect("the thread starts").join().expect("the text is classified");
 }
--- a/crates/core/tests/list_difference.rs
+++ b/crates/core/tests/list_difference.rs
@@ -1,14 +1,14 @@
-//! Differences of lists: whatever the lists, the steps lead from one to the other.
+//! Tests of list differences: for any two lists, the steps turn one into the other.
 
 use corktack_core::list_difference::{ListStep, StepsMismatch, follow_steps, list_steps};
 use proptest::prelude::*;
 
-/// An entry: its key and the rest of it.
+/// Entry of a list: its key and a value.
 type Entry = (u8, u8);
 
 proptest! {
     #[test]
-    fn steps_lead_to_the_list(
+    fn steps_produce_the_new_list(
         before in prop::collection::vec((0_u8..12, 0_u8..2), 0..12),
         after in prop::collection::vec((0_u8..12, 0_u8..2), 0..12),
     ) {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_entry_that_changed_is_told_alone() {
+fn steps_for_one_changed_entry_insert_only_that_entry() {
     let before: Vec<Entry> = (0..100).map(|key| (key, 0)).collect();
     let mut after = before.clone();
     after[40].1 = 1;
--- a/crates/core/tests/outcomes.rs
+++ b/crates/core/tests/outcomes.rs
@@ -1,4 +1,5 @@
-//! Outcomes of keyed writes: statements, stored answers, transaction control.
+//! Tests of keyed writes: SQL statements, stored answers, fingerprints and the detection of
+//! transaction control.
 
 use corktack_core::pool::outcomes::{
     AnswerError, COMMITS_BETWEEN_SWEEPS, Fingerprint, SWEEP_ROWS, claim_statement, decode_answer,
@@ -15,11 +16,11 @@
 #[case("ROLLBACK TO first", None)]
 #[case("COMMIT; INSERT INTO t VALUES (1)", None)]
 #[case("INSERT INTO t VALUES (1)", None)]
-fn the_end_of_a_transaction_is_told_from_the_text(
+fn a_text_that_only_ends_a_transaction_is_recognized(
     #[case] text: &str,
-    #[case] end: Option<TransactionEnd>,
+    #[case] expected: Option<TransactionEnd>,
 ) {
-    assert_eq!(only_ends(text), end);
+    assert_eq!(only_ends(text), expected);
 }
 
 #[rstest]
@@ -33,13 +34,13 @@
 #[case("PREPARE p AS SELECT 1", false)]
 fn transaction_control_is_found_at_the_start_of_statements(
     #[case] text: &str,
-    #[case] controls: bool,
+    #[case] expected: bool,
 ) {
-    assert_eq!(may_control_transaction(text), controls);
+    assert_eq!(may_control_transaction(text), expected);
 }
 
 #[rstest]
-fn a_key_cannot_break_out_of_its_statement() {
+fn a_key_cannot_inject_sql() {
     let key = "'; DROP TABLE charge; --";
     for text in [claim_statement(key, 1), store_statement(key, b"'"), lookup_statement(key)] {
         assert!(!text.contains("DROP"), "{text}");
@@ -48,14 +49,14 @@
 }
 
 #[rstest]
-fn parts_are_told_apart_by_their_lengths() {
-    let fingerprint = |parts: &[&str]| {
+fn fingerprints_distinguish_parts_by_their_lengths() {
+    let fingerprint_of = |parts: &[&str]| {
         let mut fingerprint = Fingerprint::default();
         parts.iter().for_each(|part| fingerprint.part(part.as_bytes()));
         fingerprint.finish()
     };
-    assert_eq!(fingerprint(&["ab", "c"]), fingerprint(&["ab", "c"]));
-    assert_ne!(fingerprint(&["ab", "c"]), fingerprint(&["a", "bc"]));
+    assert_eq!(fingerprint_of(&["ab", "c"]), fingerprint_of(&["ab", "c"]));
+    assert_ne!(fingerprint_of(&["ab", "c"]), fingerprint_of(&["a", "bc"]));
 }
 
 #[rstest]
@@ -67,20 +68,20 @@
 }
 
 #[rstest]
-fn a_sweep_removes_more_than_is_added_between_two() {
+fn a_removal_deletes_more_outcomes_than_are_added_between_two_removals() {
     const { assert!(SWEEP_ROWS > COMMITS_BETWEEN_SWEEPS) };
 }
 
-fn fixed_cases() -> ProptestConfig {
+fn config_with_fixed_seed() -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(0x00c0_ffee);
     ProptestConfig { cases: 128, failure_persistence: None, rng_seed, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed_cases())]
+    #![proptest_config(config_with_fixed_seed())]
 
     #[test]
-    fn a_stored_answer_is_read_as_it_was(answer in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn a_stored_answer_is_decoded_unchanged(answer in proptest::collection::vec(any::<u8>(), 0..200)) {
         let text = store_statement("key", &answer);
         let stored = text.split('\'').nth(1).unwrap_or_default();
         prop_assert_eq!(decode_answer(stored), Ok(answer));
--- a/crates/core/tests/replies.rs
+++ b/crates/core/tests/replies.rs
@@ -1,29 +1,32 @@
-//! The reply tracker: which answers are the caller's.
+//! Tests of the reply tracker, and of the word checks for session changes and transaction control.
 
 use corktack_core::pool::replies::{Disposition, ReplyTracker, Sent};
 use corktack_core::pool::statements::{may_change_session, may_commit, only_begins};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-fn placed(tracker: &mut ReplyTracker, tags: &str) -> String {
-    let mut text = String::new();
+/// Feeds back-end messages to the tracker and returns one character for each: the tag of a forwarded message,
+/// `-` for a swallowed one, `!` for the end of a batch and `?` for an unexpected one. A `+` stands for each
+/// synthesized `ParseComplete`.
+fn match_replies(tracker: &mut ReplyTracker, tags: &str) -> String {
+    let mut trace = String::new();
     for tag in tags.bytes() {
         match tracker.received(tag) {
             Ok(reply) => {
-                text.push_str(&"+".repeat(reply.synthesized));
-                text.push(match reply.disposition {
+                trace.push_str(&"+".repeat(reply.synthesized));
+                trace.push(match reply.disposition {
                     Disposition::Forward => char::from(tag),
                     Disposition::Swallow => '-',
                     Disposition::Ready => '!',
                 });
             }
-            Err(_) => text.push('?'),
+            Err(_) => trace.push('?'),
         }
     }
-    text
+    trace
 }
 
-fn name(text: &str) -> String {
+fn owned(text: &str) -> String {
     text.to_owned()
 }
 
@@ -33,7 +36,7 @@
 #[case::extended(
     vec![Sent::Bind, Sent::Describe, Sent::Execute, Sent::Sync], "2TDDCZ", "2TDDC!")]
 #[case::injected(
-    vec![Sent::InjectedParse(name("a")), Sent::Bind, Sent::Execute, Sent::Sync], "12CZ", "-2C!")]
+    vec![Sent::InjectedParse(owned("a")), Sent::Bind, Sent::Execute, Sent::Sync], "12CZ", "-2C!")]
 #[case::skipped(
     vec![Sent::SkippedParse, Sent::Bind, Sent::Execute, Sent::Sync], "2CZ", "+2C!")]
 #[case::skipped_last(vec![Sent::Bind, Sent::SkippedParse, Sent::Sync], "2Z", "2+!")]
@@ -42,10 +45,14 @@
 #[case::notices_and_parameters(vec![Sent::Execute, Sent::Sync], "NSDSCZ", "NSDSC!")]
 #[case::unexpected(vec![Sent::Bind], "1", "?")]
 #[case::nothing_sent(vec![], "C", "?")]
-fn answers_are_placed(#[case] sent: Vec<Sent>, #[case] tags: &str, #[case] expected: &str) {
+fn replies_are_matched_to_sent_messages(
+    #[case] sent: Vec<Sent>,
+    #[case] tags: &str,
+    #[case] expected: &str,
+) {
     let mut tracker = ReplyTracker::default();
     sent.into_iter().for_each(|message| tracker.sent(message));
-    assert_eq!(placed(&mut tracker, tags), expected);
+    assert_eq!(match_replies(&mut tracker, tags), expected);
 }
 
 #[rstest]
@@ -56,7 +63,7 @@
 #[case::skipped_last(vec![Sent::Bind, Sent::SkippedParse, Sent::Flush], "2", "2", Some(1))]
 #[case::error(vec![Sent::Bind, Sent::SkippedParse, Sent::Execute, Sent::Flush], "E", "E", Some(0))]
 #[case::sync(vec![Sent::Bind, Sent::Sync], "2", "2", None)]
-fn a_part_ends_when_all_before_its_flush_is_answered(
+fn a_part_ends_when_all_messages_before_its_flush_are_answered(
     #[case] sent: Vec<Sent>,
     #[case] tags: &str,
     #[case] expected: &str,
@@ -64,39 +71,39 @@
 ) {
     let mut tracker = ReplyTracker::default();
     sent.into_iter().for_each(|message| tracker.sent(message));
-    assert_eq!(placed(&mut tracker, tags), expected);
+    assert_eq!(match_replies(&mut tracker, tags), expected);
     assert_eq!(tracker.flushed(), flushed);
     if flushed.is_some() {
-        assert!(tracker.is_idle(), "nothing of the part is left");
+        assert!(tracker.is_idle(), "no message of the part is left");
         tracker.sent(Sent::Sync);
-        assert_eq!(placed(&mut tracker, "Z"), "!");
+        assert_eq!(match_replies(&mut tracker, "Z"), "!");
     }
 }
 
 #[rstest]
-fn a_statement_exists_only_after_its_completion() {
+fn a_statement_exists_unless_its_parse_fails_or_it_is_closed() {
     let mut tracker = ReplyTracker::default();
-    tracker.sent(Sent::InjectedParse(name("a")));
+    tracker.sent(Sent::InjectedParse(owned("a")));
     tracker.sent(Sent::Sync);
     assert!(tracker.has_statement("a"));
-    assert_eq!(placed(&mut tracker, "EZ"), "E!");
+    assert_eq!(match_replies(&mut tracker, "EZ"), "E!");
     assert!(!tracker.has_statement("a"));
-    tracker.sent(Sent::Parse(name("a")));
-    tracker.sent(Sent::Close(Some(name("a"))));
+    tracker.sent(Sent::Parse(owned("a")));
+    tracker.sent(Sent::Close(Some(owned("a"))));
     assert!(!tracker.has_statement("a"));
-    assert_eq!(placed(&mut tracker, "1"), "1");
+    assert_eq!(match_replies(&mut tracker, "1"), "1");
     tracker.sent(Sent::Sync);
-    assert_eq!(placed(&mut tracker, "3Z"), "3!");
+    assert_eq!(match_replies(&mut tracker, "3Z"), "3!");
     assert!(!tracker.has_statement("a") && tracker.is_idle());
 }
 
 #[rstest]
-fn the_statement_used_longest_ago_is_closed_first() {
+fn the_least_recently_used_statement_is_closed_first() {
     let mut tracker = ReplyTracker::default();
     for statement in ["a", "b", "c"] {
-        tracker.sent(Sent::Parse(name(statement)));
+        tracker.sent(Sent::Parse(owned(statement)));
     }
-    assert_eq!(placed(&mut tracker, "111"), "111");
+    assert_eq!(match_replies(&mut tracker, "111"), "111");
     tracker.touch_statement("a");
     assert_eq!(tracker.statements_to_close(3, &BTreeSet::new()), ["b"]);
     assert_eq!(tracker.statements_to_close(3, &BTreeSet::from(["b"])), ["c"]);
@@ -110,12 +117,12 @@
 #[case("SELECT pg_advisory_lock(1)", true)]
 #[case("CREATE TEMP TABLE t (a int)", true)]
 #[case("SELECT a FROM offset_table", false)]
-fn session_changes(#[case] text: &str, #[case] changes: bool) {
-    assert_eq!(may_change_session(text), changes);
+fn statements_that_may_change_the_session_are_detected(#[case] text: &str, #[case] expected: bool) {
+    assert_eq!(may_change_session(text), expected);
 }
 
 #[rstest]
-fn transaction_words() {
+fn commits_and_lone_begins_are_recognized_by_words() {
     assert!(may_commit("insert into t values (1); COMMIT"));
     assert!(!may_commit("insert into t values (1)"));
     assert!(only_begins("BEGIN ISOLATION LEVEL SERIALIZABLE"));
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -1,4 +1,4 @@
-//! Session tokens and a session's prepared statements.
+//! Tests of session tokens and of a session's prepared statements.
 
 use corktack_core::classify::StatementProfile;
 use corktack_core::identity::GroupName;
@@ -29,9 +29,10 @@
     }
 }
 
-/// A token of so many groups from this number on.
-fn wide_token(first: usize, groups: usize) -> String {
-    let parts: Vec<String> = (first..first + groups).map(|n| format!("g{n}=1/1")).collect();
+/// Returns the text of a token for `count` groups, whose names are numbered from `first`.
+fn token_text(first: usize, count: usize) -> String {
+    let parts: Vec<String> =
+        (first..first + count).map(|number| format!("g{number}=1/1")).collect();
     parts.join(",")
 }
 
@@ -40,8 +41,8 @@
 #[case("cdr=3/41", "cdr=3/41")]
 #[case(" b=1/2 , a=3/4 ,", "a=3/4,b=1/2")]
 #[case::twice("a=3/4,a=2/9", "a=3/9")]
-fn token_is_read_and_written(#[case] text: &str, #[case] written: &str) {
-    assert_eq!(token(text).to_string(), written);
+fn a_token_is_parsed_and_formatted(#[case] text: &str, #[case] formatted: &str) {
+    assert_eq!(token(text).to_string(), formatted);
 }
 
 #[rstest]
@@ -52,22 +53,22 @@
 #[case("a=-1/2")]
 #[case("a=1/99999999999999999999")]
 #[case("A B=1/2")]
-fn malformed_token_is_refused(#[case] text: &str) {
+fn a_malformed_token_is_refused(#[case] text: &str) {
     assert!(text.parse::<SessionToken>().is_err(), "{text:?}");
 }
 
 #[rstest]
-fn token_names_a_bounded_number_of_groups() {
-    assert!(wide_token(0, TOKEN_GROUP_LIMIT).parse::<SessionToken>().is_ok());
-    let text = wide_token(0, TOKEN_GROUP_LIMIT + 1);
+fn a_token_has_a_bounded_number_of_groups() {
+    assert!(token_text(0, TOKEN_GROUP_LIMIT).parse::<SessionToken>().is_ok());
+    let text = token_text(0, TOKEN_GROUP_LIMIT + 1);
     assert_eq!(text.parse::<SessionToken>(), Err(TokenError::TooManyGroups));
 }
 
 #[rstest]
-fn merged_tokens_name_a_bounded_number_of_groups() {
-    let mut merged = token(&wide_token(0, TOKEN_GROUP_LIMIT));
+fn merged_tokens_have_a_bounded_number_of_groups() {
+    let mut merged = token(&token_text(0, TOKEN_GROUP_LIMIT));
     let before = merged.clone();
-    let other = token(&wide_token(TOKEN_GROUP_LIMIT, 1));
+    let other = token(&token_text(TOKEN_GROUP_LIMIT, 1));
     assert_eq!(merged.merge(&other), Err(TokenError::TooManyGroups));
     assert_eq!(merged, before, "a refused merge changes nothing");
     assert_eq!(merged.merge(&token("g0=2/2")), Ok(()));
@@ -87,11 +88,15 @@
     }
     statements.forget("a");
     statements.confirm();
-    assert_eq!(statements.define("b", statement(&half)), Ok(()), "there is room again");
+    assert_eq!(
+        statements.define("b", statement(&half)),
+        Ok(()),
+        "closing a statement frees its text"
+    );
 }
 
 #[rstest]
-fn the_unnamed_statement_takes_the_room_of_the_one_before() {
+fn a_new_unnamed_statement_replaces_the_text_of_the_former() {
     let mut statements = SessionStatements::new(2);
     for _ in 0..100 {
         assert_eq!(statements.define("", statement(&"x".repeat(TEXT_LIMIT / 4))), Ok(()));
@@ -102,10 +107,10 @@
 }
 
 #[rstest]
-fn unconfirmed_effects_do_not_last() {
+fn unconfirmed_statements_do_not_survive_the_batch() {
     let mut statements = SessionStatements::new(10);
     assert_eq!(statements.define("a", statement("SELECT 1")), Ok(()));
-    assert!(statements.find("a").is_some(), "later messages of the batch see it");
+    assert!(statements.find("a").is_some(), "later messages of the batch see the statement");
     statements.end_batch();
     assert!(statements.find("a").is_none());
 }
@@ -115,14 +120,14 @@
 #[case("SELECT 1", &[], "SELECT 2", &[], false)]
 #[case("SELECT $1", &[23], "SELECT $1", &[25], false)]
 #[case("SELECT $1", &[], "SELECT $1", &[0], false)]
-fn equal_statements_share_a_name(
-    #[case] one: &str,
-    #[case] one_types: &[u32],
-    #[case] two: &str,
-    #[case] two_types: &[u32],
+fn statements_share_a_name_if_text_and_types_are_equal(
+    #[case] first: &str,
+    #[case] first_types: &[u32],
+    #[case] second: &str,
+    #[case] second_types: &[u32],
     #[case] equal: bool,
 ) {
-    assert_eq!(shared_name(one, one_types) == shared_name(two, two_types), equal);
+    assert_eq!(shared_name(first, first_types) == shared_name(second, second_types), equal);
 }
 
 fn any_position() -> impl Strategy<Value = Position> {
@@ -134,35 +139,40 @@
         rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn token_never_goes_back(positions in prop::collection::vec(any_position(), 1..20)) {
+    fn positions_in_a_token_never_decrease(positions in prop::collection::vec(any_position(), 1..20)) {
         let (mut seen, name) = (SessionToken::default(), group("cdr"));
         for position in positions {
             let before = seen.position(&name).unwrap_or_default();
             seen.advance(&name, position);
-            let after = seen.position(&name).expect("it has seen the group");
+            let after = seen.position(&name).expect("the token has the group");
             prop_assert!(after.covers(before) && after.covers(position));
         }
         prop_assert_eq!(token(&seen.to_string()), seen);
     }
 
     #[test]
-    fn any_text_is_a_token_or_refused(text in ".{0,100}") {
-        if let Ok(read) = text.parse::<SessionToken>() {
-            prop_assert_eq!(token(&read.to_string()), read);
+    fn parsing_any_text_does_not_panic_and_accepted_tokens_round_trip(text in ".{0,100}") {
+        if let Ok(parsed) = text.parse::<SessionToken>() {
+            prop_assert_eq!(token(&parsed.to_string()), parsed);
         }
     }
 }
 
-/// A batch of very many messages must not take time by their square.
+/// Guards against a lookup that scans the batch: the time of a long batch would grow with the square of its
+/// length.
 #[rstest]
-fn long_batches_are_looked_up_in() {
+fn lookups_in_long_batches_are_fast() {
     let mut statements = SessionStatements::new(10_000);
     assert_eq!(statements.define("kept", statement("SELECT 1")), Ok(()));
     for number in 0..200_000 {
         statements.forget(&format!("s{number}"));
         assert!(statements.find("kept").is_some());
     }
-    assert_eq!(statements.define("late", statement("SELECT 2")), Ok(()), "closing takes no room");
+    assert_eq!(
+        statements.define("late", statement("SELECT 2")),
+        Ok(()),
+        "closed statements do not count"
+    );
     statements.forget("kept");
     assert!(statements.find("kept").is_none());
     statements.confirm();
--- a/crates/core/tests/state.rs
+++ b/crates/core/tests/state.rs
@@ -1,4 +1,5 @@
-//! Operators' changes on the control state: compare-and-swap, resends, checks.
+//! Tests of the control state: operators' changes with compare-and-swap, resends and checks,
+//! and failover steps.
 
 mod support;
 
@@ -13,34 +14,34 @@
 use support::*;
 
 #[test]
-fn of_two_equal_changes_one_wins_and_the_other_conflicts() {
+fn of_two_changes_from_the_same_version_the_second_conflicts() {
     let mut cell = Cell::new();
     let version = cell.put_group("calls", None).expect("accepted");
     let mut first = group_spec("calls", 3);
     first.slots = 6;
     let mut second = first.clone();
     second.slots = 7;
-    let won = cell.put("calls", first, Some(version)).expect("accepted");
-    let lost = cell.put("calls", second.clone(), Some(version));
-    assert_eq!(lost, Err(Refusal::Conflict { stored: won }));
+    let accepted = cell.put("calls", first, Some(version)).expect("accepted");
+    let refused = cell.put("calls", second.clone(), Some(version));
+    assert_eq!(refused, Err(Refusal::Conflict { stored: accepted }));
     let stored = cell.state.get(&group_key("calls")).expect("stored");
-    assert_eq!((stored.version, stored.generation), (won, 2));
-    assert!(cell.put("calls", second, Some(won)).is_ok());
+    assert_eq!((stored.version, stored.generation), (accepted, 2));
+    assert!(cell.put("calls", second, Some(accepted)).is_ok());
 }
 
 #[test]
-fn a_create_of_what_exists_and_a_replace_of_what_does_not_conflict() {
+fn creating_an_existing_group_and_replacing_a_missing_group_conflict() {
     let mut cell = Cell::new();
-    let none = ResourceVersion::default();
+    let missing = ResourceVersion::default();
     let replaced = cell.put_group("calls", Some(ResourceVersion(7)));
-    assert_eq!(replaced, Err(Refusal::Conflict { stored: none }));
-    let version = cell.put_group("calls", Some(none)).expect("accepted");
-    let again = cell.put_group("calls", Some(none));
-    assert_eq!(again, Err(Refusal::Conflict { stored: version }));
+    assert_eq!(replaced, Err(Refusal::Conflict { stored: missing }));
+    let version = cell.put_group("calls", Some(missing)).expect("accepted");
+    let repeated = cell.put_group("calls", Some(missing));
+    assert_eq!(repeated, Err(Refusal::Conflict { stored: version }));
 }
 
 #[test]
-fn a_resend_gets_the_first_answer_also_after_a_snapshot() {
+fn a_resend_gets_the_first_answer_even_after_a_snapshot() {
     let mut cell = Cell::new();
     let accepted = cell.put_command("first", "calls", 3, Some(ResourceVersion::default()));
     let refused = cell.put_command("second", "calls", 5, Some(ResourceVersion::default()));
@@ -72,7 +73,7 @@
 #[rstest]
 #[case("")]
 #[case(&"x".repeat(129))]
-fn a_change_id_without_bounds_is_refused_and_not_remembered(#[case] id: &str) {
+fn an_empty_or_too_long_change_id_is_refused_and_not_remembered(#[case] id: &str) {
     let mut cell = Cell::new();
     let command = cell.put_command(id, "calls", 3, None);
     assert_eq!(invalid_field(cell.apply(command).outcome), "changeId");
@@ -80,10 +81,11 @@
 }
 
 #[test]
-fn the_memory_of_resends_is_bounded_and_forgets_the_oldest_first() {
+fn the_memory_of_resends_is_bounded_and_drops_the_oldest_first() {
     let mut cell = Cell::new();
-    let put = |cell: &Cell, number: usize| cell.put_command(&number.to_string(), "calls", 3, None);
-    let first = put(&cell, 0);
+    let put_command =
+        |cell: &Cell, number: usize| cell.put_command(&number.to_string(), "calls", 3, None);
+    let first = put_command(&cell, 0);
     let first_outcome = cell.apply(first.clone()).outcome;
     for number in 1..RESEND_MEMORY_LIMIT {
         let command = delete_command(&number.to_string(), "missing", None);
@@ -93,8 +95,8 @@
     let size = encode(&cell.state).len();
     cell.apply(delete_command("one more", "missing", None));
     assert!(encode(&cell.state).len() < size + 100);
-    let forgotten = delete_command("0", "calls", None);
-    assert!(matches!(cell.apply(forgotten).outcome, Outcome::Accepted { .. }));
+    let reused_id = delete_command("0", "calls", None);
+    assert!(matches!(cell.apply(reused_id).outcome, Outcome::Accepted { .. }));
 }
 
 #[test]
@@ -103,9 +105,9 @@
     let command = cell.put_command("one", "calls", 3, None);
     let first = cell.apply(command.clone());
     let before = cell.state.clone();
-    let again = cell.state.apply(Revision(1), command);
-    assert_eq!(again.outcome, first.outcome);
-    assert!(again.changes.is_empty());
+    let repeated = cell.state.apply(Revision(1), command);
+    assert_eq!(repeated.outcome, first.outcome);
+    assert!(repeated.changes.is_empty());
     assert_eq!(cell.state, before);
 }
 
@@ -128,11 +130,14 @@
 #[case("spec.connections", &|spec: &mut Group| spec.connections = spec.slots - 1)]
 #[case("spec.database", &|spec: &mut Group| spec.database.clear())]
 #[case("spec.database", &|spec: &mut Group| spec.database = "other".to_owned())]
-fn an_invalid_group_is_refused_by_field(#[case] field: &str, #[case] spoil: &dyn Fn(&mut Group)) {
+fn a_refusal_of_an_invalid_group_names_the_field(
+    #[case] field: &str,
+    #[case] invalidate: &dyn Fn(&mut Group),
+) {
     let mut cell = Cell::new();
     cell.put_group("other", None).expect("accepted");
     let mut spec = group_spec("calls", 3);
-    spoil(&mut spec);
+    invalidate(&mut spec);
     let refusal = cell.put("calls", spec, None).expect_err("refused");
     assert_eq!(invalid_field(Outcome::Refused(refusal)), field);
     assert!(cell.state.get(&group_key("calls")).is_none());
@@ -159,15 +164,16 @@
 }
 
 #[test]
-fn classes_are_checked_against_bindings_and_shares() {
+fn bindings_need_their_class_and_shares_of_classes_are_limited() {
     let mut cell = Cell::new();
-    let unknown = cell.put_binding("desk", "gold", CallerMatch::default()).expect_err("refused");
-    assert_eq!(invalid_field(Outcome::Refused(unknown)), "spec.class");
+    let unknown_class =
+        cell.put_binding("desk", "gold", CallerMatch::default()).expect_err("refused");
+    assert_eq!(invalid_field(Outcome::Refused(unknown_class)), "spec.class");
     cell.put_class("gold", 10, 60).expect("accepted");
-    let over = cell.put_class("silver", 5, 41).expect_err("refused");
-    assert_eq!(invalid_field(Outcome::Refused(over)), "spec.guaranteedPercent");
+    let over_limit = cell.put_class("silver", 5, 41).expect_err("refused");
+    assert_eq!(invalid_field(Outcome::Refused(over_limit)), "spec.guaranteedPercent");
     cell.put_class("silver", 5, 40).expect("accepted");
-    cell.put_class("gold", 11, 60).expect("its own share counts once");
+    cell.put_class("gold", 11, 60).expect("the class's own share counts once");
     cell.put_binding("desk", "gold", CallerMatch::default()).expect("accepted");
 
     let by = ResourceKey::Binding(name("desk"));
@@ -188,7 +194,7 @@
 }
 
 #[test]
-fn a_view_with_partly_matching_bindings_survives_the_wire() {
+fn a_view_whose_bindings_have_absent_fields_round_trips() {
     let mut cell = Cell::new();
     cell.put_class("gold", 10, 50).expect("accepted");
     let callers = CallerMatch { user: Some("ana".to_owned()), ..Default::default() };
@@ -202,7 +208,7 @@
 }
 
 #[test]
-fn a_primary_stays_while_it_is_a_member() {
+fn a_primary_is_kept_while_it_is_a_member() {
     let mut cell = Cell::new();
     cell.put_group("calls", None).expect("accepted");
     let view = cell.group("calls");
@@ -218,7 +224,7 @@
 }
 
 #[test]
-fn a_stale_step_is_refused_and_leaves_the_rest_of_its_batch() {
+fn a_stale_step_is_refused_and_the_rest_of_its_batch_is_applied() {
     let mut cell = Cell::new();
     for group in ["a", "b"] {
         cell.put_group(group, None).expect("accepted");
@@ -228,35 +234,35 @@
     let begin = FailoverStep::Begin { term: Term(5) };
     let batch = vec![(name("a"), begin.clone()), (name("b"), begin.clone()), (name("c"), begin)];
     let Outcome::Batch { refused } = cell.apply(Command::Failover(batch)).outcome else {
-        panic!("a batch has a batch's outcome")
+        panic!("a batch command must have a batch outcome")
     };
     assert_eq!(refused, [(0, Refusal::StaleTerm { stored: Term(6) }), (2, Refusal::NotFound)]);
     assert_eq!(cell.group("b").term, Term(5));
-    let stale = Err(Refusal::StaleTerm { stored: Term(6) });
-    assert_eq!(cell.step("a", complete("m1", 5)), stale);
+    let stale_term = Err(Refusal::StaleTerm { stored: Term(6) });
+    assert_eq!(cell.step("a", complete("m1", 5)), stale_term);
     assert_eq!(cell.step("a", complete("nobody", 6)), Err(Refusal::NotFound));
     assert_eq!(cell.step("a", complete("m1", 6)), Ok(()));
-    assert_eq!(cell.step("a", complete("m1", 6)), Ok(()), "a repeat is accepted");
-    assert_eq!(cell.step("a", complete("m2", 6)), stale, "a term has one primary");
-    assert_eq!(cell.adopt("a", "m2", 6), stale);
+    assert_eq!(cell.step("a", complete("m1", 6)), Ok(()), "a repeated step is accepted");
+    assert_eq!(cell.step("a", complete("m2", 6)), stale_term, "a term has only one primary");
+    assert_eq!(cell.adopt("a", "m2", 6), stale_term);
     assert_eq!(cell.adopt("a", "m2", 7), Ok(()));
 }
 
 #[test]
-fn leaving_and_declared_draining_add_up() {
+fn members_leaving_or_declared_draining_are_draining() {
     let mut cell = Cell::new();
     let mut spec = group_spec("calls", 3);
     spec.members[0].draining = true;
     cell.put("calls", spec, None).expect("accepted");
-    let leaving = |member: &str, leaving| {
-        Command::MembersLeaving(vec![(name("calls"), name(member), leaving)])
+    let leaving_command = |member: &str, is_leaving| {
+        Command::MembersLeaving(vec![(name("calls"), name(member), is_leaving)])
     };
-    cell.apply(leaving("m1", true));
+    cell.apply(leaving_command("m1", true));
     assert_eq!(Vec::from_iter(cell.group("calls").draining), [name("m0"), name("m1")]);
-    cell.apply(leaving("m0", true));
-    cell.apply(leaving("m0", false));
-    cell.apply(leaving("m1", false));
+    cell.apply(leaving_command("m0", true));
+    cell.apply(leaving_command("m0", false));
+    cell.apply(leaving_command("m1", false));
     assert_eq!(Vec::from_iter(cell.group("calls").draining), [name("m0")]);
-    let unknown = cell.apply(leaving("nobody", true)).outcome;
+    let unknown = cell.apply(leaving_command("nobody", true)).outcome;
     assert_eq!(unknown, Outcome::Batch { refused: vec![(0, Refusal::NotFound)] });
 }
--- a/crates/core/tests/time.rs
+++ b/crates/core/tests/time.rs
@@ -1,4 +1,4 @@
-//! Moments on a clock that begins with its process.
+//! Tests of timestamps before the origin of the clock.
 
 use corktack_core::time::Timestamp;
 use rstest::rstest;
@@ -8,12 +8,12 @@
 #[case::after_the_origin(1_000, Some(Timestamp::from_millis(2_000)))]
 #[case::the_origin_itself(3_000, Some(Timestamp::ZERO))]
 #[case::before_the_origin(3_001, None)]
-fn a_moment_before_the_origin_cannot_be_told(
+fn a_timestamp_before_the_origin_is_none(
     #[case] age_millis: u64,
-    #[case] moment: Option<Timestamp>,
+    #[case] expected: Option<Timestamp>,
 ) {
     let now = Timestamp::from_millis(3_000);
-    assert_eq!(now.before(Duration::from_millis(age_millis)), moment);
+    assert_eq!(now.before(Duration::from_millis(age_millis)), expected);
 }
 
 #[test]
--- a/crates/core/tests/values.rs
+++ b/crates/core/tests/values.rs
@@ -1,4 +1,4 @@
-//! Names, positions, member status and the order of revisions.
+//! Tests of names, positions, the parsing of a member's status, and the order of revisions.
 
 use corktack_core::backend::{MemberRole, MemberStatus, STATUS_COLUMNS, StatusError};
 use corktack_core::identity::{GroupName, NAME_LIMIT, NameError};
@@ -10,19 +10,19 @@
 #[case("", NameError::Empty)]
 #[case("a b", NameError::Character(' '))]
 #[case("é", NameError::Character('é'))]
-fn bad_names_are_refused(#[case] text: &str, #[case] expected: NameError) {
+fn invalid_names_are_refused(#[case] text: &str, #[case] expected: NameError) {
     assert_eq!(GroupName::new(text), Err(expected));
 }
 
 #[rstest]
-fn a_name_has_a_limit() {
+fn a_name_longer_than_the_limit_is_refused() {
     assert!(GroupName::new("a".repeat(NAME_LIMIT)).is_ok());
-    let long = "a".repeat(NAME_LIMIT + 1);
-    assert_eq!(GroupName::new(long), Err(NameError::TooLong(NAME_LIMIT + 1)));
+    let too_long = "a".repeat(NAME_LIMIT + 1);
+    assert_eq!(GroupName::new(too_long), Err(NameError::TooLong(NAME_LIMIT + 1)));
 }
 
 #[rstest]
-fn a_bad_name_is_refused_when_it_is_decoded() {
+fn an_invalid_name_is_refused_when_it_is_decoded() {
     assert!(serde_json::from_str::<GroupName>("\"a/b\"").is_err());
 }
 
@@ -35,21 +35,25 @@
 #[case(position(2, 9), position(1, 10), false)]
 #[case(position(1, 10), position(2, 5), false)]
 #[case(position(1, 1), position(1, 1), true)]
-fn a_position_covers(#[case] held: Position, #[case] needed: Position, #[case] expected: bool) {
+fn a_position_covers_lower_or_equal_terms_and_indexes(
+    #[case] held: Position,
+    #[case] needed: Position,
+    #[case] expected: bool,
+) {
     assert_eq!(held.covers(needed), expected);
 }
 
 #[rstest]
-fn positions_are_read_back_as_written() {
-    let written = position(3, 77);
-    assert_eq!(written.to_string().parse(), Ok(written));
+fn a_position_is_parsed_from_its_text() {
+    let position = position(3, 77);
+    assert_eq!(position.to_string().parse(), Ok(position));
     for text in ["", "1", "1/", "/1", "a/b", "1/2/3", "-1/2"] {
-        assert!(text.parse::<Position>().is_err(), "{text:?} was taken");
+        assert!(text.parse::<Position>().is_err(), "{text:?} was accepted");
     }
 }
 
 #[rstest]
-fn a_status_row_is_understood() {
+fn a_status_row_is_parsed() {
     let row = [Some("m1"), Some("primary"), Some("4"), Some("4/9"), Some("4/8"), Some("m1")];
     let status = MemberStatus::from_columns(&row).expect("valid row");
     assert_eq!(status.role, MemberRole::Primary);
@@ -57,15 +61,18 @@
 }
 
 #[rstest]
-fn the_bad_column_of_a_status_row_is_named(#[values(0, 1, 2, 3, 4)] damaged: usize) {
+fn an_invalid_column_of_a_status_row_is_named_in_the_error(
+    #[values(0, 1, 2, 3, 4)] invalid: usize,
+) {
     let mut row = [Some("m1"), Some("primary"), Some("4"), Some("4/9"), Some("4/8"), Some("")];
-    row[damaged] = Some("?");
-    let StatusError::Column { column, .. } = MemberStatus::from_columns(&row).expect_err("damaged");
-    assert_eq!(column, STATUS_COLUMNS[damaged]);
+    row[invalid] = Some("?");
+    let StatusError::Column { column, .. } =
+        MemberStatus::from_columns(&row).expect_err("invalid column");
+    assert_eq!(column, STATUS_COLUMNS[invalid]);
 }
 
 #[rstest]
-fn a_view_never_takes_a_revision_that_is_not_newer(#[values(0, 4, 5)] offered: u64) {
+fn a_view_refuses_a_revision_that_is_not_newer(#[values(0, 4, 5)] offered: u64) {
     let mut view = View { revision: Revision(5), ..View::default() };
     let offered = Revision(offered);
     let in_force = Revision(5);
