--- a/crates/core/src/backend.rs
+++ b/crates/core/src/backend.rs
@@ -32,7 +32,7 @@
 /// running it.
 pub const NOT_PRIMARY: &str = "25006";
 
-/// SQLSTATE of a fence or promotion that a member refuses because it promised a higher term.
+/// SQLSTATE of a fence or promotion that a member refuses because the member promised a higher term.
 pub const TERM_TOO_LOW: &str = "55000";
 
 /// SQLSTATE of class 08 for a commit with an unknown outcome.
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Chooses new owners for groups whose owner was chosen while the zone of the primary was unknown.
+    /// Chooses new owners for groups whose owner was assigned while the zone of the primary was unknown.
     pub(super) fn reassign_owners(&mut self, names: &BTreeSet<GroupName>, changed: &mut ChangeSet) {
         if names.is_empty() {
             return;
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -52,8 +52,8 @@
     pub leaving: BTreeSet<MemberName>,
     /// Last owner, if that proxy went down or is draining; the proxy gets the group back when it returns.
     pub former_owner: Option<ProxyName>,
-    /// Set if the owner was chosen while the zone of the primary was unknown. The owner is then chosen
-    /// again when a primary is announced.
+    /// Set if the owner was assigned while the zone of the primary was unknown. The owner is assigned again
+    /// when a primary is announced.
     pub placed_blindly: bool,
     /// Group as proxies see it.
     pub view: Arc<GroupView>,
--- a/crates/core/src/statement.rs
+++ b/crates/core/src/statement.rs
@@ -235,7 +235,7 @@
     Start {
         /// Group of the member.
         group: &'a str,
-        /// Name of the process that opens the connection.
+        /// Name of the tenant that the connection is for, else of the process that opens the connection.
         who: &'a str,
         /// Member that is expected at the address.
         member: &'a str,
