--- a/crates/gateway/src/group/acquire.rs
+++ b/crates/gateway/src/group/acquire.rs
@@ -5,7 +5,7 @@
 //! other gateways for one of theirs. [`positions`](super::positions) gives the position that a read must see.
 
 use super::choice::{LocalConnection, Step};
-use super::{ConnectionRequest, Group, Lease, Located, Location};
+use super::{ConnectionRequest, Group, Lease, LocatedConnection, Location};
 use crate::error::AcquireError;
 use crate::wire::Wire;
 use corktack_core::gateway::ReadPosition;
@@ -22,7 +22,7 @@
     pub(crate) async fn acquire(
         self: &Rc<Self>,
         request: &ConnectionRequest<'_>,
-    ) -> Result<Located<W>, AcquireError> {
+    ) -> Result<LocatedConnection<W>, AcquireError> {
         match self.locate(request).await? {
             Location::Local(located) => Ok(*located),
             Location::Remote(member) => self.acquire_remote(&member, request).await,
@@ -40,7 +40,7 @@
         if let Ok(Location::Local(_)) = location
             && request.needs_slot
         {
-            self.metrics.note_wait(started_at.elapsed());
+            self.metrics.record_wait(started_at.elapsed());
         }
         location
     }
@@ -79,7 +79,7 @@
                 }
                 Step::NoMember => {
                     let until = Instant::now() + NO_MEMBER_PAUSE;
-                    if until >= request.give_up {
+                    if until >= request.wait_deadline {
                         return Err(AcquireError::NoMember);
                     }
                     tokio::time::sleep_until(until).await;
@@ -107,6 +107,6 @@
                 self.open(member, &back_end, request.principal).await?
             }
         };
-        Ok(Location::Local(Box::new(Located { lease, position })))
+        Ok(Location::Local(Box::new(LocatedConnection { lease, position })))
     }
 }
--- a/crates/gateway/src/group/mod.rs
+++ b/crates/gateway/src/group/mod.rs
@@ -31,7 +31,7 @@
 pub(crate) use facts::{GroupUpdate, MemberUpdate};
 pub(crate) use lease::Lease;
 pub(crate) use remote::RemoteOpening;
-pub(crate) use request::{ConnectionRequest, Located, Location, RemoteMember, Target};
+pub(crate) use request::{ConnectionRequest, LocatedConnection, Location, RemoteMember, Target};
 
 use crate::clock::SteadyClock;
 use crate::connection::MemberConnection;
--- a/crates/gateway/src/group/notes.rs
+++ b/crates/gateway/src/group/notes.rs
@@ -30,7 +30,7 @@
 
     /// Records that a member did what only the primary can do, in answer to a request sent at `asked_at`, and
     /// the position that it reported.
-    pub(crate) fn note_lead(
+    pub(crate) fn record_primary_position(
         &self,
         name: &MemberName,
         asked_at: Timestamp,
@@ -56,7 +56,7 @@
     }
 
     /// Records the result at a member of a statement that was started at `begun`.
-    pub(crate) fn note_result(
+    pub(crate) fn record_result(
         self: &Rc<Self>,
         name: &MemberName,
         kind: StatementKind,
@@ -72,11 +72,11 @@
                     self.state.borrow_mut().service_times.note(kind, elapsed);
                 }
                 Err(failure) if failure.code == ErrorCode::Busy => self.record_no_room(name),
-                Err(failure) => self.note_unsuccessful(name, kind.writes, failure.code),
+                Err(failure) => self.record_failure(name, kind.writes, failure.code),
             },
-            Err(Unanswered::Refused(failure)) => self.note_refusal(name, failure.code),
+            Err(Unanswered::Refused(failure)) => self.record_refusal(name, failure.code),
             Err(Unanswered::NotSent(error) | Unanswered::Sent(error)) => {
-                self.note_lost(name, error);
+                self.record_lost_connection(name, error);
             }
         }
     }
@@ -90,9 +90,9 @@
     /// Records that a member answered a statement with a failure: the statement did not run, or ran and
     /// failed. A failed write doesn't count against the member, as its cause is often the statement itself; a
     /// failed read does, and is retried at another member.
-    pub(crate) fn note_unsuccessful(&self, name: &MemberName, writes: bool, code: ErrorCode) {
+    pub(crate) fn record_failure(&self, name: &MemberName, writes: bool, code: ErrorCode) {
         if code.did_not_run() {
-            self.note_refusal(name, code);
+            self.record_refusal(name, code);
         } else if code == ErrorCode::Failed && !writes {
             let now = self.now();
             self.with_member(name, |member| member.record_failed(now));
@@ -100,7 +100,7 @@
     }
 
     /// Records why a member did not run a statement.
-    pub(crate) fn note_refusal(&self, name: &MemberName, code: ErrorCode) {
+    pub(crate) fn record_refusal(&self, name: &MemberName, code: ErrorCode) {
         let (steady, now) = (self.now(), Instant::now());
         log::debug!(
             group:% = self.name, member:% = name, code:? = code; "member did not run a statement"
@@ -116,7 +116,7 @@
     }
 
     /// Records that a connection to a member gave no answer.
-    pub(crate) fn note_lost(self: &Rc<Self>, name: &MemberName, error: &LinkError) {
+    pub(crate) fn record_lost_connection(self: &Rc<Self>, name: &MemberName, error: &LinkError) {
         log::info!(
             group:% = self.name, member:% = name, error:% = error; "connection to a member lost"
         );
--- a/crates/gateway/src/group/positions.rs
+++ b/crates/gateway/src/group/positions.rs
@@ -55,7 +55,7 @@
         if let Some(position) = self.read_position(&bound) {
             return Ok(Some(position));
         }
-        let remaining = request.give_up.saturating_duration_since(Instant::now());
+        let remaining = request.wait_deadline.saturating_duration_since(Instant::now());
         let refreshed = self.position_refreshed.notified();
         // After a timeout too, the position known by then decides.
         drop(timeout(remaining.mul_f64(POSITION_WAIT_FRACTION), refreshed).await);
@@ -126,7 +126,7 @@
 
     /// Asks the primary for its position, or a gateway that holds connections to the primary.
     async fn request_position(self: &Rc<Self>, target: Target, max_age: Duration, limit: Duration) {
-        let give_up = Instant::now() + limit;
+        let wait_deadline = Instant::now() + limit;
         let session = SessionProfile::default();
         let request = ConnectionRequest {
             target,
@@ -136,7 +136,7 @@
             bound: None,
             // The begin and the rollback of a transaction take no slot.
             needs_slot: false,
-            give_up,
+            wait_deadline,
         };
         if self.request_position_from_relay(&request, max_age).await {
             return;
@@ -149,7 +149,7 @@
         }
         match located {
             Ok(Location::Local(located)) => {
-                self.request_position_from_primary(located.lease, give_up).await
+                self.request_position_from_primary(located.lease, wait_deadline).await
             }
             Ok(Location::Remote(member)) => {
                 self.request_position_from_holders(&member, &request, max_age).await;
@@ -191,10 +191,14 @@
 
     /// Begins a write transaction, which only the primary accepts, records the primary's position and rolls
     /// back.
-    async fn request_position_from_primary(self: &Rc<Self>, mut lease: Lease<W>, give_up: Instant) {
+    async fn request_position_from_primary(
+        self: &Rc<Self>,
+        mut lease: Lease<W>,
+        wait_deadline: Instant,
+    ) {
         let asked_at = self.now();
         let begin = OwnStatement::Begin { access: Access::Write, after: None };
-        let Ok(answer) = lease.connection().run_own(&begin, give_up).await else {
+        let Ok(answer) = lease.connection().run_own(&begin, wait_deadline).await else {
             self.record_silence(&lease.member);
             return;
         };
@@ -203,8 +207,8 @@
             return;
         }
         lease.in_transaction = true;
-        self.note_lead(&lease.member, asked_at, answer.ready.position);
-        let rolled_back = roll_back(lease.connection(), give_up).await;
+        self.record_primary_position(&lease.member, asked_at, answer.ready.position);
+        let rolled_back = roll_back(lease.connection(), wait_deadline).await;
         lease.in_transaction = !rolled_back;
     }
 
--- a/crates/gateway/src/group/remote/mod.rs
+++ b/crates/gateway/src/group/remote/mod.rs
@@ -6,7 +6,7 @@
 
 mod outcome;
 
-use super::{ConnectionRequest, Group, Lease, Located, RemoteMember};
+use super::{ConnectionRequest, Group, Lease, LocatedConnection, RemoteMember};
 use crate::answer::{Answer, Unanswered};
 use crate::connection::MemberConnection;
 use crate::error::{AcquireError, LinkError};
@@ -49,9 +49,9 @@
 /// Outcome of asking another gateway to begin a transaction and run its first statement.
 pub(crate) enum RemoteOpening<W: Wire> {
     /// The holder lent a connection, on which the transaction has yet to be begun.
-    Lent(Located<W>),
+    Lent(LocatedConnection<W>),
     /// The transaction is open; contains the result of the first statement.
-    Open(Located<W>, Result<Answer, Unanswered>),
+    Open(LocatedConnection<W>, Result<Answer, Unanswered>),
     /// The transaction could not be begun at the member; the statement was not sent.
     NotBegun(Unanswered),
     /// The holder gave no answer: the statement may have run, and is rolled back.
@@ -71,7 +71,7 @@
         self: &Rc<Self>,
         member: &RemoteMember,
         request: &ConnectionRequest<'_>,
-    ) -> Result<Located<W>, AcquireError> {
+    ) -> Result<LocatedConnection<W>, AcquireError> {
         let ask = async |tunnel, remote| self.ask_to_lend(&member.name, tunnel, remote).await;
         self.ask_in_turn(member, request, ask).await
     }
@@ -138,7 +138,7 @@
         member: &MemberName,
         tunnel: TunnelClient,
         remote: RemoteRequest,
-    ) -> HolderReply<Located<W>> {
+    ) -> HolderReply<LocatedConnection<W>> {
         let holder = tunnel.holder();
         let asked_at = self.now();
         match self.tunnels.acquire(tunnel, &remote).await {
@@ -181,7 +181,7 @@
             }
             Err(TunnelError::NotSent(_)) => self.record_holder_unreached(),
             Err(TunnelError::Sent(error)) => {
-                self.metrics.note_remote(RemoteOutcome::Lost);
+                self.metrics.record_remote(RemoteOutcome::Lost);
                 HolderReply::Answered(RemoteOpening::Lost(error))
             }
         }
@@ -210,7 +210,7 @@
             }
             Err(TunnelError::NotSent(_)) => self.record_holder_unreached(),
             Err(TunnelError::Sent(error)) => {
-                self.metrics.note_remote(RemoteOutcome::Lost);
+                self.metrics.record_remote(RemoteOutcome::Lost);
                 HolderReply::Answered((Err(Unanswered::Sent(error)), None))
             }
         }
@@ -249,12 +249,12 @@
         remaining: &mut Vec<Holder>,
         request: &ConnectionRequest<'_>,
     ) -> Option<(TunnelClient, Duration)> {
-        let time_left = || request.give_up.saturating_duration_since(Instant::now());
+        let time_left = || request.wait_deadline.saturating_duration_since(Instant::now());
         if remaining.is_empty() || time_left().is_zero() {
             return None;
         }
         let Ok(tunnel) = self.tunnels.reach(remaining).await else {
-            self.metrics.note_remote(RemoteOutcome::NotReached);
+            self.metrics.record_remote(RemoteOutcome::NotReached);
             remaining.clear();
             return None;
         };
@@ -285,13 +285,13 @@
         member: MemberName,
         granted: Granted,
         principal: Principal,
-    ) -> Located<W> {
+    ) -> LocatedConnection<W> {
         self.with_member(&member, |member| member.remote_in_use += 1);
         let transport = Transport::Tunnel(granted.tunnel);
         let mut connection = MemberConnection::new(self.wire.clone(), transport, principal);
         connection.profile = granted.profile;
         let lease = Lease::remote(Rc::clone(self), member, connection);
-        Located { lease, position: granted.position }
+        LocatedConnection { lease, position: granted.position }
     }
 
     /// Ends the lease of a connection that another gateway holds.
@@ -306,7 +306,7 @@
         });
         let Some((tunnel, profile)) = connection.into_tunnel() else { return };
         if tunnel.is_silent() {
-            self.tunnels.note_silent(tunnel.holder());
+            self.tunnels.record_silence(tunnel.holder());
         }
         // Without a release, the tunnel closes, and the holder closes the connection.
         if is_settled {
--- a/crates/gateway/src/group/remote/outcome.rs
+++ b/crates/gateway/src/group/remote/outcome.rs
@@ -25,7 +25,7 @@
 impl<W: Wire> Group<W> {
     /// Records that a holder served a request.
     pub(super) fn record_holder_served(&self, member: &MemberName, holder: Holder) {
-        self.metrics.note_remote(RemoteOutcome::Served);
+        self.metrics.record_remote(RemoteOutcome::Served);
         self.with_member(member, |member_state| {
             member_state.detour.reached();
             member_state.holders.served(holder.address);
@@ -41,7 +41,7 @@
     ) -> HolderReply<T> {
         match refusal {
             TunnelRefusal::NoneFree { retry_after } => {
-                self.metrics.note_remote(RemoteOutcome::NoneFree);
+                self.metrics.record_remote(RemoteOutcome::NoneFree);
                 let (steady, now) = (self.now(), Instant::now());
                 self.with_member(member, |member_state| {
                     member_state.detour.reached();
@@ -54,11 +54,11 @@
                 HolderReply::AskNext(Some(retry_after))
             }
             TunnelRefusal::NoPosition => {
-                self.metrics.note_remote(RemoteOutcome::NoPosition);
+                self.metrics.record_remote(RemoteOutcome::NoPosition);
                 HolderReply::GiveUp(AcquireError::NoPosition)
             }
             TunnelRefusal::Unreachable | TunnelRefusal::NotHeld => {
-                self.metrics.note_remote(RemoteOutcome::NotReached);
+                self.metrics.record_remote(RemoteOutcome::NotReached);
                 let now = self.now();
                 self.with_member(member, |member_state| {
                     member_state.holders.refused(holder.address, now)
@@ -70,7 +70,7 @@
 
     /// Records that a holder was not reached, or gave no answer to a request that can't have run.
     pub(super) fn record_holder_unreached<T>(&self) -> HolderReply<T> {
-        self.metrics.note_remote(RemoteOutcome::NotReached);
+        self.metrics.record_remote(RemoteOutcome::NotReached);
         HolderReply::AskNext(None)
     }
 
@@ -92,8 +92,11 @@
                 member_state.detour.failed(steady);
             }
         });
-        let attempt =
-            RemoteAttempt { is_time_over: now >= request.give_up, holds_connections, is_reached };
+        let attempt = RemoteAttempt {
+            is_time_over: now >= request.wait_deadline,
+            holds_connections,
+            is_reached,
+        };
         match attempt.failure(|| self.no_holder_left(&member)) {
             RemoteFailure::NoneFree => {
                 let retry_after = room_after.unwrap_or(retry_after::NO_ROOM_REPORTED);
@@ -138,7 +141,7 @@
     ) {
         let Some((age, position)) = newest else { return };
         let recorded = self.freshness.borrow_mut().note_reported(asked_at, age, position);
-        self.metrics.note_reported_position(recorded.is_ok());
+        self.metrics.record_reported_position(recorded.is_ok());
         if let Err(error) = recorded {
             log::debug!(
                 target: LOG_TARGET, group:% = self.name, holder:% = holder.address,
@@ -165,7 +168,7 @@
         });
         let answer = match &ran.result {
             Ok(answer) => answer,
-            Err(Unanswered::Refused(failure)) => return self.note_refusal(member, failure.code),
+            Err(Unanswered::Refused(failure)) => return self.record_refusal(member, failure.code),
             Err(Unanswered::NotSent(_) | Unanswered::Sent(_)) => {
                 return self
                     .with_member(member, |member_state| member_state.record_unserved(steady, now));
@@ -178,13 +181,13 @@
                 });
                 match kind {
                     LoneKind::Write => {
-                        self.note_lead(member, sent.asked_at, answer.ready.position);
+                        self.record_primary_position(member, sent.asked_at, answer.ready.position);
                     }
                     LoneKind::ReadAtPrimary => self.record_primary(member),
                     LoneKind::Read { .. } => (),
                 }
             }
-            Err(failure) => self.note_unsuccessful(member, !kind.is_read(), failure.code),
+            Err(failure) => self.record_failure(member, !kind.is_read(), failure.code),
         }
     }
 }
--- a/crates/gateway/src/group/request.rs
+++ b/crates/gateway/src/group/request.rs
@@ -52,11 +52,11 @@
     /// Whether the statement takes one of the member's slots.
     pub(crate) needs_slot: bool,
     /// Deadline of the wait for a connection.
-    pub(crate) give_up: Instant,
+    pub(crate) wait_deadline: Instant,
 }
 
 /// A leased connection, and the position that a read on it must see.
-pub(crate) struct Located<W: Wire> {
+pub(crate) struct LocatedConnection<W: Wire> {
     pub(crate) lease: Lease<W>,
     /// Set for a request with a bound.
     pub(crate) position: Option<ReadPosition>,
@@ -72,7 +72,7 @@
 /// Where a request can be served.
 pub(crate) enum Location<W: Wire> {
     /// On a connection of this gateway.
-    Local(Box<Located<W>>),
+    Local(Box<LocatedConnection<W>>),
     /// On a connection of one of these gateways.
     Remote(RemoteMember),
 }
--- a/crates/gateway/src/group/wait.rs
+++ b/crates/gateway/src/group/wait.rs
@@ -52,10 +52,10 @@
             }
         };
         let mut place = QueuePlace { group: self, ticket, woken };
-        let recheck_at = (Instant::now() + RECHECK_INTERVAL).min(request.give_up);
+        let recheck_at = (Instant::now() + RECHECK_INTERVAL).min(request.wait_deadline);
         match timeout_at(recheck_at, &mut place.woken).await {
             Ok(member) => Ok(member.ok()),
-            Err(_) if Instant::now() < request.give_up => Ok(None),
+            Err(_) if Instant::now() < request.wait_deadline => Ok(None),
             Err(_) => {
                 self.log_wait_timeout(request);
                 let error =
@@ -77,7 +77,7 @@
             priority: request.kind.priority,
             tenant: request.principal.and_then(Principal::tenant).cloned(),
             cost: state.service_times.estimate(request.kind),
-            give_up: self.clock.at(request.give_up),
+            give_up: self.clock.at(request.wait_deadline),
         };
         let capacity = state.capacity(&slot_request.target);
         (slot_request, capacity)
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -9,7 +9,7 @@
 use crate::error::GatewayError;
 use crate::group::MemberReach;
 use crate::holder::accept_tunnels;
-use crate::limits::{Limits, LimitsLink, keep_allowances};
+use crate::limits::{Limits, LimitsLink, run_allowance_reports};
 use crate::metrics::Metrics;
 use crate::routes::Routes;
 use crate::session::serve_caller;
@@ -93,7 +93,7 @@
             metrics.clone(),
         );
         let shared = Rc::new(Shared::new(wire, settings, routes, metrics, limits, clock));
-        actix_rt::spawn(keep_allowances(Rc::clone(&shared.limits), limits_link));
+        actix_rt::spawn(run_allowance_reports(Rc::clone(&shared.limits), limits_link));
         actix_rt::spawn(follow_views(Rc::clone(&shared), views));
         actix_rt::spawn(accept(callers, Rc::clone(&shared)));
         actix_rt::spawn(accept_tunnels(peers, Rc::clone(&shared)));
@@ -129,12 +129,12 @@
 async fn follow_views<W: Wire>(shared: Rc<Shared<W>>, mut views: watch::Receiver<Arc<View>>) {
     loop {
         let view = Arc::clone(&views.borrow_and_update());
-        if shared.routes.follow(&view) {
-            shared.routes.with_tenants(|tenants| shared.limits.follow(tenants));
+        if shared.routes.apply_view(&view) {
+            shared.routes.with_tenants(|tenants| shared.limits.update_rates(tenants));
         }
-        shared.limits.follow_peers(&shared.routes.zone_peers());
+        shared.limits.set_peers(&shared.routes.zone_peers());
         if shared.routes.has_document() {
-            shared.note_document();
+            shared.record_document();
         }
         if views.changed().await.is_err() {
             return;
@@ -160,7 +160,7 @@
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
         shared.routes.close_unused();
-        shared.metrics.note_holdings(&shared.routes.holdings(), shared.sessions.get());
-        shared.metrics.note_limits(shared.limits.totals());
+        shared.metrics.record_holdings(&shared.routes.holdings(), shared.sessions.get());
+        shared.metrics.record_limits(shared.limits.totals());
     }
 }
--- a/crates/gateway/src/holder/lent.rs
+++ b/crates/gateway/src/holder/lent.rs
@@ -76,7 +76,7 @@
     }
 
     async fn serve(mut self, shared: &Shared<W>) -> Result<(), LinkError> {
-        let idle_limit = shared.routes.transaction_idle() + IDLE_GRACE;
+        let idle_limit = shared.routes.transaction_idle_limit() + IDLE_GRACE;
         loop {
             match self.next_event(idle_limit).await {
                 LentEvent::Request(Some(Ok(TunnelRequest::Bytes(bytes)))) => {
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -12,7 +12,7 @@
 mod statement;
 
 use crate::error::LinkError;
-use crate::group::Located;
+use crate::group::LocatedConnection;
 use crate::shared::Shared;
 use crate::tunnel::{OperationsRequest, RemoteRequest};
 use crate::wire::Wire;
@@ -105,7 +105,7 @@
 ) -> Result<(), LinkError> {
     let writes = remote.bound.is_none();
     match with_heartbeats(frames, statement::acquire(shared, remote, writes)).await? {
-        Ok(Located { mut lease, position }) => {
+        Ok(LocatedConnection { mut lease, position }) => {
             let granted = statement::grant_reply(&mut lease, position);
             serve_lent(shared, frames, lease, granted).await
         }
--- a/crates/gateway/src/holder/statement.rs
+++ b/crates/gateway/src/holder/statement.rs
@@ -5,7 +5,7 @@
 
 use super::frames::LOG_TARGET;
 use crate::error::AcquireError;
-use crate::group::{ConnectionRequest, Group, Lease, Located, Target};
+use crate::group::{ConnectionRequest, Group, Lease, LocatedConnection, Target};
 use crate::lone_statement::LoneStatement;
 use crate::shared::Shared;
 use crate::tunnel::{RemoteRequest, outcome_of};
@@ -27,7 +27,8 @@
 ) -> Result<TunnelReply, TunnelRefusal> {
     let started_at = Instant::now();
     let deadline = started_at + limit;
-    let Located { lease, position } = acquire(shared, remote, !statement.kind.is_read()).await?;
+    let LocatedConnection { lease, position } =
+        acquire(shared, remote, !statement.kind.is_read()).await?;
     let group = Rc::clone(lease.group());
     let result =
         LoneStatement::of_request(statement, remote.priority).run(lease, position, deadline).await;
@@ -45,7 +46,7 @@
     limit: Duration,
 ) -> Result<(Option<Lease<W>>, TunnelReply), TunnelRefusal> {
     let deadline = Instant::now() + limit;
-    let Located { mut lease, position } =
+    let LocatedConnection { mut lease, position } =
         acquire(shared, remote, !statement.kind.is_read()).await?;
     let group = Rc::clone(lease.group());
     let first = LoneStatement::of_request(statement, remote.priority);
@@ -79,11 +80,11 @@
     shared: &Shared<W>,
     remote: &RemoteRequest,
     writes: bool,
-) -> Result<Located<W>, TunnelRefusal> {
+) -> Result<LocatedConnection<W>, TunnelRefusal> {
     let started_at = Instant::now();
-    let give_up = started_at + remote.wait;
+    let wait_deadline = started_at + remote.wait;
     // A gateway that has just started waits for its first document, which says what it holds.
-    shared.wait_for_document_until(give_up).await;
+    shared.wait_for_document_until(wait_deadline).await;
     let group = find_group(shared, &remote.group)?;
     let session = SessionProfile::default();
     let local = ConnectionRequest {
@@ -93,7 +94,7 @@
         kind: StatementKind { priority: remote.priority, writes },
         bound: remote.bound,
         needs_slot: true,
-        give_up,
+        wait_deadline,
     };
     let acquired = group.acquire(&local).await;
     acquired.map_err(|error| {
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -11,7 +11,7 @@
 mod report;
 
 pub(crate) use permit::OperationPermit;
-pub(crate) use report::keep_allowances;
+pub(crate) use report::run_allowance_reports;
 pub use report::{LimitNews, LimitsLink};
 
 use crate::clock::SteadyClock;
@@ -91,7 +91,7 @@
     }
 
     /// Applies the tenants' rates of a new document.
-    pub(crate) fn follow(&self, tenants: Option<&TenantDirectory>) {
+    pub(crate) fn update_rates(&self, tenants: Option<&TenantDirectory>) {
         self.accounts.borrow_mut().follow(tenants);
         self.settle_waiting();
     }
@@ -102,7 +102,7 @@
     }
 
     /// Replaces the other gateways of the zone.
-    pub(crate) fn follow_peers(&self, peers: &[Holder]) {
+    pub(crate) fn set_peers(&self, peers: &[Holder]) {
         let mut current = self.peers.borrow_mut();
         if current.0 != peers {
             current.0 = peers.to_vec();
@@ -113,7 +113,7 @@
     /// Prepares for operations of a principal whose caller has just connected: if this gateway is the
     /// tenant's home, it marks the tenant as active, so that an allowance is ready. A home at another gateway
     /// learns of the caller with the first operation.
-    pub(crate) fn expect(&self, principal: &Principal) {
+    pub(crate) fn mark_active(&self, principal: &Principal) {
         if let Some(tenant) = principal.tenant()
             && self.homes(tenant).is_empty()
         {
@@ -122,17 +122,17 @@
     }
 
     /// Counts an operation that begins now for a principal. The operation waits for part of the time until
-    /// `give_up` if the tenant's limit may allow it in that time, or the leader may allow more.
-    pub(crate) async fn begin(
+    /// `wait_deadline` if the tenant's limit may allow it in that time, or the leader may allow more.
+    pub(crate) async fn admit(
         self: &Rc<Self>,
         principal: &Principal,
         priority: u32,
-        give_up: Instant,
+        wait_deadline: Instant,
     ) -> Result<OperationPermit, OverLimit> {
         let limited = principal.tenant().filter(|tenant| self.accounts.borrow().is_limited(tenant));
         let Some(tenant) = limited else { return Ok(OperationPermit::unlimited()) };
         let now = Instant::now();
-        let until = now + give_up.saturating_duration_since(now).mul_f64(LIMIT_WAIT_FRACTION);
+        let until = now + wait_deadline.saturating_duration_since(now).mul_f64(LIMIT_WAIT_FRACTION);
         self.admit_until(tenant, priority, until).await
     }
 
--- a/crates/gateway/src/limits/report.rs
+++ b/crates/gateway/src/limits/report.rs
@@ -66,7 +66,7 @@
 }
 
 /// Sends reports to the leader and applies its grants, until the process ends.
-pub(crate) async fn keep_allowances(limits: Rc<Limits>, mut link: LimitsLink) {
+pub(crate) async fn run_allowance_reports(limits: Rc<Limits>, mut link: LimitsLink) {
     let mut report_due = Instant::now();
     let mut reported_at = Instant::now();
     loop {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -164,22 +164,22 @@
     }
 
     /// The product refused a statement that did not run.
-    pub(crate) fn note_refusal(&self, reason: RefusalReason, priority: u32) {
+    pub(crate) fn record_refusal(&self, reason: RefusalReason, priority: u32) {
         let refusal = Refusal { reason: reason.name(), priority };
         self.refusals.get_or_create(&refusal).inc();
     }
 
     /// What limited tenants may begin here in a window, and what they did in the last one.
-    pub(crate) fn note_limits(&self, totals: LimitTotals) {
+    pub(crate) fn record_limits(&self, totals: LimitTotals) {
         set(&self.allowances, totals.allowed);
         set(&self.counted, totals.counted);
     }
 
-    pub(crate) fn note_wait(&self, waited: Duration) {
+    pub(crate) fn record_wait(&self, waited: Duration) {
         self.wait_seconds.observe(waited.as_secs_f64());
     }
 
-    pub(crate) fn note_remote(&self, outcome: RemoteOutcome) {
+    pub(crate) fn record_remote(&self, outcome: RemoteOutcome) {
         let outcome = match outcome {
             RemoteOutcome::Served => "served",
             RemoteOutcome::NoneFree => "none_free",
@@ -191,12 +191,12 @@
     }
 
     /// Another gateway reported a position; one from before this gateway's clock began is too old.
-    pub(crate) fn note_reported_position(&self, used: bool) {
+    pub(crate) fn record_reported_position(&self, used: bool) {
         let outcome = if used { "used" } else { "too_old" };
         self.reported_positions.get_or_create(&Outcome { outcome: outcome.to_owned() }).inc();
     }
 
-    pub(crate) fn note_holdings(&self, holdings: &Holdings, sessions: usize) {
+    pub(crate) fn record_holdings(&self, holdings: &Holdings, sessions: usize) {
         let state = |state| self.connections.get_or_create(&ConnectionState { state }).clone();
         set(&state("in_use"), holdings.in_use as u64);
         set(&state("idle"), holdings.idle as u64);
@@ -209,7 +209,7 @@
         set(&self.sessions, sessions as u64);
     }
 
-    pub(crate) fn note_document(&self, version: u64) {
+    pub(crate) fn record_document(&self, version: u64) {
         set(&self.document_version, version);
     }
 
@@ -218,7 +218,7 @@
         self.answered.get().is_multiple_of(SAMPLED_EVERY)
     }
 
-    pub(crate) fn note_statement(&self, code: Option<ErrorCode>, taken: Duration) {
+    pub(crate) fn record_statement(&self, code: Option<ErrorCode>, taken: Duration) {
         let outcome = code.map_or_else(|| "done".to_owned(), |code| format!("{code:?}"));
         self.statements.get_or_create(&Outcome { outcome }).inc();
         self.answered.set(self.answered.get() + 1);
--- a/crates/gateway/src/retry_after.rs
+++ b/crates/gateway/src/retry_after.rs
@@ -19,7 +19,7 @@
 pub(crate) const HOME_UNANSWERED: Duration = Duration::from_millis(500);
 /// Nothing proves that the configuration is current: gateways change their control replica in that time.
 /// Chosen, not measured: lower, callers come back before the change; higher, they stay away after it.
-pub(crate) const UNPROVED: Duration = Duration::from_secs(1);
+pub(crate) const UNCONFIRMED: Duration = Duration::from_secs(1);
 /// There is no configuration yet. After a loss of all machines of the users' large deployments it came 0.4
 /// to 1.1 s after the start, of which callers have waited a part. Chosen by that, not measured by itself.
 pub(crate) const NO_CONFIGURATION: Duration = Duration::from_millis(500);
--- a/crates/gateway/src/routes/mod.rs
+++ b/crates/gateway/src/routes/mod.rs
@@ -35,12 +35,12 @@
 pub(crate) struct Route<W: Wire> {
     pub(crate) rule: Rc<RouteRule>,
     pub(crate) group: Rc<Group<W>>,
-    pub(crate) transaction_idle: Duration,
+    pub(crate) transaction_idle_limit: Duration,
 }
 
 /// Route and principal of an admitted caller.
 #[derive(Clone)]
-pub(crate) struct Admitted<W: Wire> {
+pub(crate) struct Admission<W: Wire> {
     pub(crate) route: Route<W>,
     /// Principal whose statements are run.
     pub(crate) principal: Principal,
@@ -58,7 +58,7 @@
     /// Control has not confirmed for too long that the configuration is current.
     #[error(
         "{}",
-        not_run("nothing proves that the configuration is current", retry_after::UNPROVED)
+        not_run("nothing proves that the configuration is current", retry_after::UNCONFIRMED)
     )]
     Unconfirmed,
 }
@@ -121,7 +121,7 @@
 
     /// Returns how long a transaction may be idle between two statements by the document in force, or
     /// [`DEFAULT_TRANSACTION_IDLE`] if the document sets no limit.
-    pub(crate) fn transaction_idle(&self) -> Duration {
+    pub(crate) fn transaction_idle_limit(&self) -> Duration {
         let document = self.document.borrow();
         let limit = document.as_ref().map(|document| document.limits.transaction_idle);
         limit.filter(|limit| !limit.is_zero()).unwrap_or(DEFAULT_TRANSACTION_IDLE)
@@ -133,7 +133,7 @@
     }
 
     /// Admits a caller with this key to a database, or returns why it is not admitted.
-    pub(crate) fn admit(&self, database: &str, key: &ApiKey) -> Result<Admitted<W>, NotAdmitted> {
+    pub(crate) fn admit(&self, database: &str, key: &ApiKey) -> Result<Admission<W>, NotAdmitted> {
         let routes = self.routes.borrow();
         let unknown = || NotAdmitted::UnknownDatabase(database.to_owned());
         let route = routes.get(database).ok_or_else(unknown)?;
@@ -141,7 +141,7 @@
         if !self.is_recently_confirmed() {
             return Err(NotAdmitted::Unconfirmed);
         }
-        Ok(Admitted { route: route.clone(), principal })
+        Ok(Admission { route: route.clone(), principal })
     }
 
     /// Reports whether control has confirmed the configuration recently enough.
@@ -162,14 +162,14 @@
     }
 
     /// Puts a view in force; reports whether its document has changed.
-    pub(crate) fn follow(&self, view: &Arc<View>) -> bool {
+    pub(crate) fn apply_view(&self, view: &Arc<View>) -> bool {
         let Some(document) = &view.document else { return false };
         self.update_groups(view, document);
         let current = self.document.borrow().clone();
         let is_changed = current.is_none_or(|current| !Arc::ptr_eq(&current, document));
         if is_changed {
             log::info!(version = document.version, revision = view.revision.0; "document in force");
-            self.metrics.note_document(document.version);
+            self.metrics.record_document(document.version);
             self.apply_document(document);
         }
         is_changed
@@ -241,10 +241,10 @@
 
     fn apply_document(&self, document: &Arc<Document>) {
         let groups = self.groups.borrow();
-        let transaction_idle = document.limits.transaction_idle;
+        let transaction_idle_limit = document.limits.transaction_idle;
         let route = |rule: &RouteRule| {
             let group = Rc::clone(groups.get(&rule.group)?);
-            let route = Route { rule: Rc::new(rule.clone()), group, transaction_idle };
+            let route = Route { rule: Rc::new(rule.clone()), group, transaction_idle_limit };
             Some((rule.database.clone(), route))
         };
         let routes = document.routes.iter().filter_map(route).collect();
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -93,7 +93,7 @@
     if let Err(failure) = answer.outcome {
         return Err(Unanswered::Refused(failure));
     }
-    lease.group().note_lead(&lease.member, asked_at, answer.ready.position);
+    lease.group().record_primary_position(&lease.member, asked_at, answer.ready.position);
     Ok(())
 }
 
@@ -121,11 +121,11 @@
         let begun = Instant::now();
         let result = self.run_on(&mut lease, position, deadline).await;
         let kind = StatementKind { priority: self.priority, writes: !self.kind.is_read() };
-        lease.group().note_result(&lease.member, kind, &result, begun);
+        lease.group().record_result(&lease.member, kind, &result, begun);
         if let (Ok(answer), LoneKind::Write) = (&result, self.kind)
             && answer.outcome.is_ok()
         {
-            lease.group().note_lead(&lease.member, asked_at, answer.ready.position);
+            lease.group().record_primary_position(&lease.member, asked_at, answer.ready.position);
         }
         if lease.in_transaction && lease.connection().is_settled() {
             roll_back_later(lease, ROLLBACK_LIMIT);
--- a/crates/gateway/src/session/alone.rs
+++ b/crates/gateway/src/session/alone.rs
@@ -9,10 +9,10 @@
 use super::statement::access_of;
 use crate::answer::{Answer, Unanswered};
 use crate::error::{AcquireError, LinkError};
-use crate::group::{ConnectionRequest, Located, Location, Target};
+use crate::group::{ConnectionRequest, LocatedConnection, Location, Target};
 use crate::limits::OperationPermit;
 use crate::lone_statement::{LoneStatement, PassedStatement};
-use crate::routes::{Admitted, Route};
+use crate::routes::{Admission, Route};
 use crate::wire::Wire;
 use corktack_core::gateway::SessionProfile;
 use corktack_core::identity::MemberName;
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bounds {
     /// When waiting for a connection ends.
-    pub(super) give_up: Instant,
+    pub(super) wait_deadline: Instant,
     /// When waiting for an answer ends.
     pub(super) deadline: Instant,
 }
@@ -41,8 +41,8 @@
         let now = Instant::now();
         let rule = &route.rule;
         let deadline = now + rule.statement_timeout;
-        let give_up = (now + rule.latency_objective.mul_f64(WAIT_PART)).min(deadline);
-        Self { give_up, deadline }
+        let wait_deadline = (now + rule.latency_objective.mul_f64(WAIT_PART)).min(deadline);
+        Self { wait_deadline, deadline }
     }
 }
 
@@ -101,7 +101,7 @@
     /// Runs a statement outside a transaction.
     pub(super) async fn run_alone(
         &mut self,
-        Admitted { route, principal }: &Admitted<W>,
+        Admission { route, principal }: &Admission<W>,
         request: &Request,
         shape: Option<&PreparedShape>,
     ) -> Response {
@@ -109,11 +109,11 @@
         let rule = &route.rule;
         let group = route.group.name.as_str();
         self.decision.borrow_mut().routed(rule, principal, group);
-        let permit = match self.shared.limits.begin(principal, rule.priority, bounds.give_up).await
-        {
-            Ok(permit) => permit,
-            Err(over) => return Response::over_limit(&over, TransactionState::Idle),
-        };
+        let permit =
+            match self.shared.limits.admit(principal, rule.priority, bounds.wait_deadline).await {
+                Ok(permit) => permit,
+                Err(over) => return Response::over_limit(&over, TransactionState::Idle),
+            };
         let lone = Lone { route, principal, permit: &permit, request, shape, bounds };
         let response = self.run_counted(&lone).await;
         if response.did_not_run() {
@@ -146,7 +146,7 @@
         let group = &lone.route.group;
         let (member, result, position) = match group.locate(&connection_request).await? {
             Location::Local(located) => {
-                let Located { lease, position } = *located;
+                let LocatedConnection { lease, position } = *located;
                 let member = lease.member.clone();
                 (member, statement.run(lease, position, deadline).await, position)
             }
@@ -205,7 +205,7 @@
             kind: StatementKind { priority: self.route.rule.priority, writes: !kind.is_read() },
             bound: kind.bound(),
             needs_slot: true,
-            give_up: self.bounds.give_up,
+            wait_deadline: self.bounds.wait_deadline,
         }
     }
 
@@ -222,7 +222,7 @@
 
     /// Whether waiting for a connection has ended.
     pub(super) fn may_wait_no_more(&self) -> bool {
-        Instant::now() >= self.bounds.give_up
+        Instant::now() >= self.bounds.wait_deadline
     }
 
     /// Whether a read that was sent so often without an answer is given up. Where it is not, it counts
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -17,7 +17,7 @@
 
 pub(crate) use serve::serve_caller;
 
-use crate::routes::{Admitted, Route};
+use crate::routes::{Admission, Route};
 use crate::shared::Shared;
 use crate::wire::Wire;
 use corktack_core::gateway::{KnownPosition, OwnPosition, ReadBound, SessionProfile};
@@ -124,7 +124,7 @@
     }
 
     /// What the caller may do now: a change of its route or key binds from the next operation on.
-    fn admitted(&self) -> Result<Admitted<W>, Response> {
+    fn admitted(&self) -> Result<Admission<W>, Response> {
         let admitted = self.shared.routes.admit(&self.database, &self.key);
         admitted.map_err(|refused| {
             Response::failure(refused.code(), &refused.to_string(), self.transaction.state())
--- a/crates/gateway/src/session/opening.rs
+++ b/crates/gateway/src/session/opening.rs
@@ -10,9 +10,11 @@
 use super::response::Response;
 use crate::answer::{Answer, Failure, Unanswered};
 use crate::error::{AcquireError, LinkError};
-use crate::group::{ConnectionRequest, Located, Location, RemoteMember, RemoteOpening, Target};
+use crate::group::{
+    ConnectionRequest, LocatedConnection, Location, RemoteMember, RemoteOpening, Target,
+};
 use crate::lone_statement::{LoneStatement, PassedStatement};
-use crate::routes::{Admitted, Route};
+use crate::routes::{Admission, Route};
 use crate::run::{align, begin_as_primary, begin_reading};
 use crate::wire::Wire;
 use corktack_core::gateway::ReadBound;
@@ -70,12 +72,12 @@
     }
 
     /// Whether there is another way after an error, before waiting ends.
-    fn go_on(&mut self, error: &AcquireError, give_up: Instant) -> bool {
+    fn go_on(&mut self, error: &AcquireError, wait_deadline: Instant) -> bool {
         if let AcquireError::NoPosition = error {
             self.bound = None;
             return true;
         }
-        if Instant::now() >= give_up {
+        if Instant::now() >= wait_deadline {
             return false;
         }
         match error {
@@ -101,18 +103,18 @@
     pub(super) async fn open_transaction(
         &self,
         access: Access,
-        Admitted { route, principal }: Admitted<W>,
+        Admission { route, principal }: Admission<W>,
         first: Option<First<'_>>,
     ) -> Result<Opened<W>, Response> {
         let bounds = Bounds::of(&route);
         let group = route.group.name.as_str();
         let rule = &route.rule;
         self.decision.borrow_mut().routed(rule, &principal, group);
-        let permit = match self.shared.limits.begin(&principal, rule.priority, bounds.give_up).await
-        {
-            Ok(permit) => permit,
-            Err(over) => return Err(Response::over_limit(&over, TransactionState::Failed)),
-        };
+        let permit =
+            match self.shared.limits.admit(&principal, rule.priority, bounds.wait_deadline).await {
+                Ok(permit) => permit,
+                Err(over) => return Err(Response::over_limit(&over, TransactionState::Failed)),
+            };
         let opened = self.open_counted(access, (&route, &principal), bounds, first).await;
         if opened.is_err() {
             // No statement of the caller's was sent.
@@ -141,7 +143,7 @@
                 kind: tries.kind(route.rule.priority),
                 bound: tries.bound,
                 needs_slot: true,
-                give_up: bounds.give_up,
+                wait_deadline: bounds.wait_deadline,
             };
             let error = match self.try_open(route, &connection_request, bounds, first).await {
                 Ok(Tried::Opened(opened)) => return Ok(opened),
@@ -149,12 +151,12 @@
                     tries.why = Self::note_unanswered(route, &member, &why);
                     self.attempted(&tries.why);
                     tries.refused.insert(member);
-                    if Instant::now() < bounds.give_up {
+                    if Instant::now() < bounds.wait_deadline {
                         continue;
                     }
                     AcquireError::NoMember
                 }
-                Err(error) if tries.go_on(&error, bounds.give_up) => continue,
+                Err(error) if tries.go_on(&error, bounds.wait_deadline) => continue,
                 Err(error) => error,
             };
             return Err(Response::refused(&error, &tries.why, TransactionState::Failed));
@@ -185,7 +187,7 @@
     async fn begin_on(
         &self,
         route: &Route<W>,
-        Located { mut lease, position }: Located<W>,
+        LocatedConnection { mut lease, position }: LocatedConnection<W>,
         deadline: Instant,
     ) -> Tried<W> {
         self.decision.borrow_mut().needs(position);
@@ -227,7 +229,7 @@
         let opened = group.open_remote(&member, connection_request, first, bounds.deadline).await?;
         Ok(match opened {
             RemoteOpening::Lent(located) => self.begin_on(route, located, bounds.deadline).await,
-            RemoteOpening::Open(Located { lease, position }, result) => {
+            RemoteOpening::Open(LocatedConnection { lease, position }, result) => {
                 self.decision.borrow_mut().needs(position);
                 let open = Box::new(OpenTransaction::new(route.clone(), lease));
                 Tried::Opened(Opened::Ran(open, result))
@@ -241,11 +243,11 @@
     fn note_unanswered(route: &Route<W>, member: &MemberName, why: &Unanswered) -> String {
         match why {
             Unanswered::NotSent(error) | Unanswered::Sent(error) => {
-                route.group.note_lost(member, error);
+                route.group.record_lost_connection(member, error);
                 format!("{error} at {member}")
             }
             Unanswered::Refused(Failure { code, .. }) => {
-                route.group.note_refusal(member, *code);
+                route.group.record_refusal(member, *code);
                 format!("{code:?} at {member}")
             }
         }
--- a/crates/gateway/src/session/read.rs
+++ b/crates/gateway/src/session/read.rs
@@ -73,7 +73,7 @@
     }
 
     /// The answer where no member is left. That a read was not run is said only of one that was not.
-    fn give_up(self, error: &AcquireError) -> Response {
+    fn wait_deadline(self, error: &AcquireError) -> Response {
         let refused = || Response::refused(error, &self.refusal, TransactionState::Idle);
         self.unsuccessful.unwrap_or_else(refused)
     }
@@ -102,7 +102,7 @@
                 Err(AcquireError::NoHolder(_)) if !lone.may_wait_no_more() => (),
                 Err(AcquireError::NoMember) if !attempts.passed_over.is_empty() => break,
                 Err(AcquireError::NoPosition) => break,
-                Err(error) => return attempts.give_up(&error),
+                Err(error) => return attempts.wait_deadline(&error),
             }
         }
         self.read_from_primary(lone, attempts).await
@@ -122,10 +122,10 @@
                     }
                 }
                 Err(error) if error.may_pass() && !lone.may_wait_no_more() => {}
-                Err(error) => return attempts.give_up(&error),
+                Err(error) => return attempts.wait_deadline(&error),
             }
             if lone.may_wait_no_more() {
-                return attempts.give_up(&AcquireError::NoMember);
+                return attempts.wait_deadline(&AcquireError::NoMember);
             }
         }
     }
--- a/crates/gateway/src/session/serve.rs
+++ b/crates/gateway/src/session/serve.rs
@@ -85,7 +85,7 @@
             return self.refuse(ErrorCode::Busy, &text).await;
         }
         match self.shared.routes.admit(&database, &key) {
-            Ok(admitted) => self.shared.limits.expect(&admitted.principal),
+            Ok(admitted) => self.shared.limits.mark_active(&admitted.principal),
             Err(refused) => return self.refuse(refused.code(), &refused.to_string()).await,
         }
         let ready = ReadyState { state: TransactionState::Idle, position: None };
@@ -113,9 +113,9 @@
         let response = session.handle(request).await;
         let taken = begun.elapsed();
         let is_known = response.code() != Some(ErrorCode::Unauthenticated);
-        self.shared.metrics.note_statement(response.code(), taken);
+        self.shared.metrics.record_statement(response.code(), taken);
         if let Some(reason) = response.refusal() {
-            self.shared.metrics.note_refusal(reason, session.decision.borrow().priority());
+            self.shared.metrics.record_refusal(reason, session.decision.borrow().priority());
         }
         self.explain(session, &id, &response, taken);
         response.encode(&self.shared.wire, &mut self.output);
--- a/crates/gateway/src/session/transaction.rs
+++ b/crates/gateway/src/session/transaction.rs
@@ -9,7 +9,7 @@
 use super::response::Response;
 use super::statement::access_of;
 use crate::answer::{Answer, Unanswered};
-use crate::routes::{Admitted, Route};
+use crate::routes::{Admission, Route};
 use crate::run::{align, pass_on};
 use crate::wire::Wire;
 use corktack_core::position::Position;
@@ -23,7 +23,7 @@
     /// None is open.
     None,
     /// The caller began one; no member has been asked for anything yet.
-    Begun { access: Access, admitted: Admitted<W> },
+    Begun { access: Access, admitted: Admission<W> },
     /// One is open at a member.
     Open(Box<OpenTransaction<W>>),
     /// It failed and was rolled back; its end is still to come.
@@ -56,7 +56,7 @@
             Self::Open(open) => &open.route,
             Self::None | Self::Failed | Self::RolledBack => return None,
         };
-        Some(route.transaction_idle).filter(|limit| !limit.is_zero())
+        Some(route.transaction_idle_limit).filter(|limit| !limit.is_zero())
     }
 
     /// Rolls back what is open; the caller is told with its next statement.
@@ -156,7 +156,7 @@
             Ok(answer) => {
                 if let Err(failure) = &answer.outcome {
                     let group = open.lease.group();
-                    group.note_unsuccessful(&open.lease.member, wrote, failure.code);
+                    group.record_failure(&open.lease.member, wrote, failure.code);
                 }
                 open.abandon();
                 Response::of(answer, TransactionState::Failed)
@@ -191,7 +191,7 @@
     fn fail_open(open: OpenTransaction<W>, unanswered: Unanswered) -> Response {
         match unanswered {
             Unanswered::NotSent(error) | Unanswered::Sent(error) => {
-                open.lease.group().note_lost(&open.lease.member, &error);
+                open.lease.group().record_lost_connection(&open.lease.member, &error);
                 let text = format!("rolled back: {error} at {}", open.lease.member);
                 Response::failure(ErrorCode::Aborted, &text, TransactionState::Failed)
             }
@@ -227,7 +227,7 @@
         let answer = match answer {
             Ok(answer) => answer,
             Err(Unanswered::Sent(error) | Unanswered::NotSent(error)) => {
-                open.lease.group().note_lost(&open.lease.member, &error);
+                open.lease.group().record_lost_connection(&open.lease.member, &error);
                 let text =
                     format!("the commit may have taken effect: {error} at {}", open.lease.member);
                 return Response::failure(ErrorCode::InDoubt, &text, TransactionState::Idle);
@@ -271,7 +271,7 @@
         position: Option<Position>,
     ) {
         if position.is_some() {
-            open.route.group.note_lead(&open.lease.member, asked_at, position);
+            open.route.group.record_primary_position(&open.lease.member, asked_at, position);
         }
         self.note_own_commit(&open.route.group.name, position);
     }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -67,7 +67,7 @@
     }
 
     /// There is a configuration to go by: wakes those who wait for one.
-    pub(crate) fn note_document(&self) {
+    pub(crate) fn record_document(&self) {
         self.document_came.notify_waiters();
     }
 
--- a/crates/gateway/src/tunnel/pool.rs
+++ b/crates/gateway/src/tunnel/pool.rs
@@ -238,7 +238,7 @@
     }
 
     /// A holder sent no heartbeat when it should have.
-    pub(crate) fn note_silent(&self, holder: Holder) {
+    pub(crate) fn record_silence(&self, holder: Holder) {
         log::info!(holder:% = holder.address; "gateway gives no sign of life: it is left aside");
         self.idle.borrow_mut().remove(&holder.address);
         self.peers.borrow_mut().note_unanswered(holder.address, self.clock.now());
@@ -280,7 +280,7 @@
                 self.peers.borrow_mut().note_answered(holder.address, self.clock.now());
             }
             Err(TunnelError::Sent(LinkError::HolderSilent | LinkError::TimedOut)) => {
-                self.note_silent(holder);
+                self.record_silence(holder);
             }
             Err(TunnelError::Sent(error) | TunnelError::NotSent(error)) => {
                 log::info!(holder:% = holder.address, error:% = error; "tunnel lost");
--- a/crates/gateway/tests/metric_names.rs
+++ b/crates/gateway/tests/metric_names.rs
@@ -72,13 +72,13 @@
 fn families_labels_and_fixed_label_values_keep_their_names() {
     let mut registry = Registry::default();
     let metrics = Metrics::register(&mut registry);
-    metrics.note_statement(None, Duration::ZERO);
-    CODES.iter().for_each(|code| metrics.note_statement(Some(*code), Duration::ZERO));
-    REASONS.iter().for_each(|reason| metrics.note_refusal(*reason, 0));
-    OUTCOMES.iter().for_each(|outcome| metrics.note_remote(*outcome));
-    [true, false].iter().for_each(|used| metrics.note_reported_position(*used));
+    metrics.record_statement(None, Duration::ZERO);
+    CODES.iter().for_each(|code| metrics.record_statement(Some(*code), Duration::ZERO));
+    REASONS.iter().for_each(|reason| metrics.record_refusal(*reason, 0));
+    OUTCOMES.iter().for_each(|outcome| metrics.record_remote(*outcome));
+    [true, false].iter().for_each(|used| metrics.record_reported_position(*used));
     let waiting = [(0, 1)].into();
-    metrics.note_holdings(&Holdings { waiting, ..Holdings::default() }, 0);
+    metrics.record_holdings(&Holdings { waiting, ..Holdings::default() }, 0);
     expect![[r##"
         # EOF
         # HELP corktack_gateway_allowed_operations Operations of limited tenants that may begin here in a window.
--- a/crates/gateway/tests/retry_after.rs
+++ b/crates/gateway/tests/retry_after.rs
@@ -14,7 +14,7 @@
         not_run("no member can be reached", retry_after::UNREACHED_MEMBER),
         not_run("no connection is free in time", retry_after::NO_ROOM_REPORTED),
         not_run("the limit is reached", retry_after::HOME_UNANSWERED),
-        not_run("nothing proves that the configuration is current", retry_after::UNPROVED),
+        not_run("nothing proves that the configuration is current", retry_after::UNCONFIRMED),
         not_run("no configuration yet", retry_after::NO_CONFIGURATION),
     ];
     let expected = [
