--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,34 +1,33 @@
-//! A member's whole answer to one statement, or why there is none.
-//!
-//! It is for everything that runs statements. It owns these forms and the collecting of messages into an
-//! answer. It decides nothing.
+//! A member's whole answer to one statement, the reason if there is none, and the reader that assembles an
+//! answer from messages.
 
 use crate::error::LinkError;
 use corktack_core::statement::{ErrorCode, ReadyState, Reply};
 
-/// Why a statement failed, in the member's words.
+/// Error code and text with which a statement failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Failure {
     pub(crate) code: ErrorCode,
     pub(crate) text: String,
 }
 
-/// Why a statement has no whole answer.
+/// Reason why a statement has no whole answer.
 #[derive(Debug)]
 pub(crate) enum Unanswered {
-    /// It was not sent: the connection could not be brought to the session's state.
+    /// The statement was not sent: the connection failed before it was aligned with the session's values.
     NotSent(LinkError),
-    /// It was sent and may have run.
+    /// The statement was sent and may have run.
     Sent(LinkError),
-    /// A member refused what had to come before it; it was not sent.
+    /// The member refused a statement that had to run first (a session value, a prepared statement, a begin);
+    /// the caller's statement was not sent.
     Refused(Failure),
 }
 
-/// A member's whole answer: only one that is complete counts.
+/// A member's whole answer. An incomplete answer counts as none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Answer {
     pub(crate) rows: Vec<String>,
-    /// The member's signature, none for statements that carry none.
+    /// Signature of the member that ran the statement (none if the answer carries none), or the failure.
     pub(crate) outcome: Result<Option<String>, Failure>,
     pub(crate) ready: ReadyState,
 }
@@ -41,11 +40,11 @@
 }
 
 impl AnswerReader {
-    /// Takes a message; gives the answer once it is whole.
+    /// Adds a message; returns the answer once it is whole.
     ///
     /// # Errors
-    /// [`LinkError::Closed`] for messages out of order: the connection cannot be trusted.
-    pub(crate) fn take(&mut self, reply: Reply) -> Result<Option<Answer>, LinkError> {
+    /// [`LinkError::Closed`] for messages out of order: the connection can't be used further.
+    pub(crate) fn add(&mut self, reply: Reply) -> Result<Option<Answer>, LinkError> {
         match reply {
             Reply::Row(row) if self.outcome.is_none() => self.rows.push(row),
             Reply::Complete(signature) if self.outcome.is_none() => {
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -1,7 +1,6 @@
-//! Questions to members on behalf of control, each on a connection of its own.
+//! Sends requests to members on behalf of control, each on a new connection.
 //!
-//! It is for the process that answers control. It owns the time that a question may take. It relies on no
-//! group: control asks as well where the gateway serves nothing.
+//! The requests use no group, as control sends them also through gateways that don't serve the group.
 
 use crate::dial::{Destination, dial};
 use crate::error::DialFailure;
@@ -15,15 +14,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause before a member without a free slot is asked again. Chosen, not measured: lower loads a member that is
-/// full already, higher leaves fewer attempts in the time of a question.
-const BUSY_PAUSE: Duration = Duration::from_millis(25);
-/// Longest time for one question. Chosen, not measured: lower, a member with much to do counts as silent;
-/// higher, control decides later.
-const QUESTION_LIMIT: Duration = Duration::from_millis(400);
+/// Pause before a request is repeated at a member that had no free slot or connection. A shorter pause loads a
+/// member that is already full; a longer one leaves fewer attempts before the request's timeout.
+const BUSY_RETRY_PAUSE: Duration = Duration::from_millis(25);
+/// Timeout of one request. With a shorter one a busy member counts as silent; with a longer one control decides
+/// later.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Asks a member for its status; with `hold`, keeps it from receiving first, in the term after its
-/// own.
+/// Requests a member's status; with `hold`, pauses its replication first, in the term after the member's own,
+/// and returns the answer to the pause.
 pub async fn ask_status<W: Wire>(
     wire: &W,
     settings: &GatewaySettings,
@@ -32,16 +31,16 @@
     address: SocketAddr,
     hold: bool,
 ) -> MemberAnswer {
-    let status = ask(wire, settings, (group, member, address), &OwnStatement::Status).await;
+    let status = request(wire, settings, (group, member, address), &OwnStatement::Status).await;
     let MemberAnswer::Status(status) = status else { return status };
     if !hold {
         return MemberAnswer::Status(status);
     }
     let pause = OwnStatement::Pause { term: status.term + 1 };
-    ask(wire, settings, (group, member, address), &pause).await
+    request(wire, settings, (group, member, address), &pause).await
 }
 
-/// Lets a held member receive again.
+/// Resumes the replication of a member that [`ask_status`] has paused.
 pub async fn release<W: Wire>(
     wire: &W,
     settings: &GatewaySettings,
@@ -49,27 +48,28 @@
     member: &MemberName,
     address: SocketAddr,
 ) {
-    // A member that does not get it is released by the next promotion or restart.
-    let _ = ask(wire, settings, (group, member, address), &OwnStatement::Resume).await;
+    // If the request fails, the next promotion or restart resumes the member.
+    let _ = request(wire, settings, (group, member, address), &OwnStatement::Resume).await;
 }
 
-async fn ask<W: Wire>(
+async fn request<W: Wire>(
     wire: &W,
     settings: &GatewaySettings,
-    at: (&GroupName, &MemberName, SocketAddr),
+    target: (&GroupName, &MemberName, SocketAddr),
     statement: &OwnStatement,
 ) -> MemberAnswer {
-    let deadline = Instant::now() + QUESTION_LIMIT;
+    let deadline = Instant::now() + REQUEST_TIMEOUT;
     loop {
-        match ask_once(wire, settings, at, statement, deadline).await {
+        match request_once(wire, settings, target, statement, deadline).await {
             Some(answer) => return answer,
-            None => tokio::time::sleep(BUSY_PAUSE).await,
+            None => tokio::time::sleep(BUSY_RETRY_PAUSE).await,
         }
     }
 }
 
-/// Asks on a connection of its own; none where the member had no room and is to be asked again.
-async fn ask_once<W: Wire>(
+/// Sends the request once, on a new connection; returns none if the member had no room, so that the request is
+/// to be repeated.
+async fn request_once<W: Wire>(
     wire: &W,
     settings: &GatewaySettings,
     (group, member, address): (&GroupName, &MemberName, SocketAddr),
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,34 +1,31 @@
-//! The steady clock of a gateway.
-//!
-//! It is for the decisions of the core, which take times as numbers. It owns the origin. It relies on the
-//! runtime's clock.
+//! Steady clock of a gateway: converts the runtime's instants to the timestamps that the core's decisions use.
 
 use corktack_core::gateway::POSITION_RETENTION;
 use corktack_core::time::Timestamp;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time from the clock's origin to the start of the gateway. What other gateways found out before
-/// the start has its time as well; what is older than positions are kept is not reported.
+/// Time from the clock's origin to the start of the gateway. Positions that other gateways observed before this
+/// gateway's start need timestamps too; positions older than the retention aren't reported.
 const BEFORE_START: Duration = POSITION_RETENTION;
 
-/// The steady time of a gateway, from some time before its start.
+/// Clock that starts [`BEFORE_START`] before the gateway.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SteadyClock {
-    started: Instant,
+    started_at: Instant,
 }
 
 impl SteadyClock {
     pub(crate) fn start() -> Self {
-        Self { started: Instant::now() }
+        Self { started_at: Instant::now() }
     }
 
     pub(crate) fn now(&self) -> Timestamp {
         self.at(Instant::now())
     }
 
-    /// The steady time of an instant.
+    /// Converts an instant to a timestamp.
     pub(crate) fn at(&self, instant: Instant) -> Timestamp {
-        Timestamp::ZERO + BEFORE_START + instant.saturating_duration_since(self.started)
+        Timestamp::ZERO + BEFORE_START + instant.saturating_duration_since(self.started_at)
     }
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,9 +1,8 @@
-//! A connection to a member.
+//! A connection to a member, which carries one exchange at a time.
 //!
-//! It is for one exchange after the other with a member. It owns the buffers, what the member holds for the
-//! connection (its profile) and whether an answer is outstanding. It relies on
-//! [`transport`](crate::transport) for the bytes, on [`answer`](crate::answer) to tell when an answer is
-//! whole, and on the wire for the messages.
+//! The connection keeps its buffers, its profile (the session values and prepared statements that the member
+//! holds for it), and whether an answer is outstanding. [`transport`](crate::transport) carries the bytes,
+//! [`answer`](crate::answer) assembles whole answers.
 
 use crate::answer::{Answer, AnswerReader, Failure};
 use crate::error::LinkError;
@@ -16,20 +15,20 @@
 use corktack_core::tenancy::Principal;
 use tokio::time::{Instant, timeout_at};
 
-/// First size of the buffers, in bytes; they grow with what is sent. Chosen, not measured: lower costs
-/// allocations, higher memory for each connection.
-const BUFFER_BYTES: usize = 2 * 1024;
+/// Initial size of the buffers, in bytes; they grow with the messages. A smaller size costs allocations, a
+/// larger one memory for each connection.
+const INITIAL_BUFFER_BYTES: usize = 2 * 1024;
 
-/// The outcome of statements of the product's own.
+/// Outcome of statements that the gateway runs for itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum OwnOutcome {
-    /// All were completed.
+    /// All statements were completed.
     Done,
-    /// The member refused one.
+    /// The member refused a statement; the first failure.
     Refused(Failure),
 }
 
-/// A connection to a member, with what the member holds for it.
+/// A connection to a member, with the session values and prepared statements that the member holds for it.
 #[derive(Debug)]
 pub(crate) struct MemberConnection<W: Wire> {
     wire: W,
@@ -37,11 +36,11 @@
     input: BytesMut,
     output: BytesMut,
     pub(crate) profile: ConnectionProfile,
-    /// On whose behalf it was opened.
+    /// Principal for which the connection was opened.
     principal: Principal,
-    /// Set while an answer is outstanding: the connection may not be used by another.
-    unanswered: bool,
-    /// When the member last answered.
+    /// Set while an answer is outstanding: the connection may not be returned to the pool.
+    awaits_answer: bool,
+    /// Time of the member's last answer.
     answered_at: Instant,
 }
 
@@ -50,31 +49,32 @@
         Self {
             wire,
             transport,
-            input: BytesMut::with_capacity(BUFFER_BYTES),
-            output: BytesMut::with_capacity(BUFFER_BYTES),
+            input: BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
+            output: BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
             profile: ConnectionProfile::default(),
             principal,
-            unanswered: false,
+            awaits_answer: false,
             answered_at: Instant::now(),
         }
     }
 
-    /// On whose behalf it was opened: statements of others do not run on it.
+    /// Returns the principal for which the connection was opened: statements of other principals don't run
+    /// on it.
     pub(crate) const fn principal(&self) -> &Principal {
         &self.principal
     }
 
-    /// Whether every answer asked for has come.
+    /// Reports whether every request has been answered.
     pub(crate) const fn is_settled(&self) -> bool {
-        !self.unanswered
+        !self.awaits_answer
     }
 
-    /// When the member last answered on it; a new connection was answered when it became ready.
+    /// Returns the time of the member's last answer; on a new connection, the time of its creation.
     pub(crate) const fn answered_at(&self) -> Instant {
         self.answered_at
     }
 
-    /// Whether the far end closed the connection, or sent something unasked, while it was idle.
+    /// Reports whether the member closed the idle connection, or sent an unexpected message on it.
     pub(crate) fn is_broken(&self) -> bool {
         self.transport.is_broken()
     }
@@ -86,10 +86,10 @@
         deadline: Instant,
     ) -> Result<Answer, LinkError> {
         self.wire.encode_request(request, &mut self.output);
-        self.unanswered = true;
+        self.awaits_answer = true;
         let answer = timeout_at(deadline, self.flush_and_read()).await;
         let answer = answer.map_err(|_| LinkError::TimedOut)??;
-        self.unanswered = false;
+        self.awaits_answer = false;
         Ok(answer)
     }
 
@@ -108,14 +108,14 @@
         let mut reader = AnswerReader::default();
         loop {
             let reply = self.read_reply().await?;
-            if let Some(answer) = reader.take(reply)? {
+            if let Some(answer) = reader.add(reply)? {
                 self.answered_at = Instant::now();
                 return Ok(answer);
             }
         }
     }
 
-    /// The next message of the member.
+    /// Reads the next message of the member.
     pub(crate) async fn read_reply(&mut self) -> Result<Reply, LinkError> {
         loop {
             if let Some(reply) = self.wire.decode_reply(&mut self.input)? {
@@ -125,13 +125,13 @@
         }
     }
 
-    /// Sends a message that is not answered by a whole answer.
+    /// Sends a message for which no whole answer is expected.
     pub(crate) async fn send(&mut self, request: &MemberRequest<'_>) -> Result<(), LinkError> {
         self.wire.encode_request(request, &mut self.output);
         self.flush().await
     }
 
-    /// Runs one statement of the product's own.
+    /// Runs one of the gateway's own statements and records its effect in the profile.
     pub(crate) async fn run_own(
         &mut self,
         statement: &OwnStatement,
@@ -144,8 +144,8 @@
         Ok(answer)
     }
 
-    /// Brings the connection to exactly the session's values. The statements go out together and
-    /// the caller's own statement only after all of them were completed.
+    /// Sets exactly the session's values on the connection. The statements for this are sent together; the
+    /// caller's statement is sent only after all of them were completed.
     pub(crate) async fn align(
         &mut self,
         session: &SessionProfile,
@@ -158,10 +158,10 @@
         for statement in &statements {
             self.wire.encode_request(&MemberRequest::Own(statement), &mut self.output);
         }
-        self.unanswered = true;
+        self.awaits_answer = true;
         let aligned = timeout_at(deadline, self.read_alignment(&statements)).await;
         let refused = aligned.map_err(|_| LinkError::TimedOut)??;
-        self.unanswered = false;
+        self.awaits_answer = false;
         Ok(refused.map_or(OwnOutcome::Done, OwnOutcome::Refused))
     }
 
@@ -183,7 +183,7 @@
         Ok(refused)
     }
 
-    /// Makes sure that the member knows a shape; gives the connection's name for it.
+    /// Prepares a shape at the member if it isn't prepared yet; returns the connection's name for it.
     pub(crate) async fn prepare(
         &mut self,
         shape: &PreparedShape,
@@ -195,17 +195,18 @@
         Ok(answer.outcome.map(|_| name))
     }
 
-    /// Passes bytes of another gateway on, unread.
+    /// Forwards bytes from another gateway without decoding them.
     pub(crate) async fn write_bytes(&mut self, bytes: &[u8]) -> Result<(), LinkError> {
         self.transport.write(bytes).await
     }
 
-    /// Appends what the member sends, unread.
+    /// Appends bytes from the member to `buffer` without decoding them.
     pub(crate) async fn read_bytes(&mut self, buffer: &mut BytesMut) -> Result<(), LinkError> {
         self.transport.read(buffer).await
     }
 
-    /// The tunnel that the connection goes through, with what the connection knows.
+    /// Returns the tunnel that the connection uses, with the connection's profile; none for a direct
+    /// connection.
     pub(crate) fn into_tunnel(self) -> Option<(Box<TunnelClient>, ConnectionProfile)> {
         match self.transport {
             Transport::Tunnel(tunnel) => Some((tunnel, self.profile)),
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Tells the member that the connection ends, as far as that works without waiting.
+    /// Sends the message that ends the connection, as far as the socket takes it without waiting.
     pub(crate) fn terminate(mut self) {
         self.output.clear();
         self.wire.encode_request(&MemberRequest::Terminate, &mut self.output);
--- a/crates/gateway/src/dial.rs
+++ b/crates/gateway/src/dial.rs
@@ -1,7 +1,5 @@
-//! Opens connections to members.
-//!
-//! It is for the group and for control's questions. It owns what is sent before a connection is ready and how
-//! long that may take. It relies on the settings for these times.
+//! Opens connections to members: connects the socket, sends the start message, and waits until the member is
+//! ready. The timeouts are in the settings.
 
 use crate::connection::MemberConnection;
 use crate::error::{DialError, LinkError};
@@ -16,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The member that a connection is opened to, and on whose behalf.
+/// Member to which a connection is opened, and the principal for which it is opened.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Destination<'d> {
     pub(crate) group: &'d GroupName,
@@ -25,7 +23,8 @@
     pub(crate) principal: &'d Principal,
 }
 
-/// Opens a connection and waits until the member is ready for statements.
+/// Opens a connection and waits until the member is ready for statements; returns the connection and the
+/// member's state.
 pub(crate) async fn dial<W: Wire>(
     wire: &W,
     settings: &GatewaySettings,
@@ -36,7 +35,7 @@
     let stream = stream.map_err(|error| DialError::Unreachable(LinkError::Io(error)))?;
     let opening = open(wire, settings, destination, stream);
     let opened = timeout(settings.dial_timeout, opening).await;
-    opened.map_err(|_| DialError::Link(LinkError::TimedOut))?.map_err(DialError::of_opening)
+    opened.map_err(|_| DialError::Link(LinkError::TimedOut))?.map_err(DialError::into_startup_error)
 }
 
 async fn open<W: Wire>(
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -1,14 +1,13 @@
-//! A planned stop: sessions end when they are quiet, transactions get their time.
+//! Drains a gateway at a planned stop: closes idle sessions and gives open transactions a grace period.
 //!
-//! It is for [`handle`](crate::handle). It owns the order and the times of a stop. It relies on the sessions to
-//! follow the signs in [`shared`](crate::shared).
+//! The sessions observe the notifications in [`shared`](crate::shared) and end themselves.
 
 use crate::shared::Shared;
 use crate::wire::Wire;
 use std::rc::Rc;
 use tokio::time::{Instant, timeout_at};
 
-/// Waits until every session is over; transactions still open after their time are rolled back.
+/// Waits until every session has ended; rolls back transactions that are open after their grace period.
 pub(crate) async fn drain<W: Wire>(shared: &Rc<Shared<W>>) {
     tokio::time::sleep(shared.settings.notice).await;
     shared.stopping.set(true);
@@ -17,10 +16,10 @@
     if timeout_at(end, all_ended(shared)).await.is_ok() {
         return;
     }
-    shared.transactions_over.notify_waiters();
+    shared.transaction_grace_ended.notify_waiters();
     let end = Instant::now() + shared.settings.transaction_grace;
     if timeout_at(end, all_ended(shared)).await.is_err() {
-        log::warn!(sessions = shared.sessions.get(); "sessions left at the end of a planned stop");
+        log::warn!(sessions = shared.sessions.get(); "sessions still open at the end of a planned stop");
     }
 }
 
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -106,7 +106,7 @@
 
     /// A connection that ends before it is ready is none: whoever accepted it stands before the
     /// member, or the member went away. One that is slow may only have too much to do.
-    pub(crate) fn of_opening(self) -> Self {
+    pub(crate) fn into_startup_error(self) -> Self {
         match self {
             Self::Link(error @ (LinkError::Io(_) | LinkError::Closed)) => Self::Unreachable(error),
             other => other,
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -1,8 +1,7 @@
 //! Starts and stops a gateway.
 //!
-//! It is for the process that the gateway runs in. It owns the listeners and the tasks that run as long as the
-//! gateway: accepting, following the configuration, closing what is unused. It relies on
-//! [`shared`](crate::shared) for everything that these have in common.
+//! Starts the tasks that run as long as the gateway: accepting connections, applying configuration changes,
+//! reporting on limits, closing idle connections. The tasks have their state in [`shared`](crate::shared).
 
 use crate::clock::SteadyClock;
 use crate::drain::drain;
@@ -25,49 +24,50 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-/// Pause after a failed accept (out of file descriptors, most likely). Chosen, not measured: lower, the
-/// process spends its time on attempts that fail; higher, callers wait though descriptors are free again.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two searches for connections that have not been used for long, and between two updates of the
-/// gauges. Chosen, not measured: lower costs processor time, higher closes connections later than their limit.
+/// Pause after a failed accept, most likely for want of file descriptors. A shorter pause spends processor
+/// time on attempts that fail; a longer one makes callers wait when descriptors are free again.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Time between two searches for connections that have been idle for long, and between two updates of the
+/// gauges. A lower value costs processor time; a higher one closes connections later than their idle limit.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Bound listeners of a gateway.
 #[derive(Debug)]
 pub struct GatewayListeners {
-    /// For callers.
+    /// Listener for callers.
     pub callers: std::net::TcpListener,
-    /// For other gateways.
+    /// Listener for tunnels of other gateways.
     pub peers: std::net::TcpListener,
 }
 
-/// The links between a gateway and control.
+/// Channels between a gateway and the client of control in its process.
 #[derive(Debug)]
 pub struct GatewayLinks {
-    /// The configuration in force.
+    /// Configuration in force.
     pub views: watch::Receiver<Arc<View>>,
-    /// When control was last asked whether that is current, and said so.
+    /// Time of the last request to control that confirmed the configuration as current; none before the first.
     pub proved: watch::Receiver<Option<std::time::Instant>>,
-    /// Takes what the gateway finds out of members.
+    /// Reports to control whether this gateway reaches members.
     pub reach: mpsc::UnboundedSender<MemberReach>,
-    /// Limits of tenants.
+    /// Reports and grants for the limits of tenants.
     pub limits: LimitsLink,
 }
 
-fn adopt(listener: std::net::TcpListener) -> Result<TcpListener, GatewayError> {
+fn to_async_listener(listener: std::net::TcpListener) -> Result<TcpListener, GatewayError> {
     listener.set_nonblocking(true).map_err(GatewayError::Listener)?;
     TcpListener::from_std(listener).map_err(GatewayError::Listener)
 }
 
-/// A gateway.
+/// Entry point for starting gateways.
 #[derive(Debug)]
 pub struct Gateway;
 
 impl Gateway {
-    /// Serves callers on bound listeners, on this arbiter, by the configuration that control tells.
+    /// Starts to serve callers on bound listeners, on the current arbiter, by the configuration received from
+    /// control.
     ///
     /// # Errors
-    /// [`GatewayError::Listener`]; nothing runs then.
+    /// [`GatewayError::Listener`] if a listener can't be used; no task is started then.
     pub fn start<W: Wire>(
         settings: GatewaySettings,
         wire: W,
@@ -75,8 +75,8 @@
         links: GatewayLinks,
         registry: &mut Registry,
     ) -> Result<GatewayHandle<W>, GatewayError> {
-        let callers = adopt(listeners.callers)?;
-        let peers = adopt(listeners.peers)?;
+        let callers = to_async_listener(listeners.callers)?;
+        let peers = to_async_listener(listeners.peers)?;
         let GatewayLinks { views, proved, reach, limits: limits_link } = links;
         let settings = Rc::new(settings);
         let clock = SteadyClock::start();
@@ -94,15 +94,15 @@
         );
         let shared = Rc::new(Shared::new(wire, settings, routes, metrics, limits, clock));
         actix_rt::spawn(run_allowance_reports(Rc::clone(&shared.limits), limits_link));
-        actix_rt::spawn(follow_views(Rc::clone(&shared), views));
-        actix_rt::spawn(accept(callers, Rc::clone(&shared)));
+        actix_rt::spawn(apply_views(Rc::clone(&shared), views));
+        actix_rt::spawn(accept_callers(callers, Rc::clone(&shared)));
         actix_rt::spawn(accept_tunnels(peers, Rc::clone(&shared)));
         actix_rt::spawn(sweep(Rc::clone(&shared)));
         Ok(GatewayHandle { shared })
     }
 }
 
-/// A running gateway.
+/// Handle of a running gateway. Dropping it doesn't stop the gateway.
 pub struct GatewayHandle<W: Wire> {
     shared: Rc<Shared<W>>,
 }
@@ -114,19 +114,19 @@
 }
 
 impl<W: Wire> GatewayHandle<W> {
-    /// Whether there is a configuration to serve by.
+    /// Reports whether the gateway has received a configuration.
     #[must_use]
     pub fn has_document(&self) -> bool {
         self.shared.routes.has_document()
     }
 
-    /// Ends sessions as they become quiet; returns once all are over or their time is up.
+    /// Ends sessions as they become idle; returns once all have ended or the grace period is over.
     pub async fn drain(&self) {
         drain(&self.shared).await;
     }
 }
 
-async fn follow_views<W: Wire>(shared: Rc<Shared<W>>, mut views: watch::Receiver<Arc<View>>) {
+async fn apply_views<W: Wire>(shared: Rc<Shared<W>>, mut views: watch::Receiver<Arc<View>>) {
     loop {
         let view = Arc::clone(&views.borrow_and_update());
         if shared.routes.apply_view(&view) {
@@ -134,7 +134,7 @@
         }
         shared.limits.set_peers(&shared.routes.zone_peers());
         if shared.routes.has_document() {
-            shared.record_document();
+            shared.notify_document();
         }
         if views.changed().await.is_err() {
             return;
@@ -142,15 +142,15 @@
     }
 }
 
-async fn accept<W: Wire>(listener: TcpListener, shared: Rc<Shared<W>>) {
+async fn accept_callers<W: Wire>(listener: TcpListener, shared: Rc<Shared<W>>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 actix_rt::spawn(serve_caller(stream, Rc::clone(&shared)));
             }
             Err(error) => {
-                log::warn!(error:% = error; "a caller cannot be accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:% = error; "cannot accept a caller's connection");
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,40 +1,39 @@
-//! Sessions of callers served from pooled connections to registered back ends.
+//! Gateway that serves callers' sessions from pooled connections to registered back ends (members).
 //!
-//! Some gateways hold a share of a member's connections, spread so that no loss of one gateway stops a group
-//! and reads stay in their zone; the others run their statements through those, over tunnels. The wire is a
-//! [`Wire`] handed in; the decisions are those of [`corktack_core::gateway`], [`corktack_core::registry`],
-//! [`corktack_core::scheduling`] and [`corktack_core::limits`]. A gateway runs on the arbiter that starts it:
-//! nothing here is shared between threads, and what is borrowed is given back before anything is awaited.
+//! Some gateways hold a share of a member's connections. The shares are spread so that the loss of one gateway
+//! stops no group, and so that reads stay in their zone. The other gateways run their statements on these
+//! connections, through tunnels. The caller of [`Gateway::start`] passes in the codec ([`Wire`]). The decisions
+//! are made in [`corktack_core::gateway`], [`corktack_core::registry`], [`corktack_core::scheduling`] and
+//! [`corktack_core::limits`]. A gateway runs on the arbiter that starts it: its state isn't shared between
+//! threads, and no `RefCell` borrow is held across an await.
 //!
-//! # The way of a statement
+//! # Path of a statement
 //!
 //! 1. `handle` accepts the caller's connection and spawns `session::serve`, which reads messages, answers
 //!    them in order, and ends sessions at a planned stop (`drain`).
-//! 2. `session` keeps the caller's values, its own commits and its transaction, and asks `routes` what the
-//!    caller may do now: its route, its group, on whose behalf. `routes` follows the configuration and hands
-//!    each group what the registry says of its members (`routes::membership`).
-//! 3. `limits` counts the operation against its tenant's limit, here or at the tenant's home in the zone; the
-//!    caller may be refused here.
-//! 4. `session::alone` runs a statement outside a transaction (`session::read` offers a read to one member
-//!    after the other), `session::opening` begins a transaction with its first statement,
-//!    `session::transaction` runs the others and the end.
-//! 5. Each of them makes a connection request of its statement and hands it to the `group`: `group::choice`
-//!    picks a member, `group::wait` waits for room by priority class, `group::connect` opens a connection
-//!    of this gateway. Where this gateway holds none, `group::remote` asks the gateways that do, through
-//!    `tunnel`; there `holder` takes it to its own group and runs it.
-//! 6. `run` brings the connection to the session's values and passes the statement on, on a `group::lease`;
-//!    `connection` and `answer` are one exchange with the member, `transport` the way of its bytes, `dial` how
-//!    a connection begins.
-//! 7. What came back goes to `group::notes`, which tells the `member`: its pool, its pauses, its load. The
-//!    caller gets a `session::response`, operators get `metrics` and the line of `session::decision`.
+//! 2. `session` keeps the caller's session values, commit positions and transaction, and asks `routes` for the
+//!    caller's current route, group and principal. `routes` applies configuration changes and passes the
+//!    registered members to each group (`routes::membership`).
+//! 3. `limits` counts the operation against its tenant's limit, at this gateway or at the tenant's home in the
+//!    zone, and may refuse it.
+//! 4. `session::alone` runs a statement outside a transaction (`session::read` retries a read at one member
+//!    after the other), `session::opening` begins a transaction with its first statement, and
+//!    `session::transaction` runs the later statements and the commit or rollback.
+//! 5. Each of these modules passes a connection request to the `group`: `group::choice` chooses a member,
+//!    `group::wait` queues by priority class, and `group::connect` opens a connection of this gateway. If this
+//!    gateway holds no connections to the member, `group::remote` asks the gateways that do, through `tunnel`;
+//!    at such a gateway `holder` passes the request to its own group and runs the statement.
+//! 6. `run` aligns the connection with the session's values and forwards the statement, on a `group::lease`.
+//!    `connection` and `answer` implement one exchange with the member, `transport` carries its bytes, and
+//!    `dial` opens connections.
+//! 7. `group::notes` records the result for the `member` (connection pool, pauses, load). The caller gets a
+//!    `session::response`; operators get `metrics` and the log line of `session::decision`.
 //!
-//! A refusal says that nothing ran and when to come back: `retry_after`. Why one was refused is an
-//! `AcquireError` or a `RefusalReason` of `error`. Beside the statements, `ask` puts control's questions to
-//! members.
+//! A refusal says that nothing ran and when to retry (`retry_after`). The reason is an `AcquireError` or a
+//! `RefusalReason` of `error`. Apart from statements, `ask` sends requests to members on behalf of control.
 //!
-//! The modules use each other in one direction: `handle` over `session` and `holder`, these over `shared`,
-//! `routes`, `limits` and `run`, those over `group`, and that over `member`, `tunnel`, `dial` and
-//! `connection`.
+//! Dependencies between modules go one way: `handle` uses `session` and `holder`, which use `shared`,
+//! `routes`, `limits` and `run`, which use `group`, which uses `member`, `tunnel`, `dial` and `connection`.
 
 mod answer;
 mod ask;
--- a/crates/gateway/src/lone_statement.rs
+++ b/crates/gateway/src/lone_statement.rs
@@ -1,18 +1,18 @@
-//! A statement outside a transaction, in the form in which it is run here or sent to another gateway.
+//! A statement with all that is needed to run it on any connection, or to send it to another gateway.
 //!
-//! It is for the question what belongs to such a statement. It owns both forms and the change from one to
-//! the other; [`run`](crate::run) executes it. It relies on the session for its values and prepared shapes.
+//! A lone statement runs outside a transaction, or is the first statement of one. [`run`](crate::run) executes
+//! it.
 
 use corktack_core::gateway::SessionProfile;
 use corktack_core::statement::{PreparedShape, Request, Statement};
 use corktack_protocol::tunnel::{LoneKind, LoneRequest};
 
-/// What of a caller's statement is passed on.
+/// The parts of a caller's statement that are forwarded to a member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PassedStatement<'s> {
     pub(crate) id: &'s str,
     pub(crate) text: &'s str,
-    /// Arguments of an execution.
+    /// Arguments of the execution of a prepared statement.
     pub(crate) arguments: Option<&'s str>,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A statement outside a transaction, as it is run on any connection.
+/// A statement with the session's values and prepared shape that it needs on any connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoneStatement<'s> {
     pub(crate) passed: PassedStatement<'s>,
@@ -37,7 +37,7 @@
 }
 
 impl LoneStatement<'_> {
-    /// The statement as another gateway gets it.
+    /// Returns the statement in the form in which it is sent to another gateway.
     pub(crate) fn to_request(self) -> LoneRequest {
         LoneRequest {
             id: self.passed.id.to_owned(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The statement that another gateway sent.
+    /// Returns the statement that another gateway sent.
     pub(crate) fn of_request(request: &LoneRequest, priority: u32) -> LoneStatement<'_> {
         LoneStatement {
             passed: PassedStatement {
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,8 +1,7 @@
-//! Runs a caller's statement on a connection of a member.
+//! Runs a caller's statement on a connection to a member, for sessions and for other gateways.
 //!
-//! It is for sessions and for other gateways that ask this one. It owns the order of what is sent: the
-//! session's values and prepared statements first, then the begin where there is one, then the statement.
-//! It relies on a [`Lease`] for the connection and on the group to remember what the outcome shows.
+//! The session's values and prepared statements are sent first, then the begin of a transaction if there is
+//! one, then the statement. The group records the outcome.
 
 use crate::answer::{Answer, Unanswered};
 use crate::connection::OwnOutcome;
@@ -18,12 +17,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time that the end of the product's own transaction may take. Chosen, not measured: it runs in the
-/// background; one that takes longer is closed, which rolls back as well.
+/// Longest time for a rollback in the background. A connection on which it takes longer is closed, which
+/// rolls back as well.
 pub(crate) const ROLLBACK_LIMIT: Duration = Duration::from_secs(2);
 
-/// Brings the connection to the session's values and prepared statements; gives the connection's
-/// name of the shape.
+/// Aligns the connection with the session's values and prepares `shape` on it; returns the connection's name
+/// for the shape.
 pub(crate) async fn align<W: Wire>(
     lease: &mut Lease<W>,
     session: &SessionProfile,
@@ -40,8 +39,8 @@
     prepared.map(Some).map_err(Unanswered::Refused)
 }
 
-/// Passes the statement on and waits for its whole answer. `prepared` is the connection's name of
-/// the statement that an execution runs.
+/// Forwards the statement and waits for its whole answer. `prepared` is the connection's name for the prepared
+/// statement that an execution runs.
 pub(crate) async fn pass_on<W: Wire>(
     lease: &mut Lease<W>,
     passed: PassedStatement<'_>,
@@ -57,7 +56,7 @@
     lease.connection().exchange(&message, deadline).await.map_err(Unanswered::Sent)
 }
 
-/// Begins a transaction at the member.
+/// Begins a transaction at the member; marks the lease as in a transaction if that succeeds.
 pub(crate) async fn begin_at<W: Wire>(
     lease: &mut Lease<W>,
     access: Access,
@@ -71,7 +70,7 @@
     Ok(answer)
 }
 
-/// Begins a transaction that only reads, at a member that holds a position.
+/// Begins a read-only transaction at a member that has applied the position `needed`.
 pub(crate) async fn begin_reading<W: Wire>(
     lease: &mut Lease<W>,
     needed: Position,
@@ -81,13 +80,13 @@
     answer.outcome.map(drop).map_err(Unanswered::Refused)
 }
 
-/// Begins a writable transaction, which only the primary does, and learns its position.
+/// Begins a writable transaction, which only the primary accepts, and records the position in its answer.
 pub(crate) async fn begin_as_primary<W: Wire>(
     lease: &mut Lease<W>,
     deadline: Instant,
 ) -> Result<(), Unanswered> {
     let asked_at = lease.group().now();
-    // A begin takes no slot: it is answered soon, or the member is out of reach.
+    // A begin takes no slot: the member answers it soon unless it is unreachable.
     let deadline = deadline.min(Instant::now() + lease.group().begin_timeout());
     let answer = begin_at(lease, Access::Write, None, deadline).await?;
     if let Err(failure) = answer.outcome {
@@ -97,12 +96,12 @@
     Ok(())
 }
 
-/// Rolls back after the caller has its answer; the connection is then free for others.
+/// Rolls the transaction back in the background and then returns the connection to the pool.
 pub(crate) fn roll_back_later<W: Wire>(mut lease: Lease<W>, limit: Duration) {
     actix_rt::spawn(async move {
         let deadline = Instant::now() + limit;
         let answer = lease.connection().run_own(&OwnStatement::Rollback, deadline).await;
-        // A connection that did not answer is closed with the lease, which rolls back as well.
+        // Dropping the lease closes a connection that did not answer, which rolls back as well.
         if answer.is_ok_and(|answer| answer.outcome.is_ok()) {
             lease.end_transaction();
         }
@@ -110,7 +109,7 @@
 }
 
 impl LoneStatement<'_> {
-    /// Runs it, and notes what that says of the member.
+    /// Runs the statement and records the result for the member.
     pub(crate) async fn run<W: Wire>(
         &self,
         mut lease: Lease<W>,
@@ -133,15 +132,15 @@
         result
     }
 
-    /// Begins a transaction and runs the statement in it. An error says why it could not be begun; the
-    /// statement was not sent then.
+    /// Begins a transaction and runs the statement in it. The outer error is the reason why the begin failed,
+    /// in which case the statement was not sent.
     pub(crate) async fn open_on<W: Wire>(
         &self,
         lease: &mut Lease<W>,
         position: Option<ReadPosition>,
         deadline: Instant,
     ) -> Result<Result<Answer, Unanswered>, Unanswered> {
-        // What is prepared before the begin stays, whatever becomes of the transaction.
+        // Statements prepared before the begin outlast a rollback of the transaction.
         let prepared = align(lease, self.session, self.shape, deadline).await?;
         match position {
             Some(position) => begin_reading(lease, position.needed, deadline).await?,
@@ -163,8 +162,8 @@
                 Some(position.ok_or(Unanswered::NotSent(LinkError::Closed))?.needed)
             }
             LoneKind::Write => None,
-            // A member that lost the lead refuses the begin or the read, so that what is read is as
-            // new as every commit acknowledged before.
+            // A former primary refuses the begin or the read, so the read sees every commit acknowledged
+            // before it.
             LoneKind::ReadAtPrimary => {
                 begin_as_primary(lease, deadline).await?;
                 None
--- a/crates/gateway/src/session/serve.rs
+++ b/crates/gateway/src/session/serve.rs
@@ -157,7 +157,7 @@
                     session.transaction.fail();
                 }
                 () = shared.stop_began.notified(), if !stopping && outside => (),
-                () = shared.transactions_over.notified(), if !outside => {
+                () = shared.transaction_grace_ended.notified(), if !outside => {
                     session.transaction.fail();
                     return Err(Ended::Stopping);
                 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,38 +1,38 @@
-//! Settings of a gateway.
-//!
-//! They are for whoever starts one. They own nothing else; where they come from is the process's to say.
+//! Settings of a gateway, as the process that starts it passes them in.
 
 use corktack_core::identity::{Incarnation, ProxyName, ZoneName};
 use corktack_core::limits::LimitBounds;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Settings of a gateway.
+/// Identity, addresses, timeouts and limits of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
-    /// Who connections to members say they are from.
+    /// Name of the gateway, which its connections to members give if no tenant is known.
     pub name: ProxyName,
-    /// Incarnation of the process, which control knows it by.
+    /// Incarnation of the process, by which control tells it from earlier ones of the same name.
     pub incarnation: Incarnation,
-    /// By what the limits of tenants are kept.
+    /// Window and bounds of the limits of tenants.
     pub limits: LimitBounds,
-    /// How old the last proof that the configuration is current may be for operations to begin; none
-    /// where they begin by the last configuration, however old.
+    /// Longest time since control last confirmed the configuration as current in which operations may begin;
+    /// with none, operations begin by the last configuration, however old.
     pub unproved_limit: Option<Duration>,
-    /// Where other gateways reach it.
+    /// Address at which other gateways reach this one.
     pub peers: SocketAddr,
-    /// Its zone, for the choice of near members.
+    /// Zone of the gateway, in which it prefers members.
     pub zone: ZoneName,
-    /// Longest wait until a member accepts a connection; one that does not counts as unreachable.
+    /// Longest wait until a member accepts a connection; a member that doesn't counts as unreachable.
     pub connect_timeout: Duration,
-    /// Longest wait after that until it is ready for statements.
+    /// Longest wait after the accept until the member is ready for statements.
     pub dial_timeout: Duration,
     /// Longest wait for the begin of a transaction, which takes no slot of a member.
     pub begin_timeout: Duration,
-    /// How long a draining primary that was not replaced yet still gets work.
+    /// Longest time for which a draining primary that isn't replaced yet is still used.
     pub drain_limit: Duration,
-    /// How long sessions go on at a planned stop while new callers are led elsewhere.
+    /// Time at the start of a planned stop in which sessions continue, while new callers are directed to
+    /// other gateways.
     pub notice: Duration,
-    /// How long open transactions may go on after that, and again until they are cut.
+    /// Grace period of open transactions after the notice: they are rolled back at its end, and sessions that
+    /// are still open after the same time again are left.
     pub transaction_grace: Duration,
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,8 +1,8 @@
-//! What all sessions and tunnels of a gateway share.
+//! State shared by all sessions and tunnels of a gateway: routes, limits, metrics, and the progress of a
+//! planned stop.
 //!
-//! It is for the parts that serve somebody: sessions of callers, other gateways, the planned stop. It owns
-//! the routes, the limits, the metrics and the signs of a planned stop. It relies on
-//! [`handle`](crate::handle) to say when there is a configuration.
+//! [`handle`](crate::handle) reports when the first configuration is there; [`drain`](crate::drain) advances
+//! the planned stop.
 
 use crate::clock::SteadyClock;
 use crate::limits::Limits;
@@ -17,26 +17,30 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// Longest time that the start of a session waits for the first configuration; longer in the first
-/// moments of the process, when control is about to tell it. After a loss of all machines of the users'
-/// large deployments it came 0.4 to 1.1 s after the start; callers wait 2 s for the start of a session.
-const DOCUMENT_LIMIT: Duration = Duration::from_millis(100);
-const FIRST_DOCUMENT_LIMIT: Duration = Duration::from_millis(1_200);
+/// Longest wait of a session's start for the first configuration.
+const DOCUMENT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time after the gateway's start until which sessions wait for the first configuration in any case. After a
+/// loss of all machines of a large deployment the configuration comes 0.4 to 1.1 s after the start; callers
+/// wait 2 s for the start of a session.
+const FIRST_DOCUMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// What all sessions of a gateway share.
+/// State shared by all sessions of a gateway.
 pub(crate) struct Shared<W: Wire> {
     pub(crate) wire: W,
     pub(crate) settings: Rc<GatewaySettings>,
     pub(crate) routes: Routes<W>,
     pub(crate) metrics: Metrics,
     pub(crate) limits: Rc<Limits>,
+    /// Number of open sessions.
     pub(crate) sessions: Cell<usize>,
+    /// Set when a planned stop begins to close idle sessions.
     pub(crate) stopping: Cell<bool>,
     pub(crate) stop_began: Notify,
-    pub(crate) transactions_over: Notify,
+    /// Signals that the grace period of open transactions is over.
+    pub(crate) transaction_grace_ended: Notify,
     pub(crate) session_ended: Notify,
-    document_came: Notify,
-    started: Instant,
+    document_arrived: Notify,
+    started_at: Instant,
     clock: SteadyClock,
 }
 
@@ -58,34 +62,35 @@
             sessions: Cell::new(0),
             stopping: Cell::new(false),
             stop_began: Notify::new(),
-            transactions_over: Notify::new(),
+            transaction_grace_ended: Notify::new(),
             session_ended: Notify::new(),
-            document_came: Notify::new(),
-            started: Instant::now(),
+            document_arrived: Notify::new(),
+            started_at: Instant::now(),
             clock,
         }
     }
 
-    /// There is a configuration to go by: wakes those who wait for one.
-    pub(crate) fn record_document(&self) {
-        self.document_came.notify_waiters();
+    /// Wakes the tasks that wait for a configuration.
+    pub(crate) fn notify_document(&self) {
+        self.document_arrived.notify_waiters();
     }
 
-    /// The steady time.
+    /// Returns the time on the gateway's steady clock.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Waits until there is a configuration to go by; says whether there is one.
+    /// Waits for a configuration at the start of a session; reports whether there is one.
     pub(crate) async fn wait_for_document(&self) -> bool {
-        let until = (Instant::now() + DOCUMENT_LIMIT).max(self.started + FIRST_DOCUMENT_LIMIT);
+        let until =
+            (Instant::now() + DOCUMENT_TIMEOUT).max(self.started_at + FIRST_DOCUMENT_TIMEOUT);
         self.wait_for_document_until(until).await
     }
 
-    /// Waits for a configuration until this time; says whether there is one.
+    /// Waits for a configuration until the given time; reports whether there is one.
     pub(crate) async fn wait_for_document_until(&self, until: Instant) -> bool {
         while !self.routes.has_document() {
-            if timeout_at(until, self.document_came.notified()).await.is_err() {
+            if timeout_at(until, self.document_arrived.notified()).await.is_err() {
                 return false;
             }
         }
--- a/crates/gateway/src/transport.rs
+++ b/crates/gateway/src/transport.rs
@@ -1,7 +1,5 @@
-//! How the bytes of a connection reach a member: straight, or through the gateway that holds it.
-//!
-//! It is for [`connection`](crate::connection), which need not know. It owns the socket or the tunnel. It
-//! relies on [`tunnel`](crate::tunnel) for the second way.
+//! Byte transport of a connection to a member: a socket of this gateway, or a tunnel to the gateway that holds
+//! the connection.
 
 use crate::error::LinkError;
 use crate::tunnel::TunnelClient;
@@ -10,12 +8,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The way to a member.
+/// Transport of a connection's bytes.
 #[derive(Debug)]
 pub(crate) enum Transport {
-    /// A connection of this gateway's own.
+    /// Socket of a connection that this gateway opened.
     Direct(TcpStream),
-    /// A connection that another gateway holds.
+    /// Tunnel to the gateway that holds the connection.
     Tunnel(Box<TunnelClient>),
 }
 
@@ -27,7 +25,7 @@
         }
     }
 
-    /// Appends what comes next.
+    /// Appends the next bytes to `buffer`.
     pub(crate) async fn read(&mut self, buffer: &mut BytesMut) -> Result<(), LinkError> {
         match self {
             Self::Direct(stream) => match stream.read_buf(buffer).await? {
@@ -38,7 +36,7 @@
         }
     }
 
-    /// Whether the far end closed the connection, or sent something unasked, while it was idle.
+    /// Reports whether the member closed the idle connection, or sent unexpected bytes on it.
     pub(crate) fn is_broken(&self) -> bool {
         let Self::Direct(stream) = self else { return false };
         let mut byte = [0_u8; 1];
@@ -48,10 +46,10 @@
         }
     }
 
-    /// Writes as much as goes without waiting.
+    /// Writes as much as the socket takes without waiting.
     pub(crate) fn try_write(&self, bytes: &[u8]) {
         if let Self::Direct(stream) = self {
-            // The close that follows says the same.
+            // If this fails, the close that follows ends the connection as well.
             let _ = stream.try_write(bytes);
         }
     }
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -1,17 +1,17 @@
-//! The wire between callers, gateways and members, as its codec.
-//!
-//! It is for whoever starts a gateway, who hands one in. It owns only the trait.
+//! Codec of the protocol between callers, gateways and members. The process that starts a gateway implements
+//! it.
 
 use crate::error::WireError;
 use bytes::BytesMut;
 use corktack_core::statement::{CallerMessage, MemberRequest, MemberStatus, Reply};
 
-/// Turns messages into bytes and back. Holds no state: messages are whole in the buffer.
+/// Encodes and decodes messages. It keeps no state between calls: a message is decoded once the buffer holds
+/// the whole of it.
 pub trait Wire: Clone + 'static {
-    /// Takes the next message of a caller off the buffer, if it is whole.
+    /// Removes the next message of a caller from the buffer; returns none if it isn't complete yet.
     ///
     /// # Errors
-    /// [`WireError`]; the connection cannot go on.
+    /// [`WireError`] for bytes that are no message; the connection can't be used further.
     fn decode_caller(&self, buffer: &mut BytesMut) -> Result<Option<CallerMessage>, WireError>;
 
     /// Appends a message to a caller.
@@ -20,15 +20,15 @@
     /// Appends a message to a member.
     fn encode_request(&self, request: &MemberRequest<'_>, buffer: &mut BytesMut);
 
-    /// Takes the next message of a member off the buffer, if it is whole.
+    /// Removes the next message of a member from the buffer; returns none if it isn't complete yet.
     ///
     /// # Errors
-    /// [`WireError`]; the connection cannot go on.
+    /// [`WireError`] for bytes that are no message; the connection can't be used further.
     fn decode_reply(&self, buffer: &mut BytesMut) -> Result<Option<Reply>, WireError>;
 
-    /// Reads the row with which a member answers a question for its status.
+    /// Decodes the row of a member's answer to a status request.
     ///
     /// # Errors
-    /// [`WireError::Field`].
+    /// [`WireError::Field`] if a field of the row is missing or invalid.
     fn decode_status(&self, row: &str) -> Result<MemberStatus, WireError>;
 }
--- a/crates/gateway/tests/dial_failure.rs
+++ b/crates/gateway/tests/dial_failure.rs
@@ -34,5 +34,5 @@
     #[case] error: LinkError,
     #[case] expected: DialFailure,
 ) {
-    assert_eq!(DialError::Link(error).of_opening().failure(), expected);
+    assert_eq!(DialError::Link(error).into_startup_error().failure(), expected);
 }
