--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -14,11 +14,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause before a request is repeated at a member that had no free slot or connection. A shorter pause loads a
-/// member that is already full; a longer one leaves fewer attempts before the request's timeout.
+/// Pause before a request is repeated at a member that had no free slot or connection. A shorter pause loads
+/// a member that is already full; a longer one leaves fewer attempts before the request's timeout.
 const BUSY_RETRY_PAUSE: Duration = Duration::from_millis(25);
-/// Timeout of one request. With a shorter one a busy member counts as silent; with a longer one control decides
-/// later.
+/// Timeout of one request. With a shorter one a busy member counts as silent; with a longer one control
+/// decides later.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Requests a member's status; with `hold`, pauses its replication first, in the term after the member's own,
@@ -67,8 +67,8 @@
     }
 }
 
-/// Sends the request once, on a new connection; returns none if the member had no room, so that the request is
-/// to be repeated.
+/// Sends the request once, on a new connection; returns none if the member had no room, so that the request
+/// is to be repeated.
 async fn request_once<W: Wire>(
     wire: &W,
     settings: &GatewaySettings,
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,12 +1,13 @@
-//! Steady clock of a gateway: converts the runtime's instants to the timestamps that the core's decisions use.
+//! Steady clock of a gateway: converts the runtime's instants to the timestamps that the core's decisions
+//! use.
 
 use corktack_core::gateway::POSITION_RETENTION;
 use corktack_core::time::Timestamp;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time from the clock's origin to the start of the gateway. Positions that other gateways observed before this
-/// gateway's start need timestamps too; positions older than the retention aren't reported.
+/// Time from the clock's origin to the start of the gateway. Positions that other gateways observed before
+/// this gateway's start need timestamps too; positions older than the retention aren't reported.
 const BEFORE_START: Duration = POSITION_RETENTION;
 
 /// Clock that starts [`BEFORE_START`] before the gateway.
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -34,7 +34,8 @@
     /// The bytes are not valid text.
     #[error("a message that is no text")]
     Encoding,
-    /// One byte of a line end is there without the other: the bytes after it could pass for a separate message.
+    /// One byte of a line end is there without the other: the bytes after it could pass for a separate
+    /// message.
     #[error("a line end that is not whole")]
     LineEnd,
 }
@@ -104,9 +105,9 @@
         }
     }
 
-    /// Converts an error between the accept and the member being ready. A connection that ends before it is ready
-    /// means that the member is unreachable: a relay in front of it accepted the connection, or the member
-    /// stopped. A slow member may only be overloaded, so a timeout stays as it is.
+    /// Converts an error between the accept and the member being ready. A connection that ends before it is
+    /// ready means that the member is unreachable: a relay in front of it accepted the connection, or the
+    /// member stopped. A slow member may only be overloaded, so a timeout stays as it is.
     pub(crate) fn into_startup_error(self) -> Self {
         match self {
             Self::Link(error @ (LinkError::Io(_) | LinkError::Closed)) => Self::Unreachable(error),
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -45,7 +45,8 @@
 pub struct GatewayLinks {
     /// Configuration in force.
     pub views: watch::Receiver<Arc<View>>,
-    /// Time of the last request to control that confirmed the configuration as current; none before the first.
+    /// Time of the last request to control that confirmed the configuration as current; none before the
+    /// first.
     pub proved: watch::Receiver<Option<std::time::Instant>>,
     /// Reports to control whether this gateway reaches members.
     pub reach: mpsc::UnboundedSender<MemberReach>,
--- a/crates/gateway/src/lone_statement.rs
+++ b/crates/gateway/src/lone_statement.rs
@@ -1,7 +1,7 @@
 //! A statement with all that is needed to run it on any connection, or to send it to another gateway.
 //!
-//! A lone statement runs outside a transaction, or is the first statement of one. [`run`](crate::run) executes
-//! it.
+//! A lone statement runs outside a transaction, or is the first statement of one. [`run`](crate::run)
+//! executes it.
 
 use corktack_core::gateway::SessionProfile;
 use corktack_core::statement::{PreparedShape, Request, Statement};
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -202,8 +202,8 @@
         self.remote_requests.get_or_create(&Outcome { outcome: outcome.to_owned() }).inc();
     }
 
-    /// Counts a position reported by another gateway. A position from before the origin of this gateway's clock
-    /// is too old to be used.
+    /// Counts a position reported by another gateway. A position from before the origin of this gateway's
+    /// clock is too old to be used.
     pub(crate) fn record_reported_position(&self, used: bool) {
         let outcome = if used { "used" } else { "too_old" };
         self.reported_positions.get_or_create(&Outcome { outcome: outcome.to_owned() }).inc();
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -19,7 +19,7 @@
 
 /// Longest time for a rollback in the background. A connection on which it takes longer is closed, which
 /// rolls back as well.
-pub(crate) const ROLLBACK_LIMIT: Duration = Duration::from_secs(2);
+pub(crate) const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Aligns the connection with the session's values and prepares `shape` on it; returns the connection's name
 /// for the shape.
@@ -39,9 +39,9 @@
     prepared.map(Some).map_err(Unanswered::Refused)
 }
 
-/// Forwards the statement and waits for its whole answer. `prepared` is the connection's name for the prepared
-/// statement that an execution runs.
-pub(crate) async fn pass_on<W: Wire>(
+/// Forwards the statement and waits for its whole answer. `prepared` is the connection's name for the
+/// prepared statement that an execution runs.
+pub(crate) async fn forward<W: Wire>(
     lease: &mut Lease<W>,
     passed: PassedStatement<'_>,
     prepared: Option<&str>,
@@ -57,7 +57,7 @@
 }
 
 /// Begins a transaction at the member; marks the lease as in a transaction if that succeeds.
-pub(crate) async fn begin_at<W: Wire>(
+pub(crate) async fn begin_transaction<W: Wire>(
     lease: &mut Lease<W>,
     access: Access,
     after: Option<Position>,
@@ -71,12 +71,12 @@
 }
 
 /// Begins a read-only transaction at a member that has applied the position `needed`.
-pub(crate) async fn begin_reading<W: Wire>(
+pub(crate) async fn begin_read_only<W: Wire>(
     lease: &mut Lease<W>,
     needed: Position,
     deadline: Instant,
 ) -> Result<(), Unanswered> {
-    let answer = begin_at(lease, Access::Read, Some(needed), deadline).await?;
+    let answer = begin_transaction(lease, Access::Read, Some(needed), deadline).await?;
     answer.outcome.map(drop).map_err(Unanswered::Refused)
 }
 
@@ -88,7 +88,7 @@
     let asked_at = lease.group().now();
     // A begin takes no slot: the member answers it soon unless it is unreachable.
     let deadline = deadline.min(Instant::now() + lease.group().begin_timeout());
-    let answer = begin_at(lease, Access::Write, None, deadline).await?;
+    let answer = begin_transaction(lease, Access::Write, None, deadline).await?;
     if let Err(failure) = answer.outcome {
         return Err(Unanswered::Refused(failure));
     }
@@ -97,9 +97,9 @@
 }
 
 /// Rolls the transaction back in the background and then returns the connection to the pool.
-pub(crate) fn roll_back_later<W: Wire>(mut lease: Lease<W>, limit: Duration) {
+pub(crate) fn roll_back_in_background<W: Wire>(mut lease: Lease<W>, timeout: Duration) {
     actix_rt::spawn(async move {
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         let answer = lease.connection().run_own(&OwnStatement::Rollback, deadline).await;
         // Dropping the lease closes a connection that did not answer, which rolls back as well.
         if answer.is_ok_and(|answer| answer.outcome.is_ok()) {
@@ -117,17 +117,17 @@
         deadline: Instant,
     ) -> Result<Answer, Unanswered> {
         let asked_at = lease.group().now();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let result = self.run_on(&mut lease, position, deadline).await;
         let kind = StatementKind { priority: self.priority, writes: !self.kind.is_read() };
-        lease.group().record_result(&lease.member, kind, &result, begun);
+        lease.group().record_result(&lease.member, kind, &result, started_at);
         if let (Ok(answer), LoneKind::Write) = (&result, self.kind)
             && answer.outcome.is_ok()
         {
             lease.group().record_primary_position(&lease.member, asked_at, answer.ready.position);
         }
         if lease.in_transaction && lease.connection().is_settled() {
-            roll_back_later(lease, ROLLBACK_LIMIT);
+            roll_back_in_background(lease, ROLLBACK_TIMEOUT);
         }
         result
     }
@@ -143,10 +143,10 @@
         // Statements prepared before the begin outlast a rollback of the transaction.
         let prepared = align(lease, self.session, self.shape, deadline).await?;
         match position {
-            Some(position) => begin_reading(lease, position.needed, deadline).await?,
+            Some(position) => begin_read_only(lease, position.needed, deadline).await?,
             None => begin_as_primary(lease, deadline).await?,
         }
-        Ok(pass_on(lease, self.passed, prepared.as_deref(), None, deadline).await)
+        Ok(forward(lease, self.passed, prepared.as_deref(), None, deadline).await)
     }
 
     async fn run_on<W: Wire>(
@@ -169,6 +169,6 @@
                 None
             }
         };
-        pass_on(lease, self.passed, prepared.as_deref(), after, deadline).await
+        forward(lease, self.passed, prepared.as_deref(), after, deadline).await
     }
 }
--- a/crates/gateway/src/session/alone.rs
+++ b/crates/gateway/src/session/alone.rs
@@ -1,8 +1,8 @@
-//! Statements outside a transaction.
+//! Runs statements outside a transaction: counts them against the tenant's limit and sends them to members,
+//! on connections of this gateway or of another.
 //!
-//! It is for [`session`](super). It owns the bounds of one statement and the offer of it to one member, on a
-//! connection of this gateway's or another's. A write is offered until a member has got it; reads are in
-//! [`read`](super::read). It relies on the limits to count and on the group to find a member.
+//! A write is retried only as long as no member may have run it. Retries of reads are in
+//! [`read`](super::read).
 
 use super::Session;
 use super::response::Response;
@@ -22,48 +22,50 @@
 use corktack_protocol::tunnel::LoneKind;
 use tokio::time::Instant;
 
-/// Part of the latency objective that a statement may wait without being offered to a member: a
-/// quarter, less what the way to the caller takes. Chosen by that, not measured: lower refuses statements that
-/// would have been served, higher answers refused ones so late that their callers have no time for another try.
-const WAIT_PART: f64 = 0.22;
+/// Fraction of the latency objective that a statement may wait for a connection: a quarter, less the network
+/// time to the caller. A lower value refuses statements that would have been served; with a higher one
+/// callers get refusals too late to retry.
+const WAIT_FRACTION: f64 = 0.22;
 
-/// The bounds of one statement.
+/// Deadlines of one statement.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Bounds {
-    /// When waiting for a connection ends.
+pub(super) struct Deadlines {
+    /// Deadline of the wait for a connection.
     pub(super) wait_deadline: Instant,
-    /// When waiting for an answer ends.
-    pub(super) deadline: Instant,
+    /// Deadline of the wait for an answer.
+    pub(super) answer_deadline: Instant,
 }
 
-impl Bounds {
+impl Deadlines {
+    /// Returns the deadlines of a statement that arrives now on a route.
     pub(super) fn of<W: Wire>(route: &Route<W>) -> Self {
         let now = Instant::now();
         let rule = &route.rule;
-        let deadline = now + rule.statement_timeout;
-        let wait_deadline = (now + rule.latency_objective.mul_f64(WAIT_PART)).min(deadline);
-        Self { wait_deadline, deadline }
+        let answer_deadline = now + rule.statement_timeout;
+        let wait_deadline =
+            (now + rule.latency_objective.mul_f64(WAIT_FRACTION)).min(answer_deadline);
+        Self { wait_deadline, answer_deadline }
     }
 }
 
-/// The outcome of one offer of a statement to a member.
-pub(super) enum Offer {
-    /// The caller has its answer.
+/// Outcome of one attempt to run a statement at a member.
+pub(super) enum AttemptOutcome {
+    /// Final answer to the caller.
     Done(Response),
-    /// It ran there and failed; what the caller is told where nothing better is found.
+    /// The statement ran and failed; answer to the caller if no other attempt succeeds.
     Failed(Response),
-    /// The member did not run it; another may.
+    /// The member did not run the statement; another may.
     NotRun(String),
-    /// It may have run there, without an answer.
+    /// The statement may have run, but no answer came.
     Lost {
         why: String,
-        /// Whether that says something of the member, and not only of the way there.
+        /// Whether the member gave no answer, rather than the gateway that holds the connection.
         by_member: bool,
     },
 }
 
-impl Offer {
-    /// Sorts the result of a statement at a member.
+impl AttemptOutcome {
+    /// Classifies the result of a statement at a member.
     fn of(member: &MemberName, result: Result<Answer, Unanswered>) -> Self {
         match result {
             Ok(answer) => match &answer.outcome {
@@ -87,63 +89,66 @@
     }
 }
 
-/// A statement on its way to a member.
-pub(super) struct Lone<'s, W: Wire> {
+/// A statement of the caller that is to be run, with its route, permit and deadlines.
+pub(super) struct PendingStatement<'s, W: Wire> {
     route: &'s Route<W>,
     principal: &'s Principal,
     permit: &'s OperationPermit,
     request: &'s Request,
     shape: Option<&'s PreparedShape>,
-    bounds: Bounds,
+    deadlines: Deadlines,
 }
 
 impl<W: Wire> Session<W> {
-    /// Runs a statement outside a transaction.
-    pub(super) async fn run_alone(
+    /// Counts a statement outside a transaction against its tenant's limit and runs it. Undoes the count if
+    /// the statement did not run.
+    pub(super) async fn run_outside_transaction(
         &mut self,
         Admission { route, principal }: &Admission<W>,
         request: &Request,
         shape: Option<&PreparedShape>,
     ) -> Response {
-        let bounds = Bounds::of(route);
+        let deadlines = Deadlines::of(route);
         let rule = &route.rule;
         let group = route.group.name.as_str();
-        self.decision.borrow_mut().routed(rule, principal, group);
+        self.decision.borrow_mut().record_route(rule, principal, group);
         let permit =
-            match self.shared.limits.admit(principal, rule.priority, bounds.wait_deadline).await {
+            match self.shared.limits.admit(principal, rule.priority, deadlines.wait_deadline).await
+            {
                 Ok(permit) => permit,
                 Err(over) => return Response::over_limit(&over, TransactionState::Idle),
             };
-        let lone = Lone { route, principal, permit: &permit, request, shape, bounds };
-        let response = self.run_counted(&lone).await;
+        let pending =
+            PendingStatement { route, principal, permit: &permit, request, shape, deadlines };
+        let response = self.run_counted(&pending).await;
         if response.did_not_run() {
             permit.return_operations();
         }
         response
     }
 
-    async fn run_counted(&mut self, lone: &Lone<'_, W>) -> Response {
-        let Lone { route, request, shape, .. } = *lone;
+    async fn run_counted(&mut self, pending: &PendingStatement<'_, W>) -> Response {
+        let PendingStatement { route, request, shape, .. } = *pending;
         if access_of(request, shape) == Access::Write {
-            return self.write(lone).await;
+            return self.write(pending).await;
         }
         match self.read_bound(route) {
-            Some(bound) => self.read_anywhere(lone, bound).await,
-            None => self.read_at_primary(lone).await,
+            Some(bound) => self.read_anywhere(pending, bound).await,
+            None => self.read_at_primary(pending).await,
         }
     }
 
-    /// Offers a statement to one member: on a connection of this gateway's, or through another.
-    pub(super) async fn offer(
+    /// Tries to run a statement at one member, on a connection of this gateway or through another gateway.
+    pub(super) async fn attempt(
         &self,
-        lone: &Lone<'_, W>,
+        pending: &PendingStatement<'_, W>,
         target: Target,
         kind: LoneKind,
-    ) -> Result<(MemberName, Offer), AcquireError> {
-        let connection_request = lone.connection_request(&self.profile, target, kind);
-        let statement = lone.statement(&self.profile, kind);
-        let deadline = lone.bounds.deadline;
-        let group = &lone.route.group;
+    ) -> Result<(MemberName, AttemptOutcome), AcquireError> {
+        let connection_request = pending.connection_request(&self.profile, target, kind);
+        let statement = pending.statement(&self.profile, kind);
+        let deadline = pending.deadlines.answer_deadline;
+        let group = &pending.route.group;
         let (member, result, position) = match group.locate(&connection_request).await? {
             Location::Local(located) => {
                 let LocatedConnection { lease, position } = *located;
@@ -156,42 +161,49 @@
                 (member.name, result, position)
             }
         };
-        self.decision.borrow_mut().needs(position);
-        let offer = Offer::of(&member, result);
-        if let Offer::NotRun(why) | Offer::Lost { why, .. } = &offer {
-            self.attempted(why);
+        self.decision.borrow_mut().record_position(position);
+        let outcome = AttemptOutcome::of(&member, result);
+        if let AttemptOutcome::NotRun(why) | AttemptOutcome::Lost { why, .. } = &outcome {
+            self.record_attempt(why);
         }
-        Ok((member, offer))
+        Ok((member, outcome))
     }
 
-    /// A write is sent once: without an answer nobody knows what became of it.
-    async fn write(&mut self, lone: &Lone<'_, W>) -> Response {
-        let mut why = String::new();
+    /// Runs a write. A write that may have run is never sent again; if its answer is lost, the caller is told
+    /// that the outcome is in doubt.
+    async fn write(&mut self, pending: &PendingStatement<'_, W>) -> Response {
+        let mut last_refusal = String::new();
         loop {
-            match self.offer(lone, Target::Primary, LoneKind::Write).await {
-                Err(error) if error.is_transient() && !lone.may_wait_no_more() => {}
-                Err(error) => return Response::refused(&error, &why, TransactionState::Idle),
-                Ok((_, Offer::Done(response) | Offer::Failed(response))) => {
+            match self.attempt(pending, Target::Primary, LoneKind::Write).await {
+                Err(error) if error.is_transient() && !pending.is_wait_over() => {}
+                Err(error) => {
+                    return Response::refused(&error, &last_refusal, TransactionState::Idle);
+                }
+                Ok((_, AttemptOutcome::Done(response) | AttemptOutcome::Failed(response))) => {
                     if response.code().is_none() {
-                        self.note_own_commit(&lone.route.group.name, response.position());
+                        self.record_own_commit(&pending.route.group.name, response.position());
                     }
                     return response;
                 }
-                Ok((_, Offer::NotRun(reason))) => why = reason,
-                Ok((_, Offer::Lost { why, .. })) => {
+                Ok((_, AttemptOutcome::NotRun(reason))) => last_refusal = reason,
+                Ok((_, AttemptOutcome::Lost { why, .. })) => {
                     let text = format!("the write may have taken effect: {why}");
                     return Response::failure(ErrorCode::InDoubt, &text, TransactionState::Idle);
                 }
             }
-            if lone.may_wait_no_more() {
-                return Response::refused(&AcquireError::NoMember, &why, TransactionState::Idle);
+            if pending.is_wait_over() {
+                return Response::refused(
+                    &AcquireError::NoMember,
+                    &last_refusal,
+                    TransactionState::Idle,
+                );
             }
         }
     }
 }
 
-impl<W: Wire> Lone<'_, W> {
-    /// What it needs of the group to run at a member.
+impl<W: Wire> PendingStatement<'_, W> {
+    /// Returns the request to the group for a connection to a member.
     fn connection_request<'r>(
         &'r self,
         session: &'r SessionProfile,
@@ -205,11 +217,11 @@
             kind: StatementKind { priority: self.route.rule.priority, writes: !kind.is_read() },
             bound: kind.bound(),
             needs_slot: true,
-            wait_deadline: self.bounds.wait_deadline,
+            wait_deadline: self.deadlines.wait_deadline,
         }
     }
 
-    /// What is run at the member.
+    /// Returns the statement in the form in which it is run at a member.
     fn statement<'r>(&'r self, session: &'r SessionProfile, kind: LoneKind) -> LoneStatement<'r> {
         LoneStatement {
             passed: PassedStatement::from(self.request),
@@ -220,16 +232,16 @@
         }
     }
 
-    /// Whether waiting for a connection has ended.
-    pub(super) fn may_wait_no_more(&self) -> bool {
-        Instant::now() >= self.bounds.wait_deadline
+    /// Reports whether the deadline of the wait for a connection has passed.
+    pub(super) fn is_wait_over(&self) -> bool {
+        Instant::now() >= self.deadlines.wait_deadline
     }
 
-    /// Whether a read that was sent so often without an answer is given up. Where it is not, it counts
+    /// Reports whether a read may not be sent again after `runs` runs without a result. If it may, counts it
     /// once more against its tenant's limit.
-    pub(super) async fn is_over(&self, sent: u32) -> bool {
-        sent >= self.route.rule.attempts
-            || Instant::now() >= self.bounds.deadline
+    pub(super) async fn is_exhausted(&self, runs: u32) -> bool {
+        runs >= self.route.rule.attempts
+            || Instant::now() >= self.deadlines.answer_deadline
             || !self.permit.count_again().await
     }
 }
--- a/crates/gateway/src/session/decision.rs
+++ b/crates/gateway/src/session/decision.rs
@@ -1,6 +1,4 @@
-//! What was decided for one statement, for the line that explains its outcome.
-//!
-//! It is for operators. It owns the names of that line's fields. It decides nothing.
+//! Decisions made for one statement, and the log line that explains its outcome to operators.
 
 use crate::error::RefusalReason;
 use corktack_core::gateway::{PositionSource, ReadPosition};
@@ -8,29 +6,30 @@
 use corktack_core::tenancy::Principal;
 use std::time::Duration;
 
-/// Attempts that are remembered of one statement: more than a read is offered to. Chosen, not measured; it
-/// bounds the length of the line.
-const ATTEMPT_LIMIT: usize = 8;
+/// Most attempts that are recorded for one statement. Deadlines the length of the log line; a read makes
+/// fewer attempts.
+const MAX_ATTEMPTS: usize = 8;
 
-/// What was decided for one statement, with the inputs that decided it.
+/// Decisions made for one statement, with the inputs that led to them.
 #[derive(Debug, Default)]
 pub(super) struct Decision {
     route: String,
     /// Priority class of the route; 0 is served first.
     priority: u32,
-    /// On whose behalf it is run.
+    /// Principal for which the statement is run.
     principal: Principal,
     consistency: &'static str,
     group: String,
-    /// The position that a member had to hold, and what it was chosen by; none where only the primary
-    /// could serve, or where no member was found.
+    /// Position that a member had to hold, and the inputs from which it was derived; none if only the primary
+    /// could serve, or if no member was found.
     position: Option<ReadPosition>,
+    /// Outcomes of failed attempts at members, in order.
     attempts: Vec<String>,
 }
 
 impl Decision {
-    /// The route in force for the statement.
-    pub(super) fn routed(&mut self, rule: &RouteRule, principal: &Principal, group: &str) {
+    /// Records the statement's route, principal and group.
+    pub(super) fn record_route(&mut self, rule: &RouteRule, principal: &Principal, group: &str) {
         rule.name.as_str().clone_into(&mut self.route);
         self.priority = rule.priority;
         self.principal.clone_from(principal);
@@ -42,41 +41,41 @@
         };
     }
 
-    /// The position that a member had to hold.
-    pub(super) fn needs(&mut self, position: Option<ReadPosition>) {
+    /// Records the position that a member had to hold.
+    pub(super) fn record_position(&mut self, position: Option<ReadPosition>) {
         self.position = position;
     }
 
-    /// Priority class of the route; 0 is served first.
+    /// Returns the priority class of the route; 0 is served first.
     pub(super) const fn priority(&self) -> u32 {
         self.priority
     }
 
-    /// A member was asked in vain.
-    pub(super) fn attempted(&mut self, outcome: &str) {
-        if self.attempts.len() < ATTEMPT_LIMIT {
+    /// Records a failed attempt at a member.
+    pub(super) fn record_attempt(&mut self, outcome: &str) {
+        if self.attempts.len() < MAX_ATTEMPTS {
             self.attempts.push(outcome.to_owned());
         }
     }
 
-    /// Writes the line that explains how the statement ended.
-    pub(super) fn explain(
+    /// Logs the statement's outcome with the decisions.
+    pub(super) fn log(
         &self,
         id: &str,
         database: &str,
         outcome: &str,
         why: &str,
         refusal: Option<RefusalReason>,
-        taken: Duration,
+        elapsed: Duration,
     ) {
         let position = self.position;
-        let needed = position.map_or_else(|| "primary".to_owned(), |it| it.needed.to_string());
+        let needed = position.map_or_else(|| "primary".to_owned(), |read| read.needed.to_string());
         let millis = |age: Option<Duration>| age.map_or(-1, |age| age.as_millis() as i64);
-        let age = millis(position.map(|it| it.newest_age));
-        let floor_age = millis(position.map(|it| it.basis.age));
-        let floor_from = position.map_or("none", |it| source_name(it.basis.source));
+        let age = millis(position.map(|read| read.newest_age));
+        let floor_age = millis(position.map(|read| read.basis.age));
+        let floor_from = position.map_or("none", |read| source_name(read.basis.source));
         log::info!(
-            id, database, outcome, why, after_ms = taken.as_millis() as u64,
+            id, database, outcome, why, after_ms = elapsed.as_millis() as u64,
             refusal = refusal.map_or("", RefusalReason::name), priority = self.priority,
             route = self.route.as_str(), tenant:% = self.principal, consistency = self.consistency,
             group = self.group.as_str(), needed = needed.as_str(), position_age_ms = age,
@@ -86,7 +85,7 @@
     }
 }
 
-/// The name of a source in log lines and figures.
+/// Returns the name of a source in log lines.
 pub(super) const fn source_name(source: PositionSource) -> &'static str {
     match source {
         PositionSource::Primary => "primary",
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -1,9 +1,10 @@
-//! One caller's session: its values, its own commits, its transaction.
+//! One caller's session: the state kept between its statements (session values, commit positions,
+//! transaction).
 //!
-//! It is for the statements of one caller, one after the other. It owns what lasts between them. [`serve`] is
-//! the caller's connection; [`alone`] and [`read`] run statements outside a transaction, [`opening`] and
-//! [`transaction`] those inside; [`response`] is what the caller is answered, [`decision`] the line that
-//! explains it. It relies on the routes for what the caller may do and on the group for connections.
+//! [`serve`] handles the caller's connection; [`alone`] and [`read`] run statements outside a transaction,
+//! [`opening`] and [`transaction`] those inside. [`response`] builds the answers, [`decision`] the log line
+//! that explains a statement's outcome. The routes say what the caller may do; the group provides
+//! connections.
 
 mod alone;
 mod decision;
@@ -36,23 +37,23 @@
 /// A session's last commit in a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OwnCommit {
-    /// At this position.
+    /// Position that the member reported for the commit.
     At(KnownPosition),
-    /// The member did not tell its position: only the primary surely has it.
+    /// The member reported no position: only the primary is sure to hold the commit.
     Unreported,
 }
 
-/// One caller's session.
+/// State of one caller's session.
 pub(crate) struct Session<W: Wire> {
     shared: Rc<Shared<W>>,
     database: String,
-    /// What the caller showed to say who it is.
+    /// Key with which the caller authenticates.
     key: ApiKey,
     profile: SessionProfile,
-    /// The session's last commit in each group: positions of one say nothing of another.
+    /// The session's last commit in each group: positions of different groups can't be compared.
     own_commits: BTreeMap<GroupName, OwnCommit>,
     transaction: Transaction<W>,
-    /// What is decided for the statement under way.
+    /// Decisions made for the current statement, for its log line.
     decision: RefCell<Decision>,
 }
 
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Serves one statement.
+    /// Runs one statement and returns the answer to the caller.
     async fn handle(&mut self, request: Request) -> Response {
         self.decision.take();
         if self.transaction.is_failed() {
@@ -102,16 +103,18 @@
             Err(response) => return response,
         };
         if self.transaction.is_none() {
-            match self.admitted() {
-                Ok(admitted) => self.run_alone(&admitted, request, shape.as_ref()).await,
+            match self.admit() {
+                Ok(admission) => {
+                    self.run_outside_transaction(&admission, request, shape.as_ref()).await
+                }
                 Err(response) => response,
             }
         } else {
-            self.run_inside(request, shape.as_ref()).await
+            self.run_in_transaction(request, shape.as_ref()).await
         }
     }
 
-    /// The shape that an execution runs; none for a plain statement.
+    /// Returns the shape of a prepared statement that the request executes; none for a plain statement.
     fn prepared_shape(&mut self, request: &Request) -> Result<Option<PreparedShape>, Response> {
         let Statement::Execute { name, .. } = &request.statement else { return Ok(None) };
         match self.profile.shape(name) {
@@ -123,25 +126,25 @@
         }
     }
 
-    /// What the caller may do now: a change of its route or key binds from the next operation on.
-    fn admitted(&self) -> Result<Admission<W>, Response> {
-        let admitted = self.shared.routes.admit(&self.database, &self.key);
-        admitted.map_err(|refused| {
+    /// Returns the caller's route and principal. A change of either applies from the next operation on.
+    fn admit(&self) -> Result<Admission<W>, Response> {
+        let admission = self.shared.routes.admit(&self.database, &self.key);
+        admission.map_err(|refused| {
             Response::failure(refused.code(), &refused.to_string(), self.transaction.state())
         })
     }
 
-    /// Remembers that a member was asked in vain.
-    fn attempted(&self, outcome: &str) {
-        self.decision.borrow_mut().attempted(outcome);
+    /// Records a failed attempt at a member.
+    fn record_attempt(&self, outcome: &str) {
+        self.decision.borrow_mut().record_attempt(outcome);
     }
 
-    /// The product's own success.
+    /// Returns a success of a statement that the gateway handles without a member.
     fn own_success(&self) -> Response {
         Response::own_success(self.transaction.state())
     }
 
-    /// The product's own failure; inside a transaction it fails the transaction.
+    /// Returns a failure detected by the gateway; inside a transaction, fails the transaction as well.
     fn own_failure(&mut self, code: ErrorCode, text: &str) -> Response {
         if !self.transaction.is_none() {
             self.transaction = Transaction::Failed;
@@ -149,9 +152,9 @@
         Response::failure(code, text, self.transaction.state())
     }
 
-    /// What a read must see on a route; none where only the primary may serve it.
+    /// Returns what a read on a route must see at least; none if only the primary may serve it.
     fn read_bound(&self, route: &Route<W>) -> Option<ReadBound> {
-        let own = |commit: KnownPosition| OwnPosition {
+        let own_position = |commit: KnownPosition| OwnPosition {
             position: commit.position,
             age: self.shared.now() - commit.known_at,
         };
@@ -162,7 +165,7 @@
                 match self.own_commits.get(&route.group.name) {
                     Some(OwnCommit::Unreported) => None,
                     Some(OwnCommit::At(commit)) => {
-                        Some(ReadBound { staleness, own: Some(own(*commit)) })
+                        Some(ReadBound { staleness, own: Some(own_position(*commit)) })
                     }
                     None => Some(ReadBound { staleness, own: None }),
                 }
@@ -170,7 +173,8 @@
         }
     }
 
-    fn note_own_commit(&mut self, group: &GroupName, position: Option<Position>) {
+    /// Records the position of a commit of this session, or that the member reported none.
+    fn record_own_commit(&mut self, group: &GroupName, position: Option<Position>) {
         let known_at = self.shared.now();
         let at = |position| OwnCommit::At(KnownPosition { position, known_at });
         self.own_commits.insert(group.clone(), position.map_or(OwnCommit::Unreported, at));
--- a/crates/gateway/src/session/open_transaction.rs
+++ b/crates/gateway/src/session/open_transaction.rs
@@ -1,36 +1,34 @@
-//! A transaction that is open at a member.
-//!
-//! It is for the statements inside it and for its end. It owns the lease of its connection, and what a
-//! rollback behind the caller's back undoes. It relies on [`run`](crate::run) to roll back.
+//! A transaction that is open at a member, with the lease of its connection and the state that a rollback
+//! invalidates.
 
 use crate::group::Lease;
 use crate::routes::Route;
-use crate::run::{ROLLBACK_LIMIT, roll_back_later};
+use crate::run::{ROLLBACK_TIMEOUT, roll_back_in_background};
 use crate::wire::Wire;
 
-/// A transaction that is open at a member.
+/// Transaction open at a member.
 pub(super) struct OpenTransaction<W: Wire> {
     pub(super) route: Route<W>,
     pub(super) lease: Lease<W>,
-    /// Whether something was written in it.
-    pub(super) wrote: bool,
-    /// Whether values were set or statements prepared inside it: a rollback may undo them.
-    pub(super) aligned_inside: bool,
+    /// Whether a write succeeded in the transaction.
+    pub(super) has_written: bool,
+    /// Whether values were set or statements prepared inside the transaction: a rollback may undo them.
+    pub(super) has_changed_profile: bool,
 }
 
 impl<W: Wire> OpenTransaction<W> {
-    /// One in which nothing was written yet.
+    /// Returns a transaction that has just begun on the connection.
     pub(super) fn new(route: Route<W>, lease: Lease<W>) -> Self {
-        Self { route, lease, wrote: false, aligned_inside: false }
+        Self { route, lease, has_written: false, has_changed_profile: false }
     }
 
-    /// Rolls back behind the caller's back.
+    /// Rolls back in the background; closes the connection instead if an answer is outstanding.
     pub(super) fn abandon(mut self) {
-        if self.aligned_inside {
+        if self.has_changed_profile {
             self.lease.connection().profile.mark_unknown();
         }
         if self.lease.connection().is_settled() {
-            roll_back_later(self.lease, ROLLBACK_LIMIT);
+            roll_back_in_background(self.lease, ROLLBACK_TIMEOUT);
         }
     }
 }
--- a/crates/gateway/src/session/opening.rs
+++ b/crates/gateway/src/session/opening.rs
@@ -1,11 +1,11 @@
-//! How a transaction is begun at a member, with its first statement where another gateway holds the
-//! connection: beginning and statement are one round trip to it, which may be one between regions.
+//! Begins transactions at members, and keeps track of the members that were tried.
 //!
-//! It is for [`transaction`](super::transaction). It owns which members were tried. It relies on the limits to
-//! count the transaction as one operation and on the group to find a member.
+//! If another gateway holds the connection, the begin and the first statement are sent to it together, which
+//! takes one round trip instead of two, possibly between regions. A transaction counts as one operation of
+//! its tenant.
 
 use super::Session;
-use super::alone::Bounds;
+use super::alone::Deadlines;
 use super::open_transaction::OpenTransaction;
 use super::response::Response;
 use crate::answer::{Answer, Failure, Unanswered};
@@ -15,7 +15,7 @@
 };
 use crate::lone_statement::{LoneStatement, PassedStatement};
 use crate::routes::{Admission, Route};
-use crate::run::{align, begin_as_primary, begin_reading};
+use crate::run::{align, begin_as_primary, begin_read_only};
 use crate::wire::Wire;
 use corktack_core::gateway::ReadBound;
 use corktack_core::identity::MemberName;
@@ -26,40 +26,41 @@
 use std::collections::BTreeSet;
 use tokio::time::Instant;
 
-/// The first statement of a transaction.
+/// First statement of a transaction.
 #[derive(Clone, Copy)]
-pub(super) struct First<'s> {
+pub(super) struct FirstStatement<'s> {
     pub(super) request: &'s Request,
     pub(super) shape: Option<&'s PreparedShape>,
 }
 
-/// The outcome of beginning a transaction.
+/// Outcome of beginning a transaction.
 pub(super) enum Opened<W: Wire> {
-    /// It is open; its first statement is still to be run.
+    /// The transaction is open; its first statement is still to be run.
     Begun(Box<OpenTransaction<W>>),
-    /// Its first statement was run with the begin.
+    /// The transaction is open; its first statement was run with the begin.
     Ran(Box<OpenTransaction<W>>, Result<Answer, Unanswered>),
-    /// A gateway was asked for both and gave no answer; nothing of it is kept.
+    /// Another gateway got the request for both and gave no answer; the transaction is rolled back.
     Lost(Response),
 }
 
-/// One try at one member.
-enum Tried<W: Wire> {
+/// Outcome of one attempt at one member.
+enum OpenAttempt<W: Wire> {
     Opened(Opened<W>),
-    /// The member did not begin it.
+    /// The member did not begin the transaction.
     NotBegun(MemberName, Unanswered),
 }
 
-/// Where a transaction is tried next, and what was said so far.
-struct Tries {
-    /// What a transaction that only reads must see; none where only the primary may serve it.
+/// The attempts to begin a transaction so far, which determine the target of the next one.
+struct OpenAttempts {
+    /// What a read-only transaction must see at least; none if only the primary may serve it.
     bound: Option<ReadBound>,
+    /// Members that did not begin the transaction.
     refused: BTreeSet<MemberName>,
-    /// What the last member said that did not begin it.
-    why: String,
+    /// Reason of the last of them.
+    last_refusal: String,
 }
 
-impl Tries {
+impl OpenAttempts {
     fn kind(&self, priority: u32) -> StatementKind {
         StatementKind { priority, writes: self.bound.is_none() }
     }
@@ -71,8 +72,9 @@
         }
     }
 
-    /// Whether there is another way after an error, before waiting ends.
-    fn go_on(&mut self, error: &AcquireError, wait_deadline: Instant) -> bool {
+    /// Reports whether to try again after an error, and prepares the next attempt: at the primary if no
+    /// position is known, else at another member until the wait deadline.
+    fn prepare_retry(&mut self, error: &AcquireError, wait_deadline: Instant) -> bool {
         if let AcquireError::NoPosition = error {
             self.bound = None;
             return true;
@@ -98,26 +100,30 @@
 }
 
 impl<W: Wire> Session<W> {
-    /// Begins the transaction at a member that may serve it. How fresh it must be counts from now: the
-    /// caller may have been idle since its begin.
+    /// Begins the transaction at a member that may serve it. Its staleness bound counts from now, not from
+    /// the caller's begin, after which the caller may have been idle.
     pub(super) async fn open_transaction(
         &self,
         access: Access,
         Admission { route, principal }: Admission<W>,
-        first: Option<First<'_>>,
+        first: Option<FirstStatement<'_>>,
     ) -> Result<Opened<W>, Response> {
-        let bounds = Bounds::of(&route);
+        let deadlines = Deadlines::of(&route);
         let group = route.group.name.as_str();
         let rule = &route.rule;
-        self.decision.borrow_mut().routed(rule, &principal, group);
-        let permit =
-            match self.shared.limits.admit(&principal, rule.priority, bounds.wait_deadline).await {
-                Ok(permit) => permit,
-                Err(over) => return Err(Response::over_limit(&over, TransactionState::Failed)),
-            };
-        let opened = self.open_counted(access, (&route, &principal), bounds, first).await;
+        self.decision.borrow_mut().record_route(rule, &principal, group);
+        let permit = match self
+            .shared
+            .limits
+            .admit(&principal, rule.priority, deadlines.wait_deadline)
+            .await
+        {
+            Ok(permit) => permit,
+            Err(over) => return Err(Response::over_limit(&over, TransactionState::Failed)),
+        };
+        let opened = self.open_counted(access, (&route, &principal), deadlines, first).await;
         if opened.is_err() {
-            // No statement of the caller's was sent.
+            // No statement of the caller was sent.
             permit.return_operations();
         }
         opened
@@ -127,39 +133,44 @@
         &self,
         access: Access,
         (route, principal): (&Route<W>, &Principal),
-        bounds: Bounds,
-        first: Option<First<'_>>,
+        deadlines: Deadlines,
+        first: Option<FirstStatement<'_>>,
     ) -> Result<Opened<W>, Response> {
         let bound = match access {
             Access::Read => self.read_bound(route),
             Access::Write => None,
         };
-        let mut tries = Tries { bound, refused: BTreeSet::new(), why: String::new() };
+        let mut attempts =
+            OpenAttempts { bound, refused: BTreeSet::new(), last_refusal: String::new() };
         loop {
             let connection_request = ConnectionRequest {
-                target: tries.target(),
+                target: attempts.target(),
                 session: &self.profile,
                 principal: Some(principal),
-                kind: tries.kind(route.rule.priority),
-                bound: tries.bound,
+                kind: attempts.kind(route.rule.priority),
+                bound: attempts.bound,
                 needs_slot: true,
-                wait_deadline: bounds.wait_deadline,
+                wait_deadline: deadlines.wait_deadline,
             };
-            let error = match self.try_open(route, &connection_request, bounds, first).await {
-                Ok(Tried::Opened(opened)) => return Ok(opened),
-                Ok(Tried::NotBegun(member, why)) => {
-                    tries.why = Self::note_unanswered(route, &member, &why);
-                    self.attempted(&tries.why);
-                    tries.refused.insert(member);
-                    if Instant::now() < bounds.wait_deadline {
+            let error = match self.try_open(route, &connection_request, deadlines, first).await {
+                Ok(OpenAttempt::Opened(opened)) => return Ok(opened),
+                Ok(OpenAttempt::NotBegun(member, unanswered)) => {
+                    attempts.last_refusal = Self::record_unanswered(route, &member, &unanswered);
+                    self.record_attempt(&attempts.last_refusal);
+                    attempts.refused.insert(member);
+                    if Instant::now() < deadlines.wait_deadline {
                         continue;
                     }
                     AcquireError::NoMember
                 }
-                Err(error) if tries.go_on(&error, bounds.wait_deadline) => continue,
+                Err(error) if attempts.prepare_retry(&error, deadlines.wait_deadline) => continue,
                 Err(error) => error,
             };
-            return Err(Response::refused(&error, &tries.why, TransactionState::Failed));
+            return Err(Response::refused(
+                &error,
+                &attempts.last_refusal,
+                TransactionState::Failed,
+            ));
         }
     }
 
@@ -167,55 +178,55 @@
         &self,
         route: &Route<W>,
         connection_request: &ConnectionRequest<'_>,
-        bounds: Bounds,
-        first: Option<First<'_>>,
-    ) -> Result<Tried<W>, AcquireError> {
+        deadlines: Deadlines,
+        first: Option<FirstStatement<'_>>,
+    ) -> Result<OpenAttempt<W>, AcquireError> {
         let located = match (route.group.locate(connection_request).await?, first) {
             (Location::Local(located), _) => *located,
             (Location::Remote(member), None) => {
                 route.group.acquire_remote(&member, connection_request).await?
             }
             (Location::Remote(member), Some(first)) => {
-                let opening = self.open_remote(route, connection_request, member, bounds, first);
+                let opening = self.open_remote(route, connection_request, member, deadlines, first);
                 return opening.await;
             }
         };
-        Ok(self.begin_on(route, located, bounds.deadline).await)
+        Ok(self.begin_on(route, located, deadlines.answer_deadline).await)
     }
 
-    /// Begins it on a connection that is there.
+    /// Begins the transaction on a leased connection.
     async fn begin_on(
         &self,
         route: &Route<W>,
         LocatedConnection { mut lease, position }: LocatedConnection<W>,
         deadline: Instant,
-    ) -> Tried<W> {
-        self.decision.borrow_mut().needs(position);
+    ) -> OpenAttempt<W> {
+        self.decision.borrow_mut().record_position(position);
         let begun = async {
             align(&mut lease, &self.profile, None, deadline).await?;
             match position {
-                Some(position) => begin_reading(&mut lease, position.needed, deadline).await,
+                Some(position) => begin_read_only(&mut lease, position.needed, deadline).await,
                 None => begin_as_primary(&mut lease, deadline).await,
             }
         };
         match begun.await {
             Ok(()) => {
                 let open = Box::new(OpenTransaction::new(route.clone(), lease));
-                Tried::Opened(Opened::Begun(open))
+                OpenAttempt::Opened(Opened::Begun(open))
             }
-            Err(why) => Tried::NotBegun(lease.member.clone(), why),
+            Err(unanswered) => OpenAttempt::NotBegun(lease.member.clone(), unanswered),
         }
     }
 
-    /// Has another gateway begin it and run its first statement.
+    /// Requests another gateway to begin the transaction and run its first statement.
     async fn open_remote(
         &self,
         route: &Route<W>,
         connection_request: &ConnectionRequest<'_>,
         member: RemoteMember,
-        bounds: Bounds,
-        First { request, shape }: First<'_>,
-    ) -> Result<Tried<W>, AcquireError> {
+        deadlines: Deadlines,
+        FirstStatement { request, shape }: FirstStatement<'_>,
+    ) -> Result<OpenAttempt<W>, AcquireError> {
         let first = LoneStatement {
             passed: PassedStatement::from(request),
             shape,
@@ -226,22 +237,28 @@
                 .map_or(LoneKind::Write, |bound| LoneKind::Read { bound }),
         };
         let group = &route.group;
-        let opened = group.open_remote(&member, connection_request, first, bounds.deadline).await?;
+        let opened = group
+            .open_remote(&member, connection_request, first, deadlines.answer_deadline)
+            .await?;
         Ok(match opened {
-            RemoteOpening::Lent(located) => self.begin_on(route, located, bounds.deadline).await,
+            RemoteOpening::Lent(located) => {
+                self.begin_on(route, located, deadlines.answer_deadline).await
+            }
             RemoteOpening::Open(LocatedConnection { lease, position }, result) => {
-                self.decision.borrow_mut().needs(position);
+                self.decision.borrow_mut().record_position(position);
                 let open = Box::new(OpenTransaction::new(route.clone(), lease));
-                Tried::Opened(Opened::Ran(open, result))
+                OpenAttempt::Opened(Opened::Ran(open, result))
+            }
+            RemoteOpening::NotBegun(unanswered) => OpenAttempt::NotBegun(member.name, unanswered),
+            RemoteOpening::Lost(error) => {
+                OpenAttempt::Opened(Opened::Lost(rolled_back_response(&member.name, &error)))
             }
-            RemoteOpening::NotBegun(why) => Tried::NotBegun(member.name, why),
-            RemoteOpening::Lost(error) => Tried::Opened(Opened::Lost(lost(&member.name, &error))),
         })
     }
 
-    /// Remembers why a transaction could not begin at a member.
-    fn note_unanswered(route: &Route<W>, member: &MemberName, why: &Unanswered) -> String {
-        match why {
+    /// Records for a member that a transaction could not begin there; returns the reason as text.
+    fn record_unanswered(route: &Route<W>, member: &MemberName, unanswered: &Unanswered) -> String {
+        match unanswered {
             Unanswered::NotSent(error) | Unanswered::Sent(error) => {
                 route.group.record_lost_connection(member, error);
                 format!("{error} at {member}")
@@ -254,8 +271,9 @@
     }
 }
 
-/// Without its tunnel the gateway that holds the connection rolls back.
-fn lost(member: &MemberName, error: &LinkError) -> Response {
+/// Returns the answer for a transaction whose tunnel was lost: the gateway that holds the connection rolls
+/// back when the tunnel ends.
+fn rolled_back_response(member: &MemberName, error: &LinkError) -> Response {
     let text = format!("rolled back: {error} at {member}");
     Response::failure(ErrorCode::Aborted, &text, TransactionState::Failed)
 }
--- a/crates/gateway/src/session/read.rs
+++ b/crates/gateway/src/session/read.rs
@@ -1,10 +1,8 @@
-//! Reads outside a transaction: offered to one member after the other.
-//!
-//! It is for [`alone`](super::alone). It owns which members have had the read and what the caller is told in the
-//! end. It relies on the group to choose the next member.
+//! Runs reads outside a transaction: retries a read at one member after the other, and keeps track of the
+//! members that have had it.
 
 use super::Session;
-use super::alone::{Lone, Offer};
+use super::alone::{AttemptOutcome, PendingStatement};
 use super::response::Response;
 use crate::error::AcquireError;
 use crate::group::Target;
@@ -15,80 +13,90 @@
 use corktack_protocol::tunnel::LoneKind;
 use std::collections::BTreeSet;
 
-/// Members that a read is offered to in all, those that refused without running it included. Chosen, not
-/// measured: lower leaves members untried, higher spends the time of the read on refusals.
-const OFFER_LIMIT: u32 = 6;
+/// Most attempts at members for one read, including those at members that refused without running it. A lower
+/// number leaves members untried; a higher one spends the read's time on refusals.
+const MAX_READ_ATTEMPTS: u32 = 6;
 
-/// The outcome of a read so far.
+/// The attempts at a read so far.
 #[derive(Default)]
 struct Attempts {
-    /// Members that are not offered it again.
-    passed_over: BTreeSet<MemberName>,
-    /// How often it may have run.
+    /// Members at which the read isn't tried again.
+    excluded: BTreeSet<MemberName>,
+    /// Number of attempts in which the read may have run.
     runs: u32,
-    /// Why a member did not run it last.
-    refusal: String,
-    /// What the last run that brought no result says to the caller.
-    unsuccessful: Option<Response>,
+    /// Reason of the last member that did not run the read.
+    last_refusal: String,
+    /// Answer to the caller after the last run that gave no result.
+    last_failure: Option<Response>,
 }
 
-/// What comes after an offer.
-enum Next {
+/// Decision after an attempt.
+enum NextStep {
+    /// Answer the caller.
     Answer(Response),
-    Go,
+    /// Try again.
+    Retry,
 }
 
 impl Attempts {
-    /// Takes the outcome of an offer to a member.
-    async fn take<W: Wire>(
+    /// Records the outcome of an attempt at a member and decides whether to retry.
+    async fn record<W: Wire>(
         &mut self,
-        lone: &Lone<'_, W>,
+        statement: &PendingStatement<'_, W>,
         member: MemberName,
-        offer: Offer,
-    ) -> Next {
-        match offer {
-            Offer::Done(response) => return Next::Answer(response),
-            Offer::NotRun(why) => self.refusal = why,
-            Offer::Failed(response) => {
+        outcome: AttemptOutcome,
+    ) -> NextStep {
+        match outcome {
+            AttemptOutcome::Done(response) => return NextStep::Answer(response),
+            AttemptOutcome::NotRun(why) => self.last_refusal = why,
+            AttemptOutcome::Failed(response) => {
                 self.runs += 1;
-                self.unsuccessful = Some(response);
+                self.last_failure = Some(response);
             }
-            Offer::Lost { why, by_member } => {
+            AttemptOutcome::Lost { why, by_member } => {
                 self.runs += 1;
-                self.unsuccessful = Some(timed_out(&why));
+                self.last_failure = Some(timeout_response(&why));
                 if !by_member {
-                    return self.unless_over(lone).await;
+                    return self.next_step(statement).await;
                 }
             }
         }
-        self.passed_over.insert(member);
-        self.unless_over(lone).await
+        self.excluded.insert(member);
+        self.next_step(statement).await
     }
 
-    async fn unless_over<W: Wire>(&mut self, lone: &Lone<'_, W>) -> Next {
-        if self.unsuccessful.is_none() || !lone.is_over(self.runs).await {
-            return Next::Go;
+    /// Returns the last failure if the read may not be sent again.
+    async fn next_step<W: Wire>(&mut self, statement: &PendingStatement<'_, W>) -> NextStep {
+        if self.last_failure.is_none() || !statement.is_exhausted(self.runs).await {
+            return NextStep::Retry;
         }
-        self.unsuccessful.take().map_or(Next::Go, Next::Answer)
+        self.last_failure.take().map_or(NextStep::Retry, NextStep::Answer)
     }
 
-    /// The answer where no member is left. That a read was not run is said only of one that was not.
-    fn wait_deadline(self, error: &AcquireError) -> Response {
-        let refused = || Response::refused(error, &self.refusal, TransactionState::Idle);
-        self.unsuccessful.unwrap_or_else(refused)
+    /// Returns the answer if no member is left to try. It is a refusal, which promises that the read did not
+    /// run, only if no attempt may have run it.
+    fn into_response(self, error: &AcquireError) -> Response {
+        let refused = || Response::refused(error, &self.last_refusal, TransactionState::Idle);
+        self.last_failure.unwrap_or_else(refused)
     }
 }
 
 impl<W: Wire> Session<W> {
-    /// A read that any member may serve that is fresh enough.
-    pub(super) async fn read_anywhere(&mut self, lone: &Lone<'_, W>, bound: ReadBound) -> Response {
+    /// Runs a read that any member may serve if it is fresh enough; falls back to the primary.
+    pub(super) async fn read_anywhere(
+        &mut self,
+        statement: &PendingStatement<'_, W>,
+        bound: ReadBound,
+    ) -> Response {
         let mut attempts = Attempts::default();
-        for _ in 0..OFFER_LIMIT {
-            let target = Target::Reader { refused: attempts.passed_over.clone() };
-            let offered = self.offer(lone, target, LoneKind::Read { bound }).await;
-            match offered {
-                Ok((member, offer)) => {
-                    if let Next::Answer(response) = attempts.take(lone, member, offer).await {
+        for _ in 0..MAX_READ_ATTEMPTS {
+            let target = Target::Reader { refused: attempts.excluded.clone() };
+            let attempted = self.attempt(statement, target, LoneKind::Read { bound }).await;
+            match attempted {
+                Ok((member, outcome)) => {
+                    if let NextStep::Answer(response) =
+                        attempts.record(statement, member, outcome).await
+                    {
                         return response;
                     }
                 }
@@ -96,42 +104,53 @@
                     ref error @ (AcquireError::Unreachable(ref member)
                     | AcquireError::Full(ref member)),
                 ) => {
-                    self.attempted(&error.to_string());
-                    attempts.passed_over.insert(member.clone());
+                    self.record_attempt(&error.to_string());
+                    attempts.excluded.insert(member.clone());
                 }
-                Err(AcquireError::NoHolder(_)) if !lone.may_wait_no_more() => (),
-                Err(AcquireError::NoMember) if !attempts.passed_over.is_empty() => break,
+                Err(AcquireError::NoHolder(_)) if !statement.is_wait_over() => (),
+                Err(AcquireError::NoMember) if !attempts.excluded.is_empty() => break,
                 Err(AcquireError::NoPosition) => break,
-                Err(error) => return attempts.wait_deadline(&error),
+                Err(error) => return attempts.into_response(&error),
             }
         }
-        self.read_from_primary(lone, attempts).await
+        self.retry_at_primary(statement, attempts).await
     }
 
-    /// A read that only the primary may serve.
-    pub(super) async fn read_at_primary(&mut self, lone: &Lone<'_, W>) -> Response {
-        self.read_from_primary(lone, Attempts::default()).await
+    /// Runs a read that only the primary may serve.
+    pub(super) async fn read_at_primary(
+        &mut self,
+        statement: &PendingStatement<'_, W>,
+    ) -> Response {
+        self.retry_at_primary(statement, Attempts::default()).await
     }
 
-    async fn read_from_primary(&mut self, lone: &Lone<'_, W>, mut attempts: Attempts) -> Response {
+    /// Tries a read at the primary until it succeeds or may not be sent again.
+    async fn retry_at_primary(
+        &mut self,
+        statement: &PendingStatement<'_, W>,
+        mut attempts: Attempts,
+    ) -> Response {
         loop {
-            match self.offer(lone, Target::Primary, LoneKind::ReadAtPrimary).await {
-                Ok((member, offer)) => {
-                    if let Next::Answer(response) = attempts.take(lone, member, offer).await {
+            match self.attempt(statement, Target::Primary, LoneKind::ReadAtPrimary).await {
+                Ok((member, outcome)) => {
+                    if let NextStep::Answer(response) =
+                        attempts.record(statement, member, outcome).await
+                    {
                         return response;
                     }
                 }
-                Err(error) if error.is_transient() && !lone.may_wait_no_more() => {}
-                Err(error) => return attempts.wait_deadline(&error),
+                Err(error) if error.is_transient() && !statement.is_wait_over() => {}
+                Err(error) => return attempts.into_response(&error),
             }
-            if lone.may_wait_no_more() {
-                return attempts.wait_deadline(&AcquireError::NoMember);
+            if statement.is_wait_over() {
+                return attempts.into_response(&AcquireError::NoMember);
             }
         }
     }
 }
 
-fn timed_out(error: &str) -> Response {
+/// Returns the answer to a read that may have run without an answer.
+fn timeout_response(error: &str) -> Response {
     let text = format!("the read has no answer: {error}");
     Response::failure(ErrorCode::TimedOut, &text, TransactionState::Idle)
 }
--- a/crates/gateway/src/session/serve.rs
+++ b/crates/gateway/src/session/serve.rs
@@ -1,8 +1,8 @@
-//! The connection of a caller.
+//! Connection of a caller: reads its messages, has the session answer them in order, and closes the
+//! connection.
 //!
-//! It is for one caller from its first message to its last. It owns the socket, its buffers and the reasons for
-//! which it ends. It relies on [`session`](super) to answer and on [`shared`](crate::shared) for the signs of a
-//! planned stop.
+//! Idle transactions are rolled back here, and sessions end at a planned stop, which
+//! [`shared`](crate::shared) signals.
 
 use super::Session;
 use super::response::Response;
@@ -20,52 +20,52 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// First size of the buffers, in bytes; they grow with what is sent. Chosen, not measured: lower costs
-/// allocations, higher memory for each session.
-const BUFFER_BYTES: usize = 1024;
-/// Longest wait for the first message of a connection. Chosen, not measured: it only bounds how long a
-/// connection that says nothing takes a place.
-const START_LIMIT: Duration = Duration::from_secs(5);
-/// Longest wait for a caller to take an answer. Chosen, not measured: it only bounds how long a caller that
-/// reads nothing keeps its session.
-const SEND_LIMIT: Duration = Duration::from_secs(10);
-/// How long a statement must stay away before a session is closed at a planned stop. Chosen, not measured:
-/// lower cuts off statements that are on their way, higher lengthens the stop.
-const QUIET_BEFORE_CLOSE: Duration = Duration::from_millis(30);
+/// Initial size of the buffers, in bytes; they grow with the messages. A smaller size costs allocations, a
+/// larger one memory for each session.
+const INITIAL_BUFFER_BYTES: usize = 1024;
+/// Longest wait for the first message of a connection. Bounds how long a connection without messages occupies
+/// a socket.
+const START_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest time for sending an answer. Bounds how long a caller that reads nothing keeps its session.
+const SEND_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time without a statement after which a session is closed at a planned stop. A shorter time cuts off
+/// statements in transit; a longer one lengthens the stop.
+const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(30);
 
-/// Why a caller's connection ends. None of them is a fault of this process.
+/// Reason why a caller's connection ends; none is a fault of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ended {
-    /// The caller closed it, or it failed.
-    Caller,
-    /// The caller speaks something else.
+enum EndReason {
+    /// The caller closed the connection, or it failed or timed out.
+    CallerGone,
+    /// The caller sent bytes that are no message of the protocol.
     Wire,
     /// The gateway stops.
     Stopping,
-    /// The caller's key stands for nobody any longer; it has been told.
+    /// The caller's key is no longer valid; the caller has got the error.
     Unauthenticated,
 }
 
-/// Serves a caller until it goes or the gateway stops.
+/// Serves a caller until it disconnects or the gateway stops.
 pub(crate) async fn serve_caller<W: Wire>(stream: TcpStream, shared: Rc<Shared<W>>) {
-    // The options only save time: a connection without them still works.
+    // The socket options lower latency and detect a lost caller sooner; the connection works without them.
     drop(Liveness::TO_CALLERS.apply(&stream));
     let mut caller = Caller {
         stream,
-        input: BytesMut::with_capacity(BUFFER_BYTES),
-        output: BytesMut::with_capacity(BUFFER_BYTES),
+        input: BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
+        output: BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
         shared: Rc::clone(&shared),
     };
     shared.sessions.set(shared.sessions.get() + 1);
-    let ended = caller.run().await;
+    let result = caller.run().await;
     shared.sessions.set(shared.sessions.get() - 1);
-    if let Err(Ended::Wire) = ended {
-        // Whether the caller takes it or not, the connection ends.
+    if let Err(EndReason::Wire) = result {
+        // The connection ends whether or not the caller reads the error.
         let _ = caller.refuse(ErrorCode::Malformed, "no message of the wire").await;
     }
     shared.session_ended.notify_waiters();
 }
 
+/// A caller's connection with its buffers.
 struct Caller<W: Wire> {
     stream: TcpStream,
     input: BytesMut,
@@ -74,9 +74,9 @@
 }
 
 impl<W: Wire> Caller<W> {
-    async fn run(&mut self) -> Result<(), Ended> {
-        let first = timeout_at(Instant::now() + START_LIMIT, self.receive()).await;
-        let first = first.map_err(|_| Ended::Caller)??;
+    async fn run(&mut self) -> Result<(), EndReason> {
+        let first = timeout_at(Instant::now() + START_TIMEOUT, self.receive()).await;
+        let first = first.map_err(|_| EndReason::CallerGone)??;
         let CallerMessage::Start { database, key } = first else {
             return self.refuse(ErrorCode::Malformed, "a session begins with its start").await;
         };
@@ -85,7 +85,7 @@
             return self.refuse(ErrorCode::Busy, &text).await;
         }
         match self.shared.routes.admit(&database, &key) {
-            Ok(admitted) => self.shared.limits.mark_active(&admitted.principal),
+            Ok(admission) => self.shared.limits.mark_active(&admission.principal),
             Err(refused) => return self.refuse(refused.code(), &refused.to_string()).await,
         }
         let ready = ReadyState { state: TransactionState::Idle, position: None };
@@ -95,7 +95,7 @@
         self.serve(&mut session).await
     }
 
-    async fn serve(&mut self, session: &mut Session<W>) -> Result<(), Ended> {
+    async fn serve(&mut self, session: &mut Session<W>) -> Result<(), EndReason> {
         loop {
             match self.next_message(session).await? {
                 CallerMessage::Query(request) => self.answer(session, request).await?,
@@ -107,98 +107,112 @@
         }
     }
 
-    async fn answer(&mut self, session: &mut Session<W>, request: Request) -> Result<(), Ended> {
-        let begun = Instant::now();
+    async fn answer(
+        &mut self,
+        session: &mut Session<W>,
+        request: Request,
+    ) -> Result<(), EndReason> {
+        let started_at = Instant::now();
         let id = request.id.clone();
         let response = session.handle(request).await;
-        let taken = begun.elapsed();
-        let is_known = response.code() != Some(ErrorCode::Unauthenticated);
-        self.shared.metrics.record_statement(response.code(), taken);
+        let elapsed = started_at.elapsed();
+        let is_authenticated = response.code() != Some(ErrorCode::Unauthenticated);
+        self.shared.metrics.record_statement(response.code(), elapsed);
         if let Some(reason) = response.refusal() {
             self.shared.metrics.record_refusal(reason, session.decision.borrow().priority());
         }
-        self.explain(session, &id, &response, taken);
+        self.log_statement(session, &id, &response, elapsed);
         response.encode(&self.shared.wire, &mut self.output);
         self.send().await?;
-        if is_known { Ok(()) } else { Err(Ended::Unauthenticated) }
+        if is_authenticated { Ok(()) } else { Err(EndReason::Unauthenticated) }
     }
 
-    /// Writes the line that explains a statement: of each that failed, and of some others.
-    fn explain(&self, session: &Session<W>, id: &str, response: &Response, taken: Duration) {
+    /// Logs a statement with the decisions made for it: each one that failed, and a sample of the others.
+    fn log_statement(
+        &self,
+        session: &Session<W>,
+        id: &str,
+        response: &Response,
+        elapsed: Duration,
+    ) {
         let decision = session.decision.borrow();
         let database = session.database.as_str();
         if let Some(code) = response.code() {
             let outcome = format!("{code:?}");
             let refusal = response.refusal();
-            decision.explain(id, database, &outcome, response.text(), refusal, taken);
+            decision.log(id, database, &outcome, response.text(), refusal, elapsed);
         } else if self.shared.metrics.is_sample() {
-            decision.explain(id, database, "Done", "sampled", None, taken);
+            decision.log(id, database, "Done", "sampled", None, elapsed);
         }
     }
 
-    /// The next message; a transaction that is idle for too long is rolled back, and a planned stop
-    /// ends a session that is outside one.
-    async fn next_message(&mut self, session: &mut Session<W>) -> Result<CallerMessage, Ended> {
+    /// Waits for the next message. Rolls back a transaction that is idle for too long; at a planned stop,
+    /// ends a session that is outside a transaction.
+    async fn next_message(&mut self, session: &mut Session<W>) -> Result<CallerMessage, EndReason> {
         let shared = Rc::clone(&self.shared);
         loop {
-            let idle_limit = session.transaction.idle_limit().map(|limit| Instant::now() + limit);
-            let stopping = shared.stopping.get();
-            let outside = session.transaction.is_none();
-            if stopping && outside && self.input.is_empty() {
-                let quiet = timeout_at(Instant::now() + QUIET_BEFORE_CLOSE, self.receive()).await;
-                return quiet.unwrap_or(Err(Ended::Stopping));
+            let idle_deadline =
+                session.transaction.idle_limit().map(|limit| Instant::now() + limit);
+            let is_stopping = shared.stopping.get();
+            let is_outside = session.transaction.is_none();
+            if is_stopping && is_outside && self.input.is_empty() {
+                let received = timeout_at(Instant::now() + IDLE_BEFORE_CLOSE, self.receive()).await;
+                return received.unwrap_or(Err(EndReason::Stopping));
             }
-            // A process that stood still has messages and timers due at once: messages go first.
+            // After a pause of the process, messages and timers are due at once: messages are handled first.
             tokio::select! {
                 biased;
                 message = self.receive() => return message,
-                () = sleep_maybe(idle_limit) => {
+                () = sleep_until_deadline(idle_deadline) => {
                     log::info!(database = session.database.as_str(); "idle transaction rolled back");
                     session.transaction.fail();
                 }
-                () = shared.stop_began.notified(), if !stopping && outside => (),
-                () = shared.transaction_grace_ended.notified(), if !outside => {
+                () = shared.stop_began.notified(), if !is_stopping && is_outside => (),
+                () = shared.transaction_grace_ended.notified(), if !is_outside => {
                     session.transaction.fail();
-                    return Err(Ended::Stopping);
+                    return Err(EndReason::Stopping);
                 }
             }
         }
     }
 
-    async fn receive(&mut self) -> Result<CallerMessage, Ended> {
+    async fn receive(&mut self) -> Result<CallerMessage, EndReason> {
         loop {
             match self.shared.wire.decode_caller(&mut self.input) {
                 Ok(Some(message)) => return Ok(message),
                 Ok(None) => (),
                 Err(error) => {
-                    log::info!(error:% = error; "a caller's message cannot be read");
-                    return Err(Ended::Wire);
+                    log::info!(error:% = error; "cannot decode a caller's message");
+                    return Err(EndReason::Wire);
                 }
             }
             match self.stream.read_buf(&mut self.input).await {
-                Ok(0) | Err(_) => return Err(Ended::Caller),
+                Ok(0) | Err(_) => return Err(EndReason::CallerGone),
                 Ok(_) => (),
             }
         }
     }
 
-    async fn refuse(&mut self, code: ErrorCode, text: &str) -> Result<(), Ended> {
+    /// Sends an error after which the connection ends.
+    async fn refuse(&mut self, code: ErrorCode, text: &str) -> Result<(), EndReason> {
         let error = Reply::Error { code, text: text.to_owned() };
         self.shared.wire.encode_reply(&error, &mut self.output);
         self.send().await
     }
 
-    async fn send(&mut self) -> Result<(), Ended> {
+    /// Sends the contents of the output buffer.
+    async fn send(&mut self) -> Result<(), EndReason> {
         let sending = self.stream.write_all(&self.output);
-        let sent = timeout_at(Instant::now() + SEND_LIMIT, sending).await;
+        let sent = timeout_at(Instant::now() + SEND_TIMEOUT, sending).await;
         self.output.clear();
-        sent.map_err(|_| Ended::Caller)?.map_err(|_| Ended::Caller)
+        sent.map_err(|_| EndReason::CallerGone)?.map_err(|_| EndReason::CallerGone)
     }
 }
 
-async fn sleep_maybe(until: Option<Instant>) {
-    match until {
-        Some(until) => sleep_until(until).await,
+/// Sleeps until the deadline; without one, forever.
+async fn sleep_until_deadline(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => sleep_until(deadline).await,
         None => std::future::pending().await,
     }
 }
--- a/crates/gateway/src/session/statement.rs
+++ b/crates/gateway/src/session/statement.rs
@@ -1,10 +1,9 @@
-//! What a statement does.
-//!
-//! It is for the choice between reads and writes in [`session`](super). It owns that rule alone.
+//! Classifies statements as reads or writes.
 
 use corktack_core::statement::{Access, PreparedShape, Request, Statement};
 
-/// What a statement does; `shape` is what a prepared one runs.
+/// Reports whether a statement reads or writes; `shape` is the prepared statement that an execution runs.
+/// Statements of unknown kind count as writes.
 pub(super) fn access_of(request: &Request, shape: Option<&PreparedShape>) -> Access {
     match (&request.statement, shape) {
         (_, Some(shape)) => shape.access,
--- a/crates/gateway/src/session/transaction.rs
+++ b/crates/gateway/src/session/transaction.rs
@@ -1,16 +1,16 @@
-//! Transactions: begun at a member with their first statement, ended there.
+//! State of a session's transaction, its statements and its end.
 //!
-//! It is for [`session`](super). It owns the state of a transaction and what its failure means for the caller.
-//! It relies on [`opening`](super::opening) to begin it and on the lease to roll back what is dropped.
+//! A transaction begins at a member with its first statement ([`opening`](super::opening)). Dropping the
+//! lease of an open transaction rolls it back.
 
 use super::Session;
 use super::open_transaction::OpenTransaction;
-use super::opening::{First, Opened};
+use super::opening::{FirstStatement, Opened};
 use super::response::Response;
 use super::statement::access_of;
 use crate::answer::{Answer, Unanswered};
 use crate::routes::{Admission, Route};
-use crate::run::{align, pass_on};
+use crate::run::{align, forward};
 use crate::wire::Wire;
 use corktack_core::position::Position;
 use corktack_core::statement::{Access, ErrorCode, PreparedShape, Request, TransactionState};
@@ -18,17 +18,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A session's transaction.
+/// State of a session's transaction.
 pub(super) enum Transaction<W: Wire> {
-    /// None is open.
+    /// No transaction is open.
     None,
-    /// The caller began one; no member has been asked for anything yet.
-    Begun { access: Access, admitted: Admission<W> },
-    /// One is open at a member.
+    /// The caller began a transaction; no member has been asked for anything yet.
+    Begun { access: Access, admission: Admission<W> },
+    /// The transaction is open at a member.
     Open(Box<OpenTransaction<W>>),
-    /// It failed and was rolled back; its end is still to come.
+    /// The transaction failed and was rolled back; the caller has yet to send its commit or rollback.
     Failed,
-    /// It was rolled back between two statements; the caller does not know yet.
+    /// The gateway rolled the transaction back between two statements; the caller doesn't know yet.
     RolledBack,
 }
 
@@ -49,17 +49,18 @@
         }
     }
 
-    /// How long it may be idle between two statements; none outside a transaction.
+    /// Returns the longest time that the transaction may be idle between two statements; none if there is no
+    /// transaction or no limit.
     pub(super) fn idle_limit(&self) -> Option<Duration> {
         let route = match self {
-            Self::Begun { admitted, .. } => &admitted.route,
+            Self::Begun { admission, .. } => &admission.route,
             Self::Open(open) => &open.route,
             Self::None | Self::Failed | Self::RolledBack => return None,
         };
         Some(route.transaction_idle_limit).filter(|limit| !limit.is_zero())
     }
 
-    /// Rolls back what is open; the caller is told with its next statement.
+    /// Rolls back an open transaction in the background; the caller gets the error with its next statement.
     pub(super) fn fail(&mut self) {
         if let Self::Open(open) = std::mem::replace(self, Self::RolledBack) {
             open.abandon();
@@ -68,19 +69,21 @@
 }
 
 impl<W: Wire> Session<W> {
+    /// Begins a transaction in the session; a member is asked with the first statement.
     pub(super) fn begin(&mut self, access: Access) -> Response {
         if !self.transaction.is_none() {
             self.transaction.fail();
             return self.own_failure(ErrorCode::Malformed, "a transaction is open already");
         }
-        let admitted = match self.admitted() {
-            Ok(admitted) => admitted,
+        let admission = match self.admit() {
+            Ok(admission) => admission,
             Err(response) => return response,
         };
-        self.transaction = Transaction::Begun { access, admitted };
+        self.transaction = Transaction::Begun { access, admission };
         self.own_success()
     }
 
+    /// Ends the transaction, if there is one, with a rollback in the background.
     pub(super) fn rollback(&mut self) -> Response {
         if let Transaction::Open(open) = std::mem::replace(&mut self.transaction, Transaction::None)
         {
@@ -89,7 +92,7 @@
         self.own_success()
     }
 
-    /// Only the end is taken after a failure.
+    /// Answers a statement in a failed transaction: only commit and rollback, which end it, are accepted.
     pub(super) fn handle_after_failure(&mut self, request: &Request) -> Response {
         use corktack_core::statement::Statement;
         match request.statement {
@@ -112,16 +115,16 @@
     }
 
     /// Runs a statement inside the transaction.
-    pub(super) async fn run_inside(
+    pub(super) async fn run_in_transaction(
         &mut self,
         request: &Request,
         shape: Option<&PreparedShape>,
     ) -> Response {
         let (mut open, ran) = match std::mem::replace(&mut self.transaction, Transaction::Failed) {
             Transaction::Open(open) => (open, None),
-            Transaction::Begun { access, admitted } => {
-                let first = First { request, shape };
-                match self.open_transaction(access, admitted, Some(first)).await {
+            Transaction::Begun { access, admission } => {
+                let first = FirstStatement { request, shape };
+                match self.open_transaction(access, admission, Some(first)).await {
                     Ok(Opened::Begun(open)) => (open, None),
                     Ok(Opened::Ran(open, answer)) => (open, Some(answer)),
                     Ok(Opened::Lost(response)) | Err(response) => return response,
@@ -131,16 +134,17 @@
                 return self.own_failure(ErrorCode::Malformed, "no transaction is open");
             }
         };
-        self.note_route(&mut open);
+        self.record_route(&mut open);
         let answer = match ran {
             Some(answer) => answer,
-            None => self.run_open(&mut open, request, shape).await,
+            None => self.run_on_open(&mut open, request, shape).await,
         };
-        self.take_answer(open, access_of(request, shape) == Access::Write, answer)
+        self.apply_answer(open, access_of(request, shape) == Access::Write, answer)
     }
 
-    /// Takes the outcome of a statement inside the transaction, which goes on where it succeeded.
-    fn take_answer(
+    /// Applies the outcome of a statement inside the transaction, which stays open if the statement
+    /// succeeded.
+    fn apply_answer(
         &mut self,
         mut open: Box<OpenTransaction<W>>,
         wrote: bool,
@@ -148,7 +152,7 @@
     ) -> Response {
         match answer {
             Ok(answer) if answer.outcome.is_ok() => {
-                open.wrote |= wrote;
+                open.has_written |= wrote;
                 open.lease.set_idle_in_transaction(true);
                 self.transaction = Transaction::Open(open);
                 Response::of(answer, TransactionState::Open)
@@ -161,18 +165,19 @@
                 open.abandon();
                 Response::of(answer, TransactionState::Failed)
             }
-            Err(unanswered) => Self::fail_open(*open, unanswered),
+            Err(unanswered) => Self::fail_transaction(*open, unanswered),
         }
     }
 
-    /// Has the line that explains a statement name the route and the tenant of its transaction.
-    fn note_route(&self, open: &mut OpenTransaction<W>) {
+    /// Records the transaction's route and principal for the log line of the current statement.
+    fn record_route(&self, open: &mut OpenTransaction<W>) {
         let principal = open.lease.connection().principal().clone();
         let Route { rule, group, .. } = &open.route;
-        self.decision.borrow_mut().routed(rule, &principal, group.name.as_str());
+        self.decision.borrow_mut().record_route(rule, &principal, group.name.as_str());
     }
 
-    async fn run_open(
+    /// Runs a statement on the transaction's connection.
+    async fn run_on_open(
         &self,
         open: &mut OpenTransaction<W>,
         request: &Request,
@@ -182,13 +187,13 @@
         let deadline = Instant::now() + open.route.rule.statement_timeout;
         let before = open.lease.connection().profile.clone();
         let prepared = align(&mut open.lease, &self.profile, shape, deadline).await?;
-        open.aligned_inside |= open.lease.connection().profile != before;
-        pass_on(&mut open.lease, request.into(), prepared.as_deref(), None, deadline).await
+        open.has_changed_profile |= open.lease.connection().profile != before;
+        forward(&mut open.lease, request.into(), prepared.as_deref(), None, deadline).await
     }
 
-    /// Nothing of a transaction whose commit was not sent is kept: the connection is closed, or
-    /// the transaction is rolled back on it.
-    fn fail_open(open: OpenTransaction<W>, unanswered: Unanswered) -> Response {
+    /// Fails a transaction whose commit was not sent: closes the connection, or rolls the transaction back on
+    /// it. Either way none of its writes take effect.
+    fn fail_transaction(open: OpenTransaction<W>, unanswered: Unanswered) -> Response {
         match unanswered {
             Unanswered::NotSent(error) | Unanswered::Sent(error) => {
                 open.lease.group().record_lost_connection(&open.lease.member, &error);
@@ -202,12 +207,13 @@
         }
     }
 
-    /// Passes the commit on. Without an answer nobody knows what became of it.
+    /// Forwards the commit to the member. If its answer is lost, the caller is told that the outcome is in
+    /// doubt.
     pub(super) async fn commit(&mut self, request: &Request) -> Response {
         let mut open = match std::mem::replace(&mut self.transaction, Transaction::None) {
             Transaction::Open(open) => open,
-            Transaction::Begun { access, admitted } => {
-                match self.open_transaction(access, admitted, None).await {
+            Transaction::Begun { access, admission } => {
+                match self.open_transaction(access, admission, None).await {
                     Ok(Opened::Begun(open) | Opened::Ran(open, _)) => open,
                     Ok(Opened::Lost(response)) | Err(response) => {
                         self.transaction = Transaction::Failed;
@@ -219,11 +225,11 @@
                 return self.own_failure(ErrorCode::Malformed, "no transaction is open");
             }
         };
-        self.note_route(&mut open);
+        self.record_route(&mut open);
         open.lease.set_idle_in_transaction(false);
         let asked_at = self.shared.now();
         let deadline = Instant::now() + open.route.rule.statement_timeout;
-        let answer = pass_on(&mut open.lease, request.into(), None, None, deadline).await;
+        let answer = forward(&mut open.lease, request.into(), None, None, deadline).await;
         let answer = match answer {
             Ok(answer) => answer,
             Err(Unanswered::Sent(error) | Unanswered::NotSent(error)) => {
@@ -236,11 +242,11 @@
                 return Response::member_failure(failure, TransactionState::Idle);
             }
         };
-        self.take_commit(open, asked_at, answer)
+        self.apply_commit_answer(open, asked_at, answer)
     }
 
-    /// Takes a member's answer to the commit.
-    fn take_commit(
+    /// Applies a member's answer to the commit.
+    fn apply_commit_answer(
         &mut self,
         mut open: Box<OpenTransaction<W>>,
         asked_at: Timestamp,
@@ -248,8 +254,8 @@
     ) -> Response {
         if answer.outcome.is_ok() {
             open.lease.in_transaction = false;
-            if open.wrote {
-                self.note_commit(&open, asked_at, answer.ready.position);
+            if open.has_written {
+                self.record_commit(&open, asked_at, answer.ready.position);
             }
             return Response::of(answer, TransactionState::Idle);
         }
@@ -264,7 +270,8 @@
         Response::of(answer, self.transaction.state())
     }
 
-    fn note_commit(
+    /// Records the commit's position for the group and for the session's later reads.
+    fn record_commit(
         &mut self,
         open: &OpenTransaction<W>,
         asked_at: Timestamp,
@@ -273,6 +280,6 @@
         if position.is_some() {
             open.route.group.record_primary_position(&open.lease.member, asked_at, position);
         }
-        self.note_own_commit(&open.route.group.name, position);
+        self.record_own_commit(&open.route.group.name, position);
     }
 }
--- a/crates/gateway/src/transport.rs
+++ b/crates/gateway/src/transport.rs
@@ -1,5 +1,5 @@
-//! Byte transport of a connection to a member: a socket of this gateway, or a tunnel to the gateway that holds
-//! the connection.
+//! Byte transport of a connection to a member: a socket of this gateway, or a tunnel to the gateway that
+//! holds the connection.
 
 use crate::error::LinkError;
 use crate::tunnel::TunnelClient;
--- a/crates/gateway/src/tunnel/client.rs
+++ b/crates/gateway/src/tunnel/client.rs
@@ -24,8 +24,8 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// Longest time for sending the end of a lease. It is sent in the background; the timeout only bounds how long
-/// a tunnel is kept whose holder reads nothing.
+/// Longest time for sending the end of a lease. It is sent in the background; the timeout only bounds how
+/// long a tunnel is kept whose holder reads nothing.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 type ClientFrames = Framed<TcpStream, FrameCodec<TunnelRequest, TunnelReply>>;
@@ -180,9 +180,9 @@
         }
     }
 
-    /// Requests to run a statement. The holder ignores a frame that was not sent whole, so the statement counts as
-    /// not sent then. If the holder is silent, a read fails early, but a write waits until its deadline, because
-    /// it must not be run again elsewhere.
+    /// Requests to run a statement. The holder ignores a frame that was not sent whole, so the statement
+    /// counts as not sent then. If the holder is silent, a read fails early, but a write waits until its
+    /// deadline, because it must not be run again elsewhere.
     pub(super) async fn run(
         &mut self,
         remote: &RemoteRequest,
@@ -252,8 +252,8 @@
         sent.map_err(|error| TunnelError::NotSent(link_error(error)))
     }
 
-    /// Reads the next reply other than a heartbeat, until `deadline`. With `fails_on_silence` it fails earlier
-    /// if a heartbeat is missing.
+    /// Reads the next reply other than a heartbeat, until `deadline`. With `fails_on_silence` it fails
+    /// earlier if a heartbeat is missing.
     async fn read_reply(
         &mut self,
         deadline: Instant,
--- a/crates/gateway/src/tunnel/mod.rs
+++ b/crates/gateway/src/tunnel/mod.rs
@@ -1,5 +1,5 @@
-//! Client side of tunnels to other gateways, for requests to members that only other gateways hold connections
-//! to.
+//! Client side of tunnels to other gateways, for requests to members that only other gateways hold
+//! connections to.
 //!
 //! [`Tunnels`] keeps idle tunnels and a table of the gateways at their other ends; [`client`] implements the
 //! requests, in the internal protocol ([`corktack_protocol::tunnel`]). The group says which gateways hold
--- a/crates/gateway/src/tunnel/outcome.rs
+++ b/crates/gateway/src/tunnel/outcome.rs
@@ -1,5 +1,5 @@
-//! Converts the result of a statement between the gateway's types and those of the internal protocol, for both
-//! sides of a tunnel.
+//! Converts the result of a statement between the gateway's types and those of the internal protocol, for
+//! both sides of a tunnel.
 
 use crate::answer::{Answer, Failure, Unanswered};
 use crate::error::LinkError;
--- a/crates/gateway/src/tunnel/pool.rs
+++ b/crates/gateway/src/tunnel/pool.rs
@@ -27,8 +27,8 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Most idle tunnels that are kept to one gateway. With fewer, concurrent statements must open new tunnels; more
-/// keep sockets open between all gateways.
+/// Most idle tunnels that are kept to one gateway. With fewer, concurrent statements must open new tunnels;
+/// more keep sockets open between all gateways.
 const MAX_IDLE_TUNNELS: usize = 4;
 
 /// Idle tunnels and the table of peers.
@@ -73,9 +73,9 @@
         holders.region_relay(group, own_address, self.clock.now(), &self.peers.borrow())
     }
 
-    /// Returns a tunnel to the first of the holders that can be reached. The attempts are staggered: each starts
-    /// a little after the one before, whether that has failed or is still in flight. No request is sent before a
-    /// tunnel is open, so attempts at the other holders have no effect there.
+    /// Returns a tunnel to the first of the holders that can be reached. The attempts are staggered: each
+    /// starts a little after the one before, whether that has failed or is still in flight. No request is
+    /// sent before a tunnel is open, so attempts at the other holders have no effect there.
     pub(crate) async fn reach(
         self: &Rc<Self>,
         holders: &[Holder],
@@ -101,8 +101,8 @@
         Err(TunnelError::NotSent(failure))
     }
 
-    /// Opens a tunnel after `delay`, unless the receiver is dropped before. A tunnel that opens after the receiver
-    /// is dropped is kept as idle.
+    /// Opens a tunnel after `delay`, unless the receiver is dropped before. A tunnel that opens after the
+    /// receiver is dropped is kept as idle.
     fn open_after(
         self: &Rc<Self>,
         delay: Duration,
@@ -209,8 +209,8 @@
         begun
     }
 
-    /// Reports in the background, to the gateway that counted operations, that they did not run. If the report
-    /// is lost, the operations stay counted for a window.
+    /// Reports in the background, to the gateway that counted operations, that they did not run. If the
+    /// report is lost, the operations stay counted for a window.
     pub(crate) fn return_operations(
         self: &Rc<Self>,
         holder: Holder,
@@ -239,7 +239,8 @@
         });
     }
 
-    /// Records that a holder missed a heartbeat: closes the idle tunnels to it and stops asking it for a while.
+    /// Records that a holder missed a heartbeat: closes the idle tunnels to it and stops asking it for a
+    /// while.
     pub(crate) fn record_silence(&self, holder: Holder) {
         log::info!(holder:% = holder.address; "gateway sends no heartbeat: it is not asked for a while");
         self.idle.borrow_mut().remove(&holder.address);
