--- a/crates/gateway/src/session/transaction.rs
+++ b/crates/gateway/src/session/transaction.rs
@@ -1,7 +1,7 @@
 //! State of a session's transaction, its statements and its end.
 //!
 //! A transaction begins at a member with its first statement ([`opening`](super::opening)). Dropping the
-//! lease of an open transaction rolls it back.
+//! lease of an open transaction closes its connection, upon which the member rolls back.
 
 use super::Session;
 use super::open_transaction::OpenTransaction;
--- a/crates/gateway/tests/dial_failure.rs
+++ b/crates/gateway/tests/dial_failure.rs
@@ -1,5 +1,5 @@
-//! What a failed attempt to connect says of a member. The modules are taken in by their path, since none of
-//! their types is public.
+//! Classification of failed attempts to connect to a member. The modules are included by path because their
+//! types aren't public.
 
 #![allow(dead_code, missing_docs)]
 
@@ -19,18 +19,18 @@
 #[rstest]
 #[case::no_connection_left(refused(ErrorCode::TooManyConnections), DialFailure::Full)]
 #[case::another_member(refused(ErrorCode::WrongMember), DialFailure::Unreachable)]
-#[case::nobody(DialError::Unreachable(LinkError::TimedOut), DialFailure::Unreachable)]
+#[case::nothing_listens(DialError::Unreachable(LinkError::TimedOut), DialFailure::Unreachable)]
 #[case::slow(DialError::Link(LinkError::TimedOut), DialFailure::NoAnswer)]
 #[case::another_refusal(refused(ErrorCode::Busy), DialFailure::Other)]
 #[case::closed(DialError::Link(LinkError::Closed), DialFailure::Other)]
-fn each_failure_has_its_meaning(#[case] error: DialError, #[case] expected: DialFailure) {
+fn each_dial_error_is_classified(#[case] error: DialError, #[case] expected: DialFailure) {
     assert_eq!(error.failure(), expected);
 }
 
 #[rstest]
 #[case::closed(LinkError::Closed, DialFailure::Unreachable)]
 #[case::slow(LinkError::TimedOut, DialFailure::NoAnswer)]
-fn a_connection_that_ends_before_it_is_ready_is_none(
+fn only_a_connection_that_ends_before_it_is_ready_counts_as_unreachable(
     #[case] error: LinkError,
     #[case] expected: DialFailure,
 ) {
--- a/crates/gateway/tests/metric_names.rs
+++ b/crates/gateway/tests/metric_names.rs
@@ -1,5 +1,5 @@
-//! The names by which operators find the gateway's metrics: families, labels, and the label values that
-//! the code fixes. The modules are taken in by their path, since none of their types is public.
+//! Names of the gateway's metrics, which operators rely on: families, labels, and fixed label values. The
+//! modules are included by path because their types aren't public.
 
 #![allow(dead_code, missing_docs, clippy::unwrap_used)]
 
@@ -54,11 +54,11 @@
     RemoteOutcome::Lost,
 ];
 
-/// Each line of the encoded registry without its value, in the order of the alphabet: the registry's
-/// own order of label values is that of a hash map.
+/// Returns the lines of the encoded registry without their values, sorted: the registry's own order of label
+/// values is that of a hash map.
 fn names(registry: &Registry) -> String {
     let mut encoded = String::new();
-    encode(&mut encoded, registry).expect("a string takes all of it");
+    encode(&mut encoded, registry).expect("writing to a string can't fail");
     let name = |line: &str| match line.strip_prefix('#') {
         Some(_) => line.to_owned(),
         None => line.rsplit_once(' ').map_or(line, |(name, _)| name).to_owned(),
--- a/crates/gateway/tests/retry_after.rs
+++ b/crates/gateway/tests/retry_after.rs
@@ -1,5 +1,4 @@
-//! What callers are told of something that did not run. The module is taken in by its path, since it is not
-//! public.
+//! Texts of refusals. The module is included by path because it isn't public.
 
 #![allow(missing_docs)]
 
--- a/crates/gateway/tests/sessions/addresses.rs
+++ b/crates/gateway/tests/sessions/addresses.rs
@@ -1,4 +1,5 @@
-//! A member whose address changes is served at the new one with its whole share of connections.
+//! Tests that after a member's address changes, the gateway uses its whole share of connections at the new
+//! one.
 
 use crate::caller::Caller;
 use crate::member::Member;
@@ -7,10 +8,10 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// Longest wait for statements that find room at once; generous, for a machine with much to do.
+/// Longest wait for statements that needn't queue; long enough for an overloaded machine.
 const SOON: Duration = Duration::from_secs(5);
 
-/// Begins transactions of new callers, all on connections of their own.
+/// Begins a transaction for each of several new callers, so that each occupies a connection.
 async fn begin_each(world: &World, names: &[&'static str]) -> Vec<Caller> {
     let begin = |name: &&'static str| {
         let (gateway, name) = (world.gateways[0], *name);
@@ -25,21 +26,21 @@
     join_all(names.iter().map(begin)).await
 }
 
-/// Ends transactions; their connections are idle afterwards.
+/// Ends the callers' transactions, and waits until their connections are idle.
 async fn end_each(callers: &mut [Caller]) {
     for caller in callers {
         assert!(caller.query("rollback").await.is_success());
-        // The session answers this by itself, once the connection has gone back.
+        // The gateway answers this without a member, after the connection was returned to the pool.
         assert!(caller.query("set color red").await.is_success());
     }
 }
 
-/// Two connections of a member are control's, and the one gateway holds the others.
+/// Control takes two of a member's connections; the only gateway holds the others.
 #[rstest]
 #[case::one_connection(3, &["a"], &["b"])]
 #[case::two_connections(4, &["a", "b"], &["c", "d"])]
 #[actix_rt::test]
-async fn idle_connections_to_a_former_address_take_no_place_at_the_new_one(
+async fn idle_connections_to_a_former_address_do_not_count_at_the_new_one(
     #[case] max_connections: u32,
     #[case] before: &[&'static str],
     #[case] after: &[&'static str],
@@ -57,16 +58,16 @@
     assert_eq!(primary.state.borrow().accepted - accepted, after.len());
 }
 
-/// Connections that were in use when their member left go to the member that came back, which did
-/// not count them as open.
+/// Guards against a wrong count of open connections: connections that were in use when their member was
+/// removed are returned to the member that was added again, which had not counted them as open.
 #[actix_rt::test]
-async fn a_member_that_left_and_came_back_is_served_at_a_new_address() {
+async fn a_member_that_was_removed_and_added_again_is_used_at_a_new_address() {
     let mut primary = Member::start("m1", true, "1.5").await;
     let world = World::start(&[&primary], 1, 4);
     primary.asked().await;
     let mut callers = begin_each(&world, &["a", "b"]).await;
     world.remove(&primary);
-    // The gateway has followed when it answers.
+    // When the gateway answers, it has applied the removal.
     Caller::start(world.gateways[0], LINEARIZABLE, "c").await;
     world.add(&primary);
     primary.asked().await;
--- a/crates/gateway/tests/sessions/caller.rs
+++ b/crates/gateway/tests/sessions/caller.rs
@@ -1,4 +1,4 @@
-//! A caller over a real socket.
+//! A caller that talks to a gateway over a real socket.
 
 use crate::wire::take_line;
 use bytes::BytesMut;
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The lines of one answer, without `ready`, and the state after it.
+/// The answer to one query: its lines without `ready`, and the transaction state from `ready`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answered {
     pub lines: Vec<String>,
@@ -14,7 +14,7 @@
 }
 
 impl Answered {
-    /// The code of the failure; empty for a success.
+    /// Returns the code of the failure; empty for a success.
     pub fn code(&self) -> &str {
         let error = self.lines.iter().find_map(|line| line.strip_prefix("error|"));
         error.map_or("", |error| error.split('|').next().unwrap_or_default())
@@ -25,6 +25,7 @@
     }
 }
 
+/// A caller with an open session.
 pub struct Caller {
     stream: TcpStream,
     buffer: BytesMut,
@@ -33,6 +34,7 @@
 }
 
 impl Caller {
+    /// Connects to a gateway and starts a session; `name` is also the caller's key.
     pub async fn start(gateway: SocketAddr, database: &str, name: &'static str) -> Self {
         let stream = TcpStream::connect(gateway).await.expect("the gateway listens");
         let mut caller = Self { stream, buffer: BytesMut::new(), queries: 0, name };
@@ -41,14 +43,15 @@
         caller
     }
 
-    /// As [`Caller::start`], where the gateway refuses: gives what it says before it closes.
+    /// Starts a session that the gateway refuses; returns the lines that the gateway sends before it closes
+    /// the connection.
     pub async fn refused(gateway: SocketAddr, database: &str, name: &'static str) -> Vec<String> {
         let stream = TcpStream::connect(gateway).await.expect("the gateway listens");
         let caller = Self { stream, buffer: BytesMut::new(), queries: 0, name };
         caller.answers_to(&format!("start|{database}|{name}\n")).await
     }
 
-    /// Whether the gateway closes the connection without a word.
+    /// Reports whether the gateway closes the connection without sending a line first.
     pub async fn sees_a_close(mut self) -> bool {
         self.line().await.is_none()
     }
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Everything that comes after these bytes, until the gateway closes the connection.
+    /// Sends bytes and returns all lines received until the gateway closes the connection.
     pub async fn answers_to(mut self, bytes: &str) -> Vec<String> {
         self.send(bytes).await;
         let mut lines = Vec::new();
@@ -78,11 +81,12 @@
         lines
     }
 
-    /// Id of the last query.
+    /// Returns the id of the last query.
     pub fn last_id(&self) -> String {
         format!("{}-{}", self.name, self.queries)
     }
 
+    /// Sends a statement and waits for its whole answer.
     pub async fn query(&mut self, text: &str) -> Answered {
         self.queries += 1;
         let id = self.last_id();
@@ -98,7 +102,8 @@
         }
     }
 
-    /// Queries until one succeeds; for what a gateway finds out only by trying.
+    /// Repeats a query that is refused as busy until it succeeds, as the gateway detects some changes only by
+    /// failed attempts.
     pub async fn until_served(&mut self, text: &str) -> Answered {
         loop {
             let answered = self.query(text).await;
--- a/crates/gateway/tests/sessions/draining.rs
+++ b/crates/gateway/tests/sessions/draining.rs
@@ -1,16 +1,16 @@
-//! A member that is leaving gets no new work.
+//! Tests that a draining member gets no new work.
 
 use crate::caller::Caller;
 use crate::member::Member;
 use crate::world::{BOUNDED, LINEARIZABLE, World};
 use futures_util::future::join_all;
 
-/// Members take this many connections: one for the gateway, the others are control's.
+/// Connections that each member takes: one for the gateway, the others for control.
 const ONE_CONNECTION: u32 = 3;
 const WAITERS: [&str; 3] = ["w1", "w2", "w3"];
 
-/// The gateway's one connection to each of both members is in a transaction.
-async fn busy(world: &World) -> (Caller, Caller) {
+/// Opens a transaction at each of the two members, which occupies the gateway's only connection there.
+async fn occupy_connections(world: &World) -> (Caller, Caller) {
     let mut at_primary = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
     at_primary.query("begin").await;
     assert!(at_primary.query("read x").await.is_success());
@@ -21,18 +21,18 @@
 }
 
 #[actix_rt::test]
-async fn reads_that_wait_are_not_handed_to_a_member_that_began_to_leave() {
+async fn waiting_reads_are_not_sent_to_a_member_that_began_to_drain() {
     let primary = Member::start("m1", true, "1.5").await;
     let replica = Member::start("m2", false, "1.5").await;
     let world = World::start(&[&primary, &replica], 1, ONE_CONNECTION);
-    let (mut at_primary, mut at_replica) = busy(&world).await;
+    let (mut at_primary, mut at_replica) = occupy_connections(&world).await;
     let mut waiters = Vec::new();
     for name in WAITERS {
         waiters.push(Caller::start(world.gateways[0], BOUNDED, name).await);
     }
     let waiting = waiters.iter_mut().map(|waiter| waiter.query("read y"));
     let ends = async {
-        // A round trip to the gateway: the reads wait there now, and the drain is known.
+        // After a round trip to the gateway the reads wait there, and the gateway knows of the drain.
         world.drain(&primary);
         Caller::start(world.gateways[0], BOUNDED, "c").await;
         assert!(at_primary.query("rollback").await.is_success());
@@ -47,7 +47,7 @@
 }
 
 #[actix_rt::test]
-async fn a_leaving_primary_serves_writes_until_it_is_replaced_but_no_reads() {
+async fn a_draining_primary_serves_writes_until_it_is_replaced_but_no_reads() {
     let primary = Member::start("m1", true, "1.5").await;
     let replica = Member::start("m2", false, "1.5").await;
     let world = World::with_one_gateway(&[&primary, &replica]);
--- a/crates/gateway/tests/sessions/main.rs
+++ b/crates/gateway/tests/sessions/main.rs
@@ -1,4 +1,4 @@
-//! Sessions against stand-in members over real sockets.
+//! Tests of sessions, run against stand-in members over real sockets.
 
 mod addresses;
 mod caller;
--- a/crates/gateway/tests/sessions/member.rs
+++ b/crates/gateway/tests/sessions/member.rs
@@ -1,4 +1,4 @@
-//! A stand-in member: a log position, a role, and what ran on it.
+//! A stand-in member, with a log position, a role, and a record of the statements that it got.
 
 use crate::wire::{position, take_line};
 use bytes::BytesMut;
@@ -10,55 +10,63 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A statement as a member got it.
+/// A statement that a member ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ran {
-    /// Number of the connection.
+    /// Index of the connection, in the order in which connections were accepted.
     pub connection: usize,
-    /// Empty for the product's own statements.
+    /// Id of the caller's statement; empty for the gateway's own statements.
     pub id: String,
     pub text: String,
 }
 
-/// What a test may change while the member runs.
+/// State of a member, which a test may change while the member runs.
 #[derive(Debug)]
 pub struct MemberState {
     pub primary: bool,
+    /// Last position of the member's log.
     pub at: Position,
-    /// Statements of callers whose connection is closed in place of the answer.
+    /// Number of callers' statements, from now on, after which the connection is closed in place of the
+    /// answer.
     pub answers_to_lose: usize,
-    /// Whether it is gone once it has lost an answer.
+    /// Whether the member is gone after the first lost answer.
     pub goes_with_an_answer: bool,
-    /// Reads of callers that run and fail.
+    /// Number of callers' reads, from now on, that run and fail.
     pub reads_to_fail: usize,
-    /// Writes of callers that run and fail.
+    /// Number of callers' writes, from now on, that run and fail.
     pub writes_to_fail: usize,
-    /// Begins of the product's own whose connection is closed in place of the answer.
+    /// Number of the gateways' own begins, from now on, after which the connection is closed in place of the
+    /// answer.
     pub begins_to_lose: usize,
     /// Whether writes and commits are answered without a position.
-    pub hides_commits: bool,
-    /// Whether connections are closed, new ones before they are ready: a relay stands before a
+    pub omits_commit_positions: bool,
+    /// Whether connections are closed, new ones before they are ready, as if a relay stood in front of a
     /// member that is gone.
     pub gone: bool,
-    /// Time that a statement of a caller takes.
+    /// Time that a caller's statement takes, and the start of a connection.
     pub work: Duration,
-    /// Statements of callers under way now, and the most there were.
+    /// Number of callers' statements in flight.
     pub running: usize,
+    /// Most callers' statements that were in flight at once.
     pub most_running: usize,
-    /// Connections that may be open.
+    /// Most connections that may be open.
     pub connection_limit: usize,
+    /// Number of open connections.
     pub open: usize,
-    /// Who each connection was opened for, in order.
+    /// Principal or gateway for which each connection was opened, by the connection's index.
     pub opened_for: Vec<String>,
-    /// Who asked for a connection beyond the limit.
+    /// Principals or gateways that requested a connection beyond the limit.
     pub refused_for: Vec<String>,
-    /// Where it listens; connections to another address are closed, new ones before they are ready.
+    /// Address at which the member listens. Connections to another address are closed, new ones before they
+    /// are ready.
     pub address: SocketAddr,
-    /// Connections accepted at any address.
+    /// Number of connections accepted at any address.
     pub accepted: usize,
+    /// Statements that ran, in order.
     pub ran: Vec<Ran>,
 }
 
+/// A running stand-in member.
 #[derive(Clone)]
 pub struct Member {
     pub name: String,
@@ -67,6 +75,7 @@
 }
 
 impl Member {
+    /// Starts a member whose log ends at the position `at`.
     pub async fn start(name: &str, primary: bool, at: &str) -> Self {
         let (listener, address) = bind();
         let state = MemberState {
@@ -77,7 +86,7 @@
             reads_to_fail: 0,
             writes_to_fail: 0,
             begins_to_lose: 0,
-            hides_commits: false,
+            omits_commit_positions: false,
             gone: false,
             work: Duration::ZERO,
             running: 0,
@@ -95,7 +104,7 @@
         member
     }
 
-    /// Listens at a new address from now on, and no longer serves connections to the one before.
+    /// Moves the member to a new address; connections to the former one are no longer served.
     pub fn change_address(&mut self) {
         let (listener, address) = bind();
         self.address = address;
@@ -104,17 +113,17 @@
     }
 
     fn listen(&self, listener: TcpListener) {
-        let serving = self.clone();
+        let member = self.clone();
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let connection = serving.state.borrow_mut().next_connection();
-                actix_rt::spawn(serving.clone().serve(stream, connection));
+                let connection = member.state.borrow_mut().next_connection();
+                actix_rt::spawn(member.clone().serve(stream, connection));
             }
         });
     }
 
-    /// Waits until a gateway has asked for its position, which it does before the first statement, and
-    /// forgets that.
+    /// Waits until a gateway has requested the member's position, which it does before the first statement,
+    /// and clears the record of that request.
     pub async fn asked(&self) {
         let has_answered =
             |state: &MemberState| state.ran.last().is_some_and(|ran| ran.text == "rollback");
@@ -124,23 +133,23 @@
         self.state.borrow_mut().ran.clear();
     }
 
-    /// What callers' statements ran, by text.
+    /// Returns the texts of the callers' statements that ran.
     pub fn texts(&self) -> Vec<String> {
         let state = self.state.borrow();
         let callers = state.ran.iter().filter(|ran| !ran.id.is_empty());
         callers.map(|ran| ran.text.clone()).collect()
     }
 
-    /// Everything that came on the connection of a caller's statement, before and with it.
+    /// Returns the texts of all statements on the connection of a caller's statement, up to and including it.
     pub fn on_connection_of(&self, id: &str) -> Vec<String> {
         let state = self.state.borrow();
-        let Some(place) = state.ran.iter().position(|ran| ran.id == id) else { return Vec::new() };
-        let connection = state.ran[place].connection;
-        let upto = state.ran[..=place].iter().filter(|ran| ran.connection == connection);
-        upto.map(|ran| ran.text.clone()).collect()
+        let Some(index) = state.ran.iter().position(|ran| ran.id == id) else { return Vec::new() };
+        let connection = state.ran[index].connection;
+        let up_to_it = state.ran[..=index].iter().filter(|ran| ran.connection == connection);
+        up_to_it.map(|ran| ran.text.clone()).collect()
     }
 
-    /// Who the connection of a caller's statement was opened for.
+    /// Returns the principal or gateway for which the connection of a caller's statement was opened.
     pub fn ran_for(&self, id: &str) -> String {
         let state = self.state.borrow();
         let ran = state.ran.iter().find(|ran| ran.id == id).expect("the statement ran here");
@@ -186,7 +195,7 @@
         self.state.borrow_mut().running -= 1;
     }
 
-    /// The answer to a line; none closes the connection.
+    /// Returns the answer to a line; none closes the connection.
     fn answer(&self, line: &str, connection: usize, in_transaction: &mut bool) -> Option<String> {
         let mut state = self.state.borrow_mut();
         let fields: Vec<&str> = line.split('|').collect();
@@ -218,7 +227,7 @@
             state.begins_to_lose -= 1;
             return None;
         }
-        if state.takes_failure(text) {
+        if state.is_to_fail(text) {
             let now = if *in_transaction { "failed" } else { "idle" };
             return Some(format!("error|failed|{}\nready|{now}|\n", self.name));
         }
@@ -237,7 +246,7 @@
             String::new()
         };
         let commits = text.starts_with("write") || text == "commit";
-        let position = if state.hides_commits && commits {
+        let position = if state.omits_commit_positions && commits {
             String::new()
         } else {
             format!("{}.{}", state.at.term, state.at.index)
@@ -255,32 +264,33 @@
 }
 
 impl MemberState {
-    /// The number of a connection that was accepted.
+    /// Returns the index of a connection that was just accepted.
     fn next_connection(&mut self) -> usize {
         let connection = self.accepted;
         self.accepted += 1;
         connection
     }
 
-    /// Whether a statement is one of those that are to fail.
-    fn takes_failure(&mut self, text: &str) -> bool {
-        let left = match text {
+    /// Reports whether a statement is to fail, and counts the failure.
+    fn is_to_fail(&mut self, text: &str) -> bool {
+        let remaining = match text {
             _ if text.starts_with("read") => &mut self.reads_to_fail,
             _ if text.starts_with("write") => &mut self.writes_to_fail,
             _ => return false,
         };
-        let fails = *left > 0;
-        *left -= usize::from(fails);
+        let fails = *remaining > 0;
+        *remaining -= usize::from(fails);
         fails
     }
 
+    /// Returns the code with which the member refuses a statement without running it.
     fn refusal(&self, after: Option<Position>, text: &str) -> Option<&'static str> {
         let writes = text == "begin" || text.starts_with("write");
         if writes && !self.primary {
             return Some("readonly");
         }
-        let lacks =
+        let is_behind =
             after.is_some_and(|after| (after.term, after.index) > (self.at.term, self.at.index));
-        lacks.then_some("lagging")
+        is_behind.then_some("lagging")
     }
 }
--- a/crates/gateway/tests/sessions/routing.rs
+++ b/crates/gateway/tests/sessions/routing.rs
@@ -1,4 +1,4 @@
-//! Which member serves what, and how fresh it must be.
+//! Tests of the choice of members: which member serves a statement, and how fresh the member must be.
 
 use crate::caller::Caller;
 use crate::member::Member;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[actix_rt::test]
-async fn a_write_reaches_the_primary_once_and_untouched() {
+async fn a_write_reaches_the_primary_once_and_unchanged() {
     let primary = Member::start("m1", true, "1.5").await;
     let replica = Member::start("m2", false, "1.5").await;
     let world = World::with_one_gateway(&[&primary, &replica]);
@@ -30,7 +30,7 @@
 }
 
 #[actix_rt::test]
-async fn a_member_that_lost_the_lead_serves_no_linearizable_read() {
+async fn a_former_primary_serves_no_linearizable_read() {
     let former = Member::start("m1", true, "1.5").await;
     let next = Member::start("m2", false, "1.5").await;
     let world = World::with_one_gateway(&[&former, &next]);
@@ -44,12 +44,13 @@
 }
 
 #[actix_rt::test]
-async fn a_session_sees_its_own_write_whatever_replicas_lag() {
+async fn a_session_sees_its_own_write_however_far_replicas_lag() {
     let primary = Member::start("m1", true, "1.5").await;
     let behind = Member::start("m2", false, "1.5").await;
     let world = World::with_one_gateway(&[&primary, &behind]);
     let mut caller = Caller::start(world.gateways[0], OWN_WRITES, "a").await;
-    // A position from before the write, which alone would do for the bound; any member may serve it.
+    // Records a position from before the write, which on its own would satisfy the bound; any member may
+    // serve this read.
     assert!(caller.query("read x").await.is_success());
     assert!(caller.query("write x").await.is_success());
     behind.state.borrow_mut().ran.clear();
@@ -71,7 +72,7 @@
     assert_eq!(caller.query("read x").await.lines, ["row|of m2", "complete|by-m2"]);
 }
 
-/// Reads that take long there, so that a replica is the first choice afterwards.
+/// Runs reads that take long at the primary, so that a replica is the first choice for later reads.
 async fn make_primary_slow(world: &World, primary: &Member) {
     primary.state.borrow_mut().work = Duration::from_millis(100);
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "slow").await;
@@ -82,13 +83,13 @@
 }
 
 #[actix_rt::test]
-async fn a_write_that_fails_in_a_transaction_says_nothing_against_its_member() {
+async fn a_write_that_fails_in_a_transaction_does_not_count_against_its_member() {
     let primary = Member::start("m1", true, "1.5").await;
     let replica = Member::start("m2", false, "1.5").await;
     let world = World::with_one_gateway(&[&primary, &replica]);
     let mut writer = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
     primary.state.borrow_mut().writes_to_fail = usize::MAX;
-    // So many that the primary, known to be fast, is the first choice of reads.
+    // Enough statements that the gateway knows the primary as fast and chooses it first for reads.
     for _ in 0..30 {
         assert!(writer.query("begin").await.is_success());
         assert_eq!(writer.query("write x").await.code(), "failed");
@@ -130,13 +131,13 @@
     let mut world = World::with_one_gateway(&[&primary]);
     primary.state.borrow_mut().gone = true;
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
-    let asking = actix_rt::spawn(async move { caller.query("read x").await });
-    let told = world.reach.recv().await.expect("the gateway runs");
-    assert_eq!((told.member.as_str(), told.reached), ("m1", false));
+    let reading = actix_rt::spawn(async move { caller.query("read x").await });
+    let report = world.reach.recv().await.expect("the gateway runs");
+    assert_eq!((report.member.as_str(), report.reached), ("m1", false));
     primary.state.borrow_mut().gone = false;
-    assert!(asking.await.expect("an answer").is_success());
-    let told = world.reach.recv().await.expect("the gateway runs");
-    assert_eq!((told.member.as_str(), told.reached), ("m1", true));
+    assert!(reading.await.expect("an answer").is_success());
+    let report = world.reach.recv().await.expect("the gateway runs");
+    assert_eq!((report.member.as_str(), report.reached), ("m1", true));
 }
 
 #[actix_rt::test]
@@ -153,15 +154,15 @@
     assert!(answers.iter().all(|answered| answered.is_success()), "{answers:?}");
     for name in names {
         let texts = primary.on_connection_of(&format!("{name}-1"));
-        let before = texts.len().checked_sub(2).map(|place| texts[place].as_str());
+        let before = texts.len().checked_sub(2).map(|index| texts[index].as_str());
         assert_ne!(before, Some("begin"), "{name} read inside a transaction of the primary");
     }
 }
 
-/// Positions of one group say nothing of another: a commit in the group that the route led to
-/// meanwhile does not take the place of the session's commit in this one.
+/// Positions of different groups can't be compared: a commit in the group to which the route moved in the
+/// meantime must not replace the session's commit in the first group.
 #[actix_rt::test]
-async fn a_session_sees_its_own_write_after_its_route_led_to_another_group_and_back() {
+async fn a_session_sees_its_own_write_after_its_route_moved_to_another_group_and_back() {
     let primary = Member::start("m1", true, "1.5").await;
     let behind = Member::start("m2", false, "1.5").await;
     let other = Member::start("o1", true, "1.2").await;
@@ -169,23 +170,23 @@
     let mut caller = Caller::start(world.gateways[0], OWN_WRITES, "a").await;
     assert!(caller.query("read x").await.is_success());
     assert!(caller.query("write x").await.is_success());
-    world.move_own_writes(true);
+    world.move_own_writes_route(true);
     assert!(caller.query("write y").await.is_success());
     assert_eq!(other.texts(), ["write y"]);
-    world.move_own_writes(false);
+    world.move_own_writes_route(false);
     make_primary_slow(&world, &primary).await;
     assert_eq!(caller.query("read x").await.lines, ["row|of m1", "complete|by-m1"]);
 }
 
 #[rstest]
-#[case::alone(&["write x"])]
+#[case::outside_a_transaction(&["write x"])]
 #[case::in_a_transaction(&["begin", "write x", "commit"])]
 #[actix_rt::test]
 async fn a_session_whose_commit_has_no_position_reads_at_the_primary(#[case] texts: &[&str]) {
     let primary = Member::start("m1", true, "1.5").await;
     let behind = Member::start("m2", false, "1.5").await;
     let world = World::with_one_gateway(&[&primary, &behind]);
-    primary.state.borrow_mut().hides_commits = true;
+    primary.state.borrow_mut().omits_commit_positions = true;
     let mut caller = Caller::start(world.gateways[0], OWN_WRITES, "a").await;
     assert!(caller.query("read x").await.is_success());
     for text in texts {
@@ -195,10 +196,10 @@
     assert_eq!(caller.query("read x").await.lines, ["row|of m1", "complete|by-m1"]);
 }
 
-/// The caller's transaction rested after its begin, longer than the bound; commits were
-/// acknowledged meanwhile.
+/// The transaction is idle after its begin for longer than the staleness bound, and commits are acknowledged
+/// in that time. The bound must count from the first read, not from the begin.
 #[actix_rt::test]
-async fn a_transaction_that_rested_before_its_first_read_is_as_fresh_as_that_read() {
+async fn a_transaction_that_was_idle_before_its_first_read_is_as_fresh_as_that_read() {
     let primary = Member::start("m1", true, "1.5").await;
     let behind = Member::start("m2", false, "1.5").await;
     let world = World::with_one_gateway(&[&primary, &behind]);
--- a/crates/gateway/tests/sessions/state.rs
+++ b/crates/gateway/tests/sessions/state.rs
@@ -1,4 +1,4 @@
-//! Session values, prepared names and transactions on pooled connections.
+//! Tests of session values, prepared names and transactions on pooled connections.
 
 use crate::caller::Caller;
 use crate::member::Member;
@@ -16,7 +16,7 @@
     assert!(second.query("write y").await.is_success());
     let before = primary.on_connection_of("a-2");
     assert_eq!(before, ["set color red", "write x"]);
-    // Where the second got the first's connection, the value was dropped before its statement.
+    // If the second session got the first one's connection, the value was reset before its statement.
     let before = primary.on_connection_of("b-1");
     if before.len() > 1 {
         assert_eq!(before, ["set color red", "write x", "reset", "write y"]);
@@ -72,7 +72,7 @@
 }
 
 #[actix_rt::test]
-async fn after_a_failure_only_the_end_of_the_transaction_is_taken() {
+async fn after_a_failure_only_the_end_of_the_transaction_is_accepted() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_one_gateway(&[&primary]);
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
@@ -85,7 +85,7 @@
 }
 
 #[actix_rt::test]
-async fn what_is_no_message_is_refused_before_the_connection_ends() {
+async fn an_invalid_message_is_refused_before_the_connection_ends() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_one_gateway(&[&primary]);
     let caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
@@ -94,8 +94,8 @@
     assert!(primary.texts().is_empty());
 }
 
-/// Begins a transaction that writes, and waits until the gateway has rolled it back.
-async fn rested(world: &World, primary: &Member) -> Caller {
+/// Begins a transaction, writes in it, and leaves it idle until the gateway has rolled it back.
+async fn idle_past_limit(world: &World, primary: &Member) -> Caller {
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
     caller.query("begin").await;
     assert!(caller.query("write x").await.is_success());
@@ -108,24 +108,24 @@
 }
 
 #[actix_rt::test]
-async fn a_transaction_that_rested_too_long_is_said_to_be_rolled_back() {
+async fn a_transaction_that_was_idle_for_too_long_is_reported_as_rolled_back() {
     let primary = Member::start("m1", true, "1.5").await;
-    let world = World::with_short_rests(&[&primary]);
+    let world = World::with_short_idle_limit(&[&primary]);
     primary.asked().await;
-    let mut caller = rested(&world, &primary).await;
+    let mut caller = idle_past_limit(&world, &primary).await;
     let answered = caller.query("write y").await;
     assert_eq!((answered.code(), answered.state.as_str()), ("aborted", "failed"));
-    assert_eq!(caller.query("write z").await.code(), "malformed", "it knows by now");
+    assert_eq!(caller.query("write z").await.code(), "malformed", "the rollback was reported");
     assert_eq!(caller.query("rollback").await.state, "idle");
     assert_eq!(primary.texts(), ["write x"]);
 }
 
 #[actix_rt::test]
-async fn the_commit_of_a_transaction_that_rested_too_long_is_refused() {
+async fn the_commit_of_a_transaction_that_was_idle_for_too_long_is_refused() {
     let primary = Member::start("m1", true, "1.5").await;
-    let world = World::with_short_rests(&[&primary]);
+    let world = World::with_short_idle_limit(&[&primary]);
     primary.asked().await;
-    let mut caller = rested(&world, &primary).await;
+    let mut caller = idle_past_limit(&world, &primary).await;
     let answered = caller.query("commit").await;
     assert_eq!((answered.code(), answered.state.as_str()), ("aborted", "idle"));
     assert_eq!(primary.texts(), ["write x"]);
--- a/crates/gateway/tests/sessions/tunnels.rs
+++ b/crates/gateway/tests/sessions/tunnels.rs
@@ -1,4 +1,4 @@
-//! Gateways that hold no connections to a member use those of others.
+//! Tests that gateways without connections to a member use those of other gateways.
 
 use crate::caller::Caller;
 use crate::member::Member;
@@ -25,7 +25,7 @@
 }
 
 #[actix_rt::test]
-async fn values_and_transactions_hold_through_a_tunnel() {
+async fn session_values_and_transactions_work_through_a_tunnel() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::start(&[&primary], 3, ONE_SHARE);
     for (gateway, name) in world.gateways.iter().zip(["a", "b", "c"]) {
@@ -52,7 +52,7 @@
         assert!(caller.query("write y").await.is_success());
     }
     let lost = primary.texts().iter().filter(|text| *text == "write x").count();
-    assert_eq!(lost, 3, "each was sent once");
+    assert_eq!(lost, 3, "each write was sent once");
 }
 
 #[actix_rt::test]
@@ -67,17 +67,17 @@
     assert!(caller.query("write y").await.is_success());
     assert!(caller.query("commit").await.is_success());
     assert_eq!(primary.texts(), ["write x", "read x", "write y", "commit"]);
-    let told = world.reach.recv().await.expect("the gateways run");
-    assert_eq!((told.member.as_str(), told.reached), ("m1", false), "control hears of it");
+    let report = world.reach.recv().await.expect("the gateways run");
+    assert_eq!((report.member.as_str(), report.reached), ("m1", false), "control gets a report");
 }
 
 #[actix_rt::test]
-async fn reads_stay_near_while_the_primary_is_reached_through_others() {
+async fn reads_stay_at_the_replica_while_the_primary_is_reached_through_others() {
     let primary = Member::start("m1", true, "1.5").await;
     let replica = Member::start("m2", false, "1.5").await;
     let world = World::with_cut(&[&primary, &replica], 3, &primary);
     let mut caller = Caller::start(world.gateways[0], BOUNDED, "a").await;
-    // The first needs a position of the primary.
+    // The first read needs a position of the primary.
     assert!(caller.query("read x").await.is_success());
     for _ in 0..3 {
         assert_eq!(caller.query("read x").await.lines, ["row|of m2", "complete|by-m2"]);
@@ -85,7 +85,7 @@
 }
 
 #[actix_rt::test]
-async fn a_session_sees_its_own_write_through_another_gateway_whatever_replicas_lag() {
+async fn a_session_sees_its_own_write_through_another_gateway_however_far_replicas_lag() {
     let primary = Member::start("m1", true, "1.5").await;
     let behind = Member::start("m2", false, "1.5").await;
     let world = World::start(&[&primary, &behind], 3, ONE_SHARE);
@@ -118,7 +118,7 @@
 }
 
 #[actix_rt::test]
-async fn figures_tell_where_statements_ran() {
+async fn metrics_show_where_statements_ran() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::start(&[&primary], 3, ONE_SHARE);
     for gateway in &world.gateways {
@@ -129,16 +129,17 @@
     let count = |line: &str| all.iter().filter(|text| text.contains(line)).count();
     assert_eq!(count("corktack_gateway_statements_total{outcome=\"done\"} 1"), 3);
     assert_eq!(count("corktack_gateway_elsewhere_total{outcome=\"served\"} 1"), 2);
-    assert_eq!(count("corktack_gateway_wait_seconds_count 3"), 1, "the holder waited for all");
+    assert_eq!(count("corktack_gateway_wait_seconds_count 3"), 1, "all waits were at the holder");
     assert_eq!(count("corktack_gateway_document_version 1"), 3);
     assert_eq!(count("corktack_gateway_told_positions_total{outcome=\"used\"} 1"), 2);
 }
 
-/// A gateway that borrows a connection and then says nothing: its process is gone without a word.
+/// Guards against leaked connections: a gateway borrows a connection and then sends nothing, as if its
+/// process had been killed.
 #[actix_rt::test]
-async fn a_connection_lent_to_a_gateway_that_is_silent_is_taken_back() {
+async fn a_connection_lent_to_a_gateway_that_is_silent_is_reclaimed() {
     let primary = Member::start("m1", true, "1.5").await;
-    let world = World::with_short_rests(&[&primary]);
+    let world = World::with_short_idle_limit(&[&primary]);
     let stream = TcpStream::connect(world.peers[0]).await.expect("the gateway listens");
     let mut tunnel: Framed<_, FrameCodec<TunnelRequest, TunnelReply>> =
         Framed::new(stream, FrameCodec::default());
--- a/crates/gateway/tests/sessions/wire.rs
+++ b/crates/gateway/tests/sessions/wire.rs
@@ -1,4 +1,4 @@
-//! A wire of the tests' own: lines of fields separated by `|`.
+//! Codec of the tests: each message is a line of fields separated by `|`.
 
 use bytes::{Buf, BufMut, BytesMut};
 use corktack_core::position::{Position, Term};
@@ -9,7 +9,7 @@
 use corktack_core::tenancy::ApiKey;
 use corktack_gateway::{Wire, WireError};
 
-/// The wire of the tests.
+/// Codec of the tests, for both ends of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct TestWire;
 
@@ -28,7 +28,7 @@
     ("failed", ErrorCode::Failed),
 ];
 
-/// The next whole line.
+/// Removes the next whole line from the buffer.
 pub fn take_line(buffer: &mut BytesMut) -> Option<String> {
     let end = buffer.iter().position(|byte| *byte == b'\n')?;
     let line = String::from_utf8_lossy(&buffer.split_to(end)).into_owned();
@@ -36,16 +36,16 @@
     Some(line)
 }
 
-fn put(buffer: &mut BytesMut, fields: &[&str]) {
+fn put_line(buffer: &mut BytesMut, fields: &[&str]) {
     buffer.put_slice(fields.join("|").as_bytes());
     buffer.put_u8(b'\n');
 }
 
 fn position_text(position: Option<Position>) -> String {
-    position.map_or_else(String::new, |it| format!("{}.{}", it.term, it.index))
+    position.map_or_else(String::new, |position| format!("{}.{}", position.term, position.index))
 }
 
-/// Reads `TERM.INDEX`, or nothing.
+/// Parses `TERM.INDEX`; returns none for any other text.
 pub fn position(text: &str) -> Option<Position> {
     let (term, index) = text.split_once('.')?;
     Some(Position { term: Term(term.parse().ok()?), index: index.parse().ok()? })
@@ -108,13 +108,14 @@
 
     fn encode_reply(&self, reply: &Reply, buffer: &mut BytesMut) {
         match reply {
-            Reply::Row(row) => put(buffer, &["row", row]),
+            Reply::Row(row) => put_line(buffer, &["row", row]),
             Reply::Complete(signature) => {
-                put(buffer, &["complete", signature.as_deref().unwrap_or_default()]);
+                put_line(buffer, &["complete", signature.as_deref().unwrap_or_default()]);
             }
             Reply::Error { code, text } => {
-                let word = CODES.iter().find(|(_, it)| it == code).map_or("other", |(it, _)| it);
-                put(buffer, &["error", word, text]);
+                let word =
+                    CODES.iter().find(|(_, known)| known == code).map_or("other", |(word, _)| word);
+                put_line(buffer, &["error", word, text]);
             }
             Reply::Ready(ready) => {
                 let state = match ready.state {
@@ -122,7 +123,7 @@
                     TransactionState::Open => "open",
                     TransactionState::Failed => "failed",
                 };
-                put(buffer, &["ready", state, &position_text(ready.position)]);
+                put_line(buffer, &["ready", state, &position_text(ready.position)]);
             }
         }
     }
@@ -130,23 +131,23 @@
     fn encode_request(&self, request: &MemberRequest<'_>, buffer: &mut BytesMut) {
         match request {
             MemberRequest::Start { group, who, member } => {
-                put(buffer, &["start", group, who, member]);
+                put_line(buffer, &["start", group, who, member]);
             }
             MemberRequest::Forward { id, after, text } => {
-                put(buffer, &["query", id, &position_text(*after), text]);
+                put_line(buffer, &["query", id, &position_text(*after), text]);
             }
             MemberRequest::Execute { id, after, name, arguments } => {
                 let text = format!("execute {name} {arguments}");
-                put(buffer, &["query", id, &position_text(*after), &text]);
+                put_line(buffer, &["query", id, &position_text(*after), &text]);
             }
             MemberRequest::Own(statement) => {
                 let after = match statement {
                     OwnStatement::Begin { after, .. } => position_text(*after),
                     _ => String::new(),
                 };
-                put(buffer, &["query", "", &after, &own_text(statement)]);
+                put_line(buffer, &["query", "", &after, &own_text(statement)]);
             }
-            MemberRequest::Terminate => put(buffer, &["terminate"]),
+            MemberRequest::Terminate => put_line(buffer, &["terminate"]),
         }
     }
 
@@ -159,16 +160,17 @@
                 Reply::Complete((!signature.is_empty()).then(|| (*signature).to_owned()))
             }
             ["error", word, text] => {
-                let code = CODES.iter().find(|(it, _)| it == word).map(|(_, code)| *code);
+                let code =
+                    CODES.iter().find(|(known_word, _)| known_word == word).map(|(_, code)| *code);
                 Reply::Error { code: code.unwrap_or(ErrorCode::Other), text: (*text).to_owned() }
             }
-            ["ready", state, at] => {
+            ["ready", state, reported] => {
                 let state = match *state {
                     "idle" => TransactionState::Idle,
                     "open" => TransactionState::Open,
                     _ => TransactionState::Failed,
                 };
-                Reply::Ready(ReadyState { state, position: position(at) })
+                Reply::Ready(ReadyState { state, position: position(reported) })
             }
             _ => return Err(WireError::Field { field: "word" }),
         }))
--- a/crates/gateway/tests/sessions/world/changes.rs
+++ b/crates/gateway/tests/sessions/world/changes.rs
@@ -1,4 +1,7 @@
-//! What control says anew while the gateways run.
+//! Configuration changes that control sends while the gateways run.
+//!
+//! The gateways share the test's thread, so they apply a change before they read anything that is sent to
+//! them after it.
 
 use super::document::{OWN_WRITES, gateway_name, group, other_group, register, tenant_rules};
 use super::{World, bind};
@@ -9,27 +12,27 @@
 use std::sync::Arc;
 
 impl World {
-    /// A gateway listens for the others no longer where the view says.
-    pub fn lose_peer(&mut self, place: usize) {
+    /// Changes a gateway's address in the view to one where nothing listens, so that the others lose it.
+    pub fn lose_peer(&mut self, index: usize) {
         let lost = bind().1;
-        self.peers[place] = lost;
+        self.peers[index] = lost;
         self.change(|view| {
-            let name = gateway_name(place);
+            let name = gateway_name(index);
             view.proxies.get_mut(&name).expect("a gateway in the view").address = lost;
         });
     }
 
-    /// Another document with other tenants is in force.
+    /// Replaces the document by one with other tenants.
     pub fn change_tenants(&self, tenants: &[(&str, &[&str])]) {
         self.change_document(|document| document.tenants = Some(tenant_rules(tenants)));
     }
 
-    /// Members take so many connections from now on.
+    /// Changes the most connections that members take.
     pub fn change_connections(&self, max_connections: u32) {
         self.change_document(|document| document.services[0].max_connections = max_connections);
     }
 
-    /// A route asks for no key any more, or does so again.
+    /// Changes whether a route is public, so that callers need no key.
     pub fn make_public(&self, name: &str, public: bool) {
         self.change_document(|document| {
             let route = document.routes.iter_mut().find(|route| route.name == name);
@@ -37,6 +40,7 @@
         });
     }
 
+    /// Changes the document and increments its version.
     pub(super) fn change_document(&self, change: impl FnOnce(&mut Document)) {
         self.change(|view| {
             let mut document = Document::clone(view.document.as_ref().expect("a document"));
@@ -46,17 +50,15 @@
         });
     }
 
-    /// The route [`OWN_WRITES`] leads to the other group, or back. The gateways, which share the
-    /// test's thread, follow before they read anything that is sent to them from now on.
-    pub fn move_own_writes(&self, to_other: bool) {
+    /// Moves the route [`OWN_WRITES`] to the other group, or back.
+    pub fn move_own_writes_route(&self, to_other: bool) {
         self.change_document(|document| {
             let route = document.routes.iter_mut().find(|route| route.name == OWN_WRITES);
             route.expect("a route").group = if to_other { other_group() } else { group() };
         });
     }
 
-    /// Control says that a member is leaving. The gateways, which share the test's thread, follow
-    /// before they read anything that is sent to them from now on.
+    /// Marks a member as draining.
     pub fn drain(&self, member: &Member) {
         let name = MemberName::new(member.name.as_str()).expect("a valid name");
         self.change(|view| {
@@ -65,8 +67,7 @@
         });
     }
 
-    /// Control says that a member is at the address where it listens now. The gateways follow as for
-    /// [`World::drain`].
+    /// Changes a member's registered address to the one where it listens now.
     pub fn change_address(&self, member: &Member) {
         let name = MemberName::new(member.name.as_str()).expect("a valid name");
         self.change(|view| {
@@ -75,17 +76,18 @@
         });
     }
 
-    /// Control says that a member has left. The gateways follow as for [`World::drain`].
+    /// Removes a member from the view.
     pub fn remove(&self, member: &Member) {
         let name = MemberName::new(member.name.as_str()).expect("a valid name");
         self.change(|view| drop(view.back_ends.remove(&name)));
     }
 
-    /// Control says that a member has come. The gateways follow as for [`World::drain`].
+    /// Adds a member to the view.
     pub fn add(&self, member: &Member) {
         self.change(|view| register(view, &group(), &[member]));
     }
 
+    /// Changes the view and increments its revision.
     pub(super) fn change(&self, change: impl FnOnce(&mut View)) {
         self.views.send_modify(|view| {
             let mut next = View::clone(view);
--- a/crates/gateway/tests/sessions/world/document.rs
+++ b/crates/gateway/tests/sessions/world/document.rs
@@ -1,4 +1,4 @@
-//! What control says in these tests: routes, tenants, members, and the settings that go with it.
+//! Configuration of the tests: routes, tenants and members in the view, and settings of the gateways.
 
 use crate::member::Member;
 use corktack_core::identity::{GroupName, Incarnation, MemberName, ProxyName, ZoneName};
@@ -13,26 +13,30 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
+/// Route with linearizable reads.
 pub const LINEARIZABLE: &str = "linearizable";
+/// Route with reads of bounded staleness; the bound is never reached in a test.
 pub const BOUNDED: &str = "bounded";
+/// Route whose sessions read their own writes.
 pub const OWN_WRITES: &str = "own";
-/// Bounded by [`SHORT_STALENESS`].
+/// Route with reads bounded by [`SHORT_STALENESS`].
 pub const BRIEFLY_BOUNDED: &str = "brief";
-/// Linearizable; waits for no member for long.
+/// Route with linearizable reads and a short wait for a connection.
 pub const HASTY: &str = "hasty";
-/// Objective of [`HASTY`], a part of which a statement may wait.
-pub(super) const HASTE: Duration = Duration::from_secs(1);
-/// Short, so that a test can let a position grow older than it.
+/// Latency objective of [`HASTY`], of which a statement may wait a fraction for a connection.
+pub(super) const SHORT_OBJECTIVE: Duration = Duration::from_secs(1);
+/// Staleness bound that is short enough for a test to wait until a position is older.
 pub const SHORT_STALENESS: Duration = Duration::from_millis(500);
-/// Members take this many connections: one share, so one holder among several gateways.
+/// Connections of a member that make a single share, so that one of several gateways holds them.
 pub const ONE_SHARE: u32 = 4;
-/// Long enough for any machine; nothing in these tests waits for it to pass.
+/// Time that is long enough for an overloaded machine; no test waits for it to pass.
 pub(super) const LONG: Duration = Duration::from_secs(60);
+/// Returns the group of the tests.
 pub fn group() -> GroupName {
     GroupName::new("calls").expect("a valid name")
 }
 
-/// A second group, for routes that move from one to the other.
+/// Returns a second group, for routes that move from one to the other.
 pub(super) fn other_group() -> GroupName {
     GroupName::new("archive").expect("a valid name")
 }
@@ -56,6 +60,7 @@
     }
 }
 
+/// Returns a document with all routes of the tests and without tenants.
 pub(super) fn document(max_connections: u32, transaction_idle: Duration) -> Document {
     Document {
         version: 1,
@@ -64,7 +69,10 @@
             route(BOUNDED, Consistency::BoundedStaleness(LONG)),
             route(OWN_WRITES, Consistency::ReadYourWrites(LONG)),
             route(BRIEFLY_BOUNDED, Consistency::BoundedStaleness(SHORT_STALENESS)),
-            RouteRule { latency_objective: HASTE, ..route(HASTY, Consistency::Linearizable) },
+            RouteRule {
+                latency_objective: SHORT_OBJECTIVE,
+                ..route(HASTY, Consistency::Linearizable)
+            },
         ],
         services: vec![ServiceRule { name: group(), max_connections, synchronous_replicas: 0 }],
         limits: DocumentLimits { transaction_idle },
@@ -72,6 +80,7 @@
     }
 }
 
+/// Returns rules of tenants without a rate, each with the given keys.
 pub(super) fn tenant_rules(tenants: &[(&str, &[&str])]) -> Vec<TenantRule> {
     let rule = |(name, keys): &(&str, &[&str])| TenantRule {
         name: TenantName::new(name).expect("a valid name"),
@@ -81,9 +90,10 @@
     tenants.iter().map(rule).collect()
 }
 
-pub fn settings(place: usize, peers: SocketAddr) -> GatewaySettings {
+/// Returns the settings of the gateway with this index, whose address for other gateways is `peers`.
+pub fn settings(index: usize, peers: SocketAddr) -> GatewaySettings {
     GatewaySettings {
-        name: gateway_name(place),
+        name: gateway_name(index),
         incarnation: Incarnation(1),
         limits: LimitBounds::default(),
         unproved_limit: None,
@@ -98,11 +108,11 @@
     }
 }
 
-pub(super) fn gateway_name(place: usize) -> ProxyName {
-    ProxyName::new(format!("g{place}")).expect("a valid name")
+pub(super) fn gateway_name(index: usize) -> ProxyName {
+    ProxyName::new(format!("g{index}")).expect("a valid name")
 }
 
-/// Adds members of a group to what control says.
+/// Adds members of a group to the view.
 pub(super) fn register(view: &mut View, group: &GroupName, members: &[&Member]) {
     for member in members {
         let primary = member.state.borrow().primary;
--- a/crates/gateway/tests/sessions/world/limits_control.rs
+++ b/crates/gateway/tests/sessions/world/limits_control.rs
@@ -1,39 +1,42 @@
-//! Control's end of what a gateway says of limits.
+//! Control's end of a gateway's channels for limits of tenants.
 
 use corktack_core::limits::{AllowanceDemand, AllowanceGrant, AllowanceReport, TenantAllowance};
 use corktack_core::position::Term;
 use corktack_core::tenancy::TenantRate;
 use corktack_gateway::{LimitNews, LimitsLink};
 use tokio::sync::mpsc;
-/// Control's end of what a gateway says of limits.
+/// Stand-in for the leader of control, which grants allowances to one gateway.
 pub struct LimitsControl {
     reports: mpsc::UnboundedReceiver<AllowanceReport>,
-    news: mpsc::UnboundedSender<LimitNews>,
+    updates: mpsc::UnboundedSender<LimitNews>,
+    /// Number of grants sent so far.
     grants: u64,
 }
 
 impl LimitsControl {
-    /// A leader has been elected.
-    fn lead(&self) {
-        self.news.send(LimitNews::Led(TERM)).expect("the gateway listens");
+    /// Announces the leader to the gateway.
+    fn announce_leader(&self) {
+        self.updates.send(LimitNews::Led(TERM)).expect("the gateway listens");
     }
 
-    /// Leads, waits until something of a tenant's limit is asked for, and gives so many operations in a
-    /// window.
+    /// Announces the leader, waits until the gateway demands an allowance for a tenant, and grants
+    /// `operations` in a window.
     pub async fn allow(&mut self, tenant: &str, operations: u64) {
-        self.lead();
+        self.announce_leader();
         loop {
             let report = self.reports.recv().await.expect("the gateway runs");
-            if let Some(wish) = report.demands.iter().find(|wish| wish.tenant.as_str() == tenant) {
-                return self.grant(&report, wish, operations);
+            if let Some(demand) =
+                report.demands.iter().find(|demand| demand.tenant.as_str() == tenant)
+            {
+                return self.grant(&report, demand, operations);
             }
         }
     }
 
-    fn grant(&mut self, report: &AllowanceReport, wish: &AllowanceDemand, operations: u64) {
+    fn grant(&mut self, report: &AllowanceReport, demand: &AllowanceDemand, operations: u64) {
         self.grants += 1;
         let allowance = TenantAllowance {
-            tenant: wish.tenant.clone(),
+            tenant: demand.tenant.clone(),
             operations,
             window_limit: TENANT_RATE.per_second as u64 * 5,
             more_follows: false,
@@ -49,17 +52,21 @@
             allowances: vec![allowance],
             recalls: Vec::new(),
         };
-        self.news.send(LimitNews::Granted(grant)).expect("the gateway listens");
+        self.updates.send(LimitNews::Granted(grant)).expect("the gateway listens");
     }
 }
 
-/// Term of the leader of the tests.
+/// Term of the leader.
 const TERM: Term = Term(1);
-/// Rate of tenants that are limited: far more than the tests ask for.
+/// Rate of limited tenants, far above what the tests demand.
 pub(super) const TENANT_RATE: TenantRate = TenantRate { per_second: 1_000.0, burst: 0.0 };
 
+/// Returns both ends of a gateway's channels for limits.
 pub(super) fn limits_link() -> (LimitsLink, LimitsControl) {
-    let (reports, reported) = mpsc::unbounded_channel();
-    let (said, news) = mpsc::unbounded_channel();
-    (LimitsLink { reports, news }, LimitsControl { reports: reported, news: said, grants: 0 })
+    let (reports, received_reports) = mpsc::unbounded_channel();
+    let (news_sender, news) = mpsc::unbounded_channel();
+    (
+        LimitsLink { reports, news },
+        LimitsControl { reports: received_reports, updates: news_sender, grants: 0 },
+    )
 }
--- a/crates/gateway/tests/sessions/world/mod.rs
+++ b/crates/gateway/tests/sessions/world/mod.rs
@@ -1,4 +1,4 @@
-//! Gateways before one group of stand-in members.
+//! A test environment: gateways in front of groups of stand-in members, with a stand-in for control.
 
 mod changes;
 mod document;
@@ -29,26 +29,29 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
+/// Running gateways, with the control ends of their channels.
 pub struct World {
+    /// Addresses of the gateways for callers.
     pub gateways: Vec<SocketAddr>,
-    /// Where the gateways reach each other.
+    /// Addresses of the gateways for each other.
     pub peers: Vec<SocketAddr>,
-    /// Control proves that the configuration of the gateways is current.
+    /// Time at which control last confirmed the gateways' configuration as current.
     pub proof: watch::Sender<Option<Instant>>,
-    /// Ends the watch of the gateways when dropped.
+    /// View of the gateways; dropping it ends their watch.
     views: watch::Sender<Arc<View>>,
+    /// View of the first gateway, if it differs from that of the others.
     first_views: watch::Sender<Arc<View>>,
-    /// What the gateways tell control of members.
+    /// Reports of the gateways to control about members.
     pub reach: mpsc::UnboundedReceiver<MemberReach>,
-    reached: mpsc::UnboundedSender<MemberReach>,
+    reach_sender: mpsc::UnboundedSender<MemberReach>,
     _handles: Vec<GatewayHandle<TestWire>>,
-    figures: Vec<Registry>,
-    /// What the gateways tell control of limits, and what it tells them.
+    registries: Vec<Registry>,
+    /// Control's ends of the gateways' channels for limits.
     pub controls: Vec<LimitsControl>,
 }
 
-/// The listeners of a gateway, for callers and for other gateways.
-type Bound = ((TcpListener, SocketAddr), (TcpListener, SocketAddr));
+/// Listeners of a gateway with their addresses, for callers and for other gateways.
+type GatewaySockets = ((TcpListener, SocketAddr), (TcpListener, SocketAddr));
 
 fn bind() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
@@ -61,15 +64,15 @@
         Self::start(members, 1, 36)
     }
 
-    /// A gateway that lets transactions rest for a moment only.
-    pub fn with_short_rests(members: &[&Member]) -> Self {
+    /// Starts a gateway that rolls back transactions that are idle for 1 ms.
+    pub fn with_short_idle_limit(members: &[&Member]) -> Self {
         let (bound, mut view) = Self::prepare(members, 1, 36);
         view.document = Some(Arc::new(document(36, Duration::from_millis(1))));
         Self::launch(bound, view)
     }
 
-    /// One gateway before a group and, with a route of its own only after
-    /// [`World::move_own_writes`], another.
+    /// Starts one gateway in front of two groups. Routes lead to the second one only after
+    /// [`World::move_own_writes_route`].
     pub fn with_two_groups(members: &[&Member], others: &[&Member]) -> Self {
         let (bound, mut view) = Self::prepare(members, 1, 36);
         let mut document = document(36, LONG);
@@ -80,7 +83,7 @@
         Self::launch(bound, view)
     }
 
-    /// Gateways that serve only callers with the keys of tenants: each tenant has the keys given.
+    /// Starts gateways that serve only callers with keys of the given tenants.
     pub fn with_tenants(
         members: &[&Member],
         gateways: usize,
@@ -94,12 +97,12 @@
         Self::launch(bound, view)
     }
 
-    /// One gateway that serves only callers with the keys of tenants, which are limited.
+    /// Starts one gateway that serves only callers with keys of the given tenants, whose rates are limited.
     pub fn with_limits(members: &[&Member], tenants: &[(&str, &[&str])]) -> Self {
         Self::with_limits_at(members, 1, tenants)
     }
 
-    /// Several such gateways, in one zone.
+    /// Starts several gateways as [`World::with_limits`] does, in one zone.
     pub fn with_limits_at(
         members: &[&Member],
         gateways: usize,
@@ -114,10 +117,10 @@
         Self::launch(bound, view)
     }
 
-    /// The gateway that counts a tenant's operations, and another one.
+    /// Returns the indices of the gateway that counts a tenant's operations and of another one.
     pub fn home_and_other(&self, tenant: &str) -> (usize, usize) {
         let tenant = TenantName::new(tenant).expect("a valid name");
-        let weight = |place: &usize| home_weight(&tenant, self.peers[*place]);
+        let weight = |index: &usize| home_weight(&tenant, self.peers[*index]);
         let home = (0..self.peers.len()).max_by_key(weight).expect("a gateway");
         (home, (home + 1) % self.peers.len())
     }
@@ -127,64 +130,69 @@
         Self::launch(bound, view)
     }
 
-    fn prepare(members: &[&Member], gateways: usize, max_connections: u32) -> (Vec<Bound>, View) {
+    fn prepare(
+        members: &[&Member],
+        gateways: usize,
+        max_connections: u32,
+    ) -> (Vec<GatewaySockets>, View) {
         let bound: Vec<_> = (0..gateways).map(|_| (bind(), bind())).collect();
         let mut view = View { revision: Revision(1), ..View::default() };
         view.document = Some(Arc::new(document(max_connections, LONG)));
-        for (place, (_, (_, peers))) in bound.iter().enumerate() {
+        for (index, (_, (_, peers))) in bound.iter().enumerate() {
             let proxy = ProxyView {
                 address: *peers,
                 zone: zone(),
                 incarnation: Incarnation(1),
                 state: ProxyState::Live,
             };
-            view.proxies.insert(gateway_name(place), proxy);
+            view.proxies.insert(gateway_name(index), proxy);
         }
         register(&mut view, &group(), members);
         (bound, view)
     }
 
-    fn launch(bound: Vec<Bound>, view: View) -> Self {
+    fn launch(bound: Vec<GatewaySockets>, view: View) -> Self {
         Self::launch_cut(bound, view, None)
     }
 
-    /// Gateways of which the first does not reach one member.
+    /// Starts gateways of which the first can't reach one member.
     pub fn with_cut(members: &[&Member], gateways: usize, unreached: &Member) -> Self {
         let (bound, view) = Self::prepare(members, gateways, 36);
         let mut cut = view.clone();
         let name = MemberName::new(unreached.name.as_str()).expect("a valid name");
         let back_end = cut.back_ends.get_mut(&name).expect("a registered member");
-        // Nobody listens there once the listener is dropped.
+        // Nothing listens at this address after the listener is dropped.
         Arc::make_mut(back_end).address = bind().1;
         Self::launch_cut(bound, view, Some(cut))
     }
 
-    /// Gateways of which the first has no document until [`World::tell_first`].
+    /// Starts gateways of which the first has no document until [`World::tell_first`].
     pub fn with_first_untold(members: &[&Member], gateways: usize, max_connections: u32) -> Self {
         let (bound, view) = Self::prepare(members, gateways, max_connections);
         Self::launch_cut(bound, view, Some(View::default()))
     }
 
-    /// Control tells the first gateway what the others know.
+    /// Sends the view of the other gateways to the first one.
     pub fn tell_first(&self) {
         self.first_views.send_replace(Arc::clone(&self.views.borrow()));
     }
 
-    fn launch_cut(bound: Vec<Bound>, view: View, first: Option<View>) -> Self {
+    fn launch_cut(bound: Vec<GatewaySockets>, view: View, first: Option<View>) -> Self {
         Self::launch_adjusted(bound, view, first, |_| ())
     }
 
-    /// Gateways that begin nothing once the last proof that their configuration is current is older.
+    /// Starts a gateway that begins no operation if control last confirmed its configuration as current more
+    /// than `limit` ago.
     pub fn with_proofs(members: &[&Member], tenants: &[(&str, &[&str])], limit: Duration) -> Self {
         let (bound, mut view) = Self::prepare(members, 1, 36);
         let mut document = document(36, LONG);
         document.tenants = Some(tenant_rules(tenants));
         view.document = Some(Arc::new(document));
-        Self::launch_adjusted(bound, view, None, |it| it.unproved_limit = Some(limit))
+        Self::launch_adjusted(bound, view, None, |settings| settings.unproved_limit = Some(limit))
     }
 
     fn launch_adjusted(
-        bound: Vec<Bound>,
+        bound: Vec<GatewaySockets>,
         view: View,
         first: Option<View>,
         adjust: impl Fn(&mut GatewaySettings),
@@ -194,59 +202,61 @@
             Some(first) => watch::channel(Arc::new(first)),
             None => (views.clone(), watched.clone()),
         };
-        let (reached, reach) = mpsc::unbounded_channel();
+        let (reach_sender, reach) = mpsc::unbounded_channel();
         let (proof, proved) = watch::channel(None);
         let gateways = bound.iter().map(|((_, callers), _)| *callers).collect();
         let peers = bound.iter().map(|(_, (_, peers))| *peers).collect();
-        let mut figures = Vec::new();
+        let mut registries = Vec::new();
         let mut controls = Vec::new();
-        let handles = bound.into_iter().enumerate().map(|(place, ((callers, _), (peers, at)))| {
-            let reach = reached.clone();
-            let listeners = GatewayListeners { callers, peers };
-            let mut settings = settings(place, at);
-            adjust(&mut settings);
-            let mut registry = Registry::default();
-            let views = if place == 0 { first_watched.clone() } else { watched.clone() };
-            let (limits, control) = limits_link();
-            controls.push(control);
-            let links = GatewayLinks { views, proved: proved.clone(), reach, limits };
-            let gateway = Gateway::start(settings, TestWire, listeners, links, &mut registry);
-            figures.push(registry);
-            gateway.expect("a gateway starts")
-        });
+        let handles =
+            bound.into_iter().enumerate().map(|(index, ((callers, _), (peers, peer_address)))| {
+                let reach = reach_sender.clone();
+                let listeners = GatewayListeners { callers, peers };
+                let mut settings = settings(index, peer_address);
+                adjust(&mut settings);
+                let mut registry = Registry::default();
+                let views = if index == 0 { first_watched.clone() } else { watched.clone() };
+                let (limits, control) = limits_link();
+                controls.push(control);
+                let links = GatewayLinks { views, proved: proved.clone(), reach, limits };
+                let gateway = Gateway::start(settings, TestWire, listeners, links, &mut registry);
+                registries.push(registry);
+                gateway.expect("a gateway starts")
+            });
         let handles = handles.collect();
         Self {
             gateways,
             peers,
             _handles: handles,
-            figures,
+            registries,
             controls,
             proof,
             views,
             first_views,
             reach,
-            reached,
+            reach_sender,
         }
     }
 
-    /// The process of a gateway starts anew: same name, no memory, a clock that starts now. Gives
-    /// where it listens for callers; the one before goes on for the other gateways.
-    pub fn start_again(&mut self, place: usize) -> SocketAddr {
+    /// Starts another process of a gateway, with the same name, no state, and a clock that starts now.
+    /// Returns its address for callers. The former process keeps running for the other gateways, which don't
+    /// know of the new one.
+    pub fn start_again(&mut self, index: usize) -> SocketAddr {
         let ((callers, address), peers) = (bind(), bind());
-        self.launch_again(place, callers, peers);
+        self.launch_again(index, callers, peers);
         address
     }
 
     fn launch_again(
         &mut self,
-        place: usize,
+        index: usize,
         callers: TcpListener,
-        (peers, at): (TcpListener, SocketAddr),
+        (peers, peer_address): (TcpListener, SocketAddr),
     ) {
         let listeners = GatewayListeners { callers, peers };
-        let settings = settings(place, at);
+        let settings = settings(index, peer_address);
         let mut registry = Registry::default();
-        let (views, reach) = (self.views.subscribe(), self.reached.clone());
+        let (views, reach) = (self.views.subscribe(), self.reach_sender.clone());
         let (limits, control) = limits_link();
         self.controls.push(control);
         let proved = self.proof.subscribe();
@@ -255,13 +265,14 @@
         self._handles.push(gateway.expect("a gateway starts"));
     }
 
-    /// One gateway among others that are only said to be there, at these addresses.
+    /// Starts one gateway whose view lists other gateways at these addresses, which the test may or may not
+    /// serve.
     pub fn among(members: &[&Member], others: &[SocketAddr], max_connections: u32) -> Self {
         let (bound, view) = Self::prepare(members, 1, max_connections);
         Self::launch_among(bound, view, others)
     }
 
-    /// As [`World::among`], for callers with the keys of tenants.
+    /// Starts a gateway as [`World::among`] does, which serves only callers with keys of the given tenants.
     pub fn with_tenants_among(
         members: &[&Member],
         others: &[SocketAddr],
@@ -274,20 +285,20 @@
         Self::launch_among(bound, view, others)
     }
 
-    fn launch_among(bound: Vec<Bound>, mut view: View, others: &[SocketAddr]) -> Self {
-        for (place, address) in others.iter().enumerate() {
+    fn launch_among(bound: Vec<GatewaySockets>, mut view: View, others: &[SocketAddr]) -> Self {
+        for (index, address) in others.iter().enumerate() {
             let proxy = ProxyView {
                 address: *address,
                 zone: zone(),
                 incarnation: Incarnation(1),
                 state: ProxyState::Live,
             };
-            view.proxies.insert(gateway_name(place + 1), proxy);
+            view.proxies.insert(gateway_name(index + 1), proxy);
         }
         Self::launch(bound, view)
     }
 
-    /// The place of the gateway that holds the connections to a member which takes one share.
+    /// Returns the index of the gateway that holds the connections to a member that takes [`ONE_SHARE`].
     pub fn holder_of(&self, member: &Member) -> usize {
         let view = self.views.borrow();
         let first = gateway_name(0);
@@ -304,26 +315,27 @@
             return 0;
         }
         let holder = table.others(&name)[0].address;
-        let place = view.proxies.values().position(|proxy| proxy.address == holder);
-        place.expect("the holder is a gateway of the world")
+        let index = view.proxies.values().position(|proxy| proxy.address == holder);
+        index.expect("the holder is a gateway of the world")
     }
 
-    /// As [`World::start_again`], and control tells the others where it is now.
-    pub fn start_again_known(&mut self, place: usize) -> SocketAddr {
-        let ((callers, address), (peers, at)) = (bind(), bind());
+    /// Starts another process of a gateway as [`World::start_again`] does, and changes the gateway's address
+    /// in the view to that of the new process.
+    pub fn start_again_known(&mut self, index: usize) -> SocketAddr {
+        let ((callers, address), (peers, peer_address)) = (bind(), bind());
         self.change(|view| {
-            let proxy = view.proxies.get_mut(&gateway_name(place)).expect("a gateway of the world");
-            proxy.address = at;
+            let proxy = view.proxies.get_mut(&gateway_name(index)).expect("a gateway of the world");
+            proxy.address = peer_address;
         });
-        self.launch_again(place, callers, (peers, at));
+        self.launch_again(index, callers, (peers, peer_address));
         address
     }
 
-    /// The figures of a gateway, as text.
+    /// Returns the metrics of a gateway, in the text format.
     pub fn figures(&self, gateway: usize) -> String {
         let mut text = String::new();
-        prometheus_client::encoding::text::encode(&mut text, &self.figures[gateway])
-            .expect("text takes any figure");
+        prometheus_client::encoding::text::encode(&mut text, &self.registries[gateway])
+            .expect("writing to a string can't fail");
         text
     }
 }
