--- a/crates/gateway/src/session/alone.rs
+++ b/crates/gateway/src/session/alone.rs
@@ -237,8 +237,8 @@
         Instant::now() >= self.deadlines.wait_deadline
     }
 
-    /// Reports whether a read may not be sent again after `runs` runs without a result. If it may, counts it
-    /// once more against its tenant's limit.
+    /// Reports whether a read may not be sent again after `runs` runs without a result. Before the read is sent
+    /// again, it is counted once more against its tenant's limit, which must allow it.
     pub(super) async fn is_exhausted(&self, runs: u32) -> bool {
         runs >= self.route.rule.attempts
             || Instant::now() >= self.deadlines.answer_deadline
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -176,7 +176,7 @@
     /// Records the position of a commit of this session, or that the member reported none.
     fn record_own_commit(&mut self, group: &GroupName, position: Option<Position>) {
         let known_at = self.shared.now();
-        let at = |position| OwnCommit::At(KnownPosition { position, known_at });
-        self.own_commits.insert(group.clone(), position.map_or(OwnCommit::Unreported, at));
+        let at_position = |position| OwnCommit::At(KnownPosition { position, known_at });
+        self.own_commits.insert(group.clone(), position.map_or(OwnCommit::Unreported, at_position));
     }
 }
--- a/crates/gateway/src/tunnel/link.rs
+++ b/crates/gateway/src/tunnel/link.rs
@@ -11,8 +11,8 @@
 pub(crate) const FIRST_HEARTBEAT: Duration = Duration::from_millis(60);
 /// Time between further heartbeats of a holder that has no answer yet.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest delay of a heartbeat apart from network latency: a process with a CPU quota may be paused for 0.1
-/// s. With a lower value holders that were only paused count as silent; with a higher one statements wait
+/// Longest delay of a heartbeat apart from network latency: a process with a CPU quota may be paused for 100
+/// ms. With a lower value holders that were only paused count as silent; with a higher one statements wait
 /// longer for a lost holder.
 pub(super) const HEARTBEAT_SLACK: Duration = Duration::from_millis(120);
 
