--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,8 +1,7 @@
-//! Runs a caller's statement on a connection of a member.
+//! Runs a caller's statement on a connection to a member, for sessions and for other gateways.
 //!
-//! It is for sessions and for other gateways that ask this one. It owns the order of what is sent: the
-//! session's values and prepared statements first, then the begin where there is one, then the statement.
-//! It relies on a [`Lease`] for the connection and on the group to remember what the outcome shows.
+//! The session's values and prepared statements are sent first, then the begin of a transaction if there is
+//! one, then the statement. The group records the outcome.
 
 use crate::answer::{Answer, Unanswered};
 use crate::connection::OwnOutcome;
@@ -18,12 +17,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time that the end of the product's own transaction may take. Chosen, not measured: it runs in the
-/// background; one that takes longer is closed, which rolls back as well.
-pub(crate) const ROLLBACK_LIMIT: Duration = Duration::from_secs(2);
+/// Longest time for a rollback in the background. A connection on which it takes longer is closed, which
+/// rolls back as well.
+pub(crate) const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Brings the connection to the session's values and prepared statements; gives the connection's
-/// name of the shape.
+/// Aligns the connection with the session's values and prepares `shape` on it; returns the connection's name
+/// for the shape.
 pub(crate) async fn align<W: Wire>(
     lease: &mut Lease<W>,
     session: &SessionProfile,
@@ -40,9 +39,9 @@
     prepared.map(Some).map_err(Unanswered::Refused)
 }
 
-/// Passes the statement on and waits for its whole answer. `prepared` is the connection's name of
-/// the statement that an execution runs.
-pub(crate) async fn pass_on<W: Wire>(
+/// Forwards the statement and waits for its whole answer. `prepared` is the connection's name for the
+/// prepared statement that an execution runs.
+pub(crate) async fn forward<W: Wire>(
     lease: &mut Lease<W>,
     passed: PassedStatement<'_>,
     prepared: Option<&str>,
@@ -57,8 +56,8 @@
     lease.connection().exchange(&message, deadline).await.map_err(Unanswered::Sent)
 }
 
-/// Begins a transaction at the member.
-pub(crate) async fn begin_at<W: Wire>(
+/// Begins a transaction at the member; marks the lease as in a transaction if that succeeds.
+pub(crate) async fn begin_transaction<W: Wire>(
     lease: &mut Lease<W>,
     access: Access,
     after: Option<Position>,
@@ -71,38 +70,38 @@
     Ok(answer)
 }
 
-/// Begins a transaction that only reads, at a member that holds a position.
-pub(crate) async fn begin_reading<W: Wire>(
+/// Begins a read-only transaction at a member that has applied the position `needed`.
+pub(crate) async fn begin_read_only<W: Wire>(
     lease: &mut Lease<W>,
     needed: Position,
     deadline: Instant,
 ) -> Result<(), Unanswered> {
-    let answer = begin_at(lease, Access::Read, Some(needed), deadline).await?;
+    let answer = begin_transaction(lease, Access::Read, Some(needed), deadline).await?;
     answer.outcome.map(drop).map_err(Unanswered::Refused)
 }
 
-/// Begins a writable transaction, which only the primary does, and learns its position.
+/// Begins a writable transaction, which only the primary accepts, and records the position in its answer.
 pub(crate) async fn begin_as_primary<W: Wire>(
     lease: &mut Lease<W>,
     deadline: Instant,
 ) -> Result<(), Unanswered> {
     let asked_at = lease.group().now();
-    // A begin takes no slot: it is answered soon, or the member is out of reach.
+    // A begin takes no slot: the member answers it soon unless it is unreachable.
     let deadline = deadline.min(Instant::now() + lease.group().begin_timeout());
-    let answer = begin_at(lease, Access::Write, None, deadline).await?;
+    let answer = begin_transaction(lease, Access::Write, None, deadline).await?;
     if let Err(failure) = answer.outcome {
         return Err(Unanswered::Refused(failure));
     }
-    lease.group().note_lead(&lease.member, asked_at, answer.ready.position);
+    lease.group().record_primary_position(&lease.member, asked_at, answer.ready.position);
     Ok(())
 }
 
-/// Rolls back after the caller has its answer; the connection is then free for others.
-pub(crate) fn roll_back_later<W: Wire>(mut lease: Lease<W>, limit: Duration) {
+/// Rolls the transaction back in the background and then returns the connection to the pool.
+pub(crate) fn roll_back_in_background<W: Wire>(mut lease: Lease<W>, timeout: Duration) {
     actix_rt::spawn(async move {
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         let answer = lease.connection().run_own(&OwnStatement::Rollback, deadline).await;
-        // A connection that did not answer is closed with the lease, which rolls back as well.
+        // Dropping the lease closes a connection that did not answer, which rolls back as well.
         if answer.is_ok_and(|answer| answer.outcome.is_ok()) {
             lease.end_transaction();
         }
@@ -110,7 +109,7 @@
 }
 
 impl LoneStatement<'_> {
-    /// Runs it, and notes what that says of the member.
+    /// Runs the statement and records the result for the member.
     pub(crate) async fn run<W: Wire>(
         &self,
         mut lease: Lease<W>,
@@ -118,36 +117,36 @@
         deadline: Instant,
     ) -> Result<Answer, Unanswered> {
         let asked_at = lease.group().now();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let result = self.run_on(&mut lease, position, deadline).await;
         let kind = StatementKind { priority: self.priority, writes: !self.kind.is_read() };
-        lease.group().note_result(&lease.member, kind, &result, begun);
+        lease.group().record_result(&lease.member, kind, &result, started_at);
         if let (Ok(answer), LoneKind::Write) = (&result, self.kind)
             && answer.outcome.is_ok()
         {
-            lease.group().note_lead(&lease.member, asked_at, answer.ready.position);
+            lease.group().record_primary_position(&lease.member, asked_at, answer.ready.position);
         }
         if lease.in_transaction && lease.connection().is_settled() {
-            roll_back_later(lease, ROLLBACK_LIMIT);
+            roll_back_in_background(lease, ROLLBACK_TIMEOUT);
         }
         result
     }
 
-    /// Begins a transaction and runs the statement in it. An error says why it could not be begun; the
-    /// statement was not sent then.
+    /// Begins a transaction and runs the statement in it. The outer error is the reason why the begin failed,
+    /// in which case the statement was not sent.
     pub(crate) async fn open_on<W: Wire>(
         &self,
         lease: &mut Lease<W>,
         position: Option<ReadPosition>,
         deadline: Instant,
     ) -> Result<Result<Answer, Unanswered>, Unanswered> {
-        // What is prepared before the begin stays, whatever becomes of the transaction.
+        // Statements prepared before the begin outlast a rollback of the transaction.
         let prepared = align(lease, self.session, self.shape, deadline).await?;
         match position {
-            Some(position) => begin_reading(lease, position.needed, deadline).await?,
+            Some(position) => begin_read_only(lease, position.needed, deadline).await?,
             None => begin_as_primary(lease, deadline).await?,
         }
-        Ok(pass_on(lease, self.passed, prepared.as_deref(), None, deadline).await)
+        Ok(forward(lease, self.passed, prepared.as_deref(), None, deadline).await)
     }
 
     async fn run_on<W: Wire>(
@@ -163,13 +162,13 @@
                 Some(position.ok_or(Unanswered::NotSent(LinkError::Closed))?.needed)
             }
             LoneKind::Write => None,
-            // A member that lost the lead refuses the begin or the read, so that what is read is as
-            // new as every commit acknowledged before.
+            // A former primary refuses the begin or the read, so the read sees every commit acknowledged
+            // before it.
             LoneKind::ReadAtPrimary => {
                 begin_as_primary(lease, deadline).await?;
                 None
             }
         };
-        pass_on(lease, self.passed, prepared.as_deref(), after, deadline).await
+        forward(lease, self.passed, prepared.as_deref(), after, deadline).await
     }
 }
--- a/crates/gateway/tests/metric_names.rs
+++ b/crates/gateway/tests/metric_names.rs
@@ -1,5 +1,5 @@
-//! The names by which operators find the gateway's metrics: families, labels, and the label values that
-//! the code fixes. The modules are taken in by their path, since none of their types is public.
+//! Names of the gateway's metrics, which operators rely on: families, labels, and fixed label values. The
+//! modules are included by path because their types aren't public.
 
 #![allow(dead_code, missing_docs, clippy::unwrap_used)]
 
@@ -54,11 +54,11 @@
     RemoteOutcome::Lost,
 ];
 
-/// Each line of the encoded registry without its value, in the order of the alphabet: the registry's
-/// own order of label values is that of a hash map.
+/// Returns the lines of the encoded registry without their values, sorted: the registry's own order of label
+/// values is that of a hash map.
 fn names(registry: &Registry) -> String {
     let mut encoded = String::new();
-    encode(&mut encoded, registry).expect("a string takes all of it");
+    encode(&mut encoded, registry).expect("writing to a string can't fail");
     let name = |line: &str| match line.strip_prefix('#') {
         Some(_) => line.to_owned(),
         None => line.rsplit_once(' ').map_or(line, |(name, _)| name).to_owned(),
@@ -72,13 +72,13 @@
 fn families_labels_and_fixed_label_values_keep_their_names() {
     let mut registry = Registry::default();
     let metrics = Metrics::register(&mut registry);
-    metrics.note_statement(None, Duration::ZERO);
-    CODES.iter().for_each(|code| metrics.note_statement(Some(*code), Duration::ZERO));
-    REASONS.iter().for_each(|reason| metrics.note_refusal(*reason, 0));
-    OUTCOMES.iter().for_each(|outcome| metrics.note_remote(*outcome));
-    [true, false].iter().for_each(|used| metrics.note_reported_position(*used));
+    metrics.record_statement(None, Duration::ZERO);
+    CODES.iter().for_each(|code| metrics.record_statement(Some(*code), Duration::ZERO));
+    REASONS.iter().for_each(|reason| metrics.record_refusal(*reason, 0));
+    OUTCOMES.iter().for_each(|outcome| metrics.record_remote(*outcome));
+    [true, false].iter().for_each(|used| metrics.record_reported_position(*used));
     let waiting = [(0, 1)].into();
-    metrics.note_holdings(&Holdings { waiting, ..Holdings::default() }, 0);
+    metrics.record_holdings(&Holdings { waiting, ..Holdings::default() }, 0);
     expect![[r##"
         # EOF
         # HELP corktack_gateway_allowed_operations Operations of limited tenants that may begin here in a window.
--- a/crates/gateway/tests/retry_after.rs
+++ b/crates/gateway/tests/retry_after.rs
@@ -1,5 +1,4 @@
-//! What callers are told of something that did not run. The module is taken in by its path, since it is not
-//! public.
+//! Texts of refusals. The module is included by path because it isn't public.
 
 #![allow(missing_docs)]
 
@@ -14,7 +13,7 @@
         not_run("no member can be reached", retry_after::UNREACHED_MEMBER),
         not_run("no connection is free in time", retry_after::NO_ROOM_REPORTED),
         not_run("the limit is reached", retry_after::HOME_UNANSWERED),
-        not_run("nothing proves that the configuration is current", retry_after::UNPROVED),
+        not_run("nothing proves that the configuration is current", retry_after::UNCONFIRMED),
         not_run("no configuration yet", retry_after::NO_CONFIGURATION),
     ];
     let expected = [
