--- a/crates/control/src/api/error.rs
+++ b/crates/control/src/api/error.rs
@@ -1,9 +1,9 @@
-//! The body of every answer that is not a success.
+//! Error responses of the resource interface: the error codes and the JSON body.
 
 use corktack_core::resources::ResourceVersion;
 use serde::{Deserialize, Serialize};
 
-/// What went wrong, for programs.
+/// Machine-readable cause of a failed request; the HTTP status is in parentheses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ErrorCode {
     /// The request is malformed (400).
@@ -12,49 +12,50 @@
     Unauthorized,
     /// The resource does not exist (404).
     NotFound,
-    /// The stored version is not the one the change was made from (409).
+    /// The stored version differs from the version that the change expects (409).
     Conflict,
-    /// Another resource still refers to it (409).
+    /// Another resource still refers to the resource to delete (409).
     InUse,
-    /// The change of the cell cannot be made now (409).
+    /// The change of the cell's membership cannot be made now (409).
     CellChange,
-    /// The revision is no longer kept: list again and watch from there (410).
+    /// The replica no longer keeps the requested revision: the client must list again and watch from the
+    /// list's revision (410).
     TooOld,
     /// The body is too large (413).
     TooLarge,
     /// A field is not valid (422).
     Invalid,
-    /// Too many requests wait already; this one did not run (429).
+    /// Too many requests wait already; the replica did not run this request (429).
     Overloaded,
-    /// The replica cannot prove that it is current, or found no leader in time (503).
-    /// A change may have taken effect: resend it under the same change id.
+    /// The replica cannot confirm that it is current, or found no leader in time (503).
+    /// A change may have taken effect: the client should resend it with the same change id.
     Unavailable,
 }
 
-/// The body of every answer that is not a success.
+/// Body of every response that reports an error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct ErrorBody {
-    /// What went wrong, for programs.
+    /// Machine-readable cause.
     pub code: ErrorCode,
-    /// What went wrong, for people.
+    /// Description of the error for people.
     pub message: String,
-    /// Path of the field that is not valid.
+    /// Path of the invalid field, such as `spec.priority`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// What is wrong with it.
+    /// Why the field is invalid.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// The version that is stored, after a conflict.
+    /// The stored version; present after a conflict.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stored_version: Option<ResourceVersion>,
-    /// The change that was asked for, so that it can be resent.
+    /// Id of the requested change; the client resends the change with this id.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub change_id: Option<String>,
 }
 
 impl ErrorBody {
-    /// A body with no more than a code and a message.
+    /// Creates a body that has only a code and a message.
     #[must_use]
     pub fn new(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
--- a/crates/control/src/api/manifest.rs
+++ b/crates/control/src/api/manifest.rs
@@ -1,4 +1,4 @@
-//! Resources in their JSON form.
+//! JSON manifests of resources, and the bodies of requests and responses that contain them.
 
 use corktack_core::identity::{MemberName, ProxyName};
 use corktack_core::position::Term;
@@ -10,67 +10,67 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What is known of a resource beside its declared part.
+/// Name and versions of a resource, which the spec does not contain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Metadata {
-    /// Its name, unique in its kind.
+    /// Name of the resource, unique within its kind.
     pub name: String,
-    /// Version of the stored resource. In a write: absent replaces whatever is
-    /// stored, zero demands that nothing is stored, any other demands that version.
+    /// Version of the stored resource. In a write, no version replaces whatever is stored, zero
+    /// requires that nothing is stored, and any other value requires that stored version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resource_version: Option<ResourceVersion>,
-    /// Counts the changes of the declared part. Ignored in a write.
+    /// Number of changes of the spec. Ignored in a write.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub generation: Option<u64>,
 }
 
-/// What the system decided for a database group.
+/// Status of a database group, as decided by the control replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct GroupStatus {
-    /// The primary; none while a failover is under way.
+    /// The primary; `None` while a failover is in progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub primary: Option<MemberName>,
-    /// Term of the primary, or of the failover under way.
+    /// Term of the primary, or of the failover in progress.
     pub term: Term,
     /// The proxy that owns the group.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<ProxyName>,
-    /// Members that get no new work.
+    /// Members that are draining and get no new work.
     #[serde(default)]
     pub draining: BTreeSet<MemberName>,
 }
 
-/// A resource in its JSON form.
+/// JSON manifest of a resource whose spec has type `Spec`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Manifest<Spec> {
     /// Always [`API_VERSION`].
     pub api_version: String,
-    /// Its kind.
+    /// Kind of the resource.
     pub kind: Kind,
-    /// Name and versions.
+    /// Name and versions of the resource.
     pub metadata: Metadata,
-    /// The declared part.
+    /// The desired state, as declared by operators.
     pub spec: Spec,
-    /// What the system decided; only groups have one. Ignored in a write.
+    /// The decided state; only groups have a status. Ignored in a write.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<GroupStatus>,
 }
 
-/// Why a manifest was refused.
+/// Why a manifest is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ManifestError {
-    /// The manifest is of another version of the format.
+    /// The manifest has an unsupported `apiVersion`.
     #[error("apiVersion: {0:?} is not {API_VERSION:?}")]
     ApiVersion(String),
-    /// The declared part does not fit the kind.
+    /// The spec does not match the kind.
     #[error("spec: {0}")]
     Spec(#[from] serde_json::Error),
 }
 
-/// A resource of any kind in its JSON form.
+/// JSON manifest of a resource of any kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged, try_from = "Manifest<serde_json::Value>")]
 pub enum AnyManifest {
@@ -83,23 +83,23 @@
 }
 
 impl AnyManifest {
-    /// Puts a manifest together.
+    /// Creates the manifest that matches the kind of `spec`.
     #[must_use]
     pub fn new(metadata: Metadata, spec: ResourceSpec, status: Option<GroupStatus>) -> Self {
         match spec {
             ResourceSpec::DatabaseGroup(spec) => {
-                Self::Group(manifest(Kind::DatabaseGroup, metadata, spec, status))
+                Self::Group(build_manifest(Kind::DatabaseGroup, metadata, spec, status))
             }
             ResourceSpec::PriorityClass(spec) => {
-                Self::Class(manifest(Kind::PriorityClass, metadata, spec, status))
+                Self::Class(build_manifest(Kind::PriorityClass, metadata, spec, status))
             }
             ResourceSpec::Binding(spec) => {
-                Self::Binding(manifest(Kind::Binding, metadata, spec, status))
+                Self::Binding(build_manifest(Kind::Binding, metadata, spec, status))
             }
         }
     }
 
-    /// The resource's kind.
+    /// Returns the kind of the resource.
     #[must_use]
     pub fn kind(&self) -> Kind {
         match self {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Name and versions.
+    /// Returns the name and versions of the resource.
     #[must_use]
     pub fn metadata(&self) -> &Metadata {
         match self {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The declared part.
+    /// Returns the spec of the resource.
     #[must_use]
     pub fn spec(&self) -> ResourceSpec {
         match self {
@@ -130,7 +130,7 @@
     }
 }
 
-fn manifest<Spec>(
+fn build_manifest<Spec>(
     kind: Kind,
     metadata: Metadata,
     spec: Spec,
@@ -149,72 +149,72 @@
         let Manifest { kind, metadata, spec, status, .. } = raw;
         Ok(match kind {
             Kind::DatabaseGroup => {
-                Self::Group(manifest(kind, metadata, serde_json::from_value(spec)?, status))
+                Self::Group(build_manifest(kind, metadata, serde_json::from_value(spec)?, status))
             }
             Kind::PriorityClass => {
-                Self::Class(manifest(kind, metadata, serde_json::from_value(spec)?, status))
+                Self::Class(build_manifest(kind, metadata, serde_json::from_value(spec)?, status))
             }
             Kind::Binding => {
-                Self::Binding(manifest(kind, metadata, serde_json::from_value(spec)?, status))
+                Self::Binding(build_manifest(kind, metadata, serde_json::from_value(spec)?, status))
             }
         })
     }
 }
 
-/// Metadata of a write; the name is in the path.
+/// Metadata of a write; the name is taken from the path.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct PutMetadata {
-    /// The name once more; must be the path's where it is given.
+    /// Name of the resource; must equal the name in the path if present.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub name: Option<String>,
-    /// As in [`Metadata::resource_version`].
+    /// Expected stored version, as in [`Metadata::resource_version`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resource_version: Option<ResourceVersion>,
-    /// Ignored.
+    /// Ignored; accepted so that a manifest from a read can be sent back.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub generation: Option<u64>,
 }
 
-/// Body of a PUT: a manifest of which only the declared part must be there, so
-/// that what was read can be sent back.
+/// Body of a PUT: a manifest in which only the spec is required. The other parts are accepted so that
+/// a client can send back a manifest that it read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct PutBody<Spec> {
-    /// [`API_VERSION`] where it is given.
+    /// Must equal [`API_VERSION`] if present.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub api_version: Option<String>,
-    /// The kind of the path where it is given.
+    /// Must equal the kind in the path if present.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<Kind>,
-    /// The version the change was made from.
+    /// The expected stored version.
     #[serde(default)]
     pub metadata: PutMetadata,
-    /// The declared part.
+    /// The desired state.
     pub spec: Spec,
-    /// Ignored.
+    /// Ignored; accepted so that a manifest from a read can be sent back.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<GroupStatus>,
 }
 
-/// Body of the answer to an accepted PUT or DELETE.
+/// Body of the response to an accepted PUT or DELETE.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct WriteBody {
     /// Id of the change.
     pub change_id: String,
-    /// Version of the resource after it.
+    /// Version of the resource after the change.
     pub resource_version: ResourceVersion,
-    /// Revision at which it took effect.
+    /// Revision at which the change took effect.
     pub revision: Revision,
 }
 
-/// Body of the answer to a list.
+/// Body of the response to a list request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct ResourceList {
-    /// Revision of the list; a watch from here misses nothing.
+    /// Revision of the list; a watch from this revision misses no change.
     pub revision: Revision,
-    /// The resources, by name.
+    /// The resources, ordered by name.
     pub items: Vec<AnyManifest>,
 }
--- a/crates/control/src/api/path.rs
+++ b/crates/control/src/api/path.rs
@@ -1,6 +1,6 @@
-//! How a resource stands in a path: the segment of its kind and its name.
+//! Path segments of resources: the segment of the kind, then the name of the resource.
 //!
-//! Server and clients share it, so that one can't know a kind that the other doesn't.
+//! The server and its clients share this module, so that both always know the same kinds.
 
 use corktack_core::identity::{BindingName, ClassName, GroupName, NameError};
 use corktack_core::resources::{Kind, ResourceKey};
@@ -12,7 +12,7 @@
 /// Path segment of the bindings.
 pub const BINDINGS: &str = "bindings";
 
-/// The kind's segment in the interface's paths.
+/// Returns the path segment of a kind.
 #[must_use]
 pub const fn kind_segment(kind: Kind) -> &'static str {
     match kind {
@@ -22,7 +22,7 @@
     }
 }
 
-/// The kind that a path segment stands for.
+/// Returns the kind of a path segment, or `None` if the segment is unknown.
 #[must_use]
 pub fn kind_of_segment(segment: &str) -> Option<Kind> {
     match segment {
@@ -33,10 +33,10 @@
     }
 }
 
-/// Kind and name as one key.
+/// Builds a resource key from a kind and a name.
 ///
 /// # Errors
-/// A [`NameError`] when the name is not valid.
+/// Returns a [`NameError`] if the name is not valid.
 pub fn resource_key(kind: Kind, name: &str) -> Result<ResourceKey, NameError> {
     Ok(match kind {
         Kind::DatabaseGroup => ResourceKey::DatabaseGroup(GroupName::new(name)?),
@@ -45,7 +45,7 @@
     })
 }
 
-/// Kind and name of a key, as shown to operators.
+/// Splits a key into its kind and name, as shown to operators.
 #[must_use]
 pub fn key_parts(key: &ResourceKey) -> (Kind, &str) {
     match key {
--- a/crates/control/src/api/status.rs
+++ b/crates/control/src/api/status.rs
@@ -1,4 +1,4 @@
-//! Bodies of the status page and of changes of the cell.
+//! Bodies of the status page and of changes of the cell's membership.
 
 use corktack_core::consensus::{CellChange, CellMember, Role};
 use corktack_core::identity::{GroupName, Incarnation, MemberName, ProxyName, ReplicaId, ZoneName};
@@ -7,82 +7,82 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One replica of the cell.
+/// A control replica of the cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct CellMemberBody {
-    /// Its identity.
+    /// Identity of the replica.
     pub id: ReplicaId,
-    /// Its address for other replicas.
+    /// Address at which other replicas reach this replica.
     pub address: SocketAddr,
-    /// Whether it votes.
+    /// Whether the replica votes; a learner does not.
     pub voter: bool,
 }
 
-/// One proxy.
+/// A proxy that is registered with the cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct ProxyBody {
-    /// Its name.
+    /// Name of the proxy.
     pub name: ProxyName,
-    /// Number of its life.
+    /// Incarnation of the proxy process.
     pub incarnation: Incarnation,
-    /// Address of its owner interface.
+    /// Address of the proxy's owner interface.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the proxy.
     pub zone: ZoneName,
-    /// Its state.
+    /// State of the proxy: live, draining or down.
     pub state: ProxyState,
-    /// Revision in force there as last reported in this life; none before the first report.
+    /// Revision in force on the proxy, as last reported in this incarnation; `None` before the first report.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<Revision>,
 }
 
-/// On which proxies the newest revision is in force. Proxies that are down do not count.
+/// Which proxies have the newest revision in force. Proxies that are down are not counted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct InForceBody {
-    /// The revision asked about.
+    /// The newest revision.
     pub revision: Revision,
-    /// Proxies that have it in force.
+    /// Number of proxies that have the revision in force.
     pub on: usize,
-    /// Proxies that should.
+    /// Number of proxies that are not down.
     pub of: usize,
-    /// Proxies that should and have not reported it.
+    /// Proxies that are not down and have not reported the revision.
     pub missing: Vec<ProxyName>,
-    /// The same for people.
+    /// The same figures as text for people.
     pub summary: String,
 }
 
-/// What was decided for one group.
+/// The decided state of one database group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct GroupBody {
-    /// Its name.
+    /// Name of the group.
     pub name: GroupName,
-    /// The primary; none while a failover is under way.
+    /// The primary; `None` while a failover is in progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub primary: Option<MemberName>,
-    /// Term of the primary, or of the failover under way.
+    /// Term of the primary, or of the failover in progress.
     pub term: Term,
-    /// The proxy that owns it.
+    /// The proxy that owns the group.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<ProxyName>,
-    /// Whether the group waits for a primary to be decided.
+    /// Whether the group waits for a failover to decide its primary.
     pub failing_over: bool,
 }
 
-/// Role of the replica that answers.
+/// Consensus role of the replica that responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum RoleBody {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or waits for a leader.
     Follower,
-    /// Asks for votes.
+    /// Requests votes, or pre-votes, from the other voters.
     Candidate,
-    /// Orders the log.
+    /// Leads the cell: orders the entries of the log.
     Leader,
-    /// Receives the log and does not vote.
+    /// Receives the log without voting.
     Learner,
 }
 
@@ -103,48 +103,48 @@
 pub struct StatusBody {
     /// Name of the cell.
     pub cell: String,
-    /// The replica that answers.
+    /// The replica that responds.
     pub replica: ReplicaId,
-    /// Its role.
+    /// Role of this replica.
     pub role: RoleBody,
-    /// Term of the cell's log.
+    /// Current consensus term, as known by this replica.
     pub term: Term,
-    /// The cell's leader.
+    /// Leader of the cell; `None` if this replica knows none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leader: Option<ReplicaId>,
-    /// Whether the replica proved that it is current; if not, the rest may be old.
+    /// Whether the replica confirmed that it is current; if not, the other fields may be stale.
     pub current: bool,
-    /// Revision of the newest change.
+    /// Revision of the newest change that this replica applied.
     pub revision: Revision,
-    /// The cell.
+    /// Voters and learners of the cell.
     pub members: Vec<CellMemberBody>,
-    /// On which proxies the newest revision is in force.
+    /// Which proxies have the newest revision in force.
     pub in_force: InForceBody,
-    /// The proxies.
+    /// All registered proxies.
     pub proxies: Vec<ProxyBody>,
-    /// The groups.
+    /// All database groups.
     pub groups: Vec<GroupBody>,
 }
 
-/// Body of a change of the cell.
+/// Body of a change of the cell's membership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase", tag = "operation")]
 pub enum CellChangeBody {
     /// Adds a replica that does not vote yet.
     AddLearner {
-        /// Its identity, never used before.
+        /// Identity of the learner; no replica may have used it before.
         id: ReplicaId,
-        /// Its address for other replicas.
+        /// Address at which other replicas reach the learner.
         address: SocketAddr,
     },
-    /// Lets a learner vote once it has caught up.
+    /// Turns a learner that has caught up into a voter.
     Promote {
-        /// The learner.
+        /// Identity of the learner.
         id: ReplicaId,
     },
-    /// Removes a replica.
+    /// Removes a voter or learner from the cell.
     Remove {
-        /// The replica.
+        /// Identity of the replica to remove.
         id: ReplicaId,
     },
 }
--- a/crates/control/src/api/watch.rs
+++ b/crates/control/src/api/watch.rs
@@ -1,39 +1,39 @@
-//! Lines of the watch.
+//! Lines of the JSON stream that a watch returns.
 
 use super::manifest::AnyManifest;
 use corktack_core::view::Revision;
 use serde::{Deserialize, Serialize};
 
-/// What happened to a resource.
+/// Type of a change of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WatchEventType {
-    /// It was created.
+    /// The resource was created.
     Added,
-    /// Its spec or, for a group, what the system decided for it changed.
+    /// The spec or, for a database group, the status of the resource changed.
     Modified,
-    /// It was deleted.
+    /// The resource was deleted.
     Deleted,
 }
 
-/// One change of a resource or of what was decided for it.
+/// One change of the spec or status of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct WatchEvent {
-    /// What happened.
+    /// Type of the change.
     #[serde(rename = "type")]
     pub event_type: WatchEventType,
-    /// The resource after it; the last one stored when it was deleted.
+    /// The resource after the change; for a deletion, the last stored version.
     pub object: AnyManifest,
 }
 
-/// One line of the watch: the changes of one revision, in order. A line without
-/// events says that nothing was missed up to its revision.
+/// One line of the watch: the changes of one revision, in order. A line without events is a bookmark: the
+/// client has received every change up to the revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct WatchLine {
-    /// The revision after the changes; the place to go on watching from.
+    /// Revision after the changes; the client resumes the watch from this revision.
     pub revision: Revision,
-    /// The changes.
+    /// Changes of the revision; empty in a bookmark.
     #[serde(default)]
     pub events: Vec<WatchEvent>,
 }
--- a/crates/control/src/back_end/call.rs
+++ b/crates/control/src/back_end/call.rs
@@ -1,21 +1,21 @@
-//! Calls of back ends, their answers, and why there is none.
+//! Types of a call to a back end: the operation, the answer and the errors.
 
 use corktack_core::backend::{MemberStatus, StatusError};
 use corktack_core::failover::CallTarget;
 use corktack_core::position::{Position, Term};
 
-/// What a back end is called for.
+/// Operation that the leader requests from a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Operation {
-    /// How it is.
+    /// Reads the status of the back end.
     Probe,
-    /// To promise a term.
+    /// Makes the back end promise a term, so that it rejects lower terms.
     Fence(Term),
-    /// To become primary of a term.
+    /// Makes the back end the primary of a term.
     Promote(Term),
 }
 
-/// One call of one back end.
+/// A call to one back end.
 #[derive(Clone, Debug)]
 pub(crate) struct BackEndCall {
     pub(crate) target: CallTarget,
@@ -25,40 +25,40 @@
 /// What a back end answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum BackEndAnswer {
-    /// To a probe.
+    /// Answer to a probe.
     Status(MemberStatus),
-    /// To a fence.
+    /// Answer to a fence.
     Fenced {
-        /// The highest term it promised.
+        /// Highest term that the back end has promised.
         promised: Term,
-        /// The end of its log.
+        /// Position of the last entry in the back end's log.
         last_position: Position,
     },
-    /// To a promotion: an entry of the new term that a majority holds.
+    /// Answer to a promotion: position of an entry of the new term that a majority holds.
     Promoted(Position),
 }
 
-/// Why a back end gave no answer.
+/// Why a call to a back end failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BackEndError {
-    /// It did not answer in time.
-    #[error("no answer in time")]
+    /// The back end did not answer before the timeout.
+    #[error("no answer before the timeout")]
     TimedOut,
-    /// It promised a higher term.
-    #[error("a higher term was promised")]
+    /// The back end has promised a higher term.
+    #[error("the back end has promised a higher term")]
     TermTooLow,
     /// The connection or the statement failed.
     #[error("the statement failed")]
     Failed(#[source] tokio_postgres::Error),
-    /// The answer has no row, or one of another form.
-    #[error("the answer is not of the agreed form")]
+    /// The answer has no row, or its columns do not have the expected form.
+    #[error("the answer does not have the expected form")]
     Malformed,
-    /// The status is not of the agreed form.
+    /// The status does not have the expected form.
     #[error(transparent)]
     Status(#[from] StatusError),
 }
 
-/// A call with its result.
+/// A call together with its answer or error.
 #[derive(Debug)]
 pub(crate) struct BackEndResult {
     pub(crate) call: BackEndCall,
--- a/crates/control/src/back_end/caller.rs
+++ b/crates/control/src/back_end/caller.rs
@@ -1,6 +1,6 @@
-//! Makes calls on an arbiter, each with its limit.
+//! Runs calls to back ends on an arbiter, each with a timeout.
 //!
-//! Owns nothing of a call once it is started: its result reaches the consensus thread as an input.
+//! A started call is a task of its own, which sends its result to the consensus thread.
 
 use super::call::{BackEndAnswer, BackEndCall, BackEndError, BackEndResult};
 use super::statement::connect_and_query;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Makes calls on an arbiter, many at once.
+/// Runs calls to back ends concurrently on an arbiter.
 #[derive(Clone)]
 pub(crate) struct BackEnds {
     pub(crate) arbiter: ArbiterHandle,
@@ -19,13 +19,13 @@
 }
 
 impl BackEnds {
-    /// Starts a call; its result reaches the consensus thread as an input.
-    pub(crate) fn start(&self, call: BackEndCall, limit: Duration) {
+    /// Starts a call; the result is sent to the consensus thread as an input.
+    pub(crate) fn start(&self, call: BackEndCall, call_timeout: Duration) {
         let Self { consensus, stop, .. } = self.clone();
         self.arbiter.spawn(async move {
             tokio::select! {
-                answer = call_within(&call, limit) => {
-                    // An error says that the thread has ended: no one waits for the answer.
+                answer = call_with_timeout(&call, call_timeout) => {
+                    // Sending fails only after the consensus thread ended, when nothing waits for the answer.
                     let _ = consensus.send(ConsensusInput::BackEnd(BackEndResult { call, answer }));
                 }
                 () = stop.stopped() => (),
@@ -34,6 +34,9 @@
     }
 }
 
-async fn call_within(call: &BackEndCall, limit: Duration) -> Result<BackEndAnswer, BackEndError> {
-    timeout(limit, connect_and_query(call)).await.unwrap_or(Err(BackEndError::TimedOut))
+async fn call_with_timeout(
+    call: &BackEndCall,
+    call_timeout: Duration,
+) -> Result<BackEndAnswer, BackEndError> {
+    timeout(call_timeout, connect_and_query(call)).await.unwrap_or(Err(BackEndError::TimedOut))
 }
--- a/crates/control/src/back_end/mod.rs
+++ b/crates/control/src/back_end/mod.rs
@@ -1,7 +1,7 @@
-//! Statements to back ends on behalf of the leader: probes, fences, promotions.
+//! Calls to back ends on behalf of the leader: probes, fences and promotions.
 //!
-//! Owns how a call is made and how long it may take. Which calls are made is decided by the core's failover
-//! manager, which takes their results.
+//! This module connects, runs the statement and enforces the timeout of each call. The failover manager of
+//! the core decides which calls are made and processes their results.
 
 mod call;
 mod caller;
--- a/crates/control/src/back_end/statement.rs
+++ b/crates/control/src/back_end/statement.rs
@@ -1,6 +1,6 @@
-//! One call as a statement on a connection of its own, and its answer read.
+//! Runs one call as an SQL statement on its own connection and parses the answer.
 //!
-//! Owns the connection for the time of one call. Relies on the caller for the limit.
+//! The connection lives as long as the call; the caller enforces the timeout.
 
 use super::call::{BackEndAnswer, BackEndCall, BackEndError, Operation};
 use corktack_core::backend::{
@@ -12,7 +12,7 @@
 const APPLICATION_NAME: &str = "corktack-control";
 const USER: &str = "corktack";
 
-/// Connects, makes the call and closes the connection.
+/// Connects, runs the call and closes the connection.
 pub(super) async fn connect_and_query(call: &BackEndCall) -> Result<BackEndAnswer, BackEndError> {
     let mut config = Config::new();
     config
@@ -21,52 +21,56 @@
         .user(USER)
         .dbname(&call.target.database)
         .application_name(APPLICATION_NAME);
-    let (client, connection) = config.connect(NoTls).await.map_err(classify)?;
-    // The connection ends with the client, which ends with this call.
+    let (client, connection) = config.connect(NoTls).await.map_err(classify_error)?;
+    // The connection task ends when the client is dropped at the end of this call.
     actix_rt::spawn(async move { drop(connection.await) });
-    query(&client, call.operation).await
+    run_operation(&client, call.operation).await
 }
 
-async fn query(client: &Client, operation: Operation) -> Result<BackEndAnswer, BackEndError> {
+async fn run_operation(
+    client: &Client,
+    operation: Operation,
+) -> Result<BackEndAnswer, BackEndError> {
     let statement = match operation {
         Operation::Probe => SHOW_STATUS.to_owned(),
         Operation::Fence(term) => fence_statement(term),
         Operation::Promote(term) => promote_statement(term),
     };
-    let messages = client.simple_query(&statement).await.map_err(classify)?;
+    let messages = client.simple_query(&statement).await.map_err(classify_error)?;
     let row = messages.iter().find_map(|message| match message {
         SimpleQueryMessage::Row(row) => Some(row),
         _ => None,
     });
     let row = row.ok_or(BackEndError::Malformed)?;
     match operation {
-        Operation::Probe => status(row),
-        Operation::Fence(_) => fenced(row),
-        Operation::Promote(_) => Ok(BackEndAnswer::Promoted(position(row, 0)?)),
+        Operation::Probe => parse_status(row),
+        Operation::Fence(_) => parse_fenced(row),
+        Operation::Promote(_) => Ok(BackEndAnswer::Promoted(parse_position(row, 0)?)),
     }
 }
 
-fn classify(error: tokio_postgres::Error) -> BackEndError {
+fn classify_error(error: tokio_postgres::Error) -> BackEndError {
     match error.code() {
         Some(code) if code.code() == TERM_TOO_LOW => BackEndError::TermTooLow,
         _ => BackEndError::Failed(error),
     }
 }
 
-fn status(row: &SimpleQueryRow) -> Result<BackEndAnswer, BackEndError> {
-    let columns: Vec<_> = (0..STATUS_COLUMNS.len().min(row.len())).map(|n| row.get(n)).collect();
+fn parse_status(row: &SimpleQueryRow) -> Result<BackEndAnswer, BackEndError> {
+    let columns: Vec<_> =
+        (0..STATUS_COLUMNS.len().min(row.len())).map(|column| row.get(column)).collect();
     Ok(BackEndAnswer::Status(MemberStatus::from_columns(&columns)?))
 }
 
-fn fenced(row: &SimpleQueryRow) -> Result<BackEndAnswer, BackEndError> {
-    let promised = text(row, 0)?.parse().map_err(|_| BackEndError::Malformed)?;
-    Ok(BackEndAnswer::Fenced { promised: Term(promised), last_position: position(row, 1)? })
+fn parse_fenced(row: &SimpleQueryRow) -> Result<BackEndAnswer, BackEndError> {
+    let promised = column_text(row, 0)?.parse().map_err(|_| BackEndError::Malformed)?;
+    Ok(BackEndAnswer::Fenced { promised: Term(promised), last_position: parse_position(row, 1)? })
 }
 
-fn position(row: &SimpleQueryRow, column: usize) -> Result<Position, BackEndError> {
-    text(row, column)?.parse().map_err(|_| BackEndError::Malformed)
+fn parse_position(row: &SimpleQueryRow, column: usize) -> Result<Position, BackEndError> {
+    column_text(row, column)?.parse().map_err(|_| BackEndError::Malformed)
 }
 
-fn text(row: &SimpleQueryRow, column: usize) -> Result<&str, BackEndError> {
+fn column_text(row: &SimpleQueryRow, column: usize) -> Result<&str, BackEndError> {
     row.try_get(column).ok().flatten().ok_or(BackEndError::Malformed)
 }
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a control replica could not start or answer.
+//! Errors of starting a control replica and of its requests.
 
 use corktack_core::consensus::{ConsensusError, Rejection};
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 /// Why a control replica could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// Operators would be served without a token on an address that others can reach.
+    /// The operators' listener has no token and an address that other machines can reach.
     #[error("operators may only be served without a token on loopback, not on {0}")]
     TokenRequired(SocketAddr),
-    /// A listener could not be taken over.
+    /// A given listener could not be used.
     #[error("a listener cannot be used")]
     Listener(#[source] std::io::Error),
     /// A thread could not be started.
@@ -18,36 +18,36 @@
     /// The log on disk could not be opened.
     #[error("the log of the control state cannot be opened")]
     Storage(#[from] corktack_storage::StorageError),
-    /// What was found on disk, or the settings, do not allow a start.
+    /// The stored state or the settings do not allow the replica to start.
     #[error("the replica cannot start")]
     Consensus(#[from] ConsensusError),
     /// The snapshot on disk does not hold a control state.
     #[error("the snapshot on disk does not hold a control state")]
     Snapshot(#[from] corktack_protocol::frame::FrameError),
-    /// There is no running actix system on the calling thread.
+    /// The calling thread has no running actix system.
     #[error("a control replica must be started inside an actix system")]
     NoSystem,
 }
 
-/// Why a command or read was not answered.
+/// Why a command or read has no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The consensus core refused it.
+    /// The consensus core rejected the request.
     #[error(transparent)]
     Rejected(#[from] Rejection),
-    /// No outcome came in time. A command may or may not take effect later.
+    /// No outcome was known before the timeout. A command may still take effect later.
     #[error("no outcome within the time allowed")]
     TimedOut,
-    /// The command was applied, but its outcome is no longer known here.
+    /// The command was applied, but this replica no longer knows its outcome.
     #[error("the outcome is no longer known here")]
     OutcomeForgotten,
-    /// Too many requests wait already; this one did not run.
+    /// Too many requests wait already; the replica did not run this request.
     #[error("too many requests wait already")]
     Overloaded,
     /// The replica is stopping, or its disk failed.
     #[error("the replica is stopping")]
     Stopping,
-    /// The command has no encoding.
+    /// The command could not be encoded.
     #[error("the command cannot be encoded")]
     Encoding,
 }
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -1,12 +1,11 @@
-//! The last changes of the control state, for proxies and operators that watch.
+//! The last changes of the control state, for the watches of proxies and operators.
 //!
-//! The core's logs hold what is kept and decide what a watcher gets next. This
-//! module shares them between threads and encodes each frame once, whoever
-//! watches. A watcher keeps its own place, so a slow one costs no memory; one
-//! that falls out of the logs gets a snapshot or lists again.
+//! The core's logs hold these changes and decide what a watcher gets next. This module shares the logs
+//! between threads and encodes each frame once for all watchers. Each watcher keeps its own position, so a
+//! slow watcher costs no memory; a watcher whose position is older than the logs gets a snapshot or lists
+//! again.
 //!
-//! Owns the logs and the encoded frames. Only the consensus thread writes; connections of proxies and
-//! operators read.
+//! Only the consensus thread writes to the feed; connections of proxies and operators read from it.
 
 use bytes::{Bytes, BytesMut};
 use corktack_core::resources::Kind;
@@ -23,26 +22,26 @@
 use tokio::sync::watch;
 use tokio_util::codec::Encoder;
 
-/// Encoded deltas kept; older ones are encoded again for those who lag so far. Chosen, not measured; a lower
-/// value encodes more often, a higher one takes more memory.
-const FRAMES_KEPT: usize = 512;
+/// Largest number of cached encoded deltas; an older delta is encoded again for a proxy that lags so far. A
+/// smaller cache encodes more often; a larger one uses more memory.
+const MAX_CACHED_FRAMES: usize = 512;
 const KINDS: [Kind; 3] = [Kind::DatabaseGroup, Kind::PriorityClass, Kind::Binding];
 
-/// A snapshot and the revision that a proxy has once it applied it.
+/// An encoded snapshot, and the revision of a proxy that has applied it.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotFrame {
     pub(crate) revision: Revision,
     pub(crate) frame: Bytes,
 }
 
-/// What a proxy is sent next.
+/// What a connection sends next to its proxy.
 #[derive(Debug)]
 pub(crate) enum FeedStep {
-    /// Nothing.
+    /// Nothing: the proxy has the newest revision.
     UpToDate,
-    /// Deltas, in order.
+    /// Encoded deltas, in order.
     Frames(Vec<Bytes>),
-    /// The whole view.
+    /// A snapshot: the logs no longer hold the deltas that the proxy needs.
     Snapshot,
 }
 
@@ -66,20 +65,20 @@
         }
     }
 
-    fn frame(&mut self, delta: &Arc<Delta>) -> Result<Bytes, FrameError> {
+    fn encoded_delta(&mut self, delta: &Arc<Delta>) -> Result<Bytes, FrameError> {
         if let Some(frame) = self.frames.get(&delta.revision) {
             return Ok(frame.clone());
         }
         let frame = encode_frame(ControlMessage::Delta(Delta::clone(delta)))?;
         self.frames.insert(delta.revision, frame.clone());
-        if self.frames.len() > FRAMES_KEPT {
+        if self.frames.len() > MAX_CACHED_FRAMES {
             self.frames.pop_first();
         }
         Ok(frame)
     }
 }
 
-/// The last changes; clones share them. Only the consensus thread writes.
+/// The last changes of the control state; clones share the same logs.
 #[derive(Clone, Debug)]
 pub(crate) struct Feed {
     logs: Arc<Mutex<Logs>>,
@@ -87,7 +86,7 @@
 }
 
 impl Feed {
-    /// An empty feed that goes on from `revision` and keeps up to `change_limit` changes.
+    /// Creates an empty feed that starts at `revision` and keeps up to `change_limit` changes.
     pub(crate) fn new(revision: Revision, change_limit: usize) -> Self {
         let (newest, _) = watch::channel(revision);
         let logs = Mutex::new(Logs::new(revision, change_limit));
@@ -95,11 +94,11 @@
     }
 
     fn logs(&self) -> MutexGuard<'_, Logs> {
-        // A panic while the lock was held leaves logs that are still whole.
+        // A panic while the lock was held cannot leave the logs inconsistent.
         self.logs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies a command, keeps its changes and wakes the watchers.
+    /// Applies a command to the state, appends its changes to the logs and wakes the watchers.
     pub(crate) fn apply(
         &self,
         state: &mut ControlState,
@@ -117,7 +116,7 @@
         applied
     }
 
-    /// Goes on from a snapshot that was installed: what led to it is unknown.
+    /// Empties the logs after a snapshot was installed, because the changes before the snapshot are unknown.
     pub(crate) fn reset(&self, revision: Revision) {
         let mut logs = self.logs();
         *logs = Logs::new(revision, logs.change_limit);
@@ -125,36 +124,40 @@
         self.newest.send_replace(revision);
     }
 
-    /// The newest revision.
+    /// Returns the newest revision.
     pub(crate) fn newest(&self) -> Revision {
         *self.newest.borrow()
     }
 
-    /// Wakes at each new revision.
+    /// Returns a receiver that is notified of each new revision.
     pub(crate) fn subscribe(&self) -> watch::Receiver<Revision> {
         self.newest.subscribe()
     }
 
-    /// Whether a proxy that has `revision` in force needs the whole view.
+    /// Reports whether a proxy that has `revision` in force needs a snapshot, because the logs lack its
+    /// deltas.
     pub(crate) fn needs_whole(&self, revision: Revision) -> bool {
         let mut cursor = WatchCursor::new(revision);
         matches!(cursor.advance(&self.logs().deltas), WatchStep::Snapshot)
     }
 
-    /// What the proxy of this cursor is sent next; frames count as sent.
+    /// Returns what to send next to the proxy of this cursor, and moves the cursor past the returned frames.
     pub(crate) fn advance(&self, cursor: &mut WatchCursor) -> Result<FeedStep, FrameError> {
         let mut logs = self.logs();
         Ok(match cursor.advance(&logs.deltas) {
             WatchStep::UpToDate => FeedStep::UpToDate,
             WatchStep::Snapshot => FeedStep::Snapshot,
             WatchStep::Deltas(deltas) => {
-                let frames = deltas.iter().map(|delta| logs.frame(delta));
+                let frames = deltas.iter().map(|delta| logs.encoded_delta(delta));
                 FeedStep::Frames(frames.collect::<Result<_, _>>()?)
             }
         })
     }
 
-    /// The events above `revision` of one kind, or of all, in order.
+    /// Returns the events after `revision` of one kind, or of all kinds, in order.
+    ///
+    /// # Errors
+    /// Returns [`TooOld`] if the logs no longer hold all of these events.
     pub(crate) fn events_after(
         &self,
         revision: Revision,
@@ -162,14 +165,16 @@
     ) -> Result<Vec<ResourceEvent>, TooOld> {
         let logs = self.logs();
         let mut events = Vec::new();
-        for wanted in KINDS.into_iter().filter(|it| kind.is_none_or(|kind| kind == *it)) {
-            events.extend(logs.events.since(revision, wanted)?.cloned());
+        for event_kind in
+            KINDS.into_iter().filter(|candidate| kind.is_none_or(|kind| kind == *candidate))
+        {
+            events.extend(logs.events.since(revision, event_kind)?.cloned());
         }
         events.sort_by_key(|event| event.revision);
         Ok(events)
     }
 
-    /// The whole view of `state`, encoded once a revision.
+    /// Returns the snapshot of the view of `state`, which is encoded once for each revision.
     pub(crate) fn snapshot(&self, state: &ControlState) -> Result<SnapshotFrame, FrameError> {
         let revision = state.view_revision();
         let cached = self.logs().snapshot.clone();
@@ -183,8 +188,8 @@
     }
 }
 
-/// Encodes one message to a proxy with its header; large ones are compressed. Each is encoded once for all
-/// proxies, and their links may be narrow: 66 KB take 0.26 s at 2 Mbit/s.
+/// Encodes a message to proxies with its header and compresses a large payload. The cost is paid once for all
+/// proxies, whose links may be slow: 66 KB take 0.26 s at 2 Mbit/s.
 pub(crate) fn encode_frame(message: ControlMessage) -> Result<Bytes, FrameError> {
     let mut codec = FrameCodec::<ControlMessage, ProxyMessage>::compressing();
     let mut buffer = BytesMut::new();
--- a/crates/control/src/http/answer.rs
+++ b/crates/control/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that are not a success.
+//! Error responses, and the status codes of errors.
 
 use crate::api::{ErrorBody, ErrorCode};
 use crate::error::RequestError;
@@ -10,7 +10,7 @@
 
 const RETRY_AFTER_SECONDS: &str = "1";
 
-/// An answer that is not a success.
+/// An error response of a handler.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", body.message)]
 pub(super) struct ErrorAnswer {
@@ -22,7 +22,7 @@
         Self { body: Box::new(ErrorBody::new(code, message)) }
     }
 
-    /// A field that is not valid.
+    /// Creates the response to a request with an invalid field.
     pub(super) fn invalid(field: impl Into<String>, reason: impl Into<String>) -> Self {
         let (field, reason) = (field.into(), reason.into());
         let mut answer = Self::new(ErrorCode::Invalid, format!("invalid: {field}: {reason}"));
@@ -31,8 +31,8 @@
         answer
     }
 
-    /// Adds the change that was asked for, so that it can be resent.
-    pub(super) fn of_change(mut self, change_id: &str) -> Self {
+    /// Adds the id of the requested change, so that the client can resend the change with this id.
+    pub(super) fn with_change_id(mut self, change_id: &str) -> Self {
         self.body.change_id = Some(change_id.to_owned());
         self
     }
--- a/crates/control/src/http/auth.rs
+++ b/crates/control/src/http/auth.rs
@@ -1,4 +1,4 @@
-//! The operators' bearer token.
+//! Authentication of operators by a bearer token.
 
 use super::answer::ErrorAnswer;
 use super::operators::Operators;
@@ -11,14 +11,14 @@
 
 const SCHEME: &str = "Bearer ";
 
-/// Lets a request through when it presents the token, where one is set.
+/// Rejects a request without the configured token. If no token is configured, every request passes.
 pub(super) async fn require_token(
     request: ServiceRequest,
     next: Next<impl MessageBody + 'static>,
 ) -> Result<ServiceResponse<impl MessageBody>, Error> {
     let operators = request.app_data::<web::Data<Operators>>();
     let expected = operators.and_then(|operators| operators.token.clone());
-    let authorized = expected.is_none_or(|expected| presents(&request, &expected));
+    let authorized = expected.is_none_or(|expected| presents_token(&request, &expected));
     if !authorized {
         let message = "the bearer token is missing or wrong";
         return Err(ErrorAnswer::new(ErrorCode::Unauthorized, message).into());
@@ -26,14 +26,14 @@
     next.call(request).await
 }
 
-fn presents(request: &ServiceRequest, expected: &str) -> bool {
+fn presents_token(request: &ServiceRequest, expected: &str) -> bool {
     let header = request.headers().get(AUTHORIZATION);
     let token = header.and_then(|value| value.to_str().ok()?.strip_prefix(SCHEME));
     token.is_some_and(|token| equal_in_constant_time(token.as_bytes(), expected.as_bytes()))
 }
 
-/// Takes as long whatever byte differs, so that a token cannot be guessed byte by byte.
+/// Compares in constant time whichever byte differs, so that a token cannot be guessed byte by byte.
 fn equal_in_constant_time(left: &[u8], right: &[u8]) -> bool {
-    let differences = left.iter().zip(right).fold(0, |found, (a, b)| found | (a ^ b));
+    let differences = left.iter().zip(right).fold(0, |bits, (a, b)| bits | (a ^ b));
     left.len() == right.len() && std::hint::black_box(differences) == 0
 }
--- a/crates/control/src/http/body.rs
+++ b/crates/control/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a PUT.
+//! Reads request bodies and parses the body of a PUT.
 
 use super::answer::ErrorAnswer;
 use crate::api::{BODY_LIMIT, ErrorCode, PutBody};
@@ -8,14 +8,14 @@
 use serde::de::DeserializeOwned;
 use serde_json::error::Category;
 
-/// What a PUT asks for.
+/// The parsed body of a PUT.
 #[derive(Debug)]
 pub(super) struct PutRequest {
     pub(super) spec: ResourceSpec,
     pub(super) expected: Option<ResourceVersion>,
 }
 
-/// Reads the bytes of a body, up to the limit.
+/// Reads a request body of at most [`BODY_LIMIT`] bytes.
 pub(super) async fn read_body(payload: web::Payload) -> Result<Bytes, ErrorAnswer> {
     let Ok(read) = payload.to_bytes_limited(BODY_LIMIT).await else {
         let message = format!("the body has more than {BODY_LIMIT} bytes");
@@ -24,11 +24,11 @@
     read.map_err(|error| ErrorAnswer::new(ErrorCode::BadRequest, error.to_string()))
 }
 
-/// Reads a body whose path names `kind` and `name`.
+/// Parses the body of a PUT for the resource of this kind and name.
 pub(super) fn parse_put(kind: Kind, name: &str, body: &[u8]) -> Result<PutRequest, ErrorAnswer> {
     let body: PutBody<serde_json::Value> =
-        serde_json::from_slice(body).map_err(|error| describe("", &error))?;
-    check_agreement(kind, name, &body)?;
+        serde_json::from_slice(body).map_err(|error| parse_error_answer("", &error))?;
+    check_matches_path(kind, name, &body)?;
     let spec = match kind {
         Kind::DatabaseGroup => ResourceSpec::DatabaseGroup(parse_spec(body.spec)?),
         Kind::PriorityClass => ResourceSpec::PriorityClass(parse_spec(body.spec)?),
@@ -37,8 +37,8 @@
     Ok(PutRequest { spec, expected: body.metadata.resource_version })
 }
 
-/// What the body says of itself must not contradict the path.
-fn check_agreement(
+/// Checks that the API version, kind and name in the body, if present, agree with the path.
+fn check_matches_path(
     kind: Kind,
     name: &str,
     body: &PutBody<serde_json::Value>,
@@ -56,11 +56,11 @@
 }
 
 fn parse_spec<Spec: DeserializeOwned>(spec: serde_json::Value) -> Result<Spec, ErrorAnswer> {
-    serde_json::from_value(spec).map_err(|error| describe("spec", &error))
+    serde_json::from_value(spec).map_err(|error| parse_error_answer("spec", &error))
 }
 
-/// Text that is not JSON is a bad request; JSON of another shape is an invalid field.
-pub(super) fn describe(parent: &str, error: &serde_json::Error) -> ErrorAnswer {
+/// Converts a parse error: text that is not JSON is a bad request, JSON of another form an invalid field.
+pub(super) fn parse_error_answer(parent: &str, error: &serde_json::Error) -> ErrorAnswer {
     let reason = error.to_string();
     if error.classify() != Category::Data {
         return ErrorAnswer::new(ErrorCode::BadRequest, reason);
@@ -70,7 +70,7 @@
     ErrorAnswer::invalid(path.join("."), reason.clone())
 }
 
-/// The field that a message of serde names in backquotes.
+/// Returns the field that an error message of serde names in backquotes.
 fn quoted_field(reason: &str) -> Option<&str> {
     let names_field = reason.starts_with("unknown field") || reason.starts_with("missing field");
     reason.split('`').nth(1).filter(|_| names_field)
--- a/crates/control/src/http/health.rs
+++ b/crates/control/src/http/health.rs
@@ -1,6 +1,6 @@
-//! Liveness, readiness and metrics.
+//! Handlers of liveness, readiness and metrics.
 //!
-//! Owns nothing: liveness is the consensus thread's, readiness a proof that the replica is current.
+//! A replica is live while its consensus thread runs, and ready if it can confirm that it is current.
 
 use super::answer::ErrorAnswer;
 use super::operators::Operators;
@@ -10,11 +10,11 @@
 use tokio::time::timeout;
 
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Longest wait for the proof. Chosen, not measured; a lower value takes a replica during an election for one
-/// that is not ready, a higher one adds to the time until the platform learns it.
+/// Timeout of the confirmation that the replica is current. A shorter timeout reports a replica as not ready
+/// during an election; a longer one delays the report of a replica that is not ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Whether the process works: its consensus thread runs and its disk did not fail.
+/// Reports whether the process works: its consensus thread runs and its disk did not fail.
 pub(super) async fn live(operators: web::Data<Operators>) -> Result<HttpResponse, ErrorAnswer> {
     if operators.status.borrow().running {
         return Ok(HttpResponse::Ok().finish());
@@ -22,16 +22,16 @@
     Err(ErrorAnswer::new(ErrorCode::Unavailable, "the consensus thread has ended"))
 }
 
-/// Whether the replica can prove that it is current.
+/// Reports whether the replica can confirm that it is current.
 pub(super) async fn ready(operators: web::Data<Operators>) -> Result<HttpResponse, ErrorAnswer> {
-    let proof = timeout(READY_TIMEOUT, operators.proofs.request()).await;
-    if matches!(proof, Ok(Ok(true))) {
+    let confirmed = timeout(READY_TIMEOUT, operators.proofs.request()).await;
+    if matches!(confirmed, Ok(Ok(true))) {
         return Ok(HttpResponse::Ok().finish());
     }
     Err(ErrorAnswer::new(ErrorCode::Unavailable, "the replica cannot prove that it is current"))
 }
 
-/// The metrics in text form.
+/// Returns the metrics in the OpenMetrics text format.
 pub(super) async fn metrics(operators: web::Data<Operators>) -> Result<HttpResponse, ErrorAnswer> {
     let mut text = String::new();
     match prometheus_client::encoding::text::encode(&mut text, &operators.registry) {
--- a/crates/control/src/http/mod.rs
+++ b/crates/control/src/http/mod.rs
@@ -1,7 +1,7 @@
 //! The operators' resource interface over HTTP.
 //!
-//! Owns the paths and the forms of the answers. Relies on the consensus thread for every read and change, and
-//! on the feed for the watch.
+//! This module defines the paths and the responses. The consensus thread runs every read and change; the
+//! feed provides the events of the watch.
 
 mod answer;
 mod auth;
@@ -21,9 +21,9 @@
 use actix_web::{App, HttpServer, web};
 use std::net::TcpListener;
 
-/// Longest wait for requests in flight at a stop, in seconds. Chosen, not measured; a lower value cuts off
-/// changes that are still being committed, a higher one holds up a stop with a stuck connection.
-const SHUTDOWN_SECONDS: u64 = 2;
+/// How long a stop waits for requests in flight. A shorter timeout aborts requests whose changes are still
+/// being committed; a longer one delays a stop with a stuck connection.
+const SHUTDOWN_TIMEOUT_SECONDS: u64 = 2;
 
 /// Starts the server on a bound listener.
 pub(crate) fn serve(
@@ -34,7 +34,7 @@
     let app = move || App::new().app_data(web::Data::new(operators.clone())).configure(routes);
     let server = HttpServer::new(app)
         .workers(workers)
-        .shutdown_timeout(SHUTDOWN_SECONDS)
+        .shutdown_timeout(SHUTDOWN_TIMEOUT_SECONDS)
         .disable_signals()
         .listen(listener)?;
     Ok(server.run())
@@ -45,7 +45,7 @@
         .route("/live", web::get().to(health::live))
         .route("/ready", web::get().to(health::ready))
         .route("/metrics", web::get().to(health::metrics))
-        .default_service(web::to(path::not_served))
+        .default_service(web::to(path::unknown_path))
         .service(
             web::scope("/v1")
                 .wrap(from_fn(auth::require_token))
--- a/crates/control/src/http/operators.rs
+++ b/crates/control/src/http/operators.rs
@@ -1,4 +1,4 @@
-//! What the handlers work with.
+//! State shared by the HTTP handlers.
 
 use crate::consensus::{ConsensusHandle, ReplicaStatus};
 use crate::feed::Feed;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Shared by the handlers; clones share what they name.
+/// Handles and settings that the HTTP handlers use; clones share the same replica.
 #[derive(Clone)]
 pub(crate) struct Operators {
     pub(crate) cell: CellName,
--- a/crates/control/src/http/resources.rs
+++ b/crates/control/src/http/resources.rs
@@ -1,4 +1,4 @@
-//! Lists, reads and changes of resources.
+//! Handlers that list, read, write and delete resources.
 
 use super::answer::ErrorAnswer;
 use super::body::{parse_put, read_body};
@@ -15,7 +15,7 @@
 type Data = web::Data<Operators>;
 type KeyPath = web::Path<(String, String)>;
 
-/// All resources of one kind.
+/// Lists all resources of one kind.
 pub(super) async fn list(
     operators: Data,
     kind: web::Path<String>,
@@ -30,7 +30,7 @@
     Ok(HttpResponse::Ok().json(list))
 }
 
-/// One resource.
+/// Returns one resource.
 pub(super) async fn get(operators: Data, path: KeyPath) -> Result<HttpResponse, ErrorAnswer> {
     let (kind, name) = path.into_inner();
     let key = parse_key(parse_kind(&kind)?, &name)?;
@@ -56,7 +56,7 @@
     let put = parse_put(kind, &name, &read_body(payload).await?)?;
     let operation =
         ResourceOperation::Put { key, spec: Box::new(put.spec), expected: put.expected };
-    change(&operators, change_id(&request)?, operation).await
+    propose_change(&operators, change_id_of(&request)?, operation).await
 }
 
 #[derive(Deserialize)]
@@ -77,20 +77,20 @@
         .map_err(|error| ErrorAnswer::new(ErrorCode::BadRequest, error.to_string()))?;
     let expected = query.resource_version.map(ResourceVersion);
     let operation = ResourceOperation::Delete { key, expected };
-    change(&operators, change_id(&request)?, operation).await
+    propose_change(&operators, change_id_of(&request)?, operation).await
 }
 
-async fn change(
+async fn propose_change(
     operators: &Operators,
     change: ChangeId,
     operation: ResourceOperation,
 ) -> Result<HttpResponse, ErrorAnswer> {
     let change_id = change.0.clone();
     let outcome = operators.consensus.propose(Command::Resource { change, operation }).await;
-    answer(outcome, &change_id).map_err(|error| error.of_change(&change_id))
+    write_answer(outcome, &change_id).map_err(|error| error.with_change_id(&change_id))
 }
 
-fn answer(
+fn write_answer(
     outcome: Result<Outcome, RequestError>,
     change_id: &str,
 ) -> Result<HttpResponse, ErrorAnswer> {
@@ -102,13 +102,13 @@
             Ok(HttpResponse::Ok().insert_header(header).json(body))
         }
         Outcome::Refused(refusal) => Err(refusal.into()),
-        // Only batches of the leader and changes of the registry end like these.
+        // Only batches of the leader and changes of the registry have these outcomes.
         Outcome::Batch { .. } | Outcome::Registry(_) => Err(RequestError::OutcomeForgotten.into()),
     }
 }
 
-/// The id that the client drew, or a new one.
-fn change_id(request: &HttpRequest) -> Result<ChangeId, ErrorAnswer> {
+/// Returns the change id of the request, or a new random id if the request has none.
+fn change_id_of(request: &HttpRequest) -> Result<ChangeId, ErrorAnswer> {
     let Some(value) = request.headers().get(CHANGE_ID_HEADER) else {
         return Ok(ChangeId(format!("{:032x}", rand::random::<u128>())));
     };
--- a/crates/control/src/http/status.rs
+++ b/crates/control/src/http/status.rs
@@ -1,7 +1,7 @@
-//! The status page.
+//! Handler of the status page.
 //!
-//! Owns how long a proof may take before the page is marked as not current. Relies on the leader for the
-//! revisions in force on proxies; where it does not answer, none are shown.
+//! The page is marked as not current if the replica cannot confirm that it is current. The revisions in force
+//! on the proxies come from the leader; if the leader does not respond, the page shows none.
 
 use super::answer::ErrorAnswer;
 use super::operators::Operators;
@@ -16,41 +16,42 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest wait for a proof; after it the page shows what the replica has, marked as not current. Chosen, not
-/// measured; a lower value marks more pages during an election, a higher one lets operators wait.
-const PROOF_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of the confirmation that the replica is current; after it the page shows the local state, marked
+/// as not current. A shorter timeout marks more pages during an election; a longer one delays operators.
+const CURRENT_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the page takes from the control state.
+/// The part of the control state that the page shows.
 #[derive(Clone, Debug)]
-struct StatePart {
+struct StateSummary {
     revision: Revision,
     groups: Vec<GroupBody>,
     proxies: Vec<(ProxyName, ProxyView)>,
 }
 
-/// What the replica knows; without a proof that it is current it says so.
+/// Returns the status as this replica knows it; the body says whether the replica confirmed that it is
+/// current.
 pub(super) async fn status(operators: web::Data<Operators>) -> Result<HttpResponse, ErrorAnswer> {
-    let proven = timeout(PROOF_TIMEOUT, operators.consensus.read(read_state)).await;
-    let (state, current) = match proven {
+    let confirmed_read = timeout(CURRENT_READ_TIMEOUT, operators.consensus.read(read_state)).await;
+    let (state, current) = match confirmed_read {
         Ok(Ok(state)) => (state, true),
         _ => (operators.consensus.peek(read_state).await?, false),
     };
     let revisions = operators.consensus.proxy_revisions().await;
     let status = operators.status.borrow().clone();
-    let body = assemble(&operators, &status, state, revisions, current);
+    let body = status_body(&operators, &status, state, revisions, current);
     Ok(HttpResponse::Ok().json(body))
 }
 
-fn read_state(reader: StateReader<'_>) -> StatePart {
+fn read_state(reader: StateReader<'_>) -> StateSummary {
     let proxies = reader.state.proxies().map(|(name, view)| (name.clone(), view.clone()));
-    StatePart {
+    StateSummary {
         revision: reader.state.view_revision(),
-        groups: groups(reader.state),
+        groups: group_bodies(reader.state),
         proxies: proxies.collect(),
     }
 }
 
-fn groups(state: &ControlState) -> Vec<GroupBody> {
+fn group_bodies(state: &ControlState) -> Vec<GroupBody> {
     let group = |(name, group): (&corktack_core::identity::GroupName, &GroupRecord)| GroupBody {
         name: name.clone(),
         primary: group.view.primary.clone(),
@@ -61,16 +62,16 @@
     state.groups().map(group).collect()
 }
 
-fn assemble(
+fn status_body(
     operators: &Operators,
     status: &ReplicaStatus,
-    state: StatePart,
+    state: StateSummary,
     revisions: Result<ProxyRevisions, RequestError>,
     current: bool,
 ) -> StatusBody {
     let revisions = revisions.unwrap_or_default();
     let proxies: Vec<ProxyBody> =
-        state.proxies.into_iter().map(|(name, view)| proxy(name, view, &revisions)).collect();
+        state.proxies.into_iter().map(|(name, view)| proxy_body(name, view, &revisions)).collect();
     StatusBody {
         cell: operators.cell.0.clone(),
         replica: operators.replica,
@@ -79,15 +80,15 @@
         leader: status.leader,
         current,
         revision: state.revision,
-        members: members(&status.cell),
-        in_force: in_force(state.revision, &proxies),
+        members: member_bodies(&status.cell),
+        in_force: in_force_body(state.revision, &proxies),
         proxies,
         groups: state.groups,
     }
 }
 
-/// A revision reported in an earlier incarnation of the process does not count.
-fn proxy(name: ProxyName, view: ProxyView, revisions: &ProxyRevisions) -> ProxyBody {
+/// Describes a proxy. A revision reported in an earlier incarnation of the proxy process is ignored.
+fn proxy_body(name: ProxyName, view: ProxyView, revisions: &ProxyRevisions) -> ProxyBody {
     let reported = revisions.get(&name);
     let reported = reported.filter(|(incarnation, _)| *incarnation == view.incarnation);
     ProxyBody {
@@ -100,7 +101,7 @@
     }
 }
 
-fn members(cell: &CellConfig) -> Vec<CellMemberBody> {
+fn member_bodies(cell: &CellConfig) -> Vec<CellMemberBody> {
     let voters = cell.voters.iter().map(|member| (member, true));
     let learners = cell.learners.iter().map(|member| (member, false));
     let body = |(member, voter): (&corktack_core::consensus::CellMember, bool)| CellMemberBody {
@@ -111,17 +112,18 @@
     voters.chain(learners).map(body).collect()
 }
 
-fn in_force(revision: Revision, proxies: &[ProxyBody]) -> InForceBody {
+fn in_force_body(revision: Revision, proxies: &[ProxyBody]) -> InForceBody {
     let counted: Vec<_> = proxies.iter().filter(|proxy| proxy.state != ProxyState::Down).collect();
-    let lacks = |proxy: &&&ProxyBody| proxy.revision.is_none_or(|applied| applied < revision);
+    let lacks_revision =
+        |proxy: &&&ProxyBody| proxy.revision.is_none_or(|applied| applied < revision);
     let missing: Vec<ProxyName> =
-        counted.iter().filter(lacks).map(|proxy| proxy.name.clone()).collect();
+        counted.iter().filter(lacks_revision).map(|proxy| proxy.name.clone()).collect();
     let of = counted.len();
     let on = of - missing.len();
-    InForceBody { revision, on, of, summary: summary(on, of, &missing), missing }
+    InForceBody { revision, on, of, summary: in_force_summary(on, of, &missing), missing }
 }
 
-fn summary(on: usize, of: usize, missing: &[ProxyName]) -> String {
+fn in_force_summary(on: usize, of: usize, missing: &[ProxyName]) -> String {
     let names: Vec<&str> = missing.iter().map(ProxyName::as_str).collect();
     match names.is_empty() {
         true => format!("in force on {on} of {of} proxies"),
--- a/crates/control/src/http/watch.rs
+++ b/crates/control/src/http/watch.rs
@@ -1,7 +1,7 @@
-//! The watch: a stream of JSON lines, one a revision.
+//! Handler of the operators' watch: a stream of JSON lines, one line for each revision.
 //!
-//! Owns a client's place in the feed. Relies on the feed for the events, and on a proof for each line that says
-//! that nothing was missed.
+//! Each watcher holds its position in the feed, which provides the events. Before each bookmark the replica
+//! confirms that it is current.
 
 use super::answer::ErrorAnswer;
 use super::operators::Operators;
@@ -24,9 +24,9 @@
 
 const CONTENT_TYPE: &str = "application/x-ndjson";
 
-/// Lines sent at once; the rest follow. Chosen, not measured; a lower value makes more pieces of a body, a
-/// higher one larger ones.
-const LINES_AT_ONCE: usize = 256;
+/// Largest number of lines in one chunk of the body; later chunks contain the rest. A lower limit makes more
+/// chunks, a higher one larger chunks.
+const MAX_LINES_PER_CHUNK: usize = 256;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -35,10 +35,9 @@
     kind: Option<String>,
 }
 
-/// Streams the changes after the revision of the query's `from`, of one `kind` or
-/// of all. The stream ends when the replica stops, can no longer prove that it is
-/// current, or the client falls too far behind; the client then comes back from
-/// its last revision.
+/// Streams the changes after revision `from` of the query, of one `kind` or of all kinds. The stream ends
+/// when the replica stops, when it cannot confirm that it is current, or when the client falls too far
+/// behind. The client then starts a new watch from its last revision.
 pub(super) async fn watch(
     operators: web::Data<Operators>,
     request: HttpRequest,
@@ -52,7 +51,7 @@
         let message = "the revision is not kept here: list again and watch from there";
         return Err(ErrorAnswer::new(ErrorCode::TooOld, message));
     }
-    let stream = lines(Watcher::new(&operators, from, kind));
+    let stream = chunk_stream(Watcher::new(&operators, from, kind));
     Ok(HttpResponse::Ok().content_type(CONTENT_TYPE).streaming(stream))
 }
 
@@ -67,8 +66,8 @@
     next_bookmark: Instant,
 }
 
-/// The stream is over.
-struct Ended;
+/// Error that ends the stream of a watcher.
+struct StreamEnded;
 
 impl Watcher {
     fn new(operators: &Operators, revision: Revision, kind: Option<Kind>) -> Self {
@@ -80,45 +79,48 @@
             revision,
             kind,
             bookmark_interval: operators.bookmark_interval,
-            // The first bookmark comes at once and ends the client's wait for a line.
+            // The first bookmark is sent at once, so that a client does not wait for its first line.
             next_bookmark: Instant::now(),
         }
     }
 
-    /// The next lines, or a bookmark.
-    async fn next(&mut self) -> Result<Bytes, Ended> {
+    /// Waits for the next changes and returns their lines, or returns a bookmark when the next one is due.
+    async fn next_chunk(&mut self) -> Result<Bytes, StreamEnded> {
         loop {
-            // Seen before the events are read, so a later change wakes the wait below.
+            // Marks the newest revision as seen before the events are read, so that a later change ends the
+            // wait below.
             let newest = *self.newest.borrow_and_update();
-            let events =
-                self.feed.events_after(self.revision, self.kind).map_err(|TooOld { .. }| Ended)?;
+            let events = self
+                .feed
+                .events_after(self.revision, self.kind)
+                .map_err(|TooOld { .. }| StreamEnded)?;
             let lines = group_lines(events);
             if !lines.is_empty() {
                 return self.write_lines(&lines);
             }
             self.revision = self.revision.max(newest);
             tokio::select! {
-                changed = self.newest.changed() => changed.map_err(|_| Ended)?,
+                changed = self.newest.changed() => changed.map_err(|_| StreamEnded)?,
                 () = sleep_until(self.next_bookmark) => return self.bookmark().await,
-                () = self.stop.stopped() => return Err(Ended),
+                () = self.stop.stopped() => return Err(StreamEnded),
             }
         }
     }
 
-    fn write_lines(&mut self, lines: &[WatchLine]) -> Result<Bytes, Ended> {
+    fn write_lines(&mut self, lines: &[WatchLine]) -> Result<Bytes, StreamEnded> {
         let mut buffer = BytesMut::new();
-        for line in lines.iter().take(LINES_AT_ONCE) {
+        for line in lines.iter().take(MAX_LINES_PER_CHUNK) {
             write_line(&mut buffer, line)?;
             self.revision = line.revision;
         }
         Ok(buffer.freeze())
     }
 
-    /// Sends that nothing was missed up to here, once that is proven.
-    async fn bookmark(&mut self) -> Result<Bytes, Ended> {
+    /// Returns a bookmark at the current position after the replica confirmed that it is current.
+    async fn bookmark(&mut self) -> Result<Bytes, StreamEnded> {
         self.next_bookmark = Instant::now() + self.bookmark_interval;
         if !self.proofs.request().await.unwrap_or(false) {
-            return Err(Ended);
+            return Err(StreamEnded);
         }
         let mut buffer = BytesMut::new();
         write_line(&mut buffer, &WatchLine { revision: self.revision, events: Vec::new() })?;
@@ -126,7 +128,8 @@
     }
 }
 
-/// One line a revision: a client that goes on from a line's revision misses nothing.
+/// Groups the events into one line for each revision, so that a client that resumes from the revision of a
+/// line misses no event.
 fn group_lines(events: Vec<ResourceEvent>) -> Vec<WatchLine> {
     let mut lines: Vec<WatchLine> = Vec::new();
     for event in events {
@@ -141,15 +144,15 @@
     lines
 }
 
-fn write_line(buffer: &mut BytesMut, line: &WatchLine) -> Result<(), Ended> {
-    serde_json::to_writer(buffer.writer(), line).map_err(|_| Ended)?;
+fn write_line(buffer: &mut BytesMut, line: &WatchLine) -> Result<(), StreamEnded> {
+    serde_json::to_writer(buffer.writer(), line).map_err(|_| StreamEnded)?;
     buffer.put_u8(b'\n');
     Ok(())
 }
 
-fn lines(watcher: Watcher) -> impl Stream<Item = Result<Bytes, actix_web::Error>> {
+fn chunk_stream(watcher: Watcher) -> impl Stream<Item = Result<Bytes, actix_web::Error>> {
     futures_util::stream::unfold(watcher, |mut watcher| async move {
-        let chunk = watcher.next().await.ok()?;
+        let chunk = watcher.next_chunk().await.ok()?;
         Some((Ok(chunk), watcher))
     })
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
-//! The control replica: consensus shell, resource interface, watch and failover.
+//! A control replica: consensus, the resource interface for operators, the watch for proxies, and failover.
 //!
-//! One thread owns the replica, its log and its state (see the `consensus` module);
-//! arbiters serve the sockets round it and reach it through a channel.
+//! One thread owns the replica, its log and its state (see the `consensus` module). Arbiters serve the
+//! sockets and send requests to this thread through a channel.
 
 pub mod api;
 mod back_end;
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a control replica: their names, and how the status becomes figures.
+//! Metrics of a control replica: their names, and their update from the status.
 
 use crate::consensus::ReplicaStatus;
 use corktack_core::consensus::Role;
@@ -9,13 +9,13 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Bounds of the histograms' buckets: 18 of them from 0.1 ms, each twice the one before, up to 13 s.
-/// Operators' queries name them.
+/// Buckets of the histograms: 18 upper bounds from 0.1 ms to 13 s, each twice the previous bound. Queries of
+/// operators refer to these bounds.
 const FIRST_BUCKET_SECONDS: f64 = 0.000_1;
 const BUCKET_FACTOR: f64 = 2.0;
-const BUCKETS: u16 = 18;
+const BUCKET_COUNT: u16 = 18;
 
-/// Phase of a failover.
+/// Label for the phase of a failover.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct PhaseLabel {
     pub(crate) phase: &'static str,
@@ -43,8 +43,8 @@
     pub(crate) failover_seconds: Histogram,
 }
 
-fn seconds() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKETS))
+fn seconds_histogram() -> Histogram {
+    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKET_COUNT))
 }
 
 fn gauge_value(value: u64) -> i64 {
@@ -61,7 +61,7 @@
             proposals: Counter::default(),
             proposals_rejected: Counter::default(),
             syncs: Counter::default(),
-            sync_seconds: seconds(),
+            sync_seconds: seconds_histogram(),
             snapshots: Counter::default(),
             cell_messages_dropped: Counter::default(),
             cell_disks_known: Gauge::default(),
@@ -70,11 +70,11 @@
             proxy_bytes_sent: Counter::default(),
             proxy_snapshots: Counter::default(),
             failover_steps: Family::default(),
-            failover_seconds: seconds(),
+            failover_seconds: seconds_histogram(),
         }
     }
 
-    /// Registers the metrics; they may be in several registries.
+    /// Registers the metrics, which may be in several registries.
     pub(crate) fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("corktack_control");
         self.register_consensus(registry);
@@ -82,7 +82,7 @@
         self.register_failover(registry);
     }
 
-    /// Follows the replica's status.
+    /// Sets the gauges from the status of the replica.
     pub(crate) fn note_status(&self, status: &ReplicaStatus) {
         self.leader.set(i64::from(status.role == Role::Leader));
         self.term.set(gauge_value(status.term.0));
--- a/crates/control/src/platform.rs
+++ b/crates/control/src/platform.rs
@@ -1,6 +1,6 @@
-//! Polls the platform's list of live and leaving machines, and passes it to the consensus thread.
+//! Polls the platform's list of live and leaving machines, and sends it to the consensus thread.
 //!
-//! Owns nothing between polls; the core's membership decides what the list means.
+//! The membership logic of the core decides what follows from the list.
 
 use crate::consensus::{ConsensusHandle, ConsensusInput, ReplicaStatus};
 use crate::settings::PlatformSource;
@@ -14,14 +14,14 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Longest wait for the list. Chosen, not measured; a lower value misses lists behind slow links, a higher
-/// one skips more polls while the list cannot be reached.
+/// Timeout of one poll. A shorter timeout misses lists behind slow links; a longer one skips more polls while
+/// the platform cannot be reached.
 const POLL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Largest list in bytes. Chosen, not measured: some 100,000 addresses; a lower value refuses large fleets, a
-/// higher one takes more memory for a wrong answer.
-const LIST_BYTES_LIMIT: usize = 4 * 1024 * 1024;
+/// Largest list in bytes, enough for some 100,000 addresses. A lower limit rejects the list of a large fleet;
+/// a higher one uses more memory for a malformed response.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// The list as it is sent.
+/// JSON body of the list.
 #[derive(Debug, Deserialize)]
 struct ListBody {
     #[serde(default)]
@@ -33,15 +33,15 @@
 /// Why the list could not be read.
 #[derive(Debug, thiserror::Error)]
 enum PollError {
-    #[error("the list was not sent")]
+    #[error("the request failed")]
     Send,
-    #[error("the list was answered with status {0}")]
+    #[error("the platform responded with status {0}")]
     Status(u16),
-    #[error("the list is not of the agreed form")]
+    #[error("the list does not have the expected form")]
     Body,
 }
 
-/// Polls while this replica leads, until the stop.
+/// Polls the list while this replica leads, until the replica stops.
 pub(crate) async fn poll_platform(
     source: PlatformSource,
     status: Receiver<ReplicaStatus>,
@@ -76,7 +76,7 @@
     if !response.status().is_success() {
         return Err(PollError::Status(response.status().as_u16()));
     }
-    let list = response.json::<ListBody>().limit(LIST_BYTES_LIMIT).await;
+    let list = response.json::<ListBody>().limit(MAX_LIST_BYTES).await;
     let ListBody { live, leaving } = list.map_err(|_| PollError::Body)?;
     Ok(PlatformList { live, leaving })
 }
--- a/crates/control/src/proxies/accept.rs
+++ b/crates/control/src/proxies/accept.rs
@@ -1,6 +1,4 @@
-//! Accepts proxies and spreads their connections over arbiters.
-//!
-//! Owns the listener; each connection owns its socket.
+//! Accepts connections of proxies and distributes them over the arbiters.
 
 use super::connection::serve_proxy;
 use super::server::ProxyServer;
@@ -8,11 +6,12 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a failed accept (out of file descriptors, most likely). Chosen, not measured; a lower value
-/// spins while none is free, a higher one lets proxies wait for longer.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed accept, most likely because no file descriptor is free. A shorter delay spins until
+/// one is free; a longer one makes proxies wait.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Accepts proxies until the stop; each connection stays on one arbiter.
+/// Accepts proxies until the replica stops; the arbiters take turns, and each connection stays on one
+/// arbiter.
 pub(crate) async fn accept_proxies(
     listener: TcpListener,
     server: ProxyServer,
@@ -24,16 +23,17 @@
             () = server.stop.stopped() => return,
         };
         match accepted {
-            Ok((stream, _)) => hand_over(stream, &server, arbiter),
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Ok((stream, _)) => spawn_connection(stream, &server, arbiter),
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// The socket moves to the arbiter's own reactor as a plain file descriptor.
-fn hand_over(stream: TcpStream, server: &ProxyServer, arbiter: &ArbiterHandle) {
+/// Serves a connection on the arbiter. The socket is passed as a `std` stream, because it must be registered
+/// with the reactor of that arbiter.
+fn spawn_connection(stream: TcpStream, server: &ProxyServer, arbiter: &ArbiterHandle) {
     let Ok(stream) = stream.into_std() else { return };
-    let connection = server.next_connection();
+    let connection = server.next_connection_id();
     let server = server.clone();
     arbiter.spawn(async move {
         if let Ok(stream) = TcpStream::from_std(stream) {
--- a/crates/control/src/proxies/connection.rs
+++ b/crates/control/src/proxies/connection.rs
@@ -1,16 +1,15 @@
-//! One proxy's connection: proves that the replica is current, then sends deltas, acknowledgements, the
-//! cell and grants.
+//! Connection of one proxy: sends the view, deltas, acknowledgements of heartbeats, the cell and grants.
 //!
-//! Owns the proxy's place in the feed. Relies on the feed for what is sent next, on the proofs for what
-//! heartbeats are acknowledged with, and on the table, which knows the proxy's newest connection.
+//! The connection holds the proxy's position in the feed. The table records which connection of a proxy is
+//! the newest.
 //!
-//! Whether a replica serves a proxy at all is decided in [`Connection::prove_and_catch_up`], by the
-//! cell that the replica knows, the time since when it knows no leader ([`ELECTION_PATIENCE`]) and the
-//! proof. A connection ends when the proxy sends nothing for `heartbeat_timeout`, or takes nothing for
-//! [`SEND_TIMEOUT`].
+//! [`Connection::confirm_and_catch_up`] decides whether the replica serves the proxy at all: the replica must
+//! belong to a cell, must know a leader within [`LEADERLESS_GRACE`] of losing the last one, and must confirm
+//! that it is current. A connection ends when the proxy sends nothing for `heartbeat_timeout`, or accepts no
+//! data for [`SEND_TIMEOUT`].
 
 use super::connection_error::ConnectionError;
-use super::hello::{First, Reader, answer_joiner, receive_hello};
+use super::hello::{FirstMessage, MessageReader, answer_join_request, receive_hello};
 use super::server::{ProxyServer, SEND_TIMEOUT};
 use super::table::{ConnectionId, HeartbeatReport};
 use crate::consensus::{ConsensusInput, ReplicaStatus};
@@ -34,29 +33,32 @@
 use tokio::time::{timeout, timeout_at};
 use tokio_util::codec::FramedRead;
 
-/// How long a replica without a leader keeps proxies that come: an election or two. One that is cut
-/// off from the others is left at once: where replicas of a minority kept a gateway for 1.5 s each, it
-/// served an old configuration for 3.8 s in a simulated cut.
-const ELECTION_PATIENCE: Duration = Duration::from_millis(800);
-/// Heartbeats that may wait for their proof; more of them break the protocol. Chosen, not measured; a lower
-/// value cuts off proxies that report many observations while a proof is slow, a higher one keeps more of
-/// their acknowledgements in memory.
-const WAITING_HEARTBEATS: usize = 64;
+/// How long a replica without a leader keeps a connecting proxy waiting: enough for one or two elections. A
+/// replica that has been without a leader for longer is probably cut off and refuses the proxy at once. When
+/// the replicas of a minority kept a gateway waiting for 1.5 s each, the gateway served an old configuration
+/// for 3.8 s in a simulated network cut.
+const LEADERLESS_GRACE: Duration = Duration::from_millis(800);
+/// Largest number of unacknowledged heartbeats of a proxy; one more is a protocol error. A lower limit
+/// disconnects proxies that report many observations while a confirmation is slow; a higher limit keeps more
+/// pending acknowledgements in memory.
+const MAX_UNACKNOWLEDGED_HEARTBEATS: usize = 64;
 
-/// Serves a proxy until it goes, fails or the replica stops.
+/// Serves a proxy until the connection closes or fails, or the replica stops.
 pub(crate) async fn serve_proxy(stream: TcpStream, id: ConnectionId, server: ProxyServer) {
-    // The options only save time: a connection without them still works.
+    // Without the socket options the connection works, but is slower and notices a lost peer later.
     drop(Liveness::WITHIN_DEPLOYMENT.apply(&stream));
     let (read_half, write_half) = stream.into_split();
     let mut reader = FramedRead::new(read_half, FrameCodec::default());
     let (identity, revision) = match receive_hello(&mut reader).await {
-        Ok(First::Proxy(identity, revision)) => (identity, revision),
-        Ok(First::Joiner(member)) => return answer_joiner(member, write_half, &server).await,
+        Ok(FirstMessage::Hello(identity, revision)) => (identity, revision),
+        Ok(FirstMessage::JoinRequest(member)) => {
+            return answer_join_request(member, write_half, &server).await;
+        }
         Err(_) => return,
     };
     let proxy = identity.proxy.clone();
-    let (outlet, grants) = mpsc::unbounded_channel();
-    server.table.connect(id, identity, revision, outlet);
+    let (grant_sender, grants) = mpsc::unbounded_channel();
+    server.table.connect(id, identity, revision, grant_sender);
     server.metrics.proxies_connected.inc();
     let cursor = WatchCursor::new(revision);
     let mut connection = Connection { id, proxy, reader, write_half, cursor, grants, server };
@@ -68,29 +70,33 @@
     }
 }
 
-/// What a proxy was sent of the cell.
+/// The cell and the leader's term, as last sent to a proxy.
 #[derive(Default)]
 struct SentStatus {
     cell: CellConfig,
-    /// Term of the leader.
-    led: Option<Term>,
+    /// Term of the leader, if one is known.
+    leader_term: Option<Term>,
 }
 
 impl SentStatus {
-    fn of(status: &ReplicaStatus) -> Self {
-        Self { cell: status.cell.clone(), led: status.leader.map(|_| status.term) }
+    fn from_status(status: &ReplicaStatus) -> Self {
+        Self { cell: status.cell.clone(), leader_term: status.leader.map(|_| status.term) }
     }
 }
 
-/// The answer to a heartbeat, once its proof is there. Without one the replica does not count as current.
-async fn acknowledge(sequence: u64, proof: oneshot::Receiver<bool>) -> ControlMessage {
-    ControlMessage::HeartbeatAck { sequence, current: proof.await.unwrap_or(false) }
+/// Waits for the confirmation that the replica is current and builds the acknowledgement of a heartbeat. If
+/// the confirmation is dropped, the acknowledgement says that the replica is not current.
+async fn acknowledge_heartbeat(
+    sequence: u64,
+    confirmed: oneshot::Receiver<bool>,
+) -> ControlMessage {
+    ControlMessage::HeartbeatAck { sequence, current: confirmed.await.unwrap_or(false) }
 }
 
 struct Connection {
     id: ConnectionId,
     proxy: ProxyName,
-    reader: Reader,
+    reader: MessageReader,
     write_half: OwnedWriteHalf,
     cursor: WatchCursor,
     grants: mpsc::UnboundedReceiver<AllowanceGrant>,
@@ -109,23 +115,23 @@
     async fn run(&mut self) -> Result<(), ConnectionError> {
         let mut feed = self.server.feed.subscribe();
         let mut status = self.server.status.clone();
-        self.prove_and_catch_up().await?;
+        self.confirm_and_catch_up().await?;
         let mut sent = self.send_status(&mut status, SentStatus::default()).await?;
         let mut acknowledgements = FuturesOrdered::new();
         loop {
             tokio::select! {
                 message = timeout(self.server.heartbeat_timeout, self.reader.next()) => {
-                    let message = message.map_err(|_| ConnectionError::Silent)?;
-                    let Some(sequence) = self.take_message(message)? else { continue };
-                    if acknowledgements.len() >= WAITING_HEARTBEATS {
+                    let message = message.map_err(|_| ConnectionError::ReceiveTimeout)?;
+                    let Some(sequence) = self.apply_message(message)? else { continue };
+                    if acknowledgements.len() >= MAX_UNACKNOWLEDGED_HEARTBEATS {
                         return Err(ConnectionError::TooManyHeartbeats);
                     }
-                    let proof = self.server.proofs.request();
-                    acknowledgements.push_back(acknowledge(sequence, proof));
+                    let confirmed = self.server.proofs.request();
+                    acknowledgements.push_back(acknowledge_heartbeat(sequence, confirmed));
                 }
                 Some(acknowledgement) = acknowledgements.next() => {
-                    // A proof covers what was committed before it: deltas go first, so
-                    // that a proxy which is acknowledged as current has been sent everything.
+                    // The confirmation covers everything committed before it. The deltas are sent first,
+                    // so that a proxy has received all of it before the acknowledgement.
                     self.send_deltas().await?;
                     self.send(&encode_frame(acknowledgement)?).await?;
                 }
@@ -144,17 +150,17 @@
         }
     }
 
-    /// Nothing is sent before the proof: a replica that was cut off must not hand
-    /// an old configuration to a proxy that has none.
-    async fn prove_and_catch_up(&mut self) -> Result<(), ConnectionError> {
-        // A replica that waits to be added has nothing to prove: another one serves sooner.
+    /// Confirms that the replica is current and then sends what the proxy lacks. Nothing is sent before the
+    /// confirmation: a replica that was cut off must not send an old configuration to a proxy that has none.
+    async fn confirm_and_catch_up(&mut self) -> Result<(), ConnectionError> {
+        // A replica that waits to be added to a cell cannot confirm anything: another replica serves sooner.
         if self.server.status.borrow().cell.voters.is_empty() {
-            return Err(ConnectionError::Outside);
+            return Err(ConnectionError::NoCell);
         }
-        self.until_led().await?;
+        self.wait_for_leader().await?;
         let from = self.cursor.sent();
-        // One proof serves both: the next one would cost another round trip over regions.
-        let (newest, whole) = self
+        // One confirmed read returns both: a second read would cost another round trip between regions.
+        let (newest, snapshot) = self
             .server
             .consensus
             .read(move |reader| (reader.feed.newest(), reader.snapshot_for(from)))
@@ -162,71 +168,74 @@
         if from > newest {
             return Err(ConnectionError::UnknownRevision(from));
         }
-        if let Some(snapshot) = whole {
-            self.send_whole(&snapshot?).await?;
+        if let Some(snapshot) = snapshot {
+            self.send_snapshot_frame(&snapshot?).await?;
         }
         self.send_deltas().await
     }
 
-    /// Waits while the cell elects a leader: a proof requested meanwhile is refused, and the pause
-    /// before the next request of it grows.
-    async fn until_led(&self) -> Result<(), ConnectionError> {
+    /// Waits while the cell elects a leader. A confirmation requested during the election would be refused,
+    /// and the back-off before the next request would grow.
+    async fn wait_for_leader(&self) -> Result<(), ConnectionError> {
         let mut status = self.server.status.clone();
         let leaderless_since = status.borrow().leaderless_since;
         let Some(since) = leaderless_since else { return Ok(()) };
-        let led = status.wait_for(|status| status.leader.is_some());
-        match timeout_at((since + ELECTION_PATIENCE).into(), led).await {
+        let elected = status.wait_for(|status| status.leader.is_some());
+        match timeout_at((since + LEADERLESS_GRACE).into(), elected).await {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(_)) => Err(ConnectionError::Closed),
-            Err(_) => Err(ConnectionError::Leaderless),
+            Err(_) => Err(ConnectionError::NoLeader),
         }
     }
 
-    /// Takes a message; gives the sequence of a heartbeat, which is to be acknowledged.
-    fn take_message(
+    /// Applies a message; returns the sequence of a heartbeat, which the caller must acknowledge.
+    fn apply_message(
         &self,
         message: Option<Result<ProxyMessage, FrameError>>,
     ) -> Result<Option<u64>, ConnectionError> {
         match message.ok_or(ConnectionError::Closed)?? {
             ProxyMessage::Heartbeat { sequence, revision, draining, observations } => {
                 let report = HeartbeatReport { revision, draining, observations };
-                self.note_heartbeat(report)?;
+                self.record_heartbeat(report)?;
                 Ok(Some(sequence))
             }
             ProxyMessage::Allowances(report) if report.gateway == self.proxy => {
                 self.server.consensus.send(ConsensusInput::Allowances(report))?;
                 Ok(None)
             }
-            _ => Err(ConnectionError::OutOfPlace),
+            _ => Err(ConnectionError::UnexpectedMessage),
         }
     }
 
-    fn note_heartbeat(&self, report: HeartbeatReport) -> Result<(), ConnectionError> {
-        match self.server.table.heartbeat(self.id, &self.proxy, report) {
+    fn record_heartbeat(&self, report: HeartbeatReport) -> Result<(), ConnectionError> {
+        match self.server.table.record_heartbeat(self.id, &self.proxy, report) {
             true => Ok(()),
             false => Err(ConnectionError::Replaced),
         }
     }
 
-    /// Sends the proxy which replicas there are and in which term one leads, as far as that changed;
-    /// returns what it was sent.
+    /// Sends the cell and the term of the leader to the proxy if they differ from `sent`. Returns what the
+    /// proxy now has; a leader's term stays sent while no leader is known.
     async fn send_status(
         &mut self,
         status: &mut watch::Receiver<ReplicaStatus>,
         sent: SentStatus,
     ) -> Result<SentStatus, ConnectionError> {
-        let now = SentStatus::of(&status.borrow_and_update());
-        if now.cell != sent.cell {
-            self.send(&encode_frame(ControlMessage::Cell(now.cell.clone()))?).await?;
+        let current = SentStatus::from_status(&status.borrow_and_update());
+        if current.cell != sent.cell {
+            self.send(&encode_frame(ControlMessage::Cell(current.cell.clone()))?).await?;
         }
-        let Some(term) = now.led else { return Ok(SentStatus { led: sent.led, ..now }) };
-        if sent.led != now.led {
+        let Some(term) = current.leader_term else {
+            return Ok(SentStatus { leader_term: sent.leader_term, ..current });
+        };
+        if sent.leader_term != current.leader_term {
             self.send(&encode_frame(ControlMessage::Led { term })?).await?;
         }
-        Ok(now)
+        Ok(current)
     }
 
-    /// Sends what was applied since the last time, in order and without gaps.
+    /// Sends all changes after the proxy's position, in order and without gaps, or a snapshot if the feed no
+    /// longer has these changes.
     async fn send_deltas(&mut self) -> Result<(), ConnectionError> {
         loop {
             match self.server.feed.advance(&mut self.cursor)? {
@@ -243,10 +252,13 @@
 
     async fn send_snapshot(&mut self) -> Result<(), ConnectionError> {
         let snapshot = self.server.consensus.read(|reader| reader.snapshot_frame()).await??;
-        self.send_whole(&snapshot).await
+        self.send_snapshot_frame(&snapshot).await
     }
 
-    async fn send_whole(&mut self, snapshot: &SnapshotFrame) -> Result<(), ConnectionError> {
+    async fn send_snapshot_frame(
+        &mut self,
+        snapshot: &SnapshotFrame,
+    ) -> Result<(), ConnectionError> {
         self.send(&snapshot.frame).await?;
         self.server.metrics.proxy_snapshots.inc();
         self.cursor.snapshot_sent(snapshot.revision);
@@ -255,7 +267,7 @@
 
     async fn send(&mut self, frame: &Bytes) -> Result<(), ConnectionError> {
         let written = timeout(SEND_TIMEOUT, self.write_half.write_all(frame)).await;
-        written.map_err(|_| ConnectionError::Slow)?.map_err(FrameError::Io)?;
+        written.map_err(|_| ConnectionError::SendTimeout)?.map_err(FrameError::Io)?;
         self.server.metrics.proxy_bytes_sent.inc_by(frame.len() as u64);
         Ok(())
     }
--- a/crates/control/src/proxies/connection_error.rs
+++ b/crates/control/src/proxies/connection_error.rs
@@ -9,23 +9,23 @@
 pub(super) enum ConnectionError {
     #[error("the connection is closed")]
     Closed,
-    #[error("nothing was heard in time")]
-    Silent,
-    #[error("the proxy does not take what it is sent")]
-    Slow,
+    #[error("no message before the timeout")]
+    ReceiveTimeout,
+    #[error("the proxy accepted no data before the timeout")]
+    SendTimeout,
     #[error("the replica belongs to no cell yet")]
-    Outside,
+    NoCell,
     #[error("the replica knows no leader")]
-    Leaderless,
-    #[error("the first message is not a hello, or a later one is")]
-    OutOfPlace,
+    NoLeader,
+    #[error("unexpected message: a hello or join request must come first and only once")]
+    UnexpectedMessage,
     #[error("the proxy has revision {0:?}, which this cell never had")]
     UnknownRevision(Revision),
-    #[error("a newer connection of the same proxy has taken its place")]
+    #[error("a newer connection of the same proxy replaced this connection")]
     Replaced,
-    #[error("too many heartbeats without waiting for answers")]
+    #[error("too many unacknowledged heartbeats")]
     TooManyHeartbeats,
-    #[error("the replica cannot prove that it is current")]
+    #[error("the replica cannot confirm that it is current")]
     NotCurrent(#[from] RequestError),
     #[error(transparent)]
     Frame(#[from] FrameError),
--- a/crates/control/src/proxies/hello.rs
+++ b/crates/control/src/proxies/hello.rs
@@ -1,6 +1,7 @@
-//! How a connection at the proxies' interface begins: a proxy's hello, or a replica's request to join.
+//! First message of a connection to the proxies' interface: the hello of a proxy, or the request of a replica
+//! to join the cell.
 //!
-//! Owns nothing. Relies on the consensus thread to decide on joiners.
+//! The consensus thread decides on join requests.
 
 use super::connection_error::ConnectionError;
 use super::server::{ProxyServer, SEND_TIMEOUT};
@@ -18,23 +19,23 @@
 use tokio::time::timeout;
 use tokio_util::codec::FramedRead;
 
-/// Longest wait for the first message. Chosen, not measured; a lower value cuts off proxies behind slow
-/// links, a higher one keeps silent connections for longer.
+/// Timeout of the first message. A shorter timeout disconnects proxies behind slow links; a longer one keeps
+/// silent connections open.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The reading side of a connection.
-pub(super) type Reader = FramedRead<OwnedReadHalf, FrameCodec<ControlMessage, ProxyMessage>>;
+/// Receiving half of a connection, decoded into messages.
+pub(super) type MessageReader = FramedRead<OwnedReadHalf, FrameCodec<ControlMessage, ProxyMessage>>;
 
-/// What a connection begins with.
-pub(super) enum First {
-    /// A proxy and the revision that it has.
-    Proxy(ProxyIdentity, Revision),
-    /// A replica that requests to be added to the cell.
-    Joiner(CellMember),
+/// First message of a connection.
+pub(super) enum FirstMessage {
+    /// Hello of a proxy, with the revision that the proxy has in force.
+    Hello(ProxyIdentity, Revision),
+    /// Request of a replica to be added to the cell.
+    JoinRequest(CellMember),
 }
 
-/// Passes the request on, and answers the joiner whom to expect.
-pub(super) async fn answer_joiner(
+/// Passes a join request to the consensus thread, and sends the joining replica the members of the cell.
+pub(super) async fn answer_join_request(
     member: CellMember,
     mut write_half: OwnedWriteHalf,
     server: &ProxyServer,
@@ -44,19 +45,21 @@
     }
     let cell = server.status.borrow().cell.clone();
     let Ok(frame) = encode_frame(ControlMessage::Cell(cell)) else { return };
-    // A joiner that misses the answer requests it again.
+    // A joining replica that misses the answer sends its request again.
     drop(timeout(SEND_TIMEOUT, write_half.write_all(&frame)).await);
 }
 
-/// Waits for the first message of a connection.
-pub(super) async fn receive_hello(reader: &mut Reader) -> Result<First, ConnectionError> {
+/// Receives the first message of a connection.
+pub(super) async fn receive_hello(
+    reader: &mut MessageReader,
+) -> Result<FirstMessage, ConnectionError> {
     let message = timeout(HELLO_TIMEOUT, reader.next()).await;
-    match message.map_err(|_| ConnectionError::Silent)? {
+    match message.map_err(|_| ConnectionError::ReceiveTimeout)? {
         Some(Ok(ProxyMessage::Hello { proxy, incarnation, address, zone, revision })) => {
-            Ok(First::Proxy(ProxyIdentity { proxy, incarnation, address, zone }, revision))
+            Ok(FirstMessage::Hello(ProxyIdentity { proxy, incarnation, address, zone }, revision))
         }
-        Some(Ok(ProxyMessage::Join { member })) => Ok(First::Joiner(member)),
-        Some(Ok(_)) => Err(ConnectionError::OutOfPlace),
+        Some(Ok(ProxyMessage::Join { member })) => Ok(FirstMessage::JoinRequest(member)),
+        Some(Ok(_)) => Err(ConnectionError::UnexpectedMessage),
         Some(Err(error)) => Err(error.into()),
         None => Err(ConnectionError::Closed),
     }
--- a/crates/control/src/proxies/mod.rs
+++ b/crates/control/src/proxies/mod.rs
@@ -1,7 +1,7 @@
-//! The watch of the proxies: snapshots, deltas, heartbeats and their summary.
+//! The watch of the proxies: snapshots, deltas, heartbeats and their summaries.
 //!
-//! Owns the connections of proxies and the table of who is connected here. Relies on the feed for the
-//! changes, and on the consensus thread for proofs that this replica is current.
+//! This module serves the connections of proxies and keeps the table of the connected proxies. The feed
+//! provides the changes; the consensus thread confirms that this replica is current.
 
 mod accept;
 mod connection;
--- a/crates/control/src/proxies/proofs.rs
+++ b/crates/control/src/proxies/proofs.rs
@@ -1,6 +1,6 @@
-//! Proofs that this replica is current, shared by all heartbeats of an interval.
+//! Confirms that this replica is current, once for all requests of an interval.
 //!
-//! Owns those who wait. Relies on a read through the consensus thread for the proof itself.
+//! A confirmation is a read through the consensus thread, which succeeds only on a current state.
 
 use crate::consensus::ConsensusHandle;
 use crate::stop::StopSignal;
@@ -11,52 +11,52 @@
 
 type Waiter = oneshot::Sender<bool>;
 
-/// Collects those who wait for a proof and gives them one together.
+/// Collects requests for a confirmation and answers them together.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Proofs {
     waiters: Arc<Mutex<Vec<Waiter>>>,
 }
 
 impl Proofs {
-    /// Resolves with whether a proof that began after this call succeeded.
+    /// Requests a confirmation; the receiver gets whether a read that began after this call succeeded.
     pub(crate) fn request(&self) -> oneshot::Receiver<bool> {
         let (waiter, proof) = oneshot::channel();
         self.waiters.lock().unwrap_or_else(PoisonError::into_inner).push(waiter);
         proof
     }
 
-    fn take(&self) -> Vec<Waiter> {
+    fn take_waiters(&self) -> Vec<Waiter> {
         std::mem::take(&mut *self.waiters.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Makes at most one proof an interval until the stop, each within `limit`. The
-    /// waiters are taken before the read begins, so each proof is younger than its
-    /// heartbeats.
+    /// Makes at most one confirmation in each `interval_length` until the replica stops, each with timeout
+    /// `read_timeout`. The waiters are removed before the read begins, so that each confirmation is newer
+    /// than the heartbeats that it answers.
     pub(crate) async fn run(
         self,
-        spacing: Duration,
-        limit: Duration,
+        interval_length: Duration,
+        read_timeout: Duration,
         consensus: ConsensusHandle,
         stop: StopSignal,
     ) {
-        let mut ticks = interval(spacing);
+        let mut ticks = interval(interval_length);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = ticks.tick() => self.prove(&consensus, limit).await,
+                _ = ticks.tick() => self.confirm(&consensus, read_timeout).await,
                 () = stop.stopped() => return,
             }
         }
     }
 
-    async fn prove(&self, consensus: &ConsensusHandle, limit: Duration) {
-        let waiters = self.take();
+    async fn confirm(&self, consensus: &ConsensusHandle, read_timeout: Duration) {
+        let waiters = self.take_waiters();
         if waiters.is_empty() {
             return;
         }
-        let current = consensus.read_within(limit, |_| ()).await.is_ok();
+        let current = consensus.read_within(read_timeout, |_| ()).await.is_ok();
         for waiter in waiters {
-            // A connection that is gone needs no proof.
+            // A closed connection no longer waits for the confirmation.
             let _ = waiter.send(current);
         }
     }
--- a/crates/control/src/proxies/server.rs
+++ b/crates/control/src/proxies/server.rs
@@ -1,4 +1,4 @@
-//! What the connections of proxies share.
+//! State shared by the connections of proxies.
 
 use super::proofs::Proofs;
 use super::table::{ConnectionId, ProxyTable};
@@ -11,11 +11,12 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// A proxy that takes nothing for this long is cut off; it comes back for a snapshot. Chosen, not measured;
-/// a lower value cuts off proxies behind slow links, a higher one keeps frames for those that are gone.
+/// Timeout of sending one frame; a proxy that accepts no data for so long is disconnected, and reconnects for
+/// a snapshot. A shorter timeout disconnects proxies behind slow links; a longer one keeps frames for lost
+/// proxies.
 pub(super) const SEND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What every connection of a proxy needs.
+/// Handles and settings that every connection of a proxy uses.
 #[derive(Clone)]
 pub(crate) struct ProxyServer {
     pub(crate) consensus: ConsensusHandle,
@@ -30,8 +31,8 @@
 }
 
 impl ProxyServer {
-    /// A number for one more connection.
-    pub(super) fn next_connection(&self) -> ConnectionId {
+    /// Returns a new, unique id for a connection.
+    pub(super) fn next_connection_id(&self) -> ConnectionId {
         ConnectionId(self.connections.fetch_add(1, Ordering::Relaxed))
     }
 }
--- a/crates/control/src/proxies/table.rs
+++ b/crates/control/src/proxies/table.rs
@@ -1,7 +1,7 @@
-//! The proxies connected to this replica, and their summary for the leader.
+//! The proxies connected to this replica, and the summaries of their heartbeats for the leader.
 //!
-//! Owns what each proxy reported since the last summary. Relies on the consensus thread to bring summaries
-//! to the leader, here or elsewhere.
+//! The table keeps what each proxy reported since the last summary. The consensus thread brings the summaries
+//! to the leader, on this or another replica.
 
 use crate::consensus::{ConsensusHandle, ConsensusInput};
 use crate::stop::StopSignal;
@@ -18,35 +18,35 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-/// Parts of the table with a lock of their own. Chosen, not measured; fewer make connections wait for each
-/// other, more cost a lock each.
+/// Number of shards of the table, each with its own lock. With fewer shards, connections wait for each other;
+/// each further shard costs a lock.
 const SHARDS: usize = 16;
-/// Ticks between two summaries that carry every observation, not only the changes:
-/// a new leader, or one that missed a summary, then knows all of them again. Chosen, not measured; a lower
-/// value sends more, a higher one adds to the time until such a leader knows them.
-const FULL_SUMMARY_EVERY: u64 = 5;
-/// Wait before every summary, for what arrives together to go out together. Two
-/// summaries are never closer, whatever the proxies send. Chosen, not measured; a lower value sends more
-/// summaries in a burst, a higher one adds to the time until the leader knows of a fault.
-const BATCHING_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of ticks from one full summary to the next. A full summary carries every observation, so that a new
+/// leader, or a leader that missed a summary, knows all of them again. A lower value sends more data; a
+/// higher value delays the time at which such a leader knows all observations.
+const TICKS_PER_FULL_SUMMARY: u64 = 5;
+/// Delay before every summary, which combines heartbeats that arrive close together. It is also the shortest
+/// time between two summaries, whatever the proxies send. A shorter delay sends more summaries in a burst; a
+/// longer one delays the leader's knowledge of a fault.
+const SUMMARY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a summary carries.
+/// Which heartbeats and observations a summary carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Extent {
-    /// Only the observations that no summary has carried yet, between two ticks. The
-    /// next tick repeats them, as this summary may be lost to an election.
+enum SummaryScope {
+    /// Only the observations that no summary has carried yet; sent between two ticks. The next tick repeats
+    /// these observations, because an election may lose this summary.
     Unsent,
-    /// The heartbeats since the last tick and the observations they brought.
+    /// The proxies with a heartbeat since the last tick, with their observations since then.
     Changes,
-    /// The heartbeats since the last tick and every observation.
+    /// The proxies with a heartbeat since the last tick, with all their observations.
     Full,
 }
 
-/// Number of one connection, to tell a proxy's connections apart.
+/// Identifies one connection among the connections of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ConnectionId(pub(crate) u64);
 
-/// Who a proxy is, by its hello.
+/// Identity of a proxy, from its hello.
 #[derive(Clone, Debug)]
 pub(crate) struct ProxyIdentity {
     pub(crate) proxy: ProxyName,
@@ -55,7 +55,7 @@
     pub(crate) zone: ZoneName,
 }
 
-/// A proxy's heartbeat.
+/// Content of a proxy's heartbeat.
 #[derive(Clone, Debug)]
 pub(crate) struct HeartbeatReport {
     pub(crate) revision: Revision,
@@ -67,42 +67,46 @@
 
 struct ConnectedProxy {
     connection: ConnectionId,
-    /// Takes what the leader gives of tenants' limits.
+    /// Channel to the connection for the leader's allowance grants.
     grants: mpsc::UnboundedSender<AllowanceGrant>,
     identity: ProxyIdentity,
     revision: Revision,
     draining: bool,
-    /// Whether a heartbeat came since the last tick.
-    reported: bool,
+    /// Whether a heartbeat arrived since the last tick.
+    has_heartbeat: bool,
     health: BTreeMap<MemberKey, MemberHealth>,
-    /// Observed since the last tick.
+    /// Members observed since the last tick.
     changed: BTreeSet<MemberKey>,
-    /// Those of the changed that no summary has carried yet.
+    /// Members in `changed` whose observation no summary has carried yet.
     unsent: BTreeSet<MemberKey>,
 }
 
 type Shard = HashMap<ProxyName, ConnectedProxy>;
 
-/// The proxies connected to this replica, in shards each under its own lock.
+/// The proxies connected to this replica, in shards with a lock each.
 #[derive(Clone)]
 pub(crate) struct ProxyTable {
     shards: Arc<[Mutex<Shard>; SHARDS]>,
     hasher: RandomState,
-    observed: Arc<Notify>,
+    observations_arrived: Arc<Notify>,
 }
 
 impl ProxyTable {
     pub(crate) fn new() -> Self {
         let shards = std::array::from_fn(|_| Mutex::default());
-        Self { shards: Arc::new(shards), hasher: RandomState::new(), observed: Arc::default() }
+        Self {
+            shards: Arc::new(shards),
+            hasher: RandomState::new(),
+            observations_arrived: Arc::default(),
+        }
     }
 
     fn shard(&self, proxy: &ProxyName) -> MutexGuard<'_, Shard> {
-        let number = self.hasher.hash_one(proxy) as usize % SHARDS;
-        lock(&self.shards[number])
+        let index = self.hasher.hash_one(proxy) as usize % SHARDS;
+        lock(&self.shards[index])
     }
 
-    /// Enters a proxy; its newest connection replaces an older one.
+    /// Adds a proxy; a newer connection replaces an older one of the same proxy.
     pub(crate) fn connect(
         &self,
         connection: ConnectionId,
@@ -115,7 +119,7 @@
             grants,
             revision,
             draining: false,
-            reported: true,
+            has_heartbeat: true,
             health: BTreeMap::new(),
             changed: BTreeSet::new(),
             unsent: BTreeSet::new(),
@@ -124,15 +128,15 @@
         self.shard(&proxy.identity.proxy.clone()).insert(proxy.identity.proxy.clone(), proxy);
     }
 
-    /// Passes on what the leader gives to a proxy that is still connected here.
+    /// Sends the leader's allowance grant to its proxy, if the proxy is still connected to this replica.
     pub(crate) fn grant(&self, grant: AllowanceGrant) {
         if let Some(entry) = self.shard(&grant.gateway).get(&grant.gateway) {
-            // A connection that ends now makes the proxy report again through another replica.
+            // If the connection ends now, the proxy reports its allowances again through another replica.
             let _ = entry.grants.send(grant);
         }
     }
 
-    /// Removes a proxy, unless a newer connection has replaced this one.
+    /// Removes a proxy, unless a newer connection of the proxy has replaced this connection.
     pub(crate) fn disconnect(&self, connection: ConnectionId, proxy: &ProxyName) {
         let mut shard = self.shard(proxy);
         if shard.get(proxy).is_some_and(|entry| entry.connection == connection) {
@@ -140,43 +144,43 @@
         }
     }
 
-    /// Notes a heartbeat; observations make a summary due. Gives whether the
-    /// connection is still the proxy's newest.
-    pub(crate) fn heartbeat(
+    /// Records a heartbeat; observations trigger a summary. Returns whether the connection is still the
+    /// newest of the proxy.
+    pub(crate) fn record_heartbeat(
         &self,
         connection: ConnectionId,
         proxy: &ProxyName,
         report: HeartbeatReport,
     ) -> bool {
-        let observed = !report.observations.is_empty();
+        let has_observations = !report.observations.is_empty();
         match self.shard(proxy).get_mut(proxy) {
-            Some(entry) if entry.connection == connection => entry.note(report),
+            Some(entry) if entry.connection == connection => entry.record_heartbeat(report),
             _ => return false,
         }
-        if observed {
-            self.observed.notify_one();
+        if has_observations {
+            self.observations_arrived.notify_one();
         }
         true
     }
 
-    fn summary(&self, extent: Extent) -> Vec<ProxyReport> {
+    fn take_summary(&self, scope: SummaryScope) -> Vec<ProxyReport> {
         let mut reports = Vec::new();
         for shard in self.shards.iter() {
             let mut shard = lock(shard);
-            reports.extend(shard.values_mut().filter_map(|proxy| proxy.report(extent)));
+            reports.extend(shard.values_mut().filter_map(|proxy| proxy.take_report(scope)));
         }
         reports
     }
 }
 
 fn lock(shard: &Mutex<Shard>) -> MutexGuard<'_, Shard> {
-    // A panic while the lock was held leaves a map that is still whole.
+    // A panic while the lock was held cannot leave the map inconsistent.
     shard.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl ConnectedProxy {
-    fn note(&mut self, report: HeartbeatReport) {
-        self.reported = true;
+    fn record_heartbeat(&mut self, report: HeartbeatReport) {
+        self.has_heartbeat = true;
         self.revision = self.revision.max(report.revision);
         self.draining |= report.draining;
         for observation in report.observations {
@@ -187,22 +191,22 @@
         }
     }
 
-    /// The proxy's part of a summary, if it has one.
-    fn report(&mut self, extent: Extent) -> Option<ProxyReport> {
+    /// Returns the proxy's part of a summary, if any, and clears what the summary now carries.
+    fn take_report(&mut self, scope: SummaryScope) -> Option<ProxyReport> {
         let unsent = std::mem::take(&mut self.unsent);
-        if extent == Extent::Unsent {
-            return (!unsent.is_empty()).then(|| self.report_of(|key| unsent.contains(key)));
+        if scope == SummaryScope::Unsent {
+            return (!unsent.is_empty()).then(|| self.report_with(|key| unsent.contains(key)));
         }
-        if !std::mem::take(&mut self.reported) {
+        if !std::mem::take(&mut self.has_heartbeat) {
             return None;
         }
         let changed = std::mem::take(&mut self.changed);
-        Some(self.report_of(|key| extent == Extent::Full || changed.contains(key)))
+        Some(self.report_with(|key| scope == SummaryScope::Full || changed.contains(key)))
     }
 
-    fn report_of(&self, wanted: impl Fn(&MemberKey) -> bool) -> ProxyReport {
-        let observed = self.health.iter().filter(|(key, _)| wanted(key));
-        let observations = observed.map(|(key, health)| observation(key, *health)).collect();
+    fn report_with(&self, is_included: impl Fn(&MemberKey) -> bool) -> ProxyReport {
+        let included = self.health.iter().filter(|(key, _)| is_included(key));
+        let observations = included.map(|(key, health)| observation(key, *health)).collect();
         ProxyReport {
             proxy: self.identity.proxy.clone(),
             incarnation: self.identity.incarnation,
@@ -219,39 +223,44 @@
     Observation { group: group.clone(), member: member.clone(), health }
 }
 
-/// Sends a summary to the leader every `spacing`, and one of what is unsent soon after
-/// observations arrive, until the stop.
+/// Sends summaries to the leader until the replica stops: one every `summary_interval`, and one with the
+/// unsent observations soon after observations arrive.
 pub(crate) async fn send_summaries(
     table: ProxyTable,
-    spacing: Duration,
+    summary_interval: Duration,
     consensus: ConsensusHandle,
     stop: StopSignal,
 ) {
     tokio::select! {
-        () = run_summaries(table, spacing, consensus) => (),
+        () = run_summaries(table, summary_interval, consensus) => (),
         () = stop.stopped() => (),
     }
 }
 
-async fn run_summaries(table: ProxyTable, spacing: Duration, consensus: ConsensusHandle) {
-    let mut ticks = interval(spacing);
+async fn run_summaries(table: ProxyTable, summary_interval: Duration, consensus: ConsensusHandle) {
+    let mut ticks = interval(summary_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut tick_extents = (0_u64..).map(extent_of_tick);
+    let mut tick_scopes = (0_u64..).map(scope_of_tick);
     loop {
-        let extent = tokio::select! {
-            // A tick carries what is unsent as well, and no flood of observations puts it off.
+        let scope = tokio::select! {
+            // A summary at a tick carries unsent observations as well. Ticks are polled first, so that a
+            // flood of observations cannot delay them.
             biased;
-            _ = ticks.tick() => tick_extents.next().unwrap_or(Extent::Full),
-            () = table.observed.notified() => Extent::Unsent,
+            _ = ticks.tick() => tick_scopes.next().unwrap_or(SummaryScope::Full),
+            () = table.observations_arrived.notified() => SummaryScope::Unsent,
         };
-        sleep(BATCHING_INTERVAL).await;
-        let reports = table.summary(extent);
+        sleep(SUMMARY_DELAY).await;
+        let reports = table.take_summary(scope);
         if !reports.is_empty() && consensus.send(ConsensusInput::Reports(reports)).is_err() {
             return;
         }
     }
 }
 
-const fn extent_of_tick(number: u64) -> Extent {
-    if number.is_multiple_of(FULL_SUMMARY_EVERY) { Extent::Full } else { Extent::Changes }
+const fn scope_of_tick(tick: u64) -> SummaryScope {
+    if tick.is_multiple_of(TICKS_PER_FULL_SUMMARY) {
+        SummaryScope::Full
+    } else {
+        SummaryScope::Changes
+    }
 }
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -1,7 +1,7 @@
-//! The registry of back ends and the configuration document, for the interfaces of a deployment.
+//! Access to the registry of back ends and to the configuration document, for the interfaces of a deployment.
 //!
-//! Owns nothing of them: changes go through the log and reads through the state. Decides only whether the
-//! cell is complete enough to take changes.
+//! Changes go through the log and reads through the state, on whichever replica leads. The handle only
+//! decides whether the cell has enough voters to accept changes.
 
 use crate::consensus::{ConsensusHandle, ReplicaStatus};
 use crate::error::RequestError;
@@ -15,27 +15,27 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Why the registry did not take a change or answer a question.
+/// Why a change or read of the registry failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegistryError {
-    /// The document cannot be put in force; it never will be.
+    /// The document is invalid and can never be put in force.
     #[error(transparent)]
     Document(#[from] DocumentError),
-    /// The cell is not complete yet; nothing was changed.
+    /// The cell does not have all its voters yet; nothing was changed.
     #[error("the cell is still forming")]
     Forming,
-    /// No outcome is known; the same change may be sent again.
+    /// The outcome is unknown; the same change may be sent again.
     #[error(transparent)]
     Unavailable(#[from] RequestError),
 }
 
-/// Changes and reads the registry, whichever replica leads.
+/// Changes and reads the registry through the leader, on any replica of the cell.
 #[derive(Clone)]
 pub struct RegistryHandle {
     consensus: ConsensusHandle,
     status: watch::Receiver<ReplicaStatus>,
-    voters: usize,
-    forming_until: Instant,
+    required_voters: usize,
+    formation_deadline: Instant,
 }
 
 impl std::fmt::Debug for RegistryHandle {
@@ -50,16 +50,17 @@
         Self {
             consensus: starting.consensus.clone(),
             status: starting.status.clone(),
-            voters: settings.cell_repair.map_or(0, |repair| repair.voters),
-            forming_until: Instant::now() + settings.formation_grace,
+            required_voters: settings.cell_repair.map_or(0, |repair| repair.voters),
+            formation_deadline: Instant::now() + settings.formation_grace,
         }
     }
 
-    /// Puts a document in force, unless one of the same or a higher version is. Returns the
-    /// version in force once the log has committed it.
+    /// Puts a document in force, unless a document of the same or a higher version is in force. Returns the
+    /// version in force after the change is committed.
     ///
     /// # Errors
-    /// [`RegistryError::Document`] for one that never can be in force; the others may be repeated.
+    /// Returns [`RegistryError::Document`] if the document is invalid; after any other error the caller may
+    /// repeat the call.
     pub async fn put_document(&self, offered: StoredDocument) -> Result<u64, RegistryError> {
         offered.document.check()?;
         let version = offered.document.version;
@@ -71,31 +72,36 @@
         Ok(held)
     }
 
-    /// The document in force, at least as new as any acknowledged before the call.
+    /// Returns the document in force, at least as new as any document acknowledged before the call.
     ///
     /// # Errors
-    /// [`RegistryError::Unavailable`] when this cannot be proved now.
-    pub async fn document(&self, limit: Duration) -> Result<Option<StoredDocument>, RegistryError> {
-        let read =
-            self.consensus.read_within(limit, |reader| reader.state.registry().document().cloned());
+    /// Returns [`RegistryError::Unavailable`] if the replica cannot confirm within `read_timeout` that it is current.
+    pub async fn document(
+        &self,
+        read_timeout: Duration,
+    ) -> Result<Option<StoredDocument>, RegistryError> {
+        let read = self
+            .consensus
+            .read_within(read_timeout, |reader| reader.state.registry().document().cloned());
         Ok(read.await?)
     }
 
-    /// Takes a heartbeat. What it reports anew is committed before this returns.
+    /// Applies the heartbeat of a back end. If the report changes the registry, the change is committed
+    /// before this function returns.
     ///
     /// # Errors
-    /// [`RegistryError`]; the back end should report to another replica.
+    /// Returns a [`RegistryError`] if the change fails; the back end should report to another replica.
     pub async fn report(
         &self,
         member: MemberName,
         report: BackEndReport,
     ) -> Result<(), RegistryError> {
-        let (name, reported) = (member.clone(), report.clone());
-        let is_news = self
+        let (name, peeked_report) = (member.clone(), report.clone());
+        let is_change = self
             .consensus
-            .peek(move |reader| reader.state.registry().is_news(&name, &reported))
+            .peek(move |reader| reader.state.registry().is_news(&name, &peeked_report))
             .await?;
-        if !is_news {
+        if !is_change {
             return Ok(());
         }
         let back_end = &report.back_end;
@@ -107,16 +113,17 @@
         self.change(RegistryCommand::Report { member, report }).await.map(drop)
     }
 
-    /// Notes that a back end is gone for good; committed before this returns.
+    /// Removes a back end that has left for good; the removal is committed before this function returns.
     ///
     /// # Errors
-    /// [`RegistryError`]; the back end should report to another replica.
+    /// Returns a [`RegistryError`] if the change fails; the back end should report to another replica.
     pub async fn leave(&self, member: MemberName) -> Result<(), RegistryError> {
         log::info!(member:% = member; "back end leaves");
         self.change(RegistryCommand::Leave { member }).await.map(drop)
     }
 
-    /// Machine of the replica that leads, where known: later heartbeats may go there straight.
+    /// Returns the address of the leader's machine, if known, so that back ends can send later heartbeats
+    /// directly to the leader.
     #[must_use]
     pub fn leader_machine(&self) -> Option<IpAddr> {
         let status = self.status.borrow();
@@ -126,8 +133,8 @@
     }
 
     async fn change(&self, command: RegistryCommand) -> Result<RegistryOutcome, RegistryError> {
-        let complete = self.status.borrow().cell.voters.len() >= self.voters;
-        if !complete && Instant::now() < self.forming_until {
+        let is_complete = self.status.borrow().cell.voters.len() >= self.required_voters;
+        if !is_complete && Instant::now() < self.formation_deadline {
             return Err(RegistryError::Forming);
         }
         match self.consensus.propose(Command::Registry(Box::new(command))).await? {
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a control replica, as the process that runs it gives them; no file is read here.
+//! Settings of a control replica. The process that runs the replica provides them; this module reads no file.
 
 use crate::registry_calls::RegistryCalls;
 use corktack_core::consensus::{CellConfig, CellMember};
@@ -10,30 +10,30 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Defaults of what is not given, for replicas within one region. Chosen, not measured: an election timeout of
-/// six heartbeats, and a proxy's of three. Lower timeouts replace leaders and proxies that are only slow;
-/// higher ones add to the time after a loss.
+/// Default timeouts for replicas within one region: the election timeout is six heartbeat intervals, the
+/// timeout of a proxy is three. Shorter timeouts replace leaders and proxies that are only slow; longer ones
+/// delay the recovery after a loss.
 const DEFAULT_ELECTION_TIMEOUT: Duration = Duration::from_millis(300);
 const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 const DEFAULT_PROXY_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const DEFAULT_PROXY_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Chosen, not measured; a lower value writes snapshots more often, a higher one reads a longer log at a start.
+/// A lower value writes snapshots more often; a higher one makes a start read a longer log.
 const DEFAULT_SNAPSHOT_ENTRIES: u64 = 4_096;
-/// Chosen, not measured; a lower value sends more snapshots to those who lag, a higher one takes more memory.
+/// A lower value sends more snapshots to lagging watchers; a higher one uses more memory.
 const DEFAULT_WATCH_CHANGES: usize = 8_192;
-/// Limits of a request, a call of a back end and a probe. Chosen, not measured; lower values give up on what is
-/// only slow, higher ones hold up what waits for it.
+/// Timeouts of a request, of a call to a back end and of a probe. Shorter timeouts abort calls that are only
+/// slow; longer ones delay whatever waits for the result.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const DEFAULT_BACK_END_TIMEOUT: Duration = Duration::from_secs(1);
 const DEFAULT_PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Chosen, not measured; more serve more operators and proxies side by side, at a thread each.
+/// More workers serve more operators and proxies in parallel; each worker is a thread.
 const DEFAULT_WORKERS: usize = 2;
 
-/// How a replica with an empty data folder finds its cell. A replica that finds
-/// its log on disk goes by the log; the addresses are then only a first hint.
+/// How a replica with an empty data folder finds its cell. A replica with a log on disk takes the cell from
+/// the log and uses the addresses given here only for its first connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CellStart {
-    /// The replica is one of the first voters of a new cell.
+    /// The replica is one of the initial voters of a new cell.
     Bootstrap(CellConfig),
     /// The replica waits to be added as a learner by these members.
     Join(Vec<CellMember>),
@@ -42,9 +42,9 @@
 /// The platform's list of live and leaving machines: `{"live":[ADDRESS],"leaving":[ADDRESS]}`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformSource {
-    /// Where the list is served over HTTP.
+    /// Address of the HTTP server that serves the list.
     pub address: SocketAddr,
-    /// Path of the list, with its leading slash.
+    /// Path of the list, with a leading slash.
     pub path: String,
     /// Time between two polls.
     pub interval: Duration,
@@ -53,64 +53,65 @@
 /// Settings of a control replica.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// Name of the cell; connections of other cells are refused.
+    /// Name of the cell; connections from other cells are refused.
     pub cell: CellName,
-    /// This replica. One that lost its disk must come back under a new identity.
+    /// Identity of this replica. A replica that lost its disk must return with a new identity.
     pub replica: ReplicaId,
-    /// Incarnation of the process, drawn at its start.
+    /// Incarnation of the process, generated at its start.
     pub incarnation: Incarnation,
-    /// How an empty replica finds its cell.
+    /// How a replica with an empty data folder finds its cell.
     pub start: CellStart,
-    /// Folder of the log and the snapshots; nothing else may write there.
+    /// Folder of the log and the snapshots; no other process may write to this folder.
     pub data_folder: PathBuf,
-    /// Shortest time without a leader before an election.
+    /// Shortest time without a leader before the replica starts an election.
     pub election_timeout: Duration,
-    /// Shortest time before the first election after the start.
+    /// Shortest time from the start of the replica to its first election.
     pub first_election_timeout: Duration,
-    /// Time between heartbeats of the leader.
+    /// Interval of the leader's heartbeats.
     pub heartbeat_interval: Duration,
-    /// Time between heartbeats of a proxy, and between summaries of them to the leader.
+    /// Interval of a proxy's heartbeats, and of the summaries of these heartbeats to the leader.
     pub proxy_heartbeat_interval: Duration,
-    /// Silence after which a proxy counts as down.
+    /// Time without a heartbeat after which a proxy counts as down.
     pub proxy_heartbeat_timeout: Duration,
-    /// When and how a primary is replaced.
+    /// Settings of failover: when and how a primary is replaced.
     pub failover: corktack_core::failover::FailoverSettings,
-    /// Longest wait for a fence or a promotion, its connection included.
+    /// Timeout of a fence or a promotion, including the connection.
     pub back_end_timeout: Duration,
-    /// Longest wait for a probe, its connection included.
+    /// Timeout of a probe, including the connection.
     pub probe_timeout: Duration,
-    /// Log entries after which a snapshot is made.
+    /// Number of log entries after which a snapshot is made.
     pub snapshot_entries: u64,
-    /// Changes kept for watchers; one further behind gets a snapshot or lists again.
+    /// Number of changes kept for watchers; a watcher that is further behind gets a snapshot or lists again.
     pub watch_changes: usize,
-    /// Longest time a request waits for its outcome before it is answered 503.
+    /// Longest time that a request waits for its outcome before the replica responds with status 503.
     pub request_timeout: Duration,
-    /// The platform's list, where there is one.
+    /// Source of the platform's list, if the platform serves one.
     pub platform: Option<PlatformSource>,
-    /// Bearer token that operators present. Without one only loopback is served.
+    /// Bearer token that operators must present. Without a token, operators are only served on loopback.
     pub operator_token: Option<String>,
-    /// Threads of the resource interface, and arbiters of the proxies' watch.
+    /// Number of threads of the resource interface, and of arbiters for the watch of proxies.
     pub workers: usize,
-    /// How the leader grows and repairs the cell by itself; without it operators do.
+    /// How the leader grows and repairs the cell by itself; if absent, operators change the cell.
     pub cell_repair: Option<CellRepairSettings>,
-    /// How the leader reaches registered back ends; without it their primaries are not replaced.
+    /// How the leader reaches registered back ends; if absent, their primaries are not replaced.
     pub registry_calls: Option<RegistryCalls>,
-    /// By what the limits of tenants are kept.
+    /// Parameters by which the limits of tenants are enforced.
     pub limits: LimitBounds,
-    /// How long after its start a replica leaves registry changes unacknowledged while the
-    /// cell has fewer voters than it should have: with few voters, fewer lost disks than
-    /// tolerated could lose them.
+    /// How long after its start a replica refuses registry changes while the cell has fewer voters than it
+    /// should have. With so few voters, fewer lost disks than the cell should tolerate could lose the
+    /// changes.
     pub formation_grace: Duration,
-    /// Where a replica without a cell requests to be added: proxy addresses of other replicas.
+    /// Addresses to which a replica without a cell sends its join request: the proxies' listeners of other
+    /// replicas.
     pub join_through: Vec<SocketAddr>,
-    /// Address at which other replicas reach this one, needed to join a cell.
+    /// Address at which other replicas reach this replica; needed to join a cell.
     pub cell_address: Option<SocketAddr>,
-    /// Seed of the jitter of elections and reconnections.
+    /// Seed for the jitter of elections and reconnections.
     pub seed: u64,
 }
 
 impl ControlSettings {
-    /// Settings with the defaults for everything that is not given.
+    /// Creates settings with the defaults for everything else.
     #[must_use]
     pub fn new(cell: CellName, replica: ReplicaId, start: CellStart, data_folder: PathBuf) -> Self {
         Self {
@@ -144,13 +145,13 @@
     }
 }
 
-/// Bound listeners of a control replica.
+/// Bound listeners that a control replica takes over.
 #[derive(Debug)]
 pub struct ControlListeners {
-    /// For other control replicas.
+    /// Listener for other control replicas of the cell.
     pub cell: TcpListener,
-    /// For proxies.
+    /// Listener for proxies, and for replicas that request to join the cell.
     pub proxies: TcpListener,
-    /// For operators, over HTTP.
+    /// HTTP listener for operators.
     pub operators: TcpListener,
 }
