--- a/crates/control/tests/failover.rs
+++ b/crates/control/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Failover of a stand-in group.
+//! Failover of a group of stand-in members after its primary stops, also when the leader stops too.
 
 mod support;
 
@@ -22,7 +22,8 @@
     Group::start(GroupSettings::new(name, folder.path().to_path_buf())).expect("a group starts")
 }
 
-async fn declare(operator: &Operator, group: &Group) {
+/// Creates the group through the resource interface.
+async fn declare_group(operator: &Operator, group: &Group) {
     let members = group.peers().iter().zip(group.postgres_addresses());
     let members: Vec<_> = members
         .map(|(peer, address)| json!({"name": peer.name, "address": address, "zone": "amba.a"}))
@@ -31,26 +32,27 @@
     operator.put(&format!("/v1/groups/{GROUP}"), json!({ "spec": spec })).await.accepted();
 }
 
-async fn primary(operator: &Operator) -> Option<(MemberName, Term)> {
+async fn current_primary(operator: &Operator) -> Option<(MemberName, Term)> {
     let status = operator.status().await;
     let group: &GroupBody = status.groups.first()?;
     Some((group.primary.clone()?, group.term))
 }
 
-fn unreachable(member: &MemberName) -> Observation {
+fn unreachable_observation(member: &MemberName) -> Observation {
     let group = GroupName::new(GROUP).expect("a valid name");
     Observation { group, member: member.clone(), health: MemberHealth::Unreachable }
 }
 
-async fn write(group: &Group, member: &MemberName) {
-    let place = group.peers().iter().position(|peer| peer.name == *member).expect("a member");
-    let address = group.postgres_addresses()[place];
+/// Checks that a member accepts a write.
+async fn check_write(group: &Group, member: &MemberName) {
+    let index = group.peers().iter().position(|peer| peer.name == *member).expect("a member");
+    let address = group.postgres_addresses()[index];
     let mut config = tokio_postgres::Config::new();
     config.hostaddr(address.ip()).port(address.port()).user("test").dbname(GROUP);
     let (client, connection) = config.connect(tokio_postgres::NoTls).await.expect("a connection");
     actix_rt::spawn(async move { drop(connection.await) });
     let statement = "CREATE TABLE flags (line TEXT)";
-    client.simple_query(statement).await.expect("the primary takes a write");
+    client.simple_query(statement).await.expect("the primary accepts a write");
 }
 
 #[rstest]
@@ -65,31 +67,31 @@
     let follower = cell.follower().await;
     let operator = cell.replicas[follower].operator();
     let mut proxy = Proxy::connect(cell.replicas[follower].proxies, "p-1", View::default()).await;
-    declare(&operator, &group).await;
-    let (first, term) = until("the group's own primary is adopted", async || {
+    declare_group(&operator, &group).await;
+    let (old_primary, term) = until("the group's own primary is adopted", async || {
         proxy.confirm().await;
-        primary(&operator).await
+        current_primary(&operator).await
     })
     .await;
-    assert_eq!(first, group.peers()[0].name);
+    assert_eq!(old_primary, group.peers()[0].name);
 
     group.stop_member(0);
     if leader_stops {
         cell.replicas[leader].stop().await;
     }
-    proxy.heartbeat(false, vec![unreachable(&first)]).await;
-    let (second, next_term) = until("another primary", async || {
+    proxy.heartbeat(false, vec![unreachable_observation(&old_primary)]).await;
+    let (new_primary, next_term) = until("another primary", async || {
         proxy.confirm().await;
-        primary(&operator).await.filter(|(_, next)| *next > term)
+        current_primary(&operator).await.filter(|(_, new_term)| *new_term > term)
     })
     .await;
-    assert_ne!(second, first);
-    write(&group, &second).await;
-    let seen = until("the proxy is told", async || {
+    assert_ne!(new_primary, old_primary);
+    check_write(&group, &new_primary).await;
+    let primary_in_view = until("the proxy has the new primary", async || {
         proxy.confirm().await;
         let view = &proxy.view.groups[&GroupName::new(GROUP).ok()?];
         (view.term == next_term).then(|| view.primary.clone())
     })
     .await;
-    assert_eq!(seen, Some(second));
+    assert_eq!(primary_in_view, Some(new_primary));
 }
--- a/crates/control/tests/forms/data_folder.rs
+++ b/crates/control/tests/forms/data_folder.rs
@@ -1,5 +1,5 @@
-//! A data folder as an earlier version left it opens, and every kind of command in its log is
-//! applied with the same result.
+//! Checks that this version writes the same data folder as an earlier version, opens the folder of that
+//! version, and applies every kind of command in its log with the same result.
 
 use corktack_core::consensus::{CellConfig, CellMember, Entry, HardState, Payload, Snapshot};
 use corktack_core::identity::{Incarnation, NameError, ReplicaId};
@@ -27,11 +27,11 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// The folder that an earlier version wrote from [`entries`] and [`snapshot`].
+/// Folder that an earlier version wrote from [`entries`] and [`snapshot`].
 const STORED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/forms/data-folder");
 const CELL: &str = "main";
-/// Commands that the snapshot covers; the others stand in the log.
-const COVERED: u64 = 4;
+/// Number of commands that the snapshot covers; the log contains the others.
+const SNAPSHOT_COMMANDS: u64 = 4;
 
 fn name<T: FromStr<Err = NameError>>(text: &str) -> T {
     text.parse().expect("a valid name")
@@ -47,11 +47,11 @@
 }
 
 fn group() -> Command {
-    let member = |place: u16| MemberSpec {
-        name: name(&format!("m{place}")),
-        address: ([127, 0, 0, 1], 6_000 + place).into(),
+    let member = |index: u16| MemberSpec {
+        name: name(&format!("m{index}")),
+        address: ([127, 0, 0, 1], 6_000 + index).into(),
         zone: name("amba.a"),
-        draining: place == 2,
+        draining: index == 2,
     };
     let spec = DatabaseGroupSpec {
         database: "calls".to_owned(),
@@ -139,7 +139,7 @@
     Command::Failover(vec![(name("calls"), step)])
 }
 
-/// Every kind of command at least once.
+/// Returns every kind of command at least once.
 fn commands() -> Vec<Command> {
     let promote = RegistryCommand::Promote { group: name("calls"), target: name("b-2") };
     let ceilings =
@@ -182,36 +182,37 @@
     let payload = |command: &Command| Payload::Command(encode(command).expect("an encoding"));
     let entry = |(index, command)| Entry { term: Term(2), index, payload: payload(command) };
     let mut entries: Vec<Entry> = (1..).zip(&commands()).map(entry).collect();
-    let next = entries.len() as u64 + 1;
-    entries.push(Entry { term: Term(3), index: next, payload: Payload::Cell(cell()) });
-    entries.push(Entry { term: Term(3), index: next + 1, payload: Payload::Empty });
+    let next_index = entries.len() as u64 + 1;
+    entries.push(Entry { term: Term(3), index: next_index, payload: Payload::Cell(cell()) });
+    entries.push(Entry { term: Term(3), index: next_index + 1, payload: Payload::Empty });
     entries
 }
 
 fn snapshot() -> Snapshot {
-    let data = encode(&state_after(COVERED)).expect("an encoding");
-    Snapshot { index: COVERED, term: Term(2), cell: cell(), data }
+    let data = encode(&state_after(SNAPSHOT_COMMANDS)).expect("an encoding");
+    Snapshot { index: SNAPSHOT_COMMANDS, term: Term(2), cell: cell(), data }
 }
 
 fn hard_state() -> HardState {
     HardState { term: Term(3), vote: Some(ReplicaId(1)), commit: 19 }
 }
 
-/// Files of a folder and those below it, by their path in it. Lock files are empty and left out.
+/// Returns the files of a folder and of the folders below, by their relative paths. Lock files are empty and
+/// left out.
 fn files_below(folder: &Path) -> BTreeMap<PathBuf, Vec<u8>> {
     let mut files = BTreeMap::new();
-    let mut open = vec![folder.to_owned()];
-    while let Some(next) = open.pop() {
-        for entry in std::fs::read_dir(&next).expect("a folder") {
+    let mut pending_folders = vec![folder.to_owned()];
+    while let Some(subfolder) = pending_folders.pop() {
+        for entry in std::fs::read_dir(&subfolder).expect("a folder") {
             let path = entry.expect("an entry").path();
             if path.is_dir() {
-                open.push(path);
+                pending_folders.push(path);
                 continue;
             }
             let bytes = std::fs::read(&path).expect("a file");
-            let place = path.strip_prefix(folder).expect("below the folder").to_owned();
+            let relative_path = path.strip_prefix(folder).expect("below the folder").to_owned();
             if !bytes.is_empty() {
-                files.insert(place, bytes);
+                files.insert(relative_path, bytes);
             }
         }
     }
@@ -226,13 +227,13 @@
 }
 
 #[test]
-fn what_is_written_has_the_bytes_of_earlier_versions() {
+fn a_written_folder_has_the_bytes_of_earlier_versions() {
     let folder = TempDir::new().expect("a folder can be made");
     write_folder(folder.path());
     let written = files_below(folder.path());
     if std::env::var_os("UPDATE_EXPECT").is_some() {
-        for (place, bytes) in &written {
-            let path = Path::new(STORED).join(place);
+        for (relative_path, bytes) in &written {
+            let path = Path::new(STORED).join(relative_path);
             let parent = path.parent().expect("a file in a folder");
             std::fs::create_dir_all(parent).expect("a folder can be made");
             std::fs::write(path, bytes).expect("a file can be written");
@@ -245,19 +246,19 @@
 #[test]
 fn a_folder_of_an_earlier_version_opens() {
     let copy = TempDir::new().expect("a folder can be made");
-    for (place, bytes) in files_below(Path::new(STORED)) {
-        let path = copy.path().join(place);
+    for (relative_path, bytes) in files_below(Path::new(STORED)) {
+        let path = copy.path().join(relative_path);
         std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
         std::fs::write(path, bytes).expect("a file can be written");
     }
     let folder = DataFolder::open(copy.path()).expect("a data folder");
     let (_, stored) = ReplicaLog::open(&folder, CELL).expect("an old log opens");
     assert_eq!(stored.hard_state, hard_state());
-    let found = stored.snapshot.expect("the snapshot");
-    let mut state: ControlState = decode(&found.data).expect("a state");
-    assert_eq!(state, state_after(COVERED));
-    assert_eq!((found.index, found.cell), (COVERED, cell()));
-    assert_eq!(stored.entries, entries()[COVERED as usize..]);
+    let stored_snapshot = stored.snapshot.expect("the snapshot");
+    let mut state: ControlState = decode(&stored_snapshot.data).expect("a state");
+    assert_eq!(state, state_after(SNAPSHOT_COMMANDS));
+    assert_eq!((stored_snapshot.index, stored_snapshot.cell), (SNAPSHOT_COMMANDS, cell()));
+    assert_eq!(stored.entries, entries()[SNAPSHOT_COMMANDS as usize..]);
     for entry in stored.entries {
         if let Payload::Command(bytes) = entry.payload {
             let command: Command = decode(&bytes).expect("a command");
--- a/crates/control/tests/forms/shape.rs
+++ b/crates/control/tests/forms/shape.rs
@@ -1,8 +1,8 @@
-//! The form of a type in the internal encoding, as text: kinds of values in their order, without
-//! the names of types and fields, which the encoding does not carry.
+//! Describes the shape of a type in the internal encoding as text: the kinds of values in their order,
+//! without the names of types and fields, which the encoding does not contain.
 //!
-//! A type is decoded from values made up here, again and again, until each variant of each
-//! enum has been decoded once; what its decoder asked for is its form.
+//! A type is decoded repeatedly from placeholder values, until each variant of each enum has been decoded
+//! once. The kinds of values that the decoder requested are the shape of the type.
 
 use serde::de::value::{Error, U32Deserializer};
 use serde::de::{
@@ -11,59 +11,59 @@
 };
 use std::fmt::Write;
 
-/// Writes the form of `T`: one line a value, indented by depth; variants carry their number.
+/// Returns the shape of `T`: one line for each value, indented by depth; variants carry their index.
 pub fn shape_of<T: DeserializeOwned>() -> String {
     let mut root = Node::default();
     while !root.is_complete() {
-        T::deserialize(Recorder { node: &mut root }).expect("any value of the form is taken");
+        T::deserialize(Recorder { node: &mut root }).expect("a placeholder value is accepted");
     }
     let mut text = String::new();
     root.write(0, &mut text);
     text
 }
 
-/// What a decoder asked for at one place.
+/// The kind of value that a decoder requested at one position, and its parts.
 #[derive(Default)]
 struct Node {
     kind: &'static str,
     parts: Vec<Node>,
     is_enum: bool,
-    /// Of an enum: whether the variant of this number has been decoded.
+    /// For an enum: whether the variant of each index has been decoded.
     decoded: Vec<bool>,
 }
 
 impl Node {
     fn is_complete(&self) -> bool {
-        let is_known = !self.kind.is_empty();
+        let has_kind = !self.kind.is_empty();
         let all_decoded = self.decoded.iter().all(|decoded| *decoded);
-        is_known && all_decoded && self.parts.iter().all(Self::is_complete)
+        has_kind && all_decoded && self.parts.iter().all(Self::is_complete)
     }
 
-    fn part(&mut self, place: usize) -> &mut Self {
-        if self.parts.len() <= place {
-            self.parts.resize_with(place + 1, Self::default);
+    fn part(&mut self, index: usize) -> &mut Self {
+        if self.parts.len() <= index {
+            self.parts.resize_with(index + 1, Self::default);
         }
-        &mut self.parts[place]
+        &mut self.parts[index]
     }
 
-    /// The first variant that is not wholly known.
+    /// Marks and returns the index of the first variant that is not completely decoded.
     fn next_variant(&mut self, count: usize) -> usize {
         self.kind = "enum";
         self.is_enum = true;
         self.decoded.resize(count, false);
-        let open = |place: &usize| {
-            !self.decoded[*place] || self.parts.get(*place).is_some_and(|it| !it.is_complete())
+        let is_incomplete = |index: &usize| {
+            !self.decoded[*index] || self.parts.get(*index).is_some_and(|part| !part.is_complete())
         };
-        let next = (0..count).find(open).unwrap_or_default();
-        self.decoded[next] = true;
-        next
+        let variant = (0..count).find(is_incomplete).unwrap_or_default();
+        self.decoded[variant] = true;
+        variant
     }
 
     fn write(&self, depth: usize, text: &mut String) {
         writeln!(text, "{:1$}{kind}", "", depth * 2, kind = self.kind).expect("text grows");
-        for (place, part) in self.parts.iter().enumerate() {
+        for (index, part) in self.parts.iter().enumerate() {
             if self.is_enum {
-                write!(text, "{:1$}{place} ", "", depth * 2 + 2).expect("text grows");
+                write!(text, "{:1$}{index} ", "", depth * 2 + 2).expect("text grows");
                 part.write_variant(depth + 2, text);
             } else {
                 part.write(depth + 1, text);
@@ -77,11 +77,13 @@
     }
 }
 
+/// A deserializer that records the requested kinds in a node.
 struct Recorder<'n> {
     node: &'n mut Node,
 }
 
-macro_rules! plain {
+/// Methods that record the kind of a primitive value and provide a placeholder.
+macro_rules! primitive_methods {
     ($($method:ident $visit:ident $value:expr, $kind:literal;)*) => {
         $(fn $method<V: Visitor<'static>>(self, visitor: V) -> Result<V::Value, Error> {
             self.node.kind = $kind;
@@ -93,14 +95,14 @@
 impl<'n> Recorder<'n> {
     fn parts(self, kind: &'static str, count: usize) -> Parts<'n> {
         self.node.kind = kind;
-        Parts { node: self.node, next: 0, count }
+        Parts { node: self.node, next_index: 0, count }
     }
 }
 
 impl Deserializer<'static> for Recorder<'_> {
     type Error = Error;
 
-    plain! {
+    primitive_methods! {
         deserialize_bool visit_bool false, "bool";
         deserialize_i8 visit_i8 0, "i8";
         deserialize_i16 visit_i16 0, "i16";
@@ -125,7 +127,7 @@
     }
 
     fn deserialize_any<V: Visitor<'static>>(self, _: V) -> Result<V::Value, Error> {
-        Err(de::Error::custom("the internal encoding has no types of its own"))
+        Err(de::Error::custom("the internal encoding does not describe types"))
     }
 
     fn deserialize_option<V: Visitor<'static>>(self, visitor: V) -> Result<V::Value, Error> {
@@ -146,7 +148,7 @@
         self.deserialize_unit(visitor)
     }
 
-    /// Takes no place in the encoding.
+    /// A newtype is encoded as its content.
     fn deserialize_newtype_struct<V: Visitor<'static>>(
         self,
         _: &'static str,
@@ -195,8 +197,8 @@
         variants: &'static [&'static str],
         visitor: V,
     ) -> Result<V::Value, Error> {
-        let number = self.node.next_variant(variants.len());
-        visitor.visit_enum(Variant { node: self.node.part(number), number })
+        let index = self.node.next_variant(variants.len());
+        visitor.visit_enum(Variant { node: self.node.part(index), index })
     }
 
     fn deserialize_identifier<V: Visitor<'static>>(self, visitor: V) -> Result<V::Value, Error> {
@@ -208,20 +210,23 @@
     }
 }
 
-/// Parts of a value, one after the other.
+/// Decodes the parts of a value in order.
 struct Parts<'n> {
     node: &'n mut Node,
-    next: usize,
+    next_index: usize,
     count: usize,
 }
 
 impl Parts<'_> {
-    fn part<S: DeserializeSeed<'static>>(&mut self, seed: S) -> Result<Option<S::Value>, Error> {
-        if self.next == self.count {
+    fn decode_part<S: DeserializeSeed<'static>>(
+        &mut self,
+        seed: S,
+    ) -> Result<Option<S::Value>, Error> {
+        if self.next_index == self.count {
             return Ok(None);
         }
-        let node = self.node.part(self.next);
-        self.next += 1;
+        let node = self.node.part(self.next_index);
+        self.next_index += 1;
         seed.deserialize(Recorder { node }).map(Some)
     }
 }
@@ -233,7 +238,7 @@
         &mut self,
         seed: S,
     ) -> Result<Option<S::Value>, Error> {
-        self.part(seed)
+        self.decode_part(seed)
     }
 }
 
@@ -244,18 +249,18 @@
         &mut self,
         seed: K,
     ) -> Result<Option<K::Value>, Error> {
-        self.part(seed)
+        self.decode_part(seed)
     }
 
     fn next_value_seed<V: DeserializeSeed<'static>>(&mut self, seed: V) -> Result<V::Value, Error> {
-        self.part(seed)?.ok_or_else(|| de::Error::custom("a value without a key"))
+        self.decode_part(seed)?.ok_or_else(|| de::Error::custom("a value without a key"))
     }
 }
 
-/// The content of one variant.
+/// Decodes the content of one enum variant.
 struct Variant<'n> {
     node: &'n mut Node,
-    number: usize,
+    index: usize,
 }
 
 impl<'n> EnumAccess<'static> for Variant<'n> {
@@ -266,9 +271,9 @@
         self,
         seed: V,
     ) -> Result<(V::Value, Self::Variant), Error> {
-        let number = u32::try_from(self.number).expect("a small number");
-        let number: U32Deserializer<Error> = number.into_deserializer();
-        Ok((seed.deserialize(number)?, self))
+        let index = u32::try_from(self.index).expect("a small number");
+        let index: U32Deserializer<Error> = index.into_deserializer();
+        Ok((seed.deserialize(index)?, self))
     }
 }
 
--- a/crates/control/tests/primary_faults.rs
+++ b/crates/control/tests/primary_faults.rs
@@ -1,4 +1,4 @@
-//! Failover of stand-in groups whose primary is killed, cut off or frozen.
+//! Failover of groups of stand-in members whose primary is killed, cut off or frozen.
 
 mod support;
 
@@ -19,9 +19,10 @@
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 const CREATE: &str = "CREATE TABLE flags (line TEXT PRIMARY KEY)";
-/// Longer than any test runs.
+/// An interval longer than any test runs.
 const NEVER: Duration = Duration::from_secs(3_600);
 
+/// Fault of a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     Killed,
@@ -30,16 +31,17 @@
 }
 
 impl Fault {
-    fn bring_about(self, group: &mut GatedGroup, place: usize) {
+    fn inject(self, group: &mut GatedGroup, index: usize) {
         match self {
-            Self::Killed => group.kill(place),
-            Self::Cut => group.set(place, GateState::Cut),
-            Self::Frozen => group.set(place, GateState::Frozen),
+            Self::Killed => group.kill(index),
+            Self::Cut => group.set_gates(index, GateState::Cut),
+            Self::Frozen => group.set_gates(index, GateState::Frozen),
         }
     }
 }
 
-async fn caller(address: SocketAddr) -> Client {
+/// Connects to a member as a caller.
+async fn connect_caller(address: SocketAddr) -> Client {
     let mut config = tokio_postgres::Config::new();
     config.hostaddr(address.ip()).port(address.port()).user("test").dbname("records");
     let (client, connection) = config.connect(NoTls).await.expect("a connection");
@@ -47,7 +49,7 @@
     client
 }
 
-async fn lines(client: &Client) -> Vec<String> {
+async fn read_lines(client: &Client) -> Vec<String> {
     let rows = client.simple_query("SELECT line FROM flags ORDER BY line").await;
     let rows = rows.expect("the primary reads").into_iter();
     rows.filter_map(|message| match message {
@@ -57,17 +59,17 @@
     .collect()
 }
 
-async fn primary(operator: &Operator, group: &GatedGroup) -> Option<(MemberName, Term)> {
+async fn current_primary(operator: &Operator, group: &GatedGroup) -> Option<(MemberName, Term)> {
     let status = operator.status().await;
-    let found = status.groups.iter().find(|it| it.name == group.name)?;
+    let found = status.groups.iter().find(|found| found.name == group.name)?;
     Some((found.primary.clone()?, found.term))
 }
 
-fn observed(group: &GatedGroup, member: &MemberName, health: MemberHealth) -> Observation {
+fn observation(group: &GatedGroup, member: &MemberName, health: MemberHealth) -> Observation {
     Observation { group: group.name.clone(), member: member.clone(), health }
 }
 
-/// A cell with one proxy, which owns the groups.
+/// A cell of three replicas with one proxy, which owns the groups.
 struct Fleet {
     cell: Cell,
     leader: usize,
@@ -85,36 +87,47 @@
         Self { operator, proxy, leader, cell }
     }
 
-    async fn adopt(&mut self, group: &GatedGroup) -> (MemberName, Term) {
+    /// Creates a group and waits until the cell has adopted the group's own primary.
+    async fn declare_group(&mut self, group: &GatedGroup) -> (MemberName, Term) {
         let path = format!("/v1/groups/{}", group.name);
         self.operator.put(&path, group.spec()).await.accepted();
-        self.primary_above(group, Term(0)).await
+        self.wait_for_primary_above(group, Term(0)).await
     }
 
-    /// Probes made by the leader.
-    async fn probes(&self) -> u64 {
+    /// Returns the number of probes that the leader has made.
+    async fn probe_count(&self) -> u64 {
         let leader = &self.cell.replicas[self.cell.leader().await];
         leader.metric("corktack_control_failover_steps_total{phase=\"probe\"}").await
     }
 
-    /// The owner sees a member so, until control has looked itself several times or
-    /// has no doubt.
-    async fn see(&mut self, group: &GatedGroup, member: &MemberName, health: MemberHealth) {
-        let before = self.probes().await;
+    /// Reports the health of a member as the group's owner; an unreachable member is reported until the
+    /// leader has probed 30 times more.
+    async fn report_health(
+        &mut self,
+        group: &GatedGroup,
+        member: &MemberName,
+        health: MemberHealth,
+    ) {
+        let probes_before = self.probe_count().await;
         until("probes", async || {
-            let observations = vec![observed(group, member, health)];
-            self.proxy.report(observations).await.expect("the connection goes on");
-            let enough = health != MemberHealth::Unreachable || self.probes().await >= before + 30;
-            enough.then_some(())
+            let observations = vec![observation(group, member, health)];
+            self.proxy.report(observations).await.expect("the connection stays open");
+            let is_done = health != MemberHealth::Unreachable
+                || self.probe_count().await >= probes_before + 30;
+            is_done.then_some(())
         })
         .await;
     }
 
-    /// Waits for a primary of a term above `term`, while the proxy stays alive.
-    async fn primary_above(&mut self, group: &GatedGroup, term: Term) -> (MemberName, Term) {
+    /// Waits for a primary with a term above `term`, while the proxy keeps sending heartbeats.
+    async fn wait_for_primary_above(
+        &mut self,
+        group: &GatedGroup,
+        term: Term,
+    ) -> (MemberName, Term) {
         until("a primary", async || {
             self.proxy.confirm().await;
-            primary(&self.operator, group).await.filter(|(_, found)| *found > term)
+            current_primary(&self.operator, group).await.filter(|(_, new_term)| *new_term > term)
         })
         .await
     }
@@ -128,35 +141,35 @@
 ) {
     let mut group = GatedGroup::start("records");
     let mut fleet = Fleet::start(|_| ()).await;
-    let (first, term) = fleet.adopt(&group).await;
-    let old = group.place_of(&first);
-    let caller_of_old = caller(group.postgres(old)).await;
-    caller_of_old.simple_query(CREATE).await.expect("the primary takes a write");
+    let (old_primary, term) = fleet.declare_group(&group).await;
+    let old = group.index_of(&old_primary);
+    let caller_of_old = connect_caller(group.postgres_address(old)).await;
+    caller_of_old.simple_query(CREATE).await.expect("the primary accepts a write");
     let insert = "INSERT INTO flags VALUES ('before')";
-    caller_of_old.simple_query(insert).await.expect("the primary takes a write");
+    caller_of_old.simple_query(insert).await.expect("the primary accepts a write");
 
-    fault.bring_about(&mut group, old);
+    fault.inject(&mut group, old);
     if leader_stops {
         let leader = fleet.leader;
         drop(fleet.cell.replicas[leader].handle.take());
     }
-    let unreachable = vec![observed(&group, &first, MemberHealth::Unreachable)];
+    let unreachable = vec![observation(&group, &old_primary, MemberHealth::Unreachable)];
     fleet.proxy.heartbeat(false, unreachable).await;
-    let (second, _) = fleet.primary_above(&group, term).await;
-    assert_ne!(second, first);
-    // The old primary is still reached by its callers, and does not know.
-    let late = actix_rt::spawn(async move {
+    let (new_primary, _) = fleet.wait_for_primary_above(&group, term).await;
+    assert_ne!(new_primary, old_primary);
+    // Callers still reach the old primary, which does not know that it was replaced.
+    let late_write = actix_rt::spawn(async move {
         caller_of_old.simple_query("INSERT INTO flags VALUES ('late')").await.map(drop)
     });
-    let caller_of_new = caller(group.postgres(group.place_of(&second))).await;
+    let caller_of_new = connect_caller(group.postgres_address(group.index_of(&new_primary))).await;
     let insert = "INSERT INTO flags VALUES ('after')";
-    caller_of_new.simple_query(insert).await.expect("the new primary takes a write");
+    caller_of_new.simple_query(insert).await.expect("the new primary accepts a write");
 
-    group.set(old, GateState::Open);
-    until("the late write has its answer", async || late.is_finished().then_some(())).await;
-    let answer = late.await.expect("the caller's task ends");
+    group.set_gates(old, GateState::Open);
+    until("the late write has its answer", async || late_write.is_finished().then_some(())).await;
+    let answer = late_write.await.expect("the caller's task ends");
     assert!(answer.is_err(), "a replaced primary acknowledged a write");
-    assert_eq!(lines(&caller_of_new).await, ["after", "before"]);
+    assert_eq!(read_lines(&caller_of_new).await, ["after", "before"]);
 }
 
 #[actix_rt::test]
@@ -164,48 +177,50 @@
     let mut groups: Vec<_> =
         ["alpha", "beta", "gamma", "delta"].into_iter().map(GatedGroup::start).collect();
     let mut fleet = Fleet::start(|_| ()).await;
-    let mut firsts = Vec::new();
+    let mut old_primaries = Vec::new();
     for group in &groups {
-        firsts.push(fleet.adopt(group).await);
+        old_primaries.push(fleet.declare_group(group).await);
     }
     let mut observations = Vec::new();
-    for (group, (first, _)) in groups.iter_mut().zip(&firsts) {
-        group.kill(group.place_of(first));
-        observations.push(observed(group, first, MemberHealth::Unreachable));
+    for (group, (old_primary, _)) in groups.iter_mut().zip(&old_primaries) {
+        group.kill(group.index_of(old_primary));
+        observations.push(observation(group, old_primary, MemberHealth::Unreachable));
     }
     fleet.proxy.heartbeat(false, observations).await;
-    for (group, (first, term)) in groups.iter().zip(&firsts) {
-        let (second, _) = fleet.primary_above(group, *term).await;
-        assert_ne!(second, *first);
+    for (group, (old_primary, term)) in groups.iter().zip(&old_primaries) {
+        let (new_primary, _) = fleet.wait_for_primary_above(group, *term).await;
+        assert_ne!(new_primary, *old_primary);
     }
     let callers = groups.iter().map(|group| async {
-        let (second, _) = primary(&fleet.operator, group).await.expect("a primary");
-        let client = caller(group.postgres(group.place_of(&second))).await;
-        client.simple_query(CREATE).await.expect("the new primary takes a write");
+        let (new_primary, _) = current_primary(&fleet.operator, group).await.expect("a primary");
+        let client = connect_caller(group.postgres_address(group.index_of(&new_primary))).await;
+        client.simple_query(CREATE).await.expect("the new primary accepts a write");
     });
     join_all(callers).await;
 }
 
+/// Guards against a failover while each report of an unreachable primary is followed by one of a healthy
+/// primary.
 #[actix_rt::test]
-async fn an_observer_that_changes_its_mind_all_the_time_changes_nothing() {
+async fn an_observer_that_alternates_its_reports_does_not_replace_the_primary() {
     let group = GatedGroup::start("records");
     let mut fleet = Fleet::start(|settings| {
         settings.proxy_heartbeat_interval = Duration::from_millis(10);
         settings.failover.suspicion = Duration::from_millis(1);
     })
     .await;
-    let (first, term) = fleet.adopt(&group).await;
+    let (old_primary, term) = fleet.declare_group(&group).await;
     for _ in 0..200 {
         for health in [MemberHealth::Unreachable, MemberHealth::Primary(term)] {
-            let observations = vec![observed(&group, &first, health)];
-            fleet.proxy.report(observations).await.expect("the connection goes on");
+            let observations = vec![observation(&group, &old_primary, health)];
+            fleet.proxy.report(observations).await.expect("the connection stays open");
         }
     }
-    assert_eq!(primary(&fleet.operator, &group).await, Some((first, term)));
+    assert_eq!(current_primary(&fleet.operator, &group).await, Some((old_primary, term)));
 }
 
 #[actix_rt::test]
-async fn a_group_that_failed_over_is_left_alone_for_its_cooldown() {
+async fn a_group_that_failed_over_does_not_fail_over_again_in_its_cooldown() {
     let group = GatedGroup::start("records");
     let mut fleet = Fleet::start(|settings| {
         settings.failover.suspicion = Duration::from_millis(10);
@@ -214,55 +229,60 @@
         settings.failover.cooldown_last = Duration::from_secs(3_600);
     })
     .await;
-    let (first, term) = fleet.adopt(&group).await;
-    group.set(group.place_of(&first), GateState::Cut);
-    let unreachable = vec![observed(&group, &first, MemberHealth::Unreachable)];
-    fleet.proxy.report(unreachable).await.expect("the connection goes on");
-    let (second, next_term) = fleet.primary_above(&group, term).await;
-    // All members are there again, and the new primary flaps.
-    group.set(group.place_of(&first), GateState::Open);
-    let place = group.place_of(&second);
+    let (old_primary, term) = fleet.declare_group(&group).await;
+    group.set_gates(group.index_of(&old_primary), GateState::Cut);
+    let unreachable = vec![observation(&group, &old_primary, MemberHealth::Unreachable)];
+    fleet.proxy.report(unreachable).await.expect("the connection stays open");
+    let (new_primary, next_term) = fleet.wait_for_primary_above(&group, term).await;
+    // All members are reachable again, and the new primary flaps.
+    group.set_gates(group.index_of(&old_primary), GateState::Open);
+    let index = group.index_of(&new_primary);
     for _ in 0..5 {
-        group.set(place, GateState::Cut);
-        fleet.see(&group, &second, MemberHealth::Unreachable).await;
-        group.set(place, GateState::Open);
-        fleet.see(&group, &second, MemberHealth::Primary(next_term)).await;
+        group.set_gates(index, GateState::Cut);
+        fleet.report_health(&group, &new_primary, MemberHealth::Unreachable).await;
+        group.set_gates(index, GateState::Open);
+        fleet.report_health(&group, &new_primary, MemberHealth::Primary(next_term)).await;
     }
-    let found = fleet.primary_above(&group, term).await;
-    assert_eq!(found, (second, next_term));
+    let found = fleet.wait_for_primary_above(&group, term).await;
+    assert_eq!(found, (new_primary, next_term));
 }
 
-/// Settings under which no heartbeat, proof or probe of a healthy primary is due
-/// while a test runs: only an observation can make the leader doubt a primary.
-fn nothing_due(settings: &mut ControlSettings) {
+/// Disables heartbeats, confirmations and probes of a healthy primary for the time of a test, so that only an
+/// observation can make the leader suspect a primary.
+fn disable_periodic_checks(settings: &mut ControlSettings) {
     settings.proxy_heartbeat_interval = NEVER;
     settings.proxy_heartbeat_timeout = NEVER;
     settings.failover.unobserved_interval = NEVER;
     settings.failover.sweep_interval = NEVER;
 }
 
-/// The cell has one replica, so that no summary is lost to a change of the leader.
+/// An observation must reach the leader without waiting for the next tick. The cell has one replica, so that
+/// no summary is lost when the leader changes.
 #[actix_rt::test]
 async fn observations_reach_the_leader_between_heartbeats() {
     let mut group = GatedGroup::start("records");
-    let cell = Cell::start_with(1, nothing_due);
+    let cell = Cell::start_with(1, disable_periodic_checks);
     cell.leader().await;
     let operator = cell.replicas[0].operator();
     let mut proxy = Proxy::connect(cell.replicas[0].proxies, "p-1", View::default()).await;
     operator.put("/v1/groups/records", group.spec()).await.accepted();
-    let (first, term) =
-        until("the primary is adopted", async || primary(&operator, &group).await).await;
-    proxy.heartbeat(false, vec![observed(&group, &first, MemberHealth::Primary(term))]).await;
+    let (old_primary, term) =
+        until("the primary is adopted", async || current_primary(&operator, &group).await).await;
+    proxy
+        .heartbeat(false, vec![observation(&group, &old_primary, MemberHealth::Primary(term))])
+        .await;
     until("the leader knows the proxy", async || {
         let status = operator.status().await;
-        status.proxies.iter().any(|it| it.state == ProxyState::Live).then_some(())
+        status.proxies.iter().any(|proxy| proxy.state == ProxyState::Live).then_some(())
     })
     .await;
-    group.kill(group.place_of(&first));
-    proxy.heartbeat(false, vec![observed(&group, &first, MemberHealth::Unreachable)]).await;
-    let (second, _) = until("another primary", async || {
-        primary(&operator, &group).await.filter(|(_, found)| *found > term)
+    group.kill(group.index_of(&old_primary));
+    proxy
+        .heartbeat(false, vec![observation(&group, &old_primary, MemberHealth::Unreachable)])
+        .await;
+    let (new_primary, _) = until("another primary", async || {
+        current_primary(&operator, &group).await.filter(|(_, new_term)| *new_term > term)
     })
     .await;
-    assert_ne!(second, first);
+    assert_ne!(new_primary, old_primary);
 }
--- a/crates/control/tests/proxies.rs
+++ b/crates/control/tests/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies' watch.
+//! The watch of proxies: snapshots, deltas, acknowledgements and the state of proxies.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use support::proxy::Proxy;
 use support::{Cell, until};
 
-/// Changes that a proxy sleeps through; more than the cell below keeps.
-const CHANGES: u32 = 500;
+/// Changes that a disconnected proxy misses; more than the cell of the test keeps.
+const MISSED_CHANGES: u32 = 500;
 
 #[actix_rt::test]
 async fn a_proxy_gets_every_change_in_order() {
@@ -25,12 +25,12 @@
     let gold = ClassName::new("gold").expect("a valid name");
     assert_eq!(proxy.view.classes[&gold].priority, 20);
     assert!(proxy.snapshots + proxy.deltas >= 1);
-    let current = until("a proof", async || proxy.confirm().await).await;
+    let current = until("a confirmation", async || proxy.confirm().await).await;
     assert!(current);
 }
 
 #[actix_rt::test]
-async fn a_proxy_that_slept_through_many_changes_gets_a_snapshot() {
+async fn a_proxy_that_missed_many_changes_gets_a_snapshot() {
     let cell = Cell::start_with(1, |settings| settings.watch_changes = 100);
     cell.leader().await;
     let replica = &cell.replicas[0];
@@ -39,41 +39,42 @@
     let first = operator.put_class("gold", 0, None).await.accepted().revision;
     proxy.reach(first).await;
     let View { revision, .. } = proxy.view;
-    let asleep = std::mem::take(&mut proxy.view);
+    let old_view = std::mem::take(&mut proxy.view);
     drop(proxy);
     let mut newest = revision;
-    for priority in 1..=CHANGES {
+    for priority in 1..=MISSED_CHANGES {
         newest = operator.put_class("gold", priority, None).await.accepted().revision;
     }
-    let mut proxy = Proxy::connect(replica.proxies, "p-1", asleep).await;
+    let mut proxy = Proxy::connect(replica.proxies, "p-1", old_view).await;
     proxy.reach(newest).await;
     assert_eq!(proxy.snapshots, 1);
     let gold = ClassName::new("gold").expect("a valid name");
-    assert_eq!(proxy.view.classes[&gold].priority, CHANGES);
+    assert_eq!(proxy.view.classes[&gold].priority, MISSED_CHANGES);
 }
 
 #[actix_rt::test]
 async fn a_replica_that_is_cut_off_serves_no_proxy() {
     let mut cell = Cell::start(3);
     let leader = cell.leader().await;
-    let place = cell.follower().await;
-    let operator = cell.replicas[place].operator();
+    let follower = cell.follower().await;
+    let operator = cell.replicas[follower].operator();
     operator.put_class("gold", 1, None).await.accepted();
-    let address = cell.replicas[place].proxies;
+    let address = cell.replicas[follower].proxies;
     let mut proxy = Proxy::connect(address, "p-1", View::default()).await;
     assert_eq!(proxy.confirm().await, Some(true));
-    let other = (0..3).find(|it| *it != leader && *it != place).expect("a third replica");
+    let other =
+        (0..3).find(|index| *index != leader && *index != follower).expect("a third replica");
     cell.replicas[other].stop().await;
     cell.replicas[leader].stop().await;
-    let proof = until("a proof fails", async || {
-        let proof = proxy.confirm().await;
-        (proof != Some(true)).then_some(proof)
+    let confirmed = until("a confirmation fails", async || {
+        let confirmed = proxy.confirm().await;
+        (confirmed != Some(true)).then_some(confirmed)
     })
     .await;
-    assert_eq!(proof, Some(false));
-    // The replica still holds a configuration, and must not hand it to a newcomer.
-    let mut newcomer = Proxy::connect(address, "p-2", View::default()).await;
-    assert_eq!(newcomer.step().await, None);
+    assert_eq!(confirmed, Some(false));
+    // The replica still has a configuration, and must not send this configuration to a new proxy.
+    let mut new_proxy = Proxy::connect(address, "p-2", View::default()).await;
+    assert_eq!(new_proxy.step().await, None);
 }
 
 #[actix_rt::test]
@@ -88,7 +89,7 @@
     let mut silent = Proxy::connect(replica.proxies, "p-silent", View::default()).await;
     let state = async |name: &str| {
         let status = operator.status().await;
-        status.proxies.iter().find(|it| it.name.as_str() == name).map(|it| it.state)
+        status.proxies.iter().find(|proxy| proxy.name.as_str() == name).map(|proxy| proxy.state)
     };
     until("both are live", async || {
         stopping.confirm().await;
--- a/crates/control/tests/resources.rs
+++ b/crates/control/tests/resources.rs
@@ -1,4 +1,4 @@
-//! Creates, changes and deletes of resources over HTTP.
+//! Creation, replacement and deletion of resources over HTTP, errors of requests, and the operators' token.
 
 mod support;
 
@@ -56,7 +56,7 @@
 async fn of_two_changes_from_one_version_one_conflicts() {
     let cell = Cell::start(3);
     cell.leader().await;
-    let [first, second] = [0, 1].map(|place| cell.replicas[place].operator());
+    let [first, second] = [0, 1].map(|index| cell.replicas[index].operator());
     let version = first.put_class("gold", 1, Some(0)).await.accepted().resource_version;
     let (left, right) = tokio::join!(
         first.put_class("gold", 2, Some(version.0)),
@@ -77,8 +77,8 @@
     let mut cell = Cell::start(3);
     let leader = cell.leader().await;
     let body = class(7, Some(0));
-    let send = async |place: usize, cell: &Cell| {
-        let operator = cell.replicas[place].operator();
+    let send = async |index: usize, cell: &Cell| {
+        let operator = cell.replicas[index].operator();
         operator.send(Method::PUT, "/v1/classes/gold", Some("change-1"), Some(&body)).await
     };
     let first = send(leader, &cell).await;
@@ -87,8 +87,9 @@
     let follower = cell.follower().await;
     assert_eq!(send(follower, &cell).await.accepted(), first.accepted());
     let operator = cell.replicas[follower].operator();
-    let other = class(8, Some(0));
-    let reused = operator.send(Method::PUT, "/v1/classes/gold", Some("change-1"), Some(&other));
+    let other_body = class(8, Some(0));
+    let reused =
+        operator.send(Method::PUT, "/v1/classes/gold", Some("change-1"), Some(&other_body));
     assert_eq!(reused.await.refused(StatusCode::UNPROCESSABLE_ENTITY).code, ErrorCode::Invalid);
 }
 
@@ -109,7 +110,7 @@
 }
 
 #[actix_rt::test]
-async fn what_was_read_can_be_sent_back() {
+async fn a_manifest_that_was_read_can_be_sent_back() {
     let cell = Cell::start(1);
     cell.leader().await;
     let operator = cell.replicas[0].operator();
@@ -130,7 +131,7 @@
 
 #[actix_rt::test]
 async fn operators_must_present_the_token() {
-    let cell = Cell::start_with(1, |it| it.operator_token = Some("secret".to_owned()));
+    let cell = Cell::start_with(1, |settings| settings.operator_token = Some("secret".to_owned()));
     cell.leader().await;
     let mut operator = cell.replicas[0].operator();
     for token in [None, Some("secre"), Some("secrets")] {
--- a/crates/control/tests/support/group.rs
+++ b/crates/control/tests/support/group.rs
@@ -1,5 +1,5 @@
-//! A stand-in group whose members are reached by control and by each other
-//! through gates, and by callers directly.
+//! A group of stand-in members. The control replicas and the other members reach each member through gates;
+//! callers connect directly.
 
 use super::gate::{Gate, GateState};
 use corktack_core::identity::{GroupName, MemberName};
@@ -10,15 +10,16 @@
 
 const SIZE: usize = 3;
 
+/// A group whose members can be cut off, frozen or killed.
 pub struct GatedGroup {
     pub name: GroupName,
     pub members: Vec<Option<MemberHandle>>,
     names: Vec<MemberName>,
-    postgres: Vec<SocketAddr>,
-    /// Control's way to each member.
-    control: Vec<Gate>,
-    /// The way of each member to each other one.
-    replication: Vec<(usize, usize, Gate)>,
+    postgres_addresses: Vec<SocketAddr>,
+    /// Gate in front of each member, for the control replicas.
+    control_gates: Vec<Gate>,
+    /// Gates between members, each with the indexes of the connecting member and of its target.
+    replication_gates: Vec<(usize, usize, Gate)>,
     _folder: TempDir,
 }
 
@@ -41,13 +42,15 @@
             name: GroupName::new(name).expect("a valid name"),
             members: Vec::new(),
             names,
-            postgres: bound.iter().map(|((_, postgres), _)| *postgres).collect(),
-            control: bound.iter().map(|((_, postgres), _)| Gate::to(*postgres)).collect(),
-            replication: pairs().map(|(from, to)| (from, to, Gate::to(targets[to]))).collect(),
+            postgres_addresses: bound.iter().map(|((_, postgres), _)| *postgres).collect(),
+            control_gates: bound.iter().map(|((_, postgres), _)| Gate::start(*postgres)).collect(),
+            replication_gates: pairs()
+                .map(|(from, to)| (from, to, Gate::start(targets[to])))
+                .collect(),
             _folder: folder,
         };
-        for (place, ((postgres, _), (replication, _))) in bound.into_iter().enumerate() {
-            let member = group.start_member(place, postgres, replication);
+        for (index, ((postgres, _), (replication, _))) in bound.into_iter().enumerate() {
+            let member = group.start_member(index, postgres, replication);
             group.members.push(Some(member));
         }
         group
@@ -55,26 +58,26 @@
 
     fn start_member(
         &self,
-        place: usize,
+        index: usize,
         postgres: TcpListener,
         replication: TcpListener,
     ) -> MemberHandle {
-        let name = self.names[place].clone();
+        let name = self.names[index].clone();
         let folder = self._folder.path().join(name.as_str());
         let mut settings = MemberSettings::new(name, folder, postgres, replication);
-        let own = self.replication.iter().filter(|(from, ..)| *from == place);
+        let own_gates = self.replication_gates.iter().filter(|(from, ..)| *from == index);
         let peer = |(_, to, gate): &(usize, usize, Gate)| Peer {
             name: self.names[*to].clone(),
             replication: gate.address,
         };
-        settings.peers = own.map(peer).collect();
-        settings.initial_primary = place == 0;
+        settings.peers = own_gates.map(peer).collect();
+        settings.initial_primary = index == 0;
         Member::start(settings).expect("a member starts")
     }
 
-    /// The declared part, with the addresses that control uses.
+    /// Returns the PUT body that declares the group, with the gates' addresses for the control replicas.
     pub fn spec(&self) -> Value {
-        let members = self.names.iter().zip(&self.control);
+        let members = self.names.iter().zip(&self.control_gates);
         let members: Vec<_> = members
             .map(|(name, gate)| json!({"name": name, "address": gate.address, "zone": "amba.a"}))
             .collect();
@@ -83,30 +86,33 @@
         json!({ "spec": spec })
     }
 
-    pub fn place_of(&self, member: &MemberName) -> usize {
+    /// Returns the index of a member.
+    pub fn index_of(&self, member: &MemberName) -> usize {
         self.names.iter().position(|name| name == member).expect("a member")
     }
 
-    /// Where callers reach a member directly.
-    pub fn postgres(&self, place: usize) -> SocketAddr {
-        self.postgres[place]
+    /// Returns the address at which callers reach a member directly.
+    pub fn postgres_address(&self, index: usize) -> SocketAddr {
+        self.postgres_addresses[index]
     }
 
-    /// Sets every way to and from a member, but that of callers.
-    pub fn set(&self, place: usize, state: GateState) {
-        self.control[place].set(state);
-        for (from, to, gate) in &self.replication {
-            if *from == place || *to == place {
+    /// Sets the state of all gates to and from a member; direct connections of callers are not affected.
+    pub fn set_gates(&self, index: usize, state: GateState) {
+        self.control_gates[index].set(state);
+        for (from, to, gate) in &self.replication_gates {
+            if *from == index || *to == index {
                 gate.set(state);
             }
         }
     }
 
-    pub fn kill(&mut self, place: usize) {
-        drop(self.members[place].take());
+    /// Stops a member at once.
+    pub fn kill(&mut self, index: usize) {
+        drop(self.members[index].take());
     }
 }
 
+/// Returns the pairs of indexes of different members.
 fn pairs() -> impl Iterator<Item = (usize, usize)> {
     let others = |from| (0..SIZE).filter(move |to| *to != from).map(move |to| (from, to));
     (0..SIZE).flat_map(others)
--- a/crates/control/tests/support/links.rs
+++ b/crates/control/tests/support/links.rs
@@ -1,7 +1,7 @@
-//! Links between the replicas of a cell that can be cut.
+//! TCP relays between the replicas of a cell, whose links can be cut or silenced.
 //!
-//! Each replica is reached by the others through a listener of this module, which
-//! reads from the first message who connects and passes the bytes on.
+//! The replicas connect to each other through listeners of this module. A relay reads the identity of the
+//! connecting replica from the first message, and then forwards all bytes.
 
 use bytes::BytesMut;
 use corktack_core::consensus::Message;
@@ -20,17 +20,17 @@
 
 type PeerMessage = CellMessage<Message>;
 
-/// The replicas that are cut off from all others, and connections that pass nothing on.
+/// Control of the links: which replicas are cut off, and which connections are silenced.
 #[derive(Clone)]
 pub struct Links {
     cut: watch::Sender<BTreeSet<ReplicaId>>,
-    /// Counts up with each silence, which holds for the connections that there are then.
+    /// The last call of [`Links::silence`]; it applies to the connections that existed before the call.
     silenced: watch::Sender<Silence>,
-    /// Frames with a packed payload that were passed on.
-    packed: Arc<AtomicU64>,
+    /// Number of forwarded frames with a compressed payload.
+    compressed: Arc<AtomicU64>,
 }
 
-/// From whom to whom connections were silenced last.
+/// The pair of replicas whose connection was silenced last; `number` counts the silences.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Silence {
     number: u64,
@@ -41,112 +41,117 @@
     pub fn new() -> Self {
         let (cut, silenced) =
             (watch::channel(BTreeSet::new()).0, watch::channel(Silence::default()).0);
-        Self { cut, silenced, packed: Arc::default() }
+        Self { cut, silenced, compressed: Arc::default() }
     }
 
-    /// How many frames with a packed payload were passed on.
+    /// Returns the number of forwarded frames with a compressed payload.
     pub fn packed_frames(&self) -> u64 {
-        self.packed.load(Ordering::SeqCst)
+        self.compressed.load(Ordering::SeqCst)
     }
 
-    /// Opens the way to a replica; gives the address for the others.
-    pub fn open(&self, to: ReplicaId, real: SocketAddr) -> SocketAddr {
+    /// Starts a relay to a replica; returns the address that the other replicas must use.
+    pub fn open(&self, to: ReplicaId, target: SocketAddr) -> SocketAddr {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("a bound listener has an address");
         listener.set_nonblocking(true).expect("the listener is ours");
         let listener = TcpListener::from_std(listener).expect("inside the runtime");
         let (cut, silenced) = (self.cut.subscribe(), self.silenced.subscribe());
-        let packed = Arc::clone(&self.packed);
+        let compressed = Arc::clone(&self.compressed);
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (cut, silenced, packed) = (cut.clone(), silenced.clone(), Arc::clone(&packed));
-                actix_rt::spawn(pass_on(stream, to, real, cut, silenced, packed));
+                let (cut, silenced, compressed) =
+                    (cut.clone(), silenced.clone(), Arc::clone(&compressed));
+                actix_rt::spawn(relay(stream, to, target, cut, silenced, compressed));
             }
         });
         address
     }
 
+    /// Closes all connections to and from a replica, and refuses new ones.
     pub fn cut_off(&self, replica: ReplicaId) {
         self.cut.send_modify(|cut| cut.extend([replica]));
     }
 
-    /// What one replica sends another on the connection that it has now arrives nowhere, without a reset;
-    /// new connections work.
+    /// Discards everything that one replica sends to another on its current connection, without closing the
+    /// connection; new connections work.
     pub fn silence(&self, from: ReplicaId, to: ReplicaId) {
         self.silenced.send_modify(|silence| {
             *silence = Silence { number: silence.number + 1, between: Some((from, to)) };
         });
     }
 
+    /// Lets the replicas that were cut off connect again.
     pub fn heal(&self) {
         self.cut.send_modify(BTreeSet::clear);
     }
 }
 
-async fn pass_on(
-    mut near: TcpStream,
+async fn relay(
+    mut client: TcpStream,
     to: ReplicaId,
-    real: SocketAddr,
+    target: SocketAddr,
     mut cut: watch::Receiver<BTreeSet<ReplicaId>>,
     mut silenced: watch::Receiver<Silence>,
-    packed: Arc<AtomicU64>,
+    compressed: Arc<AtomicU64>,
 ) {
-    let Some((from, first)) = first_message(&mut near).await else { return };
-    let opened = silenced.borrow().number;
-    let is_silenced = |now: &Silence| now.number > opened && now.between == Some((from, to));
-    let passing = async {
-        let Ok(mut far) = TcpStream::connect(real).await else { return };
-        if far.write_all(&first).await.is_ok() {
-            let (near_read, mut near_write) = near.split();
-            let (mut far_read, far_write) = far.split();
-            // Either side may end the connection at any time.
+    let Some((from, first)) = first_message(&mut client).await else { return };
+    let silences_at_start = silenced.borrow().number;
+    let is_silenced = |silence: &Silence| {
+        silence.number > silences_at_start && silence.between == Some((from, to))
+    };
+    let forwarding = async {
+        let Ok(mut server) = TcpStream::connect(target).await else { return };
+        if server.write_all(&first).await.is_ok() {
+            let (client_read, mut client_write) = client.split();
+            let (mut server_read, server_write) = server.split();
+            // Either side may close the connection at any time.
             tokio::select! {
-                () = pass_frames(near_read, far_write, &packed) => (),
-                _ = copy(&mut far_read, &mut near_write) => (),
+                () = forward_frames(client_read, server_write, &compressed) => (),
+                _ = copy(&mut server_read, &mut client_write) => (),
             }
         }
     };
     tokio::select! {
-        // The cut is looked at first, so that a cut link passes nothing.
+        // The cut is polled first, so that a cut link forwards nothing.
         biased;
         _ = cut.wait_for(|cut| cut.contains(&from) || cut.contains(&to)) => return,
         _ = silenced.wait_for(is_silenced) => (),
-        () = passing => return,
+        () = forwarding => return,
     }
-    // What was sent is read, as a kernel would, and goes nowhere.
-    let mut unread = [0; 4_096];
-    while let Ok(1..) = near.read(&mut unread).await {}
+    // On a silenced connection the sent data is read, as a kernel would do, and discarded.
+    let mut discarded = [0; 4_096];
+    while let Ok(1..) = client.read(&mut discarded).await {}
 }
 
-/// Passes on what comes, and counts the frames whose head says that the payload is packed.
-async fn pass_frames(mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, packed: &AtomicU64) {
-    let mut head = Vec::new();
-    let mut payload = 0;
+/// Forwards all bytes, and counts the frames whose header says that the payload is compressed.
+async fn forward_frames(mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, compressed: &AtomicU64) {
+    let mut header = Vec::new();
+    let mut payload_left = 0;
     let mut bytes = [0; 4_096];
     while let Ok(count @ 1..) = from.read(&mut bytes).await {
         if to.write_all(&bytes[..count]).await.is_err() {
             return;
         }
         for byte in &bytes[..count] {
-            if payload > 0 {
-                payload -= 1;
+            if payload_left > 0 {
+                payload_left -= 1;
                 continue;
             }
-            head.push(*byte);
-            if head.len() == HEADER_BYTES {
-                packed.fetch_add(u64::from(head[3]), Ordering::SeqCst);
-                payload = u32::from_be_bytes([head[4], head[5], head[6], head[7]]);
-                head.clear();
+            header.push(*byte);
+            if header.len() == HEADER_BYTES {
+                compressed.fetch_add(u64::from(header[3]), Ordering::SeqCst);
+                payload_left = u32::from_be_bytes([header[4], header[5], header[6], header[7]]);
+                header.clear();
             }
         }
     }
 }
 
-/// Who connects, and the bytes read to know it.
-async fn first_message(near: &mut TcpStream) -> Option<(ReplicaId, BytesMut)> {
+/// Returns the connecting replica, from its first message, and the bytes read so far.
+async fn first_message(client: &mut TcpStream) -> Option<(ReplicaId, BytesMut)> {
     let mut bytes = BytesMut::new();
     loop {
-        if near.read_buf(&mut bytes).await.ok()? == 0 {
+        if client.read_buf(&mut bytes).await.ok()? == 0 {
             return None;
         }
         let mut codec = FrameCodec::<PeerMessage, PeerMessage>::default();
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Cells of replicas in one process, an operator and a proxy.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Test support: cells of control replicas in the test's process, an operator client and a proxy client.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 pub mod gate;
 pub mod group;
@@ -22,22 +22,24 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const BOUND: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(10);
+/// Time after which a wait of a test fails, far above the expected time.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const LOOPBACK: &str = "127.0.0.1:0";
 
-/// Polls until `condition` gives a value; fails the test after a generous bound.
-pub async fn until<T>(what: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> T {
-    let deadline = Instant::now() + BOUND;
+/// Polls until `condition` returns a value; fails the test after [`WAIT_TIMEOUT`].
+pub async fn until<T>(expected: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(Instant::now() < deadline, "not within the bound: {what}");
-        tokio::time::sleep(POLL).await;
+        assert!(Instant::now() < deadline, "not before the timeout: {expected}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
+/// A replica with its data folder and addresses; `handle` is `None` while the replica is stopped.
 pub struct TestReplica {
     pub id: ReplicaId,
     pub start: CellStart,
@@ -46,7 +48,8 @@
     pub proxies: SocketAddr,
     pub operators: SocketAddr,
     pub handle: Option<ControlHandle>,
-    lives: u64,
+    /// Number of starts, which is the incarnation of the running process.
+    starts: u64,
 }
 
 impl TestReplica {
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Starts again on the same folder and addresses.
+    /// Starts the replica again on the same folder and addresses.
     pub async fn restart(&mut self, adjust: &impl Fn(&mut ControlSettings)) {
         let listeners = ControlListeners {
             cell: bind(self.cell).await,
@@ -78,13 +81,13 @@
         self.launch(listeners, adjust);
     }
 
-    /// Loses the disk of a stopped replica.
+    /// Replaces the data folder of a stopped replica with an empty one.
     pub fn lose_disk(&mut self) {
         assert!(self.handle.is_none(), "the replica is stopped");
         self.folder = TempDir::new().expect("a folder can be made");
     }
 
-    /// A number among the replica's metrics.
+    /// Returns the value of one of the replica's metrics, named with its labels.
     pub async fn metric(&self, name: &str) -> u64 {
         let answer = self.operator().get("/metrics").await;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
@@ -96,8 +99,8 @@
         let folder = self.folder.path().to_path_buf();
         let name = CellName("test".to_owned());
         let mut settings = ControlSettings::new(name, self.id, self.start.clone(), folder);
-        self.lives += 1;
-        settings.incarnation = Incarnation(self.lives);
+        self.starts += 1;
+        settings.incarnation = Incarnation(self.starts);
         settings.proxy_heartbeat_interval = Duration::from_millis(50);
         settings.proxy_heartbeat_timeout = Duration::from_secs(2);
         adjust(&mut settings);
@@ -116,9 +119,9 @@
     (listener, address)
 }
 
-type Bound = (ControlListeners, [SocketAddr; 3]);
+type BoundListeners = (ControlListeners, [SocketAddr; 3]);
 
-fn bind_listeners() -> Bound {
+fn bind_listeners() -> BoundListeners {
     let (cell, cell_address) = bind_any();
     let (proxies, proxies_address) = bind_any();
     let (operators, operators_address) = bind_any();
@@ -126,21 +129,24 @@
     (ControlListeners { cell, proxies, operators }, addresses)
 }
 
+/// A cell of replicas.
 pub struct Cell {
     pub replicas: Vec<TestReplica>,
 }
 
 impl Cell {
+    /// Starts a cell of `size` voters with the settings of the tests.
     pub fn start(size: u64) -> Self {
         Self::start_with(size, |_| ())
     }
 
+    /// Starts a cell of `size` voters; `adjust` changes the settings of each replica.
     pub fn start_with(size: u64, adjust: impl Fn(&mut ControlSettings)) -> Self {
         let bound: Vec<_> = (1..=size).map(|id| (ReplicaId(id), bind_listeners())).collect();
         Self::launch_all(bound, |_, cell| cell, adjust)
     }
 
-    /// A cell whose links can be cut.
+    /// Starts a cell whose links can be cut or silenced.
     pub fn start_linked(size: u64, adjust: impl Fn(&mut ControlSettings)) -> (Self, Links) {
         let bound: Vec<_> = (1..=size).map(|id| (ReplicaId(id), bind_listeners())).collect();
         let links = Links::new();
@@ -148,13 +154,13 @@
         (cell, links)
     }
 
-    /// Starts the replicas; `address` gives where the others reach one.
+    /// Starts the replicas; `address` maps the address of a replica to the address that the others use.
     fn launch_all(
-        bound: Vec<(ReplicaId, Bound)>,
+        bound: Vec<(ReplicaId, BoundListeners)>,
         address: impl Fn(ReplicaId, SocketAddr) -> SocketAddr,
         adjust: impl Fn(&mut ControlSettings),
     ) -> Self {
-        let member = |(id, (_, [cell, ..])): &(ReplicaId, Bound)| CellMember {
+        let member = |(id, (_, [cell, ..])): &(ReplicaId, BoundListeners)| CellMember {
             id: *id,
             address: address(*id, *cell),
         };
@@ -164,71 +170,73 @@
         Self { replicas: bound.into_iter().map(launch).collect() }
     }
 
-    /// Adds a replica that waits to be added to the cell.
+    /// Starts a replica that waits to be added to the cell.
     pub fn join(&mut self, id: u64, adjust: impl Fn(&mut ControlSettings)) {
-        let member = |it: &TestReplica| CellMember { id: it.id, address: it.cell };
+        let member = |replica: &TestReplica| CellMember { id: replica.id, address: replica.cell };
         let members = self.replicas.iter().map(member).collect();
         let start = CellStart::Join(members);
         self.replicas.push(launch(ReplicaId(id), start, bind_listeners(), &adjust));
     }
 
-    /// Adds a replica that asks the others to be added; `adjust` is given its cell address.
+    /// Starts a replica that requests to be added to the cell; `adjust` receives its cell address.
     pub fn join_asking(&mut self, id: u64, adjust: impl Fn(SocketAddr, &mut ControlSettings)) {
         let bound = bind_listeners();
-        let own = bound.1[0];
+        let cell_address = bound.1[0];
         let start = CellStart::Join(Vec::new());
         self.replicas.push(launch(ReplicaId(id), start, bound, &|settings: &mut _| {
-            adjust(own, settings);
+            adjust(cell_address, settings);
         }));
     }
 
-    /// Brings the replica at `place` into the cell as a learner.
-    pub async fn add_learner(&self, place: usize) {
-        let TestReplica { id, cell, .. } = &self.replicas[place];
+    /// Adds the replica at `index` to the cell as a learner.
+    pub async fn add_learner(&self, index: usize) {
+        let TestReplica { id, cell, .. } = &self.replicas[index];
         self.change(json!({"operation": "addLearner", "id": id, "address": cell})).await;
     }
 
-    /// Changes the cell through its leader, again while that is refused for now.
+    /// Changes the cell's membership through the leader; repeats the request while it conflicts.
     pub async fn change(&self, change: Value) {
         until("the cell changes", async || {
             let operator = self.replicas[self.leader().await].operator();
             let answer = operator.send(Method::POST, "/v1/cell", None, Some(&change)).await;
-            let known = [StatusCode::NO_CONTENT, StatusCode::CONFLICT];
-            assert!(known.contains(&answer.status), "{:?}", answer.body);
+            let expected = [StatusCode::NO_CONTENT, StatusCode::CONFLICT];
+            assert!(expected.contains(&answer.status), "{:?}", answer.body);
             (answer.status == StatusCode::NO_CONTENT).then_some(())
         })
         .await;
     }
 
-    /// Place of the leader that most replicas agree on.
+    /// Waits for a leader on which most replicas agree; returns its index.
     pub async fn leader(&self) -> usize {
         until("a leader", async || {
-            let place = self.replicas.iter().position(|it| it.role() == Some(Role::Leader))?;
-            let id = Some(self.replicas[place].id);
-            let running = self.replicas.iter().filter_map(|it| it.handle.as_ref());
-            let agreed = running.filter(|it| it.status().leader == id).count();
-            (2 * agreed > self.replicas.len()).then_some(place)
+            let index =
+                self.replicas.iter().position(|replica| replica.role() == Some(Role::Leader))?;
+            let id = Some(self.replicas[index].id);
+            let running = self.replicas.iter().filter_map(|replica| replica.handle.as_ref());
+            let agreed = running.filter(|handle| handle.status().leader == id).count();
+            (2 * agreed > self.replicas.len()).then_some(index)
         })
         .await
     }
 
-    /// Place of a running follower.
+    /// Returns the index of a running follower.
     pub async fn follower(&self) -> usize {
         let leader = self.leader().await;
-        let running = |it: &usize| *it != leader && self.replicas[*it].handle.is_some();
-        (0..self.replicas.len()).find(running).expect("a follower runs")
+        let is_running_follower =
+            |index: &usize| *index != leader && self.replicas[*index].handle.is_some();
+        (0..self.replicas.len()).find(is_running_follower).expect("a follower runs")
     }
 }
 
 fn launch(
     id: ReplicaId,
     start: CellStart,
-    (listeners, [cell, proxies, operators]): Bound,
+    (listeners, [cell, proxies, operators]): BoundListeners,
     adjust: &impl Fn(&mut ControlSettings),
 ) -> TestReplica {
     let folder = TempDir::new().expect("a folder can be made");
     let mut replica =
-        TestReplica { id, start, folder, cell, proxies, operators, handle: None, lives: 0 };
+        TestReplica { id, start, folder, cell, proxies, operators, handle: None, starts: 0 };
     replica.launch(listeners, adjust);
     replica
 }
--- a/crates/control/tests/support/operator.rs
+++ b/crates/control/tests/support/operator.rs
@@ -12,30 +12,35 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-pub struct Answer {
+/// A complete HTTP response.
+pub struct Response {
     pub status: StatusCode,
     pub retry_after: bool,
     pub change_id: Option<String>,
     pub body: Bytes,
 }
 
-impl Answer {
+impl Response {
+    /// Parses the JSON body.
     pub fn read<T: DeserializeOwned>(&self) -> T {
         let text = String::from_utf8_lossy(&self.body);
         serde_json::from_slice(&self.body).unwrap_or_else(|error| panic!("{error}: {text}"))
     }
 
+    /// Checks that a change was accepted and returns the body.
     pub fn accepted(&self) -> WriteBody {
         assert_eq!(self.status, StatusCode::OK, "{:?}", self.body);
         self.read()
     }
 
+    /// Checks that the request failed with `status` and returns the error body.
     pub fn refused(&self, status: StatusCode) -> ErrorBody {
         assert_eq!(self.status, status, "{:?}", self.body);
         self.read()
     }
 }
 
+/// A client of one replica's resource interface.
 #[derive(Clone)]
 pub struct Operator {
     address: SocketAddr,
@@ -53,17 +58,18 @@
         path: &str,
         change_id: Option<&str>,
         body: Option<&Value>,
-    ) -> Answer {
+    ) -> Response {
         self.try_send(method, path, change_id, body).await.expect("the replica answers")
     }
 
+    /// Sends a request; returns `None` if the replica does not respond.
     pub async fn try_send(
         &self,
         method: Method,
         path: &str,
         change_id: Option<&str>,
         body: Option<&Value>,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let client = awc::Client::builder().timeout(TIMEOUT).finish();
         let mut request = client.request(method, format!("http://{}{path}", self.address));
         if let Some(change_id) = change_id {
@@ -81,18 +87,18 @@
         let (retry_after, change_id) = (header("Retry-After").is_some(), header("Change-Id"));
         let status = response.status();
         let body = response.body().await.ok()?;
-        Some(Answer { status, retry_after, change_id, body })
+        Some(Response { status, retry_after, change_id, body })
     }
 
-    pub async fn get(&self, path: &str) -> Answer {
+    pub async fn get(&self, path: &str) -> Response {
         self.send(Method::GET, path, None, None).await
     }
 
-    pub async fn put(&self, path: &str, body: Value) -> Answer {
+    pub async fn put(&self, path: &str, body: Value) -> Response {
         self.send(Method::PUT, path, None, Some(&body)).await
     }
 
-    pub async fn put_class(&self, name: &str, priority: u32, version: Option<u64>) -> Answer {
+    pub async fn put_class(&self, name: &str, priority: u32, version: Option<u64>) -> Response {
         self.put(&format!("/v1/classes/{name}"), class(priority, version)).await
     }
 
@@ -100,41 +106,44 @@
         self.get("/v1/status").await.read()
     }
 
-    pub async fn watch(&self, from: u64) -> Result<WatchLines, Answer> {
+    /// Starts a watch from a revision; returns the response if the watch is refused.
+    pub async fn watch(&self, from: u64) -> Result<WatchLines, Response> {
         let client = awc::Client::builder().disable_timeout().finish();
         let url = format!("http://{}/v1/watch?from={from}", self.address);
         let mut response = client.get(url).send().await.expect("the replica answers");
         if response.status() == StatusCode::OK {
             let body = response.map(|chunk| chunk.expect("the stream goes on"));
-            return Ok(WatchLines { body: Box::pin(body), rest: Vec::new() });
+            return Ok(WatchLines { body: Box::pin(body), buffer: Vec::new() });
         }
         let status = response.status();
         let body = response.body().await.expect("the answer has a body");
-        Err(Answer { status, retry_after: false, change_id: None, body })
+        Err(Response { status, retry_after: false, change_id: None, body })
     }
 }
 
+/// Returns the PUT body of a priority class.
 pub fn class(priority: u32, version: Option<u64>) -> Value {
     json!({ "spec": { "priority": priority }, "metadata": { "resourceVersion": version } })
 }
 
+/// The lines of a watch, parsed from the chunks of the body.
 pub struct WatchLines {
     body: Pin<Box<dyn Stream<Item = Bytes>>>,
-    rest: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl WatchLines {
-    /// The next line that has events; none at the end of the stream.
+    /// Returns the next line that has events, or `None` at the end of the stream.
     pub async fn next(&mut self) -> Option<WatchLine> {
         loop {
-            while let Some(end) = self.rest.iter().position(|byte| *byte == b'\n') {
-                let line: Vec<u8> = self.rest.drain(..=end).collect();
+            while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+                let line: Vec<u8> = self.buffer.drain(..=end).collect();
                 let line: WatchLine = serde_json::from_slice(&line).expect("a line is JSON");
                 if !line.events.is_empty() {
                     return Some(line);
                 }
             }
-            self.rest.extend(self.body.next().await?);
+            self.buffer.extend(self.body.next().await?);
         }
     }
 }
--- a/crates/control/tests/support/proxy.rs
+++ b/crates/control/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy's side of the watch.
+//! A client of the proxies' watch.
 
 use corktack_core::identity::{Incarnation, ProxyName, ZoneName};
 use corktack_core::limits::{AllowanceGrant, AllowanceReport};
@@ -11,20 +11,22 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 
+/// A proxy that applies what its replica sends, and counts snapshots and deltas.
 pub struct Proxy {
     connection: Framed<TcpStream, FrameCodec<ProxyMessage, ControlMessage>>,
     pub view: View,
     pub snapshots: usize,
     pub deltas: usize,
-    /// Term of the leader, as far as it was told.
+    /// Term of the leader, as last received.
     pub led: Option<Term>,
-    /// What the leader gave of tenants' limits.
+    /// Allowance grants received from the leader.
     pub grants: Vec<AllowanceGrant>,
     sequence: u64,
     acknowledged: u64,
 }
 
 impl Proxy {
+    /// Connects to a replica as a proxy that has `view` in force.
     pub async fn connect(control: SocketAddr, name: &str, view: View) -> Self {
         let stream = TcpStream::connect(control).await.expect("the replica accepts");
         let mut connection = Framed::new(stream, FrameCodec::default());
@@ -48,6 +50,7 @@
         }
     }
 
+    /// Sends a heartbeat without waiting for its acknowledgement.
     pub async fn heartbeat(&mut self, draining: bool, observations: Vec<Observation>) {
         self.sequence += 1;
         let heartbeat = ProxyMessage::Heartbeat {
@@ -59,14 +62,14 @@
         self.connection.send(heartbeat).await.expect("the replica takes the heartbeat");
     }
 
-    /// Says what it holds of tenants' limits.
+    /// Reports the proxy's allowances of tenants' limits.
     pub async fn allowances(&mut self, report: AllowanceReport) {
         let message = ProxyMessage::Allowances(report);
         self.connection.send(message).await.expect("the replica takes the report");
     }
 
-    /// Applies the next message; gives what an acknowledgement says of being
-    /// current. None at the end of the connection.
+    /// Applies the next message. Returns `None` at the end of the connection, and `Some(Some(current))` for
+    /// an acknowledgement, which says whether the replica is current.
     pub async fn step(&mut self) -> Option<Option<bool>> {
         let message = self.connection.next().await?.ok()?;
         Some(match message {
@@ -98,12 +101,12 @@
         })
     }
 
-    /// Sends a heartbeat; gives whether the replica is current by its acknowledgement.
+    /// Sends a heartbeat; returns whether its acknowledgement says that the replica is current.
     pub async fn confirm(&mut self) -> Option<bool> {
         self.report(Vec::new()).await
     }
 
-    /// As [`Proxy::confirm`], with observations.
+    /// Sends a heartbeat with observations; returns the same as [`Proxy::confirm`].
     pub async fn report(&mut self, observations: Vec<Observation>) -> Option<bool> {
         self.heartbeat(false, observations).await;
         loop {
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Applies messages until the view has `revision`.
+    /// Applies messages until the view reaches `revision`.
     pub async fn reach(&mut self, revision: Revision) {
         while self.view.revision < revision {
             self.step().await.expect("the connection goes on");
--- a/crates/control/tests/watch.rs
+++ b/crates/control/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The operators' watch and the status page.
+//! The watch of operators, and the proxies on the status page.
 
 mod support;
 
@@ -21,19 +21,19 @@
     let added = writer.put_class("iron", 1, None).await.accepted();
     let path = "/v1/classes/gold";
     writer.send(awc::http::Method::DELETE, path, None, None).await.accepted();
-    let mut seen = Vec::new();
+    let mut received = Vec::new();
     for _ in 0..3 {
-        let line = lines.next().await.expect("the stream goes on");
+        let line = lines.next().await.expect("the stream stays open");
         let event = &line.events[0];
-        seen.push((event.event_type, event.object.metadata().name.clone(), line.revision));
+        received.push((event.event_type, event.object.metadata().name.clone(), line.revision));
     }
-    assert_eq!(seen[0], (WatchEventType::Modified, "gold".to_owned(), replaced.revision));
-    assert_eq!(seen[1], (WatchEventType::Added, "iron".to_owned(), added.revision));
-    assert_eq!((seen[2].0, seen[2].1.as_str()), (WatchEventType::Deleted, "gold"));
+    assert_eq!(received[0], (WatchEventType::Modified, "gold".to_owned(), replaced.revision));
+    assert_eq!(received[1], (WatchEventType::Added, "iron".to_owned(), added.revision));
+    assert_eq!((received[2].0, received[2].1.as_str()), (WatchEventType::Deleted, "gold"));
 }
 
 #[actix_rt::test]
-async fn a_watch_from_too_long_ago_must_list_again() {
+async fn a_watch_from_a_revision_that_is_no_longer_kept_must_list_again() {
     let cell = Cell::start_with(1, |settings| settings.watch_changes = 4);
     cell.leader().await;
     let operator = cell.replicas[0].operator();
@@ -48,7 +48,7 @@
 }
 
 #[actix_rt::test]
-async fn status_tells_where_the_newest_revision_is_in_force() {
+async fn status_shows_where_the_newest_revision_is_in_force() {
     let cell = Cell::start(3);
     let leader = cell.leader().await;
     let operator = cell.replicas[cell.follower().await].operator();
@@ -65,9 +65,9 @@
     .await;
     let stale = behind.view.revision;
     operator.put_class("gold", 1, None).await.accepted();
-    let status = until("one proxy has it", async || {
+    let status = until("one proxy has the newest revision", async || {
         ahead.confirm().await;
-        // Applied nothing more: it reports the revision it had.
+        // This proxy reports its old revision, as if it had applied nothing more.
         behind.view.revision = stale;
         behind.heartbeat(false, Vec::new()).await;
         let status = operator.status().await;
