--- a/crates/control/src/proxies/proofs.rs
+++ b/crates/control/src/proxies/proofs.rs
@@ -20,9 +20,9 @@
 impl Proofs {
     /// Requests a confirmation; the receiver gets whether a read that began after this call succeeded.
     pub(crate) fn request(&self) -> oneshot::Receiver<bool> {
-        let (waiter, proof) = oneshot::channel();
+        let (waiter, confirmed) = oneshot::channel();
         self.waiters.lock().unwrap_or_else(PoisonError::into_inner).push(waiter);
-        proof
+        confirmed
     }
 
     fn take_waiters(&self) -> Vec<Waiter> {
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -75,7 +75,8 @@
     /// Returns the document in force, at least as new as any document acknowledged before the call.
     ///
     /// # Errors
-    /// Returns [`RegistryError::Unavailable`] if the replica cannot confirm within `read_timeout` that it is current.
+    /// Returns [`RegistryError::Unavailable`] if the replica cannot confirm within `read_timeout` that it is
+    /// current.
     pub async fn document(
         &self,
         read_timeout: Duration,
