--- a/crates/control/src/api/mod.rs
+++ b/crates/control/src/api/mod.rs
@@ -25,4 +25,4 @@
 
 /// Largest request body, in bytes. A lower limit rejects groups with many members; a higher limit lets a
 /// client use more memory.
-pub const BODY_LIMIT: usize = 256 * 1024;
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
--- a/crates/control/src/http/body.rs
+++ b/crates/control/src/http/body.rs
@@ -1,7 +1,7 @@
 //! Reads request bodies and parses the body of a PUT.
 
 use super::answer::ErrorAnswer;
-use crate::api::{BODY_LIMIT, ErrorCode, PutBody};
+use crate::api::{ErrorCode, MAX_BODY_BYTES, PutBody};
 use actix_web::web;
 use bytes::Bytes;
 use corktack_core::resources::{API_VERSION, Kind, ResourceSpec, ResourceVersion};
@@ -15,10 +15,10 @@
     pub(super) expected: Option<ResourceVersion>,
 }
 
-/// Reads a request body of at most [`BODY_LIMIT`] bytes.
+/// Reads a request body of at most [`MAX_BODY_BYTES`] bytes.
 pub(super) async fn read_body(payload: web::Payload) -> Result<Bytes, ErrorAnswer> {
-    let Ok(read) = payload.to_bytes_limited(BODY_LIMIT).await else {
-        let message = format!("the body has more than {BODY_LIMIT} bytes");
+    let Ok(read) = payload.to_bytes_limited(MAX_BODY_BYTES).await else {
+        let message = format!("the body has more than {MAX_BODY_BYTES} bytes");
         return Err(ErrorAnswer::new(ErrorCode::TooLarge, message));
     };
     read.map_err(|error| ErrorAnswer::new(ErrorCode::BadRequest, error.to_string()))
--- a/crates/control/tests/resources.rs
+++ b/crates/control/tests/resources.rs
@@ -124,7 +124,7 @@
 async fn a_body_over_the_limit_is_refused() {
     let cell = Cell::start(1);
     let operator = cell.replicas[0].operator();
-    let text = "x".repeat(corktack_control::api::BODY_LIMIT);
+    let text = "x".repeat(corktack_control::api::MAX_BODY_BYTES);
     let refused = operator.put("/v1/classes/gold", json!({ "spec": text })).await;
     assert_eq!(refused.refused(StatusCode::PAYLOAD_TOO_LARGE).code, ErrorCode::TooLarge);
 }
