--- a/crates/control/src/backoff.rs
+++ b/crates/control/src/backoff.rs
@@ -1,37 +1,37 @@
-//! Growing, jittered delays between attempts.
+//! Exponential back-off with jitter.
 //!
-//! [`corktack_core::retry::Backoff`] differs: it takes the number of the attempt, draws whole microseconds
-//! and never starts over; this one counts by itself and draws a factor, so that the same seed gives
-//! another sequence.
+//! [`corktack_core::retry::Backoff`] differs: the caller passes the number of the attempt, the delay is
+//! drawn in whole microseconds, and there is no reset. The back-off of this module counts the attempts
+//! itself and draws a factor, so the same seed gives another sequence of delays.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Delays that double from the first to the last, each drawn from its upper half
-/// so that replicas which lost the same peer do not return in step.
+/// Delays that double from `initial` to `max`. Each is drawn from the upper half of its range, so that
+/// replicas that lost the same peer don't reconnect at the same time.
 #[derive(Clone, Debug)]
 pub(crate) struct Backoff {
-    first: Duration,
-    last: Duration,
+    initial: Duration,
+    max: Duration,
     current: Duration,
     random: ChaCha8Rng,
 }
 
 impl Backoff {
-    pub(crate) fn new(first: Duration, last: Duration, seed: u64) -> Self {
-        Self { first, last, current: first, random: ChaCha8Rng::seed_from_u64(seed) }
+    pub(crate) fn new(initial: Duration, max: Duration, seed: u64) -> Self {
+        Self { initial, max, current: initial, random: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// The delay before the next attempt.
-    pub(crate) fn next(&mut self) -> Duration {
+    /// Returns the delay before the next attempt and doubles the one after it.
+    pub(crate) fn next_delay(&mut self) -> Duration {
         let delay = self.current;
-        self.current = (delay * 2).min(self.last);
+        self.current = (delay * 2).min(self.max);
         delay.mul_f64(self.random.random_range(0.5..=1.0))
     }
 
-    /// Starts over after a success.
+    /// Starts over with the initial delay, after a success.
     pub(crate) fn reset(&mut self) {
-        self.current = self.first;
+        self.current = self.initial;
     }
 }
--- a/crates/control/src/cell/disks.rs
+++ b/crates/control/src/cell/disks.rs
@@ -1,12 +1,13 @@
-//! Which disk each replica of the cell has.
+//! Detects replicas that lost their data folder.
 //!
-//! A vote or an acknowledgement promises to survive a crash. A replica whose data
-//! folder was lost broke its promises, so nothing of it may be taken under its old id
-//! again: with its help a majority could be formed that lacks committed entries.
-//! Each data folder draws an id at its first start and shows it in the first
-//! message of every connection. A replica notes the id it saw first, syncs it
-//! before it takes any message, and takes none from another one ever after. The
-//! way back is a new replica id, as a learner.
+//! Votes and acknowledgements must survive a crash. A replica that lost its data folder has also lost
+//! its votes and log entries, so its messages must not count under its old id: they could complete a
+//! majority that lacks committed entries.
+//!
+//! Each data folder gets a random disk id at its first start, and the replica sends this id in the first
+//! message of every connection. The receiver stores and syncs the first disk id that it sees for a
+//! replica before it accepts a message from it, and refuses every other disk id from then on. A replica
+//! with a new data folder must rejoin as a learner under a new replica id.
 
 use corktack_core::identity::{Incarnation, ReplicaId};
 use corktack_storage::{DataFolder, StorageError, SyncedFile};
@@ -16,94 +17,97 @@
 
 const FILE_NAME: &str = "disks";
 
-/// What is kept on disk.
+/// The disk ids as they are stored in the data folder.
 #[derive(Debug, Serialize, Deserialize)]
-struct Known {
+struct StoredDiskIds {
     own: Incarnation,
     others: BTreeMap<ReplicaId, Incarnation>,
 }
 
 #[derive(Debug)]
-struct Book {
+struct DiskRecords {
     file: SyncedFile,
-    known: Known,
+    stored: StoredDiskIds,
     refused: BTreeSet<(ReplicaId, Incarnation)>,
 }
 
-/// What is to be done with a connection of another replica.
+/// Whether a connection of another replica is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiskCheck {
-    /// It has the disk that is known, or is the first one seen.
+    /// The disk id matches the stored one, or is the first one seen for this replica.
     Accepted {
-        /// How many other replicas' disks are known.
-        known: usize,
+        /// The number of other replicas whose disk id is stored.
+        stored_count: usize,
     },
-    /// It has another disk than the one known.
+    /// The disk id differs from the stored one.
     Refused {
-        /// Whether it is the first time that this disk is refused.
+        /// Whether this disk id is refused for the first time since the start.
         first_time: bool,
     },
 }
 
-/// The disks known of the cell's replicas; clones share them.
+/// The disk ids of the cell's replicas. Clones share one set of records.
 #[derive(Clone, Debug)]
 pub(crate) struct Disks {
     own: Incarnation,
-    book: Arc<Mutex<Book>>,
+    records: Arc<Mutex<DiskRecords>>,
 }
 
 impl Disks {
-    /// Reads what this data folder knows; one that is new draws its id.
+    /// Reads the disk ids from the data folder, or draws a random own id if none is stored.
     pub(crate) fn open(folder: &DataFolder) -> Result<Self, StorageError> {
         let mut file = SyncedFile::new(folder, FILE_NAME)?;
-        let known = match file.load()? {
-            Some(known) => known,
+        let stored = match file.load()? {
+            Some(stored) => stored,
             None => {
-                let drawn = Known { own: Incarnation(rand::random()), others: BTreeMap::new() };
-                file.store(&drawn)?;
-                drawn
+                let new_ids =
+                    StoredDiskIds { own: Incarnation(rand::random()), others: BTreeMap::new() };
+                file.store(&new_ids)?;
+                new_ids
             }
         };
-        let own = known.own;
-        let book = Book { file, known, refused: BTreeSet::new() };
-        Ok(Self { own, book: Arc::new(Mutex::new(book)) })
+        let own = stored.own;
+        let records = DiskRecords { file, stored, refused: BTreeSet::new() };
+        Ok(Self { own, records: Arc::new(Mutex::new(records)) })
     }
 
-    /// Id of this replica's own data folder.
+    /// Returns the disk id of this replica's own data folder.
     pub(crate) const fn own(&self) -> Incarnation {
         self.own
     }
 
-    /// Compares the disk of another replica with the one known, or notes it.
+    /// Compares a replica's disk id with the stored one, and stores it if there is none.
+    ///
+    /// Fails if the new disk id cannot be synced.
     pub(crate) fn check(
         &self,
         replica: ReplicaId,
         disk: Incarnation,
     ) -> Result<DiskCheck, StorageError> {
-        // A panic while the lock was held leaves a book that is still whole.
-        let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
-        book.check(replica, disk)
+        // The records stay consistent when a thread panics while it holds the lock.
+        let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
+        records.check(replica, disk)
     }
 }
 
-impl Book {
+impl DiskRecords {
     fn check(&mut self, replica: ReplicaId, disk: Incarnation) -> Result<DiskCheck, StorageError> {
-        match self.known.others.get(&replica) {
-            Some(known) if *known != disk => {
+        match self.stored.others.get(&replica) {
+            Some(stored_disk) if *stored_disk != disk => {
                 let first_time = self.refused.insert((replica, disk));
                 return Ok(DiskCheck::Refused { first_time });
             }
             Some(_) => (),
-            None => self.note(replica, disk)?,
+            None => self.record(replica, disk)?,
         }
-        Ok(DiskCheck::Accepted { known: self.known.others.len() })
+        Ok(DiskCheck::Accepted { stored_count: self.stored.others.len() })
     }
 
-    /// What is noted is durable, or it is not noted.
-    fn note(&mut self, replica: ReplicaId, disk: Incarnation) -> Result<(), StorageError> {
-        self.known.others.insert(replica, disk);
-        self.file.store(&self.known).inspect_err(|_| {
-            self.known.others.remove(&replica);
+    /// Stores and syncs a disk id. A failed write leaves no record in memory either.
+    fn record(&mut self, replica: ReplicaId, disk: Incarnation) -> Result<(), StorageError> {
+        self.stored.others.insert(replica, disk);
+        self.file.store(&self.stored).inspect_err(|_| {
+            self.stored.others.remove(&replica);
         })
     }
 }
--- a/crates/control/src/cell/inbound.rs
+++ b/crates/control/src/cell/inbound.rs
@@ -1,10 +1,8 @@
 //! Incoming connections of other replicas.
 //!
-//! Owns nothing between connections. Relies on the disks' book for whether a replica may still be believed,
-//! and passes everything that was read on to the consensus thread.
-//!
-//! A replica is refused that names another cell, another receiver or another disk than before; a refused
-//! one is not answered.
+//! Each connection begins with a hello message. The connection is closed without an answer if the hello
+//! names another cell, another receiver, or a disk id that differs from the stored one (see
+//! [`Disks`]). Every later message goes to the consensus thread.
 
 use super::disks::{DiskCheck, Disks};
 use super::message::PeerMessage;
@@ -22,14 +20,14 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::FramedRead;
 
-/// Longest wait for the first message. Chosen, not measured; a lower value refuses replicas behind slow
-/// links, a higher one keeps silent connections for longer.
+/// Longest wait for the hello message. A shorter timeout refuses replicas behind slow links; a longer one
+/// keeps silent connections for longer.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed accept (out of file descriptors, most likely). Chosen, not measured; a lower value
-/// spins while none is free, a higher one lets replicas wait for longer.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a failed accept, most likely because no file descriptor is free. A shorter pause spins
+/// until one is free; a longer one delays replicas that connect.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What incoming connections are checked against.
+/// The identity of this replica and the records that incoming connections are checked against.
 #[derive(Clone)]
 pub(crate) struct InboundSettings {
     pub(crate) cell: CellName,
@@ -39,11 +37,11 @@
 }
 
 impl InboundSettings {
-    /// Whether the replica still has the disk that it is known by.
-    fn knows(&self, replica: ReplicaId, disk: Incarnation) -> bool {
+    /// Checks a replica's disk id against the stored one and updates the metrics.
+    fn accepts_disk(&self, replica: ReplicaId, disk: Incarnation) -> bool {
         match self.disks.check(replica, disk) {
-            Ok(DiskCheck::Accepted { known }) => {
-                self.metrics.cell_disks_known.set(i64::try_from(known).unwrap_or(i64::MAX));
+            Ok(DiskCheck::Accepted { stored_count }) => {
+                self.metrics.cell_disks_known.set(i64::try_from(stored_count).unwrap_or(i64::MAX));
                 true
             }
             Ok(DiskCheck::Refused { first_time }) => {
@@ -51,20 +49,23 @@
                 if first_time {
                     log::error!(
                         replica = replica.0;
-                        "replica refused: it has another disk than before and needs a new id"
+                        "replica refused: its disk id has changed, so it needs a new replica id"
                     );
                 }
                 false
             }
             Err(error) => {
-                log::error!(replica = replica.0, error:% = error; "disk of a replica not noted");
+                log::error!(
+                    replica = replica.0, error:% = error;
+                    "replica refused: its disk id cannot be stored"
+                );
                 false
             }
         }
     }
 }
 
-/// Accepts replicas until the stop.
+/// Accepts connections of other replicas until the stop signal.
 pub(crate) async fn accept_replicas(
     listener: TcpListener,
     settings: InboundSettings,
@@ -79,14 +80,14 @@
         match accepted {
             Ok((stream, _)) => {
                 let serving = serve_replica(stream, settings.clone(), consensus.clone());
-                actix_rt::spawn(until_stopped(serving, stop.clone()));
+                actix_rt::spawn(run_until_stopped(serving, stop.clone()));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-async fn until_stopped(serving: impl Future<Output = ()>, stop: StopSignal) {
+async fn run_until_stopped(serving: impl Future<Output = ()>, stop: StopSignal) {
     tokio::select! {
         () = serving => (),
         () = stop.stopped() => (),
@@ -95,34 +96,34 @@
 
 type Connection = FramedRead<OwnedReadHalf, FrameCodec<PeerMessage, PeerMessage>>;
 
-/// Shortest time between two answers to what was read: the sender waits four times as long. Chosen, not
-/// measured; a lower value sends more bytes, a higher one leaves less of the sender's patience.
-const ANSWER_INTERVAL: Duration = Duration::from_millis(500);
-/// What is answered. Its value means nothing: that something comes back is the answer.
-const ANSWER: &[u8] = &[1];
+/// Shortest time between two acknowledgements on a connection. The sender's timeout is four times as long.
+/// A shorter interval sends more bytes; a longer one leaves less of the sender's timeout.
+const ACK_INTERVAL: Duration = Duration::from_millis(500);
+/// The acknowledgement. The sender ignores the value of the byte.
+const ACK: &[u8] = &[1];
 
-/// Answers what was read, from time to time.
-struct Answers {
+/// Sends an acknowledgement for messages that were read, at most once per [`ACK_INTERVAL`].
+struct Acknowledger {
     write_half: OwnedWriteHalf,
-    due: Instant,
+    next_due: Instant,
 }
 
-impl Answers {
-    fn note_read(&mut self) {
-        if Instant::now() >= self.due {
-            // Where nothing can be written now, the next answer does as well.
-            let _ = self.write_half.try_write(ANSWER);
-            self.due = Instant::now() + ANSWER_INTERVAL;
+impl Acknowledger {
+    fn acknowledge_read(&mut self) {
+        if Instant::now() >= self.next_due {
+            // If the socket takes no byte now, the next acknowledgement serves as well.
+            let _ = self.write_half.try_write(ACK);
+            self.next_due = Instant::now() + ACK_INTERVAL;
         }
     }
 }
 
 async fn serve_replica(stream: TcpStream, settings: InboundSettings, consensus: ConsensusHandle) {
-    // The options only save time: a connection without them still works.
+    // Ignored on failure: the options only detect dead connections sooner.
     drop(Liveness::WITHIN_DEPLOYMENT.apply(&stream));
     let (read_half, write_half) = stream.into_split();
     let mut connection = FramedRead::new(read_half, FrameCodec::default());
-    let mut answers = Answers { write_half, due: Instant::now() };
+    let mut acknowledger = Acknowledger { write_half, next_due: Instant::now() };
     let Some(from) = receive_hello(&mut connection, &settings).await else { return };
     if consensus.send(ConsensusInput::Connected(from)).is_err() {
         return;
@@ -130,7 +131,7 @@
     loop {
         match connection.next().await {
             Some(Ok(message)) => {
-                answers.note_read();
+                acknowledger.acknowledge_read();
                 if consensus.send(ConsensusInput::Cell { from, message }).is_err() {
                     return;
                 }
@@ -144,7 +145,7 @@
     }
 }
 
-/// The sender, when it belongs to this cell.
+/// Reads the hello message and returns the sender if it belongs to this cell and its disk is accepted.
 async fn receive_hello(
     connection: &mut Connection,
     settings: &InboundSettings,
@@ -154,14 +155,14 @@
         Ok(PeerMessage::Hello { replica, receiver, .. }) if receiver != settings.replica => {
             log::debug!(
                 replica = replica.0, receiver = receiver.0;
-                "connection for another replica refused: this one has taken its place"
+                "connection refused: its receiver is another replica id at this address"
             );
             None
         }
         Ok(PeerMessage::Hello { cell, replica, incarnation, .. })
             if cell == settings.cell && replica != settings.replica =>
         {
-            settings.knows(replica, incarnation).then_some(replica)
+            settings.accepts_disk(replica, incarnation).then_some(replica)
         }
         Ok(_) => {
             log::warn!(cell = settings.cell.0.as_str(); "connection of another cell refused");
--- a/crates/control/src/cell/mod.rs
+++ b/crates/control/src/cell/mod.rs
@@ -1,7 +1,7 @@
 //! Connections between the replicas of a cell: one for each direction.
 //!
-//! Owns the links out and who may be believed on the way in. Relies on the consensus thread, which takes what
-//! comes in and says what goes out.
+//! Owns the outgoing links and the disk ids that incoming connections are checked against. The consensus
+//! thread receives the incoming messages and queues the outgoing ones.
 
 mod disks;
 mod inbound;
--- a/crates/control/src/cell/outbound.rs
+++ b/crates/control/src/cell/outbound.rs
@@ -1,11 +1,12 @@
 //! Outgoing connections: one to each other replica, with a bounded queue.
 //!
-//! Owns the links. Relies on the consensus thread for which replicas there are, and on the core to send
-//! again what is dropped here.
+//! Messages may be dropped here; the consensus core sends them again. The consensus thread decides which
+//! replicas have a link.
 //!
-//! A connection is opened at once, then after growing pauses (see [`Backoff`]), and at once again when the
-//! other replica connects. It is given up when what was sent stays unanswered for [`SILENCE_LIMIT`], when
-//! a flush takes longer than [`SEND_TIMEOUT`], and when the replica leaves the cell.
+//! A link connects at once, retries with a growing delay (see [`Backoff`]), and retries at once when the
+//! other replica connects to this one. The link closes its connection when sent messages stay
+//! unacknowledged for [`ACK_TIMEOUT`], when a flush takes longer than [`SEND_TIMEOUT`], and when the
+//! replica leaves the cell.
 
 use super::message::PeerMessage;
 use crate::backoff::Backoff;
@@ -28,32 +29,31 @@
 use tokio::time::{Instant, sleep_until, timeout};
 use tokio_util::codec::FramedWrite;
 
-/// Messages that wait for one replica before further ones are dropped. The
-/// consensus core sends again what it gets no answer to, and so do callers of
-/// forwarded commands. Chosen, not measured; a lower value drops more behind slow links, a higher one
-/// sends more that is stale.
-const QUEUE_MESSAGES: usize = 256;
-/// Longest wait for a connection: a machine without power answers nothing, and its first packet
-/// after it came back would be sent again only after seconds. Chosen, not measured by itself; a lower value
-/// gives up on slow links.
+/// Messages that wait for one replica before further ones are dropped. The consensus core and the callers
+/// of forwarded commands send again what stays unanswered. A shorter queue drops more messages behind slow
+/// links; a longer one sends more stale messages.
+const QUEUE_CAPACITY: usize = 256;
+/// Longest wait for a connection. A machine without power does not answer, and the kernel would retransmit
+/// the connection request only seconds after the machine came back. A shorter timeout fails on slow
+/// links.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Bytes of answers taken at once: one answer is one byte, and all that wait mean the same. Chosen, not
-/// measured; a lower value reads more often.
-const ANSWER_BUFFER: usize = 64;
-/// Longest wait for a flush; no answer is read meanwhile. Chosen, not measured; a lower value cuts off slow
-/// links, a higher one keeps a connection that takes nothing for longer.
+/// Most acknowledgements read at once. Each is one byte, and one of them acknowledges all messages sent
+/// so far. A smaller buffer reads more often.
+const ACK_BUFFER_BYTES: usize = 64;
+/// Longest wait for a flush, during which no acknowledgement is read. A shorter timeout cuts off slow
+/// links; a longer one keeps a blocked connection for longer.
 const SEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// First and longest pause before a link is opened again. Chosen, not measured; lower values dial machines
-/// that are gone more often, higher ones add to the time until a replica that came back is reached.
-const BACKOFF_FIRST: Duration = Duration::from_millis(20);
-const BACKOFF_LAST: Duration = Duration::from_secs(1);
+/// Initial and longest delay before a link connects again. Lower values dial unreachable machines more
+/// often; higher ones delay the connection to a replica that came back.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Who this replica is, as its connections begin.
+/// The contents of this replica's hello messages, and the seed of the reconnect delays.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkSettings {
     pub(crate) cell: CellName,
     pub(crate) replica: ReplicaId,
-    /// Id of this replica's data folder, which is drawn anew with each disk.
+    /// The disk id of this replica's data folder.
     pub(crate) disk: Incarnation,
     pub(crate) seed: u64,
 }
@@ -61,7 +61,7 @@
 struct Link {
     address: SocketAddr,
     queue: mpsc::Sender<PeerMessage>,
-    /// Ends the wait before the next attempt to connect.
+    /// Ends the back-off delay or hanging attempt, so that the link connects at once.
     reachable: Arc<Notify>,
 }
 
@@ -78,8 +78,9 @@
         Self { settings, arbiter, metrics, links: HashMap::new() }
     }
 
-    /// Follows a change of the cell. Replicas that left keep no connection.
-    pub(crate) fn follow(&mut self, cell: &CellConfig) {
+    /// Applies a changed cell: closes the links to replicas that left or changed their address, and
+    /// opens links to new ones.
+    pub(crate) fn apply_cell(&mut self, cell: &CellConfig) {
         let members: Vec<CellMember> = cell.voters.iter().chain(&cell.learners).cloned().collect();
         self.links.retain(|id, link| {
             members.iter().any(|member| member.id == *id && member.address == link.address)
@@ -87,7 +88,7 @@
         self.connect(&members);
     }
 
-    /// Opens a connection to each of `members` that has none.
+    /// Opens a link to each of `members` that has none.
     pub(crate) fn connect(&mut self, members: &[CellMember]) {
         for member in members {
             if member.id != self.settings.replica && !self.links.contains_key(&member.id) {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Queues a message; gives whether there was room.
+    /// Queues a message and reports whether it was queued: there must be a link, with room in its queue.
     pub(crate) fn send(&self, to: ReplicaId, message: PeerMessage) -> bool {
         let Some(link) = self.links.get(&to) else { return false };
         let queued = link.queue.try_send(message).is_ok();
@@ -107,19 +108,22 @@
         queued
     }
 
-    /// A replica has connected, so it can be reached: its link need not wait for its
-    /// next attempt, which may be longer than an election timeout away.
-    pub(crate) fn note_reachable(&self, replica: ReplicaId) {
+    /// Makes the link to a replica that has just connected to this one connect at once. The next regular
+    /// attempt may be more than an election timeout away.
+    pub(crate) fn reconnect_now(&self, replica: ReplicaId) {
         if let Some(link) = self.links.get(&replica) {
             link.reachable.notify_one();
         }
     }
 
     fn open(&self, member: &CellMember) -> Link {
-        let (queue, messages) = mpsc::channel(QUEUE_MESSAGES);
+        let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
         let address = member.address;
-        let backoff =
-            Backoff::new(BACKOFF_FIRST, BACKOFF_LAST, self.settings.seed.wrapping_add(member.id.0));
+        let backoff = Backoff::new(
+            INITIAL_BACKOFF,
+            MAX_BACKOFF,
+            self.settings.seed.wrapping_add(member.id.0),
+        );
         let hello = self.hello(member.id);
         let reachable = Arc::new(Notify::new());
         self.arbiter.spawn(run_link(address, hello, messages, backoff, Arc::clone(&reachable)));
@@ -136,7 +140,7 @@
     }
 }
 
-/// Keeps one connection open until the queue is closed.
+/// Keeps a connection to one replica open until the queue is closed.
 async fn run_link(
     address: SocketAddr,
     hello: PeerMessage,
@@ -147,7 +151,7 @@
     loop {
         let connected = tokio::select! {
             biased;
-            // An attempt from before the replica could be reached may hang for long.
+            // An attempt that began before the replica was reachable may hang, so it is started again.
             () = reachable.notified() => connect(address, &hello).await,
             connected = connect(address, &hello) => connected,
         };
@@ -156,11 +160,14 @@
             match send_all(connection, &mut messages).await {
                 Ok(()) => return,
                 Err(error) => {
-                    log::info!(address:% = address, error:% = error; "link to a replica lost");
+                    log::info!(
+                        address:% = address, error:% = error;
+                        "connection to a replica lost, reconnecting"
+                    );
                 }
             }
         }
-        let delay = backoff.next();
+        let delay = backoff.next_delay();
         let closed = tokio::select! {
             biased;
             () = reachable.notified() => false,
@@ -172,30 +179,31 @@
     }
 }
 
-/// How long what was sent may stay unanswered: the far end answers what it reads within
-/// a quarter of that, also where its kernel would acknowledge for a process that takes nothing. Chosen, not
-/// measured; a lower value opens links anew that are only slow, a higher one keeps silent ones for longer.
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
+/// Longest time that sent messages may stay unacknowledged. The receiver acknowledges what it reads within
+/// a quarter of this time. TCP acknowledgements don't suffice: the kernel sends them for a process that
+/// reads nothing, too. A shorter timeout replaces connections that are only slow; a longer one keeps
+/// silent ones for longer.
+const ACK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a connection is given up.
+/// Why a link closes its connection.
 #[derive(Debug, thiserror::Error)]
 enum LinkError {
     #[error(transparent)]
     Frame(#[from] FrameError),
     #[error("the other replica closed the connection")]
     Closed,
-    #[error("the other replica does not answer what it is sent")]
+    #[error("the other replica does not acknowledge messages")]
     Silent,
 }
 
-/// A connection: messages go one way, and single bytes come back for what was read.
+/// A connection that carries messages one way and one-byte acknowledgements the other way.
 struct Connection {
     messages: FramedWrite<OwnedWriteHalf, FrameCodec<PeerMessage, PeerMessage>>,
-    answers: OwnedReadHalf,
+    acks: OwnedReadHalf,
 }
 
-/// Packs what is large: log entries with documents were an eighth to a sixth of the bytes between the regions of
-/// a deployment on days with many documents. Every replica reads both forms.
+/// Returns a codec that compresses large frames: log entries with configuration documents can be an eighth
+/// to a sixth of a deployment's bytes between regions. Every replica reads both forms.
 fn link_codec() -> FrameCodec<PeerMessage, PeerMessage> {
     FrameCodec::compressing()
 }
@@ -203,19 +211,19 @@
 async fn connect(address: SocketAddr, hello: &PeerMessage) -> Option<Connection> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
     Liveness::WITHIN_DEPLOYMENT.apply(&stream).ok()?;
-    let (answers, write_half) = stream.into_split();
+    let (acks, write_half) = stream.into_split();
     let mut messages = FramedWrite::new(write_half, link_codec());
     timeout(SEND_TIMEOUT, messages.send(hello.clone())).await.ok()?.ok()?;
-    Some(Connection { messages, answers })
+    Some(Connection { messages, acks })
 }
 
-/// Sends until the queue is closed (`Ok`) or the connection fails.
+/// Sends the queued messages until the queue is closed (`Ok`) or the connection fails.
 async fn send_all(
     mut connection: Connection,
     queue: &mut mpsc::Receiver<PeerMessage>,
 ) -> Result<(), LinkError> {
-    let mut unanswered_since: Option<Instant> = None;
-    let mut answers = [0; ANSWER_BUFFER];
+    let mut unacked_since: Option<Instant> = None;
+    let mut acks = [0; ACK_BUFFER_BYTES];
     loop {
         tokio::select! {
             message = queue.recv() => {
@@ -225,21 +233,21 @@
                     connection.messages.feed(message).await?;
                 }
                 connection.flush().await?;
-                unanswered_since.get_or_insert_with(Instant::now);
+                unacked_since.get_or_insert_with(Instant::now);
             }
-            read = connection.answers.read(&mut answers) => match read {
-                Ok(1..) => unanswered_since = None,
+            read = connection.acks.read(&mut acks) => match read {
+                Ok(1..) => unacked_since = None,
                 _ => return Err(LinkError::Closed),
             },
-            () = silence(unanswered_since) => return Err(LinkError::Silent),
+            () = ack_timeout(unacked_since) => return Err(LinkError::Silent),
         }
     }
 }
 
-/// Ends once something has been unanswered for too long.
-async fn silence(unanswered_since: Option<Instant>) {
-    match unanswered_since {
-        Some(since) => sleep_until(since + SILENCE_LIMIT).await,
+/// Resolves [`ACK_TIMEOUT`] after the oldest unacknowledged message; never if all are acknowledged.
+async fn ack_timeout(unacked_since: Option<Instant>) {
+    match unacked_since {
+        Some(since) => sleep_until(since + ACK_TIMEOUT).await,
         None => std::future::pending().await,
     }
 }
@@ -255,7 +263,7 @@
 
 struct QueueClosed;
 
-/// Drops what is queued while there is no connection: it would arrive stale.
+/// Waits for `delay` and drops the messages queued meanwhile, which would arrive stale.
 async fn wait_disconnected(
     messages: &mut mpsc::Receiver<PeerMessage>,
     delay: Duration,
--- a/crates/control/src/clock.rs
+++ b/crates/control/src/clock.rs
@@ -1,24 +1,24 @@
-//! The monotonic clock that the core's timestamps are read from.
+//! The monotonic clock behind the core's timestamps.
 //!
-//! Owns the origin. All parts of a replica share one clock, so that their timestamps compare.
+//! All parts of a replica share one clock, so that their timestamps can be compared.
 
 use corktack_core::time::Timestamp;
 use std::time::Instant;
 
-/// A monotonic clock whose origin is its own start.
+/// A monotonic clock whose timestamps count from its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at timestamp 0.
     #[must_use]
     pub fn start() -> Self {
         Self { origin: Instant::now() }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start, in microseconds.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         let micros = self.origin.elapsed().as_micros();
--- a/crates/control/src/consensus/apply.rs
+++ b/crates/control/src/consensus/apply.rs
@@ -1,7 +1,7 @@
-//! Writes, applies and answers: what the core's actions do.
+//! Performs the core's actions: persists entries, installs snapshots, applies commands and answers requests.
 //!
-//! Owns nothing beside the thread's own state. Order matters here: what is persisted is synced before anything
-//! that rests on it, and a request is answered once its entry is applied.
+//! The order matters. Entries are synced before anything that relies on them, and a request is answered
+//! only once its entry is applied.
 
 use super::input::ProposalAnswer;
 use super::pending::{ForwardedProposal, ProposalKind, ProposalOrigin};
@@ -22,22 +22,22 @@
         hard_state: Option<HardState>,
         entries: &[Entry],
     ) -> Result<(), ConsensusError> {
-        let begin = Instant::now();
+        let started_at = Instant::now();
         self.parts.log.persist(hard_state, entries)?;
-        self.note_sync(begin);
+        self.record_sync(started_at);
         Ok(())
     }
 
-    fn note_sync(&self, begin: Instant) {
+    fn record_sync(&self, started_at: Instant) {
         self.parts.metrics.syncs.inc();
-        self.parts.metrics.sync_seconds.observe(begin.elapsed().as_secs_f64());
+        self.parts.metrics.sync_seconds.observe(started_at.elapsed().as_secs_f64());
     }
 
     pub(super) fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), ConsensusError> {
         let state = decode_state(&snapshot.data)?;
-        let begin = Instant::now();
+        let started_at = Instant::now();
         self.parts.log.install_snapshot(snapshot)?;
-        self.note_sync(begin);
+        self.record_sync(started_at);
         self.parts.metrics.snapshots.inc();
         self.parts.state = state;
         self.parts.applied = snapshot.index;
@@ -65,25 +65,25 @@
         self.outcomes.insert(index, applied.outcome);
     }
 
-    /// Answers what waited for the entries just applied.
+    /// Answers the proposals and reads that waited for the entries just applied.
     fn answer_applied(&mut self) {
         let applied = self.parts.applied;
         for (index, proposal) in self.pending.take_applied(applied) {
-            self.answer_at(index, proposal);
+            self.answer_once_applied(index, proposal);
         }
         let reads = self.pending.take_ready_reads(applied);
         self.run_reads(reads);
     }
 
-    /// Answers a committed proposal, once its entry is applied here: a read that
-    /// follows the answer on this replica then sees the change.
-    pub(super) fn answer_at(&mut self, index: u64, proposal: ForwardedProposal) {
+    /// Answers a committed proposal once its entry is applied here, so that a later read on this replica
+    /// sees the change.
+    pub(super) fn answer_once_applied(&mut self, index: u64, proposal: ForwardedProposal) {
         if index > self.parts.applied {
             self.pending.await_apply(index, proposal);
             return;
         }
         let answer = self.outcome_of(index, proposal.kind);
-        // The requester may have given up; there is no one else to answer.
+        // The send fails if the requester has given up, and nobody else needs the answer.
         drop(proposal.reply.send(answer));
     }
 
@@ -98,7 +98,7 @@
     pub(super) fn answer_committed(&mut self, request: RequestId, index: u64) {
         match self.pending.take_proposal(request) {
             Some(ProposalOrigin::Local(kind, reply)) => {
-                self.answer_at(index, ForwardedProposal { kind, reply });
+                self.answer_once_applied(index, ForwardedProposal { kind, reply });
             }
             Some(ProposalOrigin::Peer(replica, request)) => {
                 let answer = PeerMessage::Forwarded { request, outcome: Ok(index) };
@@ -106,7 +106,7 @@
             }
             Some(ProposalOrigin::Duty(id)) => {
                 let outcome = self.outcomes.get(index).cloned();
-                self.parts.duties.take_outcome(self.parts.clock.now(), id, outcome);
+                self.parts.duties.record_outcome(self.parts.clock.now(), id, outcome);
             }
             None => (),
         }
@@ -125,7 +125,7 @@
                 self.parts.links.send(replica, answer);
             }
             Some(ProposalOrigin::Duty(id)) => {
-                self.parts.duties.take_outcome(self.parts.clock.now(), id, None);
+                self.parts.duties.record_outcome(self.parts.clock.now(), id, None);
             }
             None => (),
         }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Puts a snapshot in place of a long log.
+    /// Replaces the log's applied entries by a snapshot once they number `snapshot_entries`.
     pub(super) fn snapshot_if_due(&mut self) -> Result<(), ConsensusError> {
         let index = self.parts.applied;
         if index < self.snapshot_index + self.parts.snapshot_entries {
@@ -149,10 +149,10 @@
         let Some((term, cell)) = self.parts.replica.snapshot_header(index) else { return Ok(()) };
         let data = encode_state(&self.parts.state)?;
         let snapshot = Snapshot { index, term, cell, data };
-        let begin = Instant::now();
-        // Synced before the core may drop the entries that it covers.
+        let started_at = Instant::now();
+        // The snapshot is synced before the core drops the entries that it covers.
         self.parts.log.compact(&snapshot)?;
-        self.note_sync(begin);
+        self.record_sync(started_at);
         self.parts.metrics.snapshots.inc();
         self.snapshot_index = index;
         self.step(vec![Event::Compact { snapshot }], Vec::new())
--- a/crates/control/src/consensus/handle.rs
+++ b/crates/control/src/consensus/handle.rs
@@ -1,7 +1,7 @@
-//! How the rest of the process reaches the consensus thread.
+//! The interface of the consensus thread for the rest of the process.
 //!
-//! Owns the number of requests that wait, and decides how long each waits and when it is made again.
-//! Relies on the thread to answer each input, or to drop its reply when it ends.
+//! Counts the waiting requests, and applies their timeouts and retries. The thread answers each input, or
+//! drops its reply channel when it ends.
 
 use super::input::{
     ConsensusInput, Proposal, ProposalAnswer, ProxyRevisions, ReadTask, StateReader,
@@ -16,19 +16,19 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Requests that wait for an outcome before further ones are refused. Chosen, not measured; it bounds the
-/// memory of a replica that can commit nothing, and a lower value refuses sooner in a burst.
-const REQUEST_LIMIT: usize = 10_000;
-/// First and longest pause before a request is made again, each drawn between half and all of it. Chosen,
-/// not measured; lower values ask more often while there is no leader, higher ones add to the time until
-/// a new leader is found.
-const RETRY_FIRST: Duration = Duration::from_millis(10);
-const RETRY_LAST: Duration = Duration::from_millis(200);
-/// Longest wait for one attempt: a forwarded command or its answer may be lost. Chosen, not measured; a
-/// lower value repeats commands that are only slow, a higher one adds to the time after a loss.
+/// Most requests that wait for an outcome; further ones are refused. Bounds the memory of a replica that
+/// can commit nothing. A lower limit refuses requests earlier in a burst.
+const MAX_WAITING_REQUESTS: usize = 10_000;
+/// Initial and longest delay before a request is retried. Each delay is drawn between half of it and all
+/// of it. Lower values retry more often while there is no leader; higher ones take longer to reach a new
+/// leader.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Longest wait for one attempt, as a forwarded command or its answer may be lost. A shorter timeout repeats
+/// commands that are only slow; a longer one delays the retry after a loss.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Feeds the consensus thread.
+/// Sends inputs to the consensus thread. Clones share the count of waiting requests.
 #[derive(Clone)]
 pub(crate) struct ConsensusHandle {
     inputs: mpsc::Sender<ConsensusInput>,
@@ -36,7 +36,7 @@
     request_timeout: Duration,
 }
 
-/// One request that waits; gives its place back when it is done.
+/// One waiting request. Its drop takes it off the count.
 struct WaitingRequest(Arc<AtomicUsize>);
 
 impl Drop for WaitingRequest {
@@ -50,21 +50,21 @@
         Self { inputs, waiting: Arc::default(), request_timeout }
     }
 
-    /// Hands an input over; fails once the thread has ended.
+    /// Sends an input to the thread. Fails once the thread has ended.
     pub(crate) fn send(&self, input: ConsensusInput) -> Result<(), RequestError> {
         self.inputs.send(input).map_err(|_| RequestError::Stopping)
     }
 
-    /// Proposes until there is an outcome or the time is up. Repeats are safe
-    /// because a command carries what makes it take effect once: a change id, an
-    /// incarnation or a term.
+    /// Proposes a command and retries until there is an outcome or the request timeout expires. Retries
+    /// are safe because each command carries a change id, an incarnation or a term that makes it take
+    /// effect only once.
     pub(crate) async fn propose(&self, command: Command) -> Result<Outcome, RequestError> {
         let outcome = self.retry(&Proposal::Command(command)).await?;
         outcome.ok_or(RequestError::OutcomeForgotten)
     }
 
-    /// Changes the cell. A change whose outcome is unknown is not repeated: the
-    /// operator looks at the cell first.
+    /// Proposes a change of the cell. A change whose outcome is unknown is not retried: the operator must
+    /// look at the cell first.
     pub(crate) async fn change_cell(&self, change: CellChange) -> Result<(), RequestError> {
         let _waiting = self.admit()?;
         let answer = self.attempt(Proposal::Cell(change), self.request_timeout);
@@ -80,10 +80,10 @@
         self.read_within(self.request_timeout, read).await
     }
 
-    /// As [`ConsensusHandle::read`], with another limit than that of requests.
+    /// Runs `read` as [`ConsensusHandle::read`] does, but within `timeout` instead of the request timeout.
     pub(crate) async fn read_within<T, F>(
         &self,
-        limit: Duration,
+        timeout: Duration,
         read: F,
     ) -> Result<T, RequestError>
     where
@@ -91,7 +91,7 @@
         F: FnOnce(StateReader<'_>) -> T + Clone + Send + 'static,
     {
         let _waiting = self.admit()?;
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         let mut backoff = retry_backoff();
         loop {
             let result = self.read_once(read.clone(), deadline).await;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Runs `read` on the state as it is here, which may be old.
+    /// Runs `read` on the local state, which may be stale.
     pub(crate) async fn peek<T, F>(&self, read: F) -> Result<T, RequestError>
     where
         T: Send + 'static,
@@ -113,7 +113,7 @@
         answer.await.map_err(|_| RequestError::Stopping)?
     }
 
-    /// Revisions in force on the proxies; none when the leader does not answer.
+    /// Returns the revisions in force on the proxies, or an error if the leader does not answer in time.
     pub(crate) async fn proxy_revisions(&self) -> Result<ProxyRevisions, RequestError> {
         let (reply, answer) = oneshot::channel();
         self.send(ConsensusInput::ProxyRevisions(reply))?;
@@ -126,8 +126,8 @@
         let deadline = Instant::now() + self.request_timeout;
         let mut backoff = retry_backoff();
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let answer = self.attempt(proposal.clone(), left.min(ATTEMPT_TIMEOUT)).await;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let answer = self.attempt(proposal.clone(), remaining.min(ATTEMPT_TIMEOUT)).await;
             match answer {
                 Err(error) if may_retry(error) => wait_retry(&mut backoff, deadline, error).await?,
                 answer => return answer,
@@ -135,10 +135,10 @@
         }
     }
 
-    async fn attempt(&self, proposal: Proposal, limit: Duration) -> ProposalAnswer {
+    async fn attempt(&self, proposal: Proposal, timeout: Duration) -> ProposalAnswer {
         let (reply, answer) = oneshot::channel();
         self.send(ConsensusInput::Propose { proposal, reply })?;
-        let answer = tokio::time::timeout(limit, answer).await;
+        let answer = tokio::time::timeout(timeout, answer).await;
         answer.map_err(|_| RequestError::TimedOut)?.map_err(|_| RequestError::Stopping)?
     }
 
@@ -155,7 +155,7 @@
 
     fn admit(&self) -> Result<WaitingRequest, RequestError> {
         let waiting = WaitingRequest(Arc::clone(&self.waiting));
-        if waiting.0.fetch_add(1, Ordering::Relaxed) >= REQUEST_LIMIT {
+        if waiting.0.fetch_add(1, Ordering::Relaxed) >= MAX_WAITING_REQUESTS {
             return Err(RequestError::Overloaded);
         }
         Ok(waiting)
@@ -167,15 +167,15 @@
     T: Send + 'static,
     F: FnOnce(StateReader<'_>) -> T + Send + 'static,
 {
-    // The requester may have given up; there is no one else to answer.
+    // The send fails if the requester has given up, and nobody else needs the answer.
     Box::new(move |reader| drop(reply.send(reader.map(read))))
 }
 
 fn retry_backoff() -> Backoff {
-    Backoff::new(RETRY_FIRST, RETRY_LAST, rand::random())
+    Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY, rand::random())
 }
 
-/// Whether another attempt may end differently.
+/// Reports whether another attempt may succeed.
 fn may_retry(error: RequestError) -> bool {
     match error {
         RequestError::Rejected(Rejection::NotLeader { .. } | Rejection::LeadershipLost) => true,
@@ -185,13 +185,13 @@
     }
 }
 
-/// Waits for the next attempt, or gives up with the last one's error.
+/// Waits until the next attempt, or returns `error` if the deadline would pass first.
 async fn wait_retry(
     backoff: &mut Backoff,
     deadline: Instant,
     error: RequestError,
 ) -> Result<(), RequestError> {
-    let delay = backoff.next();
+    let delay = backoff.next_delay();
     if Instant::now() + delay >= deadline {
         return Err(error);
     }
--- a/crates/control/src/consensus/input.rs
+++ b/crates/control/src/consensus/input.rs
@@ -1,6 +1,6 @@
-//! What reaches the consensus thread, and what reads of its state see.
+//! The inputs of the consensus thread, and the view of its state that reads get.
 //!
-//! Owns the types alone. [`Proposal`] travels between replicas: its form is fixed.
+//! [`Proposal`] is sent between replicas, so its encoding is fixed.
 
 use crate::back_end::BackEndResult;
 use crate::cell::PeerMessage;
@@ -20,81 +20,82 @@
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// What a replica may forward to its leader.
+/// A proposal that a replica may forward to its leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Proposal {
-    /// A command of the log.
+    /// A command for the log.
     Command(Command),
     /// A change of the cell.
     Cell(CellChange),
 }
 
-/// What a read sees: a state that was current after the read was requested.
+/// The state that a read gets, with the feed of its changes.
 pub(crate) struct StateReader<'a> {
     pub(crate) state: &'a ControlState,
     pub(crate) feed: &'a Feed,
 }
 
-/// A read: runs once on the consensus thread, with a proven state or the reason for none.
+/// A read that runs once on the consensus thread, with the state or with the reason why there is none.
 pub(crate) type ReadTask = Box<dyn FnOnce(Result<StateReader<'_>, RequestError>) + Send>;
 
-/// Answer to a proposal; none for a change of the cell.
+/// The answer to a proposal. A change of the cell has no outcome.
 pub(crate) type ProposalAnswer = Result<Option<Outcome>, RequestError>;
 
-/// Revisions in force on the proxies, as the leader knows them.
+/// The incarnation and the revision in force of each proxy, as last reported to the leader.
 pub(crate) type ProxyRevisions = BTreeMap<ProxyName, (Incarnation, Revision)>;
 
-/// What reaches the consensus thread.
+/// An input of the consensus thread.
 pub(crate) enum ConsensusInput {
-    /// A message of another replica.
+    /// A message from another replica.
     Cell {
-        /// Its sender.
+        /// The replica that sent the message.
         from: ReplicaId,
-        /// The message.
+        /// The received message. A repeated hello is ignored.
         message: PeerMessage,
     },
     /// Another replica has connected.
     Connected(ReplicaId),
-    /// A proposal of this process.
+    /// A proposal from this process.
     Propose {
-        /// What is proposed.
+        /// The command or the change of the cell.
         proposal: Proposal,
-        /// Takes the answer.
+        /// Receives the answer.
         reply: oneshot::Sender<ProposalAnswer>,
     },
-    /// A read of the state.
+    /// A read of a state at least as new as any answer given before the request.
     Read(ReadTask),
-    /// A read of the state as it is here, without a proof that it is current.
+    /// A read of the local state, which may be stale.
     Peek(ReadTask),
     /// A request for the revisions in force on the proxies.
     ProxyRevisions(oneshot::Sender<ProxyRevisions>),
-    /// Proxies that are connected here.
+    /// Reports about the proxies that are connected to this replica.
     Reports(Vec<ProxyReport>),
-    /// What a proxy that is connected here holds of tenants' limits.
+    /// The allowances of tenants' limits that a proxy connected to this replica holds.
     Allowances(AllowanceReport),
-    /// A back end's answer to the leader.
+    /// A back end's answer to a call of the leader.
     BackEnd(BackEndResult),
-    /// The platform's list was polled.
+    /// A list that was polled from the platform.
     Platform(PlatformList),
-    /// An answer to the leader about registered back ends.
+    /// The result of a call of the leader about registered back ends.
     Registry(RegistryAnswer),
     /// A replica without a cell requests to be added.
     Join(CellMember),
-    /// Another replica answered which cell it belongs to.
+    /// Another replica's answer with the cell that it belongs to.
     CellLearned(CellConfig),
-    /// Leadership is to be handed over.
+    /// A request to transfer leadership to another replica.
     TransferLeadership,
-    /// The thread is to end.
+    /// A request to end the thread.
     Stop,
 }
 
 impl StateReader<'_> {
-    /// The whole view as one frame.
+    /// Encodes the whole view as one frame.
     pub(crate) fn snapshot_frame(&self) -> Result<SnapshotFrame, FrameError> {
         self.feed.snapshot(self.state)
     }
 
-    /// The whole view for a proxy that has `revision` in force, if deltas do not lead on from there.
+    /// Encodes the whole view for a proxy that has `revision` in force, or returns `None` if deltas from
+    /// that revision are available.
     pub(crate) fn snapshot_for(
         &self,
         revision: Revision,
--- a/crates/control/src/consensus/mod.rs
+++ b/crates/control/src/consensus/mod.rs
@@ -1,12 +1,10 @@
-//! The consensus thread: the one place that owns the replica, its log and its state.
+//! The consensus thread, which alone owns the replica, its log and its state.
 //!
-//! Everything reaches it as a [`ConsensusInput`] through a channel, so nothing here
-//! needs a lock. It performs the core's actions in their order: what a batch of
-//! inputs wants persisted is synced before anything of the batch is sent,
-//! applied or answered.
+//! All inputs reach the thread as [`ConsensusInput`]s through a channel, so its data needs no lock. The core
+//! decides, and the thread performs the core's actions in order: the entries of a batch of inputs are
+//! synced before any message of the batch is sent, entry applied or request answered.
 //!
-//! Relies on the core for every decision of the consensus, on the log for what is synced, and on the links
-//! for what goes to other replicas. [`ConsensusHandle`] is how the rest of the process reaches it.
+//! The rest of the process reaches the thread through [`ConsensusHandle`].
 
 mod apply;
 mod dispatch;
--- a/crates/control/src/consensus/pending.rs
+++ b/crates/control/src/consensus/pending.rs
@@ -1,7 +1,7 @@
-//! Requests that wait for the core, the leader or the state.
+//! Requests that wait for the core, the leader or the applied state.
 //!
-//! Owns the numbers of requests and who waits for each. Decides nothing: the thread says when an answer
-//! is due.
+//! Assigns the request numbers and stores the origin of each request. The thread decides when an answer is
+//! due.
 
 use super::input::{ProposalAnswer, ReadTask};
 use crate::error::RequestError;
@@ -11,35 +11,35 @@
 use std::collections::{BTreeMap, HashMap};
 use tokio::sync::oneshot;
 
-/// Takes the answer to a proposal of this process.
+/// Receives the answer to a proposal from this process.
 pub(crate) type ProposalReply = oneshot::Sender<ProposalAnswer>;
 
-/// What a proposal holds.
+/// The kind of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProposalKind {
-    /// A command: its outcome is the answer.
+    /// A command, answered with its outcome.
     Command,
-    /// A change of the cell: it has no outcome beside being committed.
+    /// A change of the cell, answered without an outcome once it is committed.
     Cell,
 }
 
-/// Who waits for a proposal made here.
+/// The origin of a proposal that went to the local core.
 pub(crate) enum ProposalOrigin {
     /// A task of this process.
     Local(ProposalKind, ProposalReply),
-    /// Another replica, under its own number.
+    /// Another replica, with its own number for the request.
     Peer(ReplicaId, u64),
     /// The duties of the leader.
     Duty(DutyId),
 }
 
-/// A proposal that was forwarded, or whose entry is not applied here yet.
+/// A proposal from this process that was forwarded to the leader, or whose entry is not applied here yet.
 pub(crate) struct ForwardedProposal {
     pub(crate) kind: ProposalKind,
     pub(crate) reply: ProposalReply,
 }
 
-/// Requests that wait.
+/// The waiting requests, by what they wait for.
 #[derive(Default)]
 pub(crate) struct Pending {
     last_request: u64,
@@ -56,70 +56,70 @@
         self.last_request
     }
 
-    /// Notes a proposal that goes to the core.
+    /// Adds a proposal for the core and returns its request number.
     pub(crate) fn add_proposal(&mut self, origin: ProposalOrigin) -> RequestId {
         let request = RequestId(self.next_request());
         self.proposals.insert(request, origin);
         request
     }
 
-    /// Notes reads that share one proof.
+    /// Adds reads that share one read index and returns their request number.
     pub(crate) fn add_reads(&mut self, tasks: Vec<ReadTask>) -> RequestId {
         let request = RequestId(self.next_request());
         self.reads.insert(request, tasks);
         request
     }
 
-    /// Notes a proposal that goes to the leader.
+    /// Adds a proposal for the leader and returns its request number.
     pub(crate) fn add_forwarded(&mut self, proposal: ForwardedProposal) -> u64 {
         let request = self.next_request();
         self.forwarded.insert(request, proposal);
         request
     }
 
-    /// Takes a proposal of the core's back.
+    /// Removes and returns the origin of a proposal that went to the core.
     pub(crate) fn take_proposal(&mut self, request: RequestId) -> Option<ProposalOrigin> {
         self.proposals.remove(&request)
     }
 
-    /// Takes reads back.
+    /// Removes and returns the reads of a request.
     pub(crate) fn take_reads(&mut self, request: RequestId) -> Option<Vec<ReadTask>> {
         self.reads.remove(&request)
     }
 
-    /// Takes a forwarded proposal back.
+    /// Removes and returns a forwarded proposal.
     pub(crate) fn take_forwarded(&mut self, request: u64) -> Option<ForwardedProposal> {
         self.forwarded.remove(&request)
     }
 
-    /// Keeps a committed proposal until its entry is applied here.
+    /// Stores a committed proposal until its entry is applied here.
     pub(crate) fn await_apply(&mut self, index: u64, proposal: ForwardedProposal) {
         self.unapplied.entry(index).or_default().push(proposal);
     }
 
-    /// Keeps proven reads until the state has applied `index`.
+    /// Stores reads whose read index is `index` until the state has applied that entry.
     pub(crate) fn await_reads(&mut self, index: u64, tasks: Vec<ReadTask>) {
         self.unapplied_reads.entry(index).or_default().extend(tasks);
     }
 
-    /// Takes the proposals whose entries are applied.
+    /// Removes and returns the proposals whose entries are applied, each with its index.
     pub(crate) fn take_applied(&mut self, applied: u64) -> Vec<(u64, ForwardedProposal)> {
-        let rest = self.unapplied.split_off(&(applied + 1));
-        let ready = std::mem::replace(&mut self.unapplied, rest);
+        let unready = self.unapplied.split_off(&(applied + 1));
+        let ready = std::mem::replace(&mut self.unapplied, unready);
         let flatten = |(index, proposals): (u64, Vec<ForwardedProposal>)| {
             proposals.into_iter().map(move |proposal| (index, proposal))
         };
         ready.into_iter().flat_map(flatten).collect()
     }
 
-    /// Takes the reads whose state is applied.
+    /// Removes and returns the reads whose read index is applied.
     pub(crate) fn take_ready_reads(&mut self, applied: u64) -> Vec<ReadTask> {
-        let rest = self.unapplied_reads.split_off(&(applied + 1));
-        let ready = std::mem::replace(&mut self.unapplied_reads, rest);
+        let unready = self.unapplied_reads.split_off(&(applied + 1));
+        let ready = std::mem::replace(&mut self.unapplied_reads, unready);
         ready.into_values().flatten().collect()
     }
 
-    /// Forgets forwarded proposals whose requesters have given up.
+    /// Drops the forwarded and unapplied proposals whose requesters have given up.
     pub(crate) fn forget_abandoned(&mut self) {
         self.forwarded.retain(|_, proposal| !proposal.reply.is_closed());
         for proposals in self.unapplied.values_mut() {
@@ -128,23 +128,23 @@
         self.unapplied.retain(|_, proposals| !proposals.is_empty());
     }
 
-    /// Gives forwarded proposals back, when another replica leads: the answer of
-    /// the former leader may never come.
-    pub(crate) fn give_back_forwarded(&mut self) {
+    /// Answers all forwarded proposals with [`Rejection::LeadershipLost`], so that their requesters retry.
+    /// Needed when the leader changes, as the former leader may never answer.
+    pub(crate) fn reject_forwarded(&mut self) {
         for (_, proposal) in self.forwarded.drain() {
-            // The requester may have given up; there is no one else to answer.
+            // The send fails if the requester has given up, and nobody else needs the answer.
             drop(proposal.reply.send(Err(Rejection::LeadershipLost.into())));
         }
     }
 
-    /// Answers everything that waits, at the end of the thread.
+    /// Refuses all waiting requests, at the end of the thread.
     pub(crate) fn refuse_all(&mut self) {
         let reads = std::mem::take(&mut self.reads).into_values();
         let unapplied = std::mem::take(&mut self.unapplied_reads).into_values();
         for task in reads.chain(unapplied).flatten() {
             task(Err(RequestError::Stopping));
         }
-        // A dropped reply shows its requester that the replica is stopping.
+        // The requester of a dropped reply channel gets `RequestError::Stopping`.
         self.proposals.clear();
         self.forwarded.clear();
         self.unapplied.clear();
--- a/crates/control/src/consensus/proposals.rs
+++ b/crates/control/src/consensus/proposals.rs
@@ -1,7 +1,7 @@
-//! Proposals on their way into the log: those of this process, of its duties and of other replicas.
+//! Handles proposals from this process, from the leader's duties and from other replicas.
 //!
-//! A replica that does not lead forwards its own to the leader. What waits for an answer is kept by
-//! [`super::pending`].
+//! A replica that isn't the leader forwards its own proposals to the leader. Proposals that wait for an
+//! answer are stored in [`super::pending`].
 
 use super::input::Proposal;
 use super::pending::{ForwardedProposal, ProposalKind, ProposalOrigin, ProposalReply};
@@ -14,14 +14,14 @@
 use corktack_protocol::frame::{decode, encode};
 
 impl ConsensusThread {
-    pub(super) fn take_proposal(
+    pub(super) fn handle_proposal(
         &mut self,
         proposal: Proposal,
         reply: ProposalReply,
         batch: &mut Batch,
     ) {
-        if self.leads() {
-            let kind = kind_of(&proposal);
+        if self.is_leader() {
+            let kind = proposal_kind(&proposal);
             match self.proposal_event(proposal, ProposalOrigin::Local(kind, reply)) {
                 Ok(event) => batch.events.push(event),
                 Err((ProposalOrigin::Local(_, reply), error)) => drop(reply.send(Err(error))),
@@ -32,7 +32,8 @@
         self.forward(&proposal, reply);
     }
 
-    /// The event for a proposal; an origin that cannot be served is given back.
+    /// Registers a proposal and returns its event, or the origin with an error if the command cannot be
+    /// encoded.
     fn proposal_event(
         &mut self,
         proposal: Proposal,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A proposal of the leader's own duties.
+    /// Returns the event for a proposal of the leader's duties.
     pub(super) fn duty_event(&mut self, proposal: DutyProposal) -> Option<Event<Message>> {
         let DutyProposal { id, command } = proposal;
         self.proposal_event(Proposal::Command(command), ProposalOrigin::Duty(id)).ok()
@@ -61,7 +62,7 @@
     fn forward(&mut self, proposal: &Proposal, reply: ProposalReply) {
         let no_leader = RequestError::Rejected(Rejection::NotLeader { leader: None });
         let Some(leader) = self.parts.replica.leader() else {
-            // The requester may have given up; there is no one else to answer.
+            // The send fails if the requester has given up, and nobody else needs the answer.
             drop(reply.send(Err(no_leader)));
             return;
         };
@@ -69,7 +70,7 @@
             drop(reply.send(Err(RequestError::Encoding)));
             return;
         };
-        let kind = kind_of(proposal);
+        let kind = proposal_kind(proposal);
         let request = self.pending.add_forwarded(ForwardedProposal { kind, reply });
         if !self.parts.links.send(leader, PeerMessage::Forward { request, command })
             && let Some(proposal) = self.pending.take_forwarded(request)
@@ -78,31 +79,31 @@
         }
     }
 
-    /// A command that another replica forwarded.
-    pub(super) fn take_forward(
+    /// Returns the event for a proposal that another replica forwarded.
+    pub(super) fn handle_forward(
         &mut self,
         from: ReplicaId,
         request: u64,
         command: &[u8],
     ) -> Option<Event<Message>> {
         let Ok(proposal) = decode::<Proposal>(command) else {
-            log::warn!(replica = from.0; "forwarded command cannot be read");
+            log::warn!(replica = from.0; "forwarded proposal cannot be decoded and is dropped");
             return None;
         };
         self.proposal_event(proposal, ProposalOrigin::Peer(from, request)).ok()
     }
 
-    /// The leader's answer to a forwarded command.
-    pub(super) fn take_forwarded(&mut self, request: u64, outcome: Result<u64, Rejection>) {
+    /// Handles the leader's answer to a proposal that this replica forwarded.
+    pub(super) fn handle_forward_answer(&mut self, request: u64, outcome: Result<u64, Rejection>) {
         let Some(proposal) = self.pending.take_forwarded(request) else { return };
         match outcome {
-            Ok(index) => self.answer_at(index, proposal),
+            Ok(index) => self.answer_once_applied(index, proposal),
             Err(rejection) => drop(proposal.reply.send(Err(rejection.into()))),
         }
     }
 }
 
-fn kind_of(proposal: &Proposal) -> ProposalKind {
+fn proposal_kind(proposal: &Proposal) -> ProposalKind {
     match proposal {
         Proposal::Command(_) => ProposalKind::Command,
         Proposal::Cell(_) => ProposalKind::Cell,
--- a/crates/control/src/consensus/proxies.rs
+++ b/crates/control/src/consensus/proxies.rs
@@ -1,7 +1,7 @@
-//! What proxies report, on its way to the leader's duties, and what goes back to them.
+//! Routes the proxies' reports to the leader's duties, and grants of allowances back to the proxies.
 //!
-//! A replica that does not lead passes reports on to the leader. Grants go back the way that the
-//! gateway's last report came, which the thread keeps.
+//! A replica that isn't the leader forwards reports to the leader. The leader sends grants through the
+//! replica that forwarded the gateway's last report.
 
 use super::input::ProxyRevisions;
 use super::thread::ConsensusThread;
@@ -12,38 +12,39 @@
 use tokio::sync::oneshot;
 
 impl ConsensusThread {
-    pub(super) fn take_own_reports(&mut self, reports: Vec<ProxyReport>) {
-        if self.leads() {
-            self.take_reports(reports);
+    pub(super) fn handle_local_reports(&mut self, reports: Vec<ProxyReport>) {
+        if self.is_leader() {
+            self.handle_reports(reports);
         } else if let Some(leader) = self.parts.replica.leader() {
-            // A lost summary is made good by the next full one.
+            // A lost message does no harm: the next full summary repeats its reports.
             self.parts.links.send(leader, PeerMessage::Proxies { reports });
         }
     }
 
-    /// Reports that reach a replica which does not lead (any more) are dropped:
-    /// the proxies' replicas send the next ones to the new leader.
-    pub(super) fn take_reports(&mut self, reports: Vec<ProxyReport>) {
-        if !self.leads() {
+    /// Passes reports to the leader's duties. A replica that isn't the leader (any more) drops them: the
+    /// proxies' replicas send their next reports to the new leader.
+    pub(super) fn handle_reports(&mut self, reports: Vec<ProxyReport>) {
+        if !self.is_leader() {
             return;
         }
         for report in &reports {
-            note_revision(&mut self.proxy_revisions, report);
+            record_revision(&mut self.proxy_revisions, report);
         }
-        self.parts.duties.take_reports(self.parts.clock.now(), reports, &self.parts.state);
+        self.parts.duties.record_reports(self.parts.clock.now(), reports, &self.parts.state);
     }
 
-    /// A report that is lost, or that comes to a replica which does not lead, is made good by the
-    /// next one.
-    pub(super) fn take_own_allowances(&mut self, report: AllowanceReport) {
-        if self.leads() {
+    /// Answers or forwards the allowance report of a proxy that is connected to this replica. A report may
+    /// be lost or reach a replica that isn't the leader: the proxy's next report replaces it.
+    pub(super) fn handle_local_allowances(&mut self, report: AllowanceReport) {
+        if self.is_leader() {
             self.answer_allowances(None, report);
         } else if let Some(leader) = self.parts.replica.leader() {
             self.parts.links.send(leader, PeerMessage::AllowanceReport(report));
         }
     }
 
-    /// Answers a report that came through another replica, or from a proxy that is connected here.
+    /// Answers an allowance report. `through` is the replica that forwarded the report, or `None` if the
+    /// proxy is connected to this replica.
     pub(super) fn answer_allowances(
         &mut self,
         through: Option<ReplicaId>,
@@ -51,11 +52,11 @@
     ) {
         let now = self.parts.clock.now();
         self.grant_routes.insert(report.gateway.clone(), through);
-        let grants = self.parts.duties.take_allowances(now, report, &self.parts.state);
+        let grants = self.parts.duties.answer_allowances(now, report, &self.parts.state);
         self.send_grants(grants);
     }
 
-    /// Sends grants by the way that the gateways' last reports came.
+    /// Sends each grant through the replica that forwarded the gateway's last report.
     pub(super) fn send_grants(&self, grants: Vec<AllowanceGrant>) {
         for grant in grants {
             match self.grant_routes.get(&grant.gateway) {
@@ -68,7 +69,7 @@
     }
 
     pub(super) fn query_revisions(&mut self, reply: oneshot::Sender<ProxyRevisions>) {
-        if self.leads() {
+        if self.is_leader() {
             drop(reply.send(self.proxy_revisions.clone()));
             return;
         }
@@ -80,28 +81,30 @@
         }
     }
 
-    pub(super) fn answer_query(&mut self, from: ReplicaId, request: u64) {
+    pub(super) fn answer_revision_query(&mut self, from: ReplicaId, request: u64) {
         let revision = |(proxy, (incarnation, revision)): (&_, &(_, _))| ProxyRevision {
             proxy: Clone::clone(proxy),
             incarnation: *incarnation,
             revision: *revision,
         };
-        let revisions = match self.leads() {
+        let revisions = match self.is_leader() {
             true => self.proxy_revisions.iter().map(revision).collect(),
             false => Vec::new(),
         };
         self.parts.links.send(from, PeerMessage::ProxyRevisions { request, revisions });
     }
 
-    pub(super) fn take_revisions(&mut self, request: u64, revisions: Vec<ProxyRevision>) {
+    pub(super) fn handle_revisions(&mut self, request: u64, revisions: Vec<ProxyRevision>) {
         let Some(reply) = self.revision_queries.remove(&request) else { return };
-        let entry = |it: ProxyRevision| (it.proxy, (it.incarnation, it.revision));
+        let entry =
+            |reported: ProxyRevision| (reported.proxy, (reported.incarnation, reported.revision));
         drop(reply.send(revisions.into_iter().map(entry).collect()));
     }
 }
 
-/// Within one incarnation of a proxy its revision only rises, so a late report changes nothing.
-fn note_revision(revisions: &mut ProxyRevisions, report: &ProxyReport) {
+/// Stores the reported revision. The revision of a proxy only rises within an incarnation, so a lower one
+/// comes from a delayed report and is ignored.
+fn record_revision(revisions: &mut ProxyRevisions, report: &ProxyReport) {
     let reported = (report.incarnation, report.revision);
     let entry = revisions.entry(report.proxy.clone()).or_insert(reported);
     if entry.0 != report.incarnation || entry.1 < report.revision {
--- a/crates/control/src/consensus/repair.rs
+++ b/crates/control/src/consensus/repair.rs
@@ -1,6 +1,6 @@
-//! Replicas that request to join, and the leader's repair of the cell.
+//! Requests of replicas to join, and the leader's repair of the cell.
 //!
-//! Owns the requests since the last evaluation and when the next is due. The core decides which change of
+//! The thread collects the requests between two evaluations of the cell. The core decides which change of
 //! the cell is due.
 
 use super::pending::{ProposalKind, ProposalOrigin};
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time between two evaluations of the cell. Chosen, not measured; a lower value wakes the leader more
-/// often, a higher one adds to the time until a lost replica is replaced.
+/// Time between two evaluations of the cell. A shorter interval wakes the leader more often; a longer one
+/// delays the replacement of a lost replica.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(250);
-/// Replicas that may request to join between two evaluations; more of them request it again. Chosen, not
-/// measured; it bounds the memory that strangers can take.
-const JOINER_LIMIT: usize = 32;
+/// Most join requests stored between two evaluations; the other replicas request again. Bounds the memory
+/// that unknown senders can use.
+const MAX_JOINERS: usize = 32;
 
 impl ConsensusThread {
-    /// Notes a replica that requests to join, or passes the request on to the leader. A lost
-    /// request is made again.
-    pub(super) fn take_join(&mut self, member: CellMember) {
-        if self.leads() {
-            if self.repair.joiners.len() < JOINER_LIMIT {
+    /// Stores a replica's request to join, or forwards the request to the leader. The replica repeats a
+    /// request that was lost.
+    pub(super) fn handle_join(&mut self, member: CellMember) {
+        if self.is_leader() {
+            if self.repair.joiners.len() < MAX_JOINERS {
                 self.repair.joiners.insert(member.address, member);
             }
             return;
@@ -33,21 +33,22 @@
         }
     }
 
-    /// Connects to the replicas of a cell that this one wants to join, so that it can answer them.
-    pub(super) fn learn_cell(&mut self, cell: &CellConfig) {
+    /// Connects to the voters of the cell that this replica requests to join, so that it can answer their
+    /// messages. A replica that already knows its cell ignores the answer.
+    pub(super) fn connect_to_cell(&mut self, cell: &CellConfig) {
         if self.parts.replica.cell().voters.is_empty() {
             self.parts.links.connect(&cell.voters);
         }
     }
 
-    /// The change of the cell that is due, as the leader.
+    /// Returns the leader's proposal for the change of the cell that is due, if any.
     pub(super) fn repair_cell(&mut self, now: Timestamp) -> Option<Event<Message>> {
         let repair = self.parts.cell_repair?;
-        if now < self.repair.due {
+        if now < self.repair.next_evaluation {
             return None;
         }
-        self.repair.due = now + REPAIR_INTERVAL;
-        if !self.leads() {
+        self.repair.next_evaluation = now + REPAIR_INTERVAL;
+        if !self.is_leader() {
             self.repair.joiners.clear();
             return None;
         }
@@ -60,8 +61,8 @@
     }
 
     fn cell_event(&mut self, change: CellChange) -> Event<Message> {
-        log::info!(change:? = change; "the cell changes itself");
-        // Nobody waits for the outcome: the next evaluation sees it.
+        log::info!(change:? = change; "cell repair proposes a change of the cell");
+        // Nobody waits for the outcome, as the next evaluation sees the changed cell.
         let (reply, _) = oneshot::channel();
         let origin = ProposalOrigin::Local(ProposalKind::Cell, reply);
         Event::ProposeCell { request: self.pending.add_proposal(origin), change }
--- a/crates/control/src/consensus/status.rs
+++ b/crates/control/src/consensus/status.rs
@@ -1,28 +1,28 @@
-//! What the rest of the process sees of the replica: published by the consensus thread, read by all.
+//! The replica's status, which the consensus thread publishes for the rest of the process.
 
 use corktack_core::consensus::{CellConfig, Replica, Role};
 use corktack_core::identity::ReplicaId;
 use corktack_core::position::Term;
 use std::time::Instant;
 
-/// What the rest of the process sees of the replica.
+/// The published status of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
     /// Whether the consensus thread runs.
     pub running: bool,
-    /// The replica's role.
+    /// The replica's role in the current term.
     pub role: Role,
-    /// The current term.
+    /// The replica's current term, which never decreases.
     pub term: Term,
-    /// The leader, where known.
+    /// The leader of the current term, if this replica knows it.
     pub leader: Option<ReplicaId>,
-    /// Since when none is known.
+    /// The time since which no leader is known; `None` while one is known.
     pub leaderless_since: Option<Instant>,
-    /// Newest entry known to be committed.
+    /// Index of the newest entry that is known to be committed.
     pub commit_index: u64,
-    /// Newest entry applied to the state.
+    /// Index of the newest entry that is applied to the state.
     pub applied_index: u64,
-    /// The cell in force.
+    /// The voters and learners of the cell in force.
     pub cell: CellConfig,
 }
 
@@ -40,10 +40,10 @@
         }
     }
 
-    /// As it is after `former`: the time without a leader goes on.
-    pub(crate) fn after(mut self, former: &Self) -> Self {
-        if self.leader.is_none() && former.leaderless_since.is_some() {
-            self.leaderless_since = former.leaderless_since;
+    /// Carries over the start of the leaderless time from the status published before.
+    pub(crate) fn continued_from(mut self, previous: &Self) -> Self {
+        if self.leader.is_none() && previous.leaderless_since.is_some() {
+            self.leaderless_since = previous.leaderless_since;
         }
         self
     }
--- a/crates/control/src/consensus/thread.rs
+++ b/crates/control/src/consensus/thread.rs
@@ -1,6 +1,6 @@
-//! The loop of the consensus thread: takes inputs, lets the core decide and performs what it wants.
+//! The loop of the consensus thread: collects inputs, passes them to the core and performs its actions.
 //!
-//! Owns the replica, its log, its state and everything that waits for them.
+//! Owns the replica, its log, its state and the requests that wait for them.
 
 use super::input::{ConsensusInput, ProxyRevisions, ReadTask, StateReader};
 use super::outcomes::Outcomes;
@@ -25,14 +25,14 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Inputs that are handled together, with one sync for all of them. Chosen, not measured; a lower value
-/// syncs more often under load, a higher one holds the first answers back for longer.
-const INPUTS_AT_ONCE: usize = 512;
-/// Time between two removals of requests whose requesters have given up. Chosen, not measured; a higher value
-/// keeps their memory for longer.
+/// Most inputs handled in one batch, with one sync. A smaller batch syncs more often under load; a larger
+/// one delays the first answers.
+const MAX_BATCH_INPUTS: usize = 512;
+/// Time between two removals of requests whose requesters have given up. A longer interval keeps their
+/// memory for longer.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the consensus thread is made of.
+/// The parts that the consensus thread is built from.
 pub(crate) struct ConsensusParts {
     pub(crate) clock: Clock,
     pub(crate) replica: Replica,
@@ -44,25 +44,25 @@
     pub(crate) links: Links,
     pub(crate) feed: Feed,
     pub(crate) duties: LeaderDuties,
-    /// The proxies that are connected here.
+    /// The proxies that are connected to this replica.
     pub(crate) proxies: ProxyTable,
     pub(crate) cell_repair: Option<CellRepair>,
     pub(crate) status: watch::Sender<ReplicaStatus>,
     pub(crate) metrics: Metrics,
 }
 
-/// Why the thread must end.
+/// A failure after which the thread must end.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConsensusError {
-    /// What was promised cannot be kept: the disk failed.
+    /// The disk failed, so this replica can no longer store its votes and entries.
     #[error("the log cannot be written")]
     Storage(#[from] corktack_storage::StorageError),
-    /// A committed entry cannot be read: this replica must not guess.
+    /// A committed entry or snapshot cannot be decoded. Skipping it would let the replicas' states diverge.
     #[error("a committed entry or snapshot cannot be read")]
     Unreadable(#[from] corktack_protocol::frame::FrameError),
 }
 
-/// The consensus thread.
+/// The state of the consensus thread.
 pub(crate) struct ConsensusThread {
     pub(super) parts: ConsensusParts,
     pub(super) pending: Pending,
@@ -70,14 +70,15 @@
     pub(super) proxy_revisions: ProxyRevisions,
     pub(super) revision_queries: HashMap<u64, oneshot::Sender<ProxyRevisions>>,
     pub(super) last_query: u64,
-    /// The replica that each proxy's last report of limits came through; none where it is connected here.
+    /// The replica that forwarded each proxy's last allowance report; `None` for a proxy connected to this
+    /// replica.
     pub(super) grant_routes: HashMap<ProxyName, Option<ReplicaId>>,
     pub(super) snapshot_index: u64,
     pub(super) repair: RepairState,
     next_housekeeping: Timestamp,
 }
 
-/// What a batch of inputs wants from the core.
+/// The events and reads that a batch of inputs results in.
 #[derive(Default)]
 pub(super) struct Batch {
     pub(super) events: Vec<Event<Message>>,
@@ -101,13 +102,16 @@
         }
     }
 
-    /// Runs until a stop, or until the disk fails.
+    /// Runs until a stop input, until all handles are dropped, or until the disk fails.
     pub(crate) fn run(mut self, inputs: &Receiver<ConsensusInput>) {
-        // The cell of the log on disk may be another one than the settings name.
-        self.follow_cell();
+        // The cell in the log on disk may differ from the cell in the settings.
+        self.update_links();
         self.publish_status();
         if let Err(error) = self.run_batches(inputs) {
-            log::error!(replica = self.parts.replica.id().0, error:% = error; "replica ends");
+            log::error!(
+                replica = self.parts.replica.id().0, error:% = error;
+                "consensus thread ends, the replica serves no more requests"
+            );
         }
         self.pending.refuse_all();
         self.parts.status.send_modify(|status| status.running = false);
@@ -117,7 +121,7 @@
         loop {
             let mut batch = Batch::default();
             self.collect(inputs, &mut batch);
-            self.keep_house();
+            self.forget_abandoned_requests();
             self.step(batch.events, batch.reads)?;
             self.perform_duties()?;
             self.snapshot_if_due()?;
@@ -128,15 +132,15 @@
         }
     }
 
-    /// Waits for an input or a deadline, then takes what else is there.
+    /// Waits for an input or a deadline, then handles the other inputs that are queued.
     fn collect(&mut self, inputs: &Receiver<ConsensusInput>, batch: &mut Batch) {
         match inputs.recv_timeout(self.time_to_deadline()) {
-            Ok(input) => self.take_input(input, batch),
+            Ok(input) => self.handle_input(input, batch),
             Err(RecvTimeoutError::Timeout) => (),
             Err(RecvTimeoutError::Disconnected) => batch.stop = true,
         }
-        for input in inputs.try_iter().take(INPUTS_AT_ONCE) {
-            self.take_input(input, batch);
+        for input in inputs.try_iter().take(MAX_BATCH_INPUTS) {
+            self.handle_input(input, batch);
         }
         if self.parts.clock.now() >= self.parts.replica.next_deadline() {
             batch.events.push(Event::Tick);
@@ -144,15 +148,16 @@
     }
 
     fn time_to_deadline(&self) -> Duration {
-        let duties = self.parts.duties.next_deadline();
+        let duties_deadline = self.parts.duties.next_deadline();
         let deadline = self.parts.replica.next_deadline().min(self.next_housekeeping);
-        let deadline = duties.map_or(deadline, |duties| deadline.min(duties));
-        let repairs = self.parts.cell_repair.is_some() && self.leads();
-        let deadline = if repairs { deadline.min(self.repair.next_deadline()) } else { deadline };
+        let deadline = duties_deadline.map_or(deadline, |duties| deadline.min(duties));
+        let repairs_cell = self.parts.cell_repair.is_some() && self.is_leader();
+        let deadline =
+            if repairs_cell { deadline.min(self.repair.next_deadline()) } else { deadline };
         deadline - self.parts.clock.now()
     }
 
-    fn keep_house(&mut self) {
+    fn forget_abandoned_requests(&mut self) {
         let now = self.parts.clock.now();
         if now >= self.next_housekeeping {
             self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
@@ -161,8 +166,8 @@
         }
     }
 
-    /// Hands events to the core and performs what it wants. All reads of the batch
-    /// share one proof, which begins after each of them was requested.
+    /// Passes events to the core and performs the actions that it returns. All reads of the batch share one
+    /// read index, which is requested after the last of them arrived.
     pub(super) fn step(
         &mut self,
         mut events: Vec<Event<Message>>,
@@ -179,7 +184,7 @@
         actions.into_iter().try_for_each(|action| self.perform(action))
     }
 
-    /// Lets the leader's duties see the newest state, and proposes what they want.
+    /// Passes the newest state to the leader's duties, and performs their proposals and grants.
     fn perform_duties(&mut self) -> Result<(), ConsensusError> {
         let now = self.parts.clock.now();
         let proposals = self.parts.duties.advance(now, &self.parts.state);
@@ -189,7 +194,7 @@
         self.step(events, Vec::new())?;
         let grants = self.parts.duties.grants_due(now, &self.parts.state);
         self.send_grants(grants);
-        self.parts.duties.note_primaries(now, &self.parts.state);
+        self.parts.duties.record_new_primaries(now, &self.parts.state);
         Ok(())
     }
 
@@ -204,22 +209,22 @@
             Action::Committed { request, index } => self.answer_committed(request, index),
             Action::ReadReady { request, index } => self.answer_reads(request, index),
             Action::Rejected { request, rejection } => self.answer_rejected(request, rejection),
-            Action::RoleChanged { role, leader, .. } => self.follow_role(role, leader),
+            Action::RoleChanged { role, leader, .. } => self.apply_role(role, leader),
         }
         Ok(())
     }
 
-    fn follow_role(&mut self, role: Role, leader: Option<ReplicaId>) {
+    fn apply_role(&mut self, role: Role, leader: Option<ReplicaId>) {
         let now = self.parts.clock.now();
         let term = self.parts.replica.term();
-        self.parts.duties.follow_role(now, (role == Role::Leader).then_some(term));
+        self.parts.duties.apply_role(now, (role == Role::Leader).then_some(term));
         if leader != self.parts.status.borrow().leader {
-            self.pending.give_back_forwarded();
+            self.pending.reject_forwarded();
         }
         self.publish_status();
     }
 
-    /// Runs reads whose index the state has reached.
+    /// Runs reads on the local state.
     pub(super) fn run_reads(&mut self, tasks: Vec<ReadTask>) {
         for task in tasks {
             let reader = StateReader { state: &self.parts.state, feed: &self.parts.feed };
@@ -233,22 +238,23 @@
         }
     }
 
-    /// A replica that waits to be added knows no cell yet, only where to request it.
-    fn follow_cell(&mut self) {
+    /// Updates the links to the replica's cell. A replica that waits to be added knows no cell yet and
+    /// keeps the links that it requests to join through.
+    fn update_links(&mut self) {
         let cell = self.parts.replica.cell().clone();
         if !cell.voters.is_empty() {
-            self.parts.links.follow(&cell);
+            self.parts.links.apply_cell(&cell);
         }
     }
 
-    /// Publishes what others may see of the replica, and follows its cell.
+    /// Publishes the replica's status if it changed, and updates the links if the cell changed.
     pub(super) fn publish_status(&mut self) {
         let status = ReplicaStatus::of(&self.parts.replica, self.parts.applied);
-        let status = status.after(&self.parts.status.borrow());
+        let status = status.continued_from(&self.parts.status.borrow());
         self.parts.metrics.note_status(&status);
         let cell_changed = self.parts.status.borrow().cell != status.cell;
         if cell_changed {
-            self.follow_cell();
+            self.update_links();
         }
         self.parts.status.send_if_modified(|published| {
             let changed = *published != status;
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -1,9 +1,9 @@
-//! Who a control replica is, where settings give replicas no numbers.
+//! Assigns replica ids in deployments whose settings name none.
 //!
-//! The first voters of a cell are the seeds of its first start: their numbers follow from their
-//! addresses, so that all of them begin with the same cell. Every other disk, one that took the
-//! place of a lost one included, draws a number of its own and requests to join: a replica whose disk
-//! was lost broke its promises and must never vote under its old number.
+//! The seeds of a cell's bootstrap are its first voters. Their ids derive from their addresses, so that
+//! all of them start with the same cell. Every other replica draws a random id at its first start and
+//! requests to join, also if its disk replaces a lost one: a replica that lost its disk has lost its
+//! votes and must never vote under its old id again.
 
 use crate::error::ControlError;
 use crate::settings::CellStart;
@@ -15,20 +15,20 @@
 use std::path::Path;
 
 const FILE_NAME: &str = "identity";
-/// Set in drawn numbers, so that none of them is that of an address.
-const DRAWN: u64 = 1 << 63;
+/// Set in random ids and clear in ids from addresses, so that the two never collide.
+const RANDOM_ID_BIT: u64 = 1 << 63;
 
-/// Who a replica is, and how it finds its cell while its disk is empty.
+/// A replica's id, and the cell that the replica starts with while its disk is empty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its number.
+    /// The replica's id in its cell.
     pub replica: ReplicaId,
-    /// The first cell, for one of its voters; empty for a replica that joins.
+    /// The bootstrap cell if this replica is one of its voters; empty for a replica that joins.
     first_cell: CellConfig,
 }
 
 impl Identity {
-    /// How the replica finds its cell while its disk is empty.
+    /// Returns how the replica finds its cell while its disk is empty.
     #[must_use]
     pub fn start(&self) -> CellStart {
         if self.first_cell.voters.is_empty() {
@@ -38,13 +38,13 @@
     }
 }
 
-/// Reads who the replica of a data folder is, or settles it at the first start.
+/// Loads the identity from the data folder, or creates and stores it at the first start.
 ///
-/// `own` is where other replicas reach this one, `seeds` where they reach the first voters.
-/// `bootstrap` says that the whole system starts for the first time.
+/// `own` is this replica's address for other replicas, `seeds` are those of the first voters. With
+/// `bootstrap`, the whole system starts for the first time.
 ///
 /// # Errors
-/// [`ControlError::Storage`].
+/// [`ControlError::Storage`] if the folder is in use, or the identity cannot be read or stored.
 pub fn find_identity(
     data_folder: &Path,
     own: SocketAddr,
@@ -53,34 +53,35 @@
 ) -> Result<Identity, ControlError> {
     let folder = DataFolder::open(data_folder)?;
     let mut file = SyncedFile::new(&folder, FILE_NAME)?;
-    if let Some(known) = file.load()? {
-        return Ok(known);
+    if let Some(stored) = file.load()? {
+        return Ok(stored);
     }
-    let first_voter = bootstrap && seeds.contains(&own);
-    let identity = if first_voter { first_voter_of(own, seeds) } else { draw() };
+    let is_first_voter = bootstrap && seeds.contains(&own);
+    let identity =
+        if is_first_voter { first_voter_identity(own, seeds) } else { random_identity() };
     file.store(&identity)?;
     Ok(identity)
 }
 
-fn first_voter_of(own: SocketAddr, seeds: &[SocketAddr]) -> Identity {
-    let mut voters: Vec<CellMember> = seeds.iter().map(|seed| member_at(*seed)).collect();
+fn first_voter_identity(own: SocketAddr, seeds: &[SocketAddr]) -> Identity {
+    let mut voters: Vec<CellMember> = seeds.iter().map(|seed| member_for_address(*seed)).collect();
     voters.sort_by_key(|voter| voter.id);
     voters.dedup_by_key(|voter| voter.id);
     let first_cell = CellConfig { voters, learners: Vec::new() };
-    Identity { replica: member_at(own).id, first_cell }
+    Identity { replica: member_for_address(own).id, first_cell }
 }
 
-fn draw() -> Identity {
+fn random_identity() -> Identity {
     Identity {
-        replica: ReplicaId(rand::random::<u64>() | DRAWN),
+        replica: ReplicaId(rand::random::<u64>() | RANDOM_ID_BIT),
         first_cell: CellConfig::default(),
     }
 }
 
-fn member_at(address: SocketAddr) -> CellMember {
-    let number = match address.ip() {
+fn member_for_address(address: SocketAddr) -> CellMember {
+    let id = match address.ip() {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
-        IpAddr::V6(ip) => (ip.to_bits() as u64) & !DRAWN,
+        IpAddr::V6(ip) => (ip.to_bits() as u64) & !RANDOM_ID_BIT,
     };
-    CellMember { id: ReplicaId(number), address }
+    CellMember { id: ReplicaId(id), address }
 }
--- a/crates/control/src/joining.rs
+++ b/crates/control/src/joining.rs
@@ -1,7 +1,7 @@
-//! A replica without a cell requests other replicas to add it to theirs.
+//! Requests other replicas to add this one to their cell, while it belongs to none.
 //!
-//! Owns whose turn it is. Relies on the status for whether the replica belongs to a cell by now, and on the
-//! leader of the other replicas to add it.
+//! The targets are tried in turn. The published status shows whether the replica belongs to a cell by now;
+//! the leader of the other replicas adds it.
 
 use crate::consensus::{ConsensusHandle, ConsensusInput, ReplicaStatus};
 use crate::stop::StopSignal;
@@ -16,66 +16,71 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Pause between two requests. Chosen, not measured; a lower value sends more of them while a cell forms, a
-/// higher one adds to the time until a new replica counts.
+/// Pause between two requests. A shorter pause sends more requests while a cell forms; a longer one delays
+/// the addition of a new replica.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
-/// Longest wait for one answer, its connection included. Chosen, not measured; a lower value gives up on
-/// slow links, a higher one adds to the time that a replica which is gone costs.
-const ANSWER_LIMIT: Duration = Duration::from_millis(700);
+/// Longest wait for one answer, including the connection. A shorter timeout fails on slow links; a longer
+/// one waits longer for unreachable replicas.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A replica that wants to belong to a cell.
+/// The task that requests to join a cell.
 pub(crate) struct Joining {
     pub(crate) member: CellMember,
-    pub(crate) through: Vec<SocketAddr>,
+    /// The configured addresses that take join requests.
+    pub(crate) contacts: Vec<SocketAddr>,
     pub(crate) status: watch::Receiver<ReplicaStatus>,
     pub(crate) consensus: ConsensusHandle,
 }
 
 impl Joining {
-    /// Makes requests in turn until the stop, whenever the replica belongs to no cell.
+    /// Sends requests until the stop signal, whenever the replica belongs to no cell.
     pub(crate) async fn run(self, stop: StopSignal) {
         tokio::select! {
-            () = self.request_all() => (),
+            () = self.request_repeatedly() => (),
             () = stop.stopped() => (),
         }
     }
 
-    async fn request_all(&self) {
+    async fn request_repeatedly(&self) {
         for turn in 0.. {
             let targets = self.targets();
-            if self.is_outside() && !targets.is_empty() {
-                self.request(targets[turn % targets.len()]).await;
+            if self.is_outside_cell() && !targets.is_empty() {
+                self.send_request(targets[turn % targets.len()]).await;
             }
             sleep(REQUEST_INTERVAL).await;
         }
     }
 
-    /// The replicas configured and those of the cell that the log names: either may be gone.
+    /// Returns the configured addresses and those of the voters in the log's cell, as either may be
+    /// unreachable.
     fn targets(&self) -> Vec<SocketAddr> {
-        let port = self.through.first().map_or(0, SocketAddr::port);
+        let port = self.contacts.first().map_or(0, SocketAddr::port);
         let status = self.status.borrow();
-        let known = status.cell.voters.iter().map(|it| SocketAddr::new(it.address.ip(), port));
-        let mut targets: Vec<SocketAddr> = self.through.iter().copied().chain(known).collect();
+        let voters =
+            status.cell.voters.iter().map(|voter| SocketAddr::new(voter.address.ip(), port));
+        let mut targets: Vec<SocketAddr> = self.contacts.iter().copied().chain(voters).collect();
         targets.sort_unstable();
         targets.dedup();
         targets
     }
 
-    /// A voter takes part in elections, and a learner that knows a leader is being brought up to
-    /// date: neither needs anyone to add it.
-    fn is_outside(&self) -> bool {
+    /// Reports whether the replica must still be added to a cell. A voter takes part in elections, and a
+    /// learner that knows a leader is being brought up to date, so neither must be added.
+    fn is_outside_cell(&self) -> bool {
         let status = self.status.borrow();
-        let belongs = |members: &[CellMember]| members.iter().any(|it| it.id == self.member.id);
-        let learns = belongs(&status.cell.learners) && status.leader.is_some();
-        !belongs(&status.cell.voters) && !learns
+        let contains_self =
+            |members: &[CellMember]| members.iter().any(|member| member.id == self.member.id);
+        let is_learning = contains_self(&status.cell.learners) && status.leader.is_some();
+        !contains_self(&status.cell.voters) && !is_learning
     }
 
-    async fn request(&self, target: SocketAddr) {
-        let Ok(Some(cell)) = timeout(ANSWER_LIMIT, request_cell(target, &self.member)).await else {
-            log::debug!(replica:% = target; "no answer to the question to join");
+    async fn send_request(&self, target: SocketAddr) {
+        let Ok(Some(cell)) = timeout(ANSWER_TIMEOUT, request_cell(target, &self.member)).await
+        else {
+            log::debug!(replica:% = target; "no answer to the request to join, trying again");
             return;
         };
-        // The thread has ended already when it takes no more inputs.
+        // An error means that the thread has ended, so the replica is stopping.
         let _ = self.consensus.send(ConsensusInput::CellLearned(cell));
     }
 }
--- a/crates/control/src/leader/convert.rs
+++ b/crates/control/src/leader/convert.rs
@@ -1,6 +1,6 @@
-//! From messages and answers to the core's events.
+//! Converts reports of proxies and answers of back ends into the core's types.
 //!
-//! Owns nothing and decides nothing; a failure that the core does not tell apart becomes one.
+//! Failures that the core doesn't distinguish become [`CallFailure::Failed`].
 
 use crate::back_end::{BackEndAnswer, BackEndError, BackEndResult, Operation};
 use corktack_core::backend::MemberStatus;
@@ -23,7 +23,7 @@
     }
 }
 
-pub(super) fn observed(proxy: ProxyName, observation: Observation) -> FailoverEvent {
+pub(super) fn observation_event(proxy: ProxyName, observation: Observation) -> FailoverEvent {
     let Observation { group, member, health } = observation;
     FailoverEvent::Observed { proxy, group, member, health: core_health(health) }
 }
@@ -41,51 +41,51 @@
     let BackEndResult { call, answer } = result;
     let (group, member) = (call.target.group, call.target.member);
     match call.operation {
-        Operation::Probe => FailoverEvent::Probed { group, member, status: status(answer) },
+        Operation::Probe => FailoverEvent::Probed { group, member, status: member_status(answer) },
         Operation::Fence(term) => {
-            FailoverEvent::Fenced { group, member, term, result: fenced(answer) }
+            FailoverEvent::Fenced { group, member, term, result: fence_result(answer) }
         }
         Operation::Promote(term) => {
-            FailoverEvent::Promoted { group, member, term, result: promoted(answer) }
+            FailoverEvent::Promoted { group, member, term, result: promotion_result(answer) }
         }
     }
 }
 
 type Answer = Result<BackEndAnswer, BackEndError>;
 
-fn status(answer: Answer) -> Option<MemberStatus> {
+fn member_status(answer: Answer) -> Option<MemberStatus> {
     match answer {
         Ok(BackEndAnswer::Status(status)) => Some(status),
         _ => None,
     }
 }
 
-fn fenced(answer: Answer) -> Result<FenceAnswer, CallFailure> {
+fn fence_result(answer: Answer) -> Result<FenceAnswer, CallFailure> {
     match answer {
         Ok(BackEndAnswer::Fenced { promised, last_position }) => {
             Ok(FenceAnswer { promised, last_position })
         }
         Ok(_) => Err(CallFailure::Failed),
-        Err(error) => Err(failure(&error)),
+        Err(error) => Err(call_failure(&error)),
     }
 }
 
-fn promoted(answer: Answer) -> Result<Position, CallFailure> {
+fn promotion_result(answer: Answer) -> Result<Position, CallFailure> {
     match answer {
         Ok(BackEndAnswer::Promoted(position)) => Ok(position),
         Ok(_) => Err(CallFailure::Failed),
-        Err(error) => Err(failure(&error)),
+        Err(error) => Err(call_failure(&error)),
     }
 }
 
-fn failure(error: &BackEndError) -> CallFailure {
+fn call_failure(error: &BackEndError) -> CallFailure {
     match error {
         BackEndError::TermTooLow => CallFailure::HigherTerm(None),
         _ => CallFailure::Failed,
     }
 }
 
-/// Whether a gateway reached a registered back end.
+/// Returns whether a gateway reached a registered back end, as the promotion duty needs it.
 pub(super) fn reach_report(gateway: &ProxyName, observation: &Observation) -> ReachReport {
     ReachReport {
         gateway: gateway.clone(),
--- a/crates/control/src/leader/duties.rs
+++ b/crates/control/src/leader/duties.rs
@@ -1,7 +1,7 @@
-//! The leader's duties as the consensus thread drives them.
+//! The leader's duties, driven by the consensus thread.
 //!
-//! Owns the settings of the duties and the current leadership, if there is one. Relies on the back ends'
-//! and the registry's callers for the calls that the duties want.
+//! Owns the settings of the duties, and the state of the current leadership if this replica is the leader.
+//! [`BackEnds`] and [`RegistryCaller`] make the calls that the duties request.
 
 use super::convert::{failover_event, heartbeat};
 use super::leadership::Leadership;
@@ -21,7 +21,7 @@
 use corktack_protocol::cell::ProxyReport;
 use std::time::Duration;
 
-/// Whose proposal it is, to find the right one for its outcome.
+/// The duty and the leadership that a proposal belongs to, to which its outcome is delivered.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DutyId {
     leadership: u64,
@@ -32,19 +32,19 @@
 enum Duty {
     Membership,
     Failover(ProposalId),
-    /// What is decided is read from the state.
+    /// The duty reads its decisions from the applied state, so the outcome is ignored.
     Promotion,
     Limits,
 }
 
-/// A command that the leader's duties want in the log.
+/// A command that a duty of the leader proposes for the log.
 #[derive(Debug)]
 pub(crate) struct DutyProposal {
     pub(crate) id: DutyId,
     pub(crate) command: Command,
 }
 
-/// What only the leader does.
+/// The duties that only the leader performs.
 pub(crate) struct LeaderDuties {
     membership: MembershipSettings,
     failover: FailoverSettings,
@@ -54,7 +54,7 @@
     registry: Option<RegistryCaller>,
     limits: LimitBounds,
     metrics: Metrics,
-    /// Counts the times this replica became leader.
+    /// The number of times this replica has become the leader.
     leaderships: u64,
     current: Option<Leadership>,
 }
@@ -85,9 +85,9 @@
         }
     }
 
-    /// Begins or ends the duties with the leadership of a term.
-    pub(crate) fn follow_role(&mut self, now: Timestamp, leads: Option<Term>) {
-        let Some(term) = leads else {
+    /// Starts the duties when this replica becomes the leader of a term, and ends them when it steps down.
+    pub(crate) fn apply_role(&mut self, now: Timestamp, leader_term: Option<Term>) {
+        let Some(term) = leader_term else {
             self.current = None;
             return;
         };
@@ -98,16 +98,16 @@
         }
     }
 
-    /// When [`LeaderDuties::advance`] is due if nothing happens before.
+    /// Returns when [`LeaderDuties::advance`] is due if no input arrives before.
     pub(crate) fn next_deadline(&self) -> Option<Timestamp> {
         let leadership = self.current.as_ref()?;
         Some(leadership.membership_due.min(leadership.failover_due))
     }
 
-    /// Lets the core decide what is due, starts its calls and gives its commands.
+    /// Evaluates all duties on the state, starts the calls that they request and returns their proposals.
     pub(crate) fn advance(&mut self, now: Timestamp, state: &ControlState) -> Vec<DutyProposal> {
         let Some(leadership) = &mut self.current else { return Vec::new() };
-        leadership.follow(now, state);
+        leadership.apply_state(now, state);
         let mut commands: Vec<(Duty, Command)> = Vec::new();
         for command in leadership.membership_commands(now, state) {
             commands.push((Duty::Membership, command));
@@ -116,7 +116,7 @@
             commands.push((Duty::Limits, command));
         }
         let (proposals, calls) = leadership.advance_failover(now, state);
-        commands.extend(proposals.into_iter().map(|(id, it)| (Duty::Failover(id), it)));
+        commands.extend(proposals.into_iter().map(|(id, command)| (Duty::Failover(id), command)));
         if let Some(registry) = &self.registry {
             for action in leadership.promotion_actions(now, state) {
                 match action {
@@ -136,29 +136,30 @@
     }
 
     fn call(&self, target: CallTarget, operation: Operation) {
-        let (phase, limit) = match operation {
+        let (phase, timeout) = match operation {
             Operation::Probe => ("probe", self.probe_timeout),
             Operation::Fence(_) => ("fence", self.call_timeout),
             Operation::Promote(_) => ("promote", self.call_timeout),
         };
         self.metrics.failover_steps.get_or_create(&PhaseLabel { phase }).inc();
-        self.back_ends.start(BackEndCall { target, operation }, limit);
+        self.back_ends.start(BackEndCall { target, operation }, timeout);
     }
 
-    /// Takes the outcome of a proposal; none when it is not known.
-    pub(crate) fn take_outcome(&mut self, now: Timestamp, id: DutyId, outcome: Option<Outcome>) {
-        let current = id.leadership == self.leaderships;
-        let Some(leadership) = self.current.as_mut().filter(|_| current) else { return };
+    /// Records the outcome of a proposal, or `None` if it is unknown. Ignores outcomes of proposals from an
+    /// earlier leadership.
+    pub(crate) fn record_outcome(&mut self, now: Timestamp, id: DutyId, outcome: Option<Outcome>) {
+        let is_current = id.leadership == self.leaderships;
+        let Some(leadership) = self.current.as_mut().filter(|_| is_current) else { return };
         match id.duty {
-            Duty::Membership => leadership.take_membership_outcome(now),
+            Duty::Membership => leadership.record_membership_outcome(now),
             Duty::Promotion => (),
-            Duty::Limits => leadership.limits.take_outcome(outcome.is_some()),
-            Duty::Failover(proposal) => leadership.take_failover_outcome(now, proposal, outcome),
+            Duty::Limits => leadership.limits.record_outcome(outcome.is_some()),
+            Duty::Failover(proposal) => leadership.record_failover_outcome(now, proposal, outcome),
         }
     }
 
-    /// Takes what proxies reported, here or to another replica.
-    pub(crate) fn take_reports(
+    /// Records the reports of proxies, which may be connected to any replica.
+    pub(crate) fn record_reports(
         &mut self,
         now: Timestamp,
         reports: Vec<ProxyReport>,
@@ -167,13 +168,14 @@
         let Some(leadership) = &mut self.current else { return };
         for report in reports {
             leadership.membership.on_report(now, heartbeat(&report));
-            leadership.contacts.note_report(now, &report.proxy);
-            leadership.take_observations(now, report, state);
+            leadership.contacts.record_report(now, &report.proxy);
+            leadership.record_observations(now, report, state);
         }
     }
 
-    /// Answers what a gateway holds of tenants' limits, and gives others what became free.
-    pub(crate) fn take_allowances(
+    /// Records a gateway's report of its allowances. Returns the grants to it, and to other gateways from
+    /// the allowances that it freed.
+    pub(crate) fn answer_allowances(
         &mut self,
         now: Timestamp,
         report: AllowanceReport,
@@ -181,10 +183,10 @@
     ) -> Vec<AllowanceGrant> {
         let leadership = self.current.as_mut();
         leadership
-            .map_or_else(Vec::new, |leadership| leadership.limits.take_report(now, report, state))
+            .map_or_else(Vec::new, |leadership| leadership.limits.answer_report(now, report, state))
     }
 
-    /// What gateways are given of tenants' limits beside the answers to their reports.
+    /// Returns the grants that are due without a new report, see [`LeaderLimits::grants_due`].
     pub(crate) fn grants_due(
         &mut self,
         now: Timestamp,
@@ -194,17 +196,17 @@
         leadership.map_or_else(Vec::new, |leadership| leadership.limits.grants_due(now, state))
     }
 
-    /// Takes a back end's answer. One to an earlier leadership names a term that
-    /// the failover manager does not act on.
-    pub(crate) fn take_answer(&mut self, now: Timestamp, result: BackEndResult) {
+    /// Records the result of a back-end call. The failover manager ignores results that name the
+    /// term of an earlier leadership.
+    pub(crate) fn record_back_end_result(&mut self, now: Timestamp, result: BackEndResult) {
         if let Some(leadership) = &mut self.current {
             leadership.failover.handle(now, failover_event(result));
             leadership.failover_due = now;
         }
     }
 
-    /// Takes an answer about registered back ends.
-    pub(crate) fn take_registry_answer(&mut self, now: Timestamp, answer: RegistryAnswer) {
+    /// Records the result of a call about registered back ends.
+    pub(crate) fn record_registry_answer(&mut self, now: Timestamp, answer: RegistryAnswer) {
         let Some(leadership) = &mut self.current else { return };
         match answer {
             RegistryAnswer::Status(call, status) => {
@@ -216,22 +218,23 @@
         }
     }
 
-    /// Takes the platform's list.
-    pub(crate) fn take_platform(&mut self, now: Timestamp, list: PlatformList) {
+    /// Records a list polled from the platform, and makes the membership evaluation due at once.
+    pub(crate) fn record_platform_list(&mut self, now: Timestamp, list: PlatformList) {
         if let Some(leadership) = &mut self.current {
             leadership.membership.on_platform(list);
             leadership.membership_due = now;
         }
     }
 
-    /// Counts a group's new primary, and how long it took to decide on it.
-    pub(crate) fn note_primaries(&mut self, now: Timestamp, state: &ControlState) {
+    /// Records the duration of each failover that the state shows as complete: the group has a primary
+    /// again.
+    pub(crate) fn record_new_primaries(&mut self, now: Timestamp, state: &ControlState) {
         let Some(leadership) = &mut self.current else { return };
         let metrics = &self.metrics;
-        leadership.begun.retain(|name, begun| {
+        leadership.failovers_begun.retain(|name, begun_at| {
             let Some(group) = state.group(name) else { return false };
             if group.view.primary.is_some() {
-                metrics.failover_seconds.observe((now - *begun).as_secs_f64());
+                metrics.failover_seconds.observe((now - *begun_at).as_secs_f64());
             }
             group.view.primary.is_none()
         });
--- a/crates/control/src/leader/leadership.rs
+++ b/crates/control/src/leader/leadership.rs
@@ -1,10 +1,10 @@
-//! What lasts as long as one leadership.
+//! The state of one leadership, dropped when it ends.
 //!
-//! Owns the core's duties of a leader, when each is due, and what of the reports is known already.
-//! Relies on the caller for the time and for the state as it is applied.
+//! Owns the core's duties of a leader, the time at which each is due, and the newest observations of the
+//! proxies. The caller passes the time and the applied state.
 
 use super::contacts::GatewayContacts;
-use super::convert::{observed, reach_report};
+use super::convert::{observation_event, reach_report};
 use super::limits::LeaderLimits;
 use crate::back_end::Operation;
 use corktack_core::failover::{
@@ -22,33 +22,33 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Longest time between two evaluations of the proxies' heartbeats, and of the failover where it names
-/// no deadline. Chosen, not measured; a lower value wakes an idle leader more often, a higher one adds
-/// to the time until a silent proxy counts as down.
+/// Longest time between two evaluations of the proxies' heartbeats, and of the failover if it has no
+/// deadline. A shorter interval wakes an idle leader more often; a longer one delays the detection of
+/// silent proxies.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Proposals of the failover, and its calls of back ends.
+/// The proposals of the failover manager, and its calls to back ends.
 pub(super) type FailoverWork = (Vec<(ProposalId, Command)>, Vec<(CallTarget, Operation)>);
 
 type ObservationKey = (ProxyName, GroupName, MemberName);
 
-/// What lasts as long as one leadership.
+/// The state of one leadership.
 pub(super) struct Leadership {
     pub(super) membership: Membership,
     pub(super) membership_due: Timestamp,
-    /// Commands of the last evaluation whose outcome is not known.
-    membership_open: usize,
+    /// The number of membership commands whose outcome is unknown.
+    membership_in_flight: usize,
     pub(super) failover: FailoverManager,
     pub(super) failover_due: Timestamp,
     pub(super) promotion: PromotionDuty,
     pub(super) contacts: GatewayContacts,
     pub(super) limits: LeaderLimits,
-    /// Revision of the state that was evaluated last.
-    followed: Option<Revision>,
-    /// What each proxy reported last of each member.
-    observed: HashMap<ObservationKey, MemberHealth>,
-    /// When the failover of each group without a primary was decided on.
-    pub(super) begun: HashMap<GroupName, Timestamp>,
+    /// The revision of the state that was applied last.
+    applied_revision: Option<Revision>,
+    /// The health that each proxy last reported for each member.
+    last_observed: HashMap<ObservationKey, MemberHealth>,
+    /// The time at which the current failover of each group began.
+    pub(super) failovers_begun: HashMap<GroupName, Timestamp>,
 }
 
 impl Leadership {
@@ -61,23 +61,23 @@
         Self {
             membership: Membership::new(membership.clone(), now),
             membership_due: now,
-            membership_open: 0,
+            membership_in_flight: 0,
             failover: FailoverManager::new(failover.clone()),
             failover_due: now,
             promotion: PromotionDuty::new(PromotionSettings::default()),
             contacts: GatewayContacts::new(now),
             limits,
-            followed: None,
-            observed: HashMap::new(),
-            begun: HashMap::new(),
+            applied_revision: None,
+            last_observed: HashMap::new(),
+            failovers_begun: HashMap::new(),
         }
     }
 
-    /// A change of the state is a reason to decide afresh.
-    pub(super) fn follow(&mut self, now: Timestamp, state: &ControlState) {
+    /// Makes the failover evaluation due at once if the state has changed.
+    pub(super) fn apply_state(&mut self, now: Timestamp, state: &ControlState) {
         let revision = Some(state.view_revision());
-        if self.followed != revision {
-            self.followed = revision;
+        if self.applied_revision != revision {
+            self.applied_revision = revision;
             self.failover_due = now;
         }
     }
@@ -92,7 +92,7 @@
         }
         self.membership_due = now + MEMBERSHIP_INTERVAL;
         let commands = self.membership.on_tick(now, state);
-        self.membership_open += commands.len();
+        self.membership_in_flight += commands.len();
         commands
     }
 
@@ -101,12 +101,12 @@
             return Vec::new();
         }
         let actions = self.failover.advance(now, state);
-        let next = self.failover.next_deadline();
-        self.failover_due = next.unwrap_or(now + MEMBERSHIP_INTERVAL);
+        let next_deadline = self.failover.next_deadline();
+        self.failover_due = next_deadline.unwrap_or(now + MEMBERSHIP_INTERVAL);
         actions
     }
 
-    /// What the failover wants proposed and called, in the order in which it decided.
+    /// Evaluates the failover and returns its proposals and calls, in the order of its decisions.
     pub(super) fn advance_failover(
         &mut self,
         now: Timestamp,
@@ -116,7 +116,7 @@
         for action in self.failover_actions(now, state) {
             match action {
                 FailoverAction::Propose { proposal, command } => {
-                    self.note_begun(now, &command);
+                    self.record_failovers_begun(now, &command);
                     proposals.push((proposal, command));
                 }
                 FailoverAction::Probe(target) => calls.push((target, Operation::Probe)),
@@ -139,27 +139,28 @@
         let live = state.proxies().filter(|(_, proxy)| proxy.state == ProxyState::Live);
         let live: BTreeSet<ProxyName> = live.map(|(name, _)| name.clone()).collect();
         self.promotion.retain_gateways(&live);
-        let contact = self.contacts.contact(now, &live);
+        let contact = self.contacts.count(now, &live);
         self.promotion.advance(now, state.registry(), contact)
     }
 
-    fn note_begun(&mut self, now: Timestamp, command: &Command) {
+    fn record_failovers_begun(&mut self, now: Timestamp, command: &Command) {
         let Command::Failover(steps) = command else { return };
-        let begun = steps.iter().filter(|(_, step)| matches!(step, FailoverStep::Begin { .. }));
-        for (group, _) in begun {
-            self.begun.entry(group.clone()).or_insert(now);
+        let begin_steps =
+            steps.iter().filter(|(_, step)| matches!(step, FailoverStep::Begin { .. }));
+        for (group, _) in begin_steps {
+            self.failovers_begun.entry(group.clone()).or_insert(now);
         }
     }
 
-    pub(super) fn take_membership_outcome(&mut self, now: Timestamp) {
-        self.membership_open = self.membership_open.saturating_sub(1);
-        if self.membership_open == 0 {
+    pub(super) fn record_membership_outcome(&mut self, now: Timestamp) {
+        self.membership_in_flight = self.membership_in_flight.saturating_sub(1);
+        if self.membership_in_flight == 0 {
             self.membership.on_outcome();
             self.membership_due = now;
         }
     }
 
-    pub(super) fn take_failover_outcome(
+    pub(super) fn record_failover_outcome(
         &mut self,
         now: Timestamp,
         proposal: ProposalId,
@@ -170,10 +171,12 @@
         self.failover_due = now;
     }
 
-    /// Reports repeat observations, for leaders that are new. To one that knows
-    /// them they are news only from the group's owner: what another proxy reported
-    /// must grow old in the failover manager.
-    pub(super) fn take_observations(
+    /// Passes the observations of a report to the failover manager, or to the promotion duty for registered
+    /// back ends.
+    ///
+    /// Reports repeat old observations so that a new leader gets them too. The failover manager must see
+    /// observations age, so a repeated one is passed on only if it comes from the group's owner.
+    pub(super) fn record_observations(
         &mut self,
         now: Timestamp,
         report: ProxyReport,
@@ -187,9 +190,9 @@
             }
             let owner = state.group(group).and_then(|group| group.view.owner.as_ref());
             let key = (report.proxy.clone(), group.clone(), member.clone());
-            let known = self.observed.insert(key, *health);
-            if owner == Some(&report.proxy) || known != Some(*health) {
-                self.failover.handle(now, observed(report.proxy.clone(), observation));
+            let previous = self.last_observed.insert(key, *health);
+            if owner == Some(&report.proxy) || previous != Some(*health) {
+                self.failover.handle(now, observation_event(report.proxy.clone(), observation));
                 self.failover_due = now;
             }
         }
--- a/crates/control/src/leader/limits.rs
+++ b/crates/control/src/leader/limits.rs
@@ -1,10 +1,10 @@
-//! The limits of tenants in one leadership: opens the ledger, feeds it and proposes its ceilings.
+//! The limits of tenants in one leadership: opens the ledger, passes reports to it and proposes its ceilings.
 //!
-//! The ledger begins once an entry of the leader's own term is applied: the state then holds everything
-//! that earlier leaders have committed, the ceilings of what they gave among it.
+//! The ledger opens once an entry of the leader's own term is applied: the state then holds everything that
+//! earlier leaders committed, including the ceilings of the allowances that they granted.
 //!
-//! Owns the ledger, the rates of the document followed last, and the reports that can't be answered yet.
-//! What is given is decided by the core's ledger; the ceilings in force are the state's.
+//! Owns the ledger, the rates of the newest applied document, and the reports that can't be answered yet.
+//! The core's ledger decides the grants, and the state holds the ceilings in force.
 
 use corktack_core::identity::ProxyName;
 use corktack_core::limits::{
@@ -22,27 +22,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two evaluations whether more can be given, where the state does not change.
-/// Chosen, not measured by itself; a lower value evaluates all who lack operations more often, a higher
-/// one leaves idle for longer what a gateway gave back.
+/// Time between two evaluations of further grants while the state doesn't change. A shorter interval
+/// evaluates all gateways that lack operations more often; a longer one leaves returned allowances unused
+/// for longer.
 const OFFER_INTERVAL: Duration = Duration::from_millis(100);
-/// Tenants near their limits that are logged at each expiry. Chosen, not measured; more lines cost room
-/// in the log, fewer hide tenants that are short as well.
-const LOGGED_TENANTS: usize = 8;
-/// Time between two expiries of what has ended by itself. Chosen, not measured; a lower value makes more
-/// log lines, a higher one keeps what ended counted for longer.
+/// Most tenants near their limits that are logged at each expiry. More lines take space in the log; fewer
+/// hide tenants that lack operations as well.
+const MAX_LOGGED_TENANTS: usize = 8;
+/// Time between two removals of expired allowances. A shorter interval writes more log lines; a longer one
+/// counts expired allowances for longer.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How far the ledger is.
+/// The steps until the ledger is open.
 #[derive(Debug)]
 enum LedgerState {
-    /// No tenant of the document is limited, or nothing is proposed yet.
+    /// No tenant of the document has a limit, or no entry is proposed yet.
     Closed,
-    /// An entry of the own term is proposed.
+    /// An entry of the leader's own term is proposed.
     Proposed,
-    /// That entry is applied: the ledger begins with the next evaluation of the state.
+    /// That entry is applied, and the ledger opens at the next evaluation of the state.
     Applied,
-    /// The ledger serves reports.
+    /// The ledger is open and answers reports.
     Open(Box<LimitLedger>),
 }
 
@@ -52,20 +52,21 @@
     term: Term,
     bounds: LimitBounds,
     ledger: LedgerState,
-    /// The rates of the document followed last.
+    /// The tenants' rates in `document`.
     rates: HashMap<TenantName, TenantRate>,
+    /// The newest applied document.
     document: Option<Arc<Document>>,
-    followed: Option<Revision>,
-    /// Ceilings that should be raised, in operations.
-    raises: BTreeMap<TenantName, u64>,
-    /// Whether a proposal's outcome is not known yet.
-    proposed: bool,
-    expiry_due: Timestamp,
-    /// Newest reports of gateways that cannot be answered yet.
-    waiting: BTreeMap<ProxyName, AllowanceReport>,
-    offers_due: Timestamp,
-    /// Whether the state has changed since more was offered.
-    changed: bool,
+    applied_revision: Option<Revision>,
+    /// Raised ceilings to propose, in operations.
+    pending_raises: BTreeMap<TenantName, u64>,
+    /// Whether a proposal's outcome is unknown yet.
+    proposal_in_flight: bool,
+    next_expiry: Timestamp,
+    /// The newest report of each gateway that cannot be answered yet.
+    unanswered: BTreeMap<ProxyName, AllowanceReport>,
+    next_offer: Timestamp,
+    /// Whether the state or the ledger has changed since the last evaluation of further grants.
+    has_changed: bool,
 }
 
 impl LeaderLimits {
@@ -76,41 +77,42 @@
             ledger: LedgerState::Closed,
             rates: HashMap::new(),
             document: None,
-            followed: None,
-            raises: BTreeMap::new(),
-            proposed: false,
-            expiry_due: Timestamp::ZERO,
-            waiting: BTreeMap::new(),
-            offers_due: Timestamp::ZERO,
-            changed: false,
+            applied_revision: None,
+            pending_raises: BTreeMap::new(),
+            proposal_in_flight: false,
+            next_expiry: Timestamp::ZERO,
+            unanswered: BTreeMap::new(),
+            next_offer: Timestamp::ZERO,
+            has_changed: false,
         }
     }
 
-    /// Follows the state; gives what should be proposed.
+    /// Applies the state, expires allowances, and returns the changes of ceilings to propose.
     pub(super) fn advance(&mut self, now: Timestamp, state: &ControlState) -> Option<Command> {
-        self.follow(now, state);
+        self.apply_state(now, state);
         self.expire(now, state);
-        if self.proposed {
+        if self.proposal_in_flight {
             return None;
         }
         let changes = self.changes_due(now, state)?;
-        self.proposed = true;
+        self.proposal_in_flight = true;
         Some(Command::Registry(Box::new(RegistryCommand::ChangeCeilings(changes))))
     }
 
-    /// Takes back what has ended by itself, and logs the tenants that are nearest their limits.
+    /// Removes expired allowances, and logs the tenants that are nearest their limits.
     fn expire(&mut self, now: Timestamp, state: &ControlState) {
         if let LedgerState::Open(ledger) = &mut self.ledger
-            && now >= self.expiry_due
+            && now >= self.next_expiry
         {
-            self.expiry_due = now + EXPIRY_INTERVAL;
+            self.next_expiry = now + EXPIRY_INTERVAL;
             ledger.expire(now);
             let ceilings = state.registry().ceilings();
-            log_nearest(ledger, &Terms { rates: &self.rates, ceilings });
+            log_nearest(ledger, &LimitsInForce { rates: &self.rates, ceilings });
         }
     }
 
-    /// The changes of ceilings to propose. None of them opens the ledger: the entry itself counts.
+    /// Returns the changes of ceilings to propose. To open the ledger, the list is empty: only the entry
+    /// matters.
     fn changes_due(&mut self, now: Timestamp, state: &ControlState) -> Option<Vec<CeilingChange>> {
         match &mut self.ledger {
             LedgerState::Closed if !self.rates.is_empty() => {
@@ -118,26 +120,26 @@
                 Some(Vec::new())
             }
             LedgerState::Closed | LedgerState::Applied => None,
-            // The one before was lost.
+            // The previous proposal was lost.
             LedgerState::Proposed => Some(Vec::new()),
             LedgerState::Open(ledger) => {
-                let raises = std::mem::take(&mut self.raises);
+                let raises = std::mem::take(&mut self.pending_raises);
                 let raises = raises.into_iter().map(|(name, to)| CeilingChange::Raise(name, to));
                 let ceilings = state.registry().ceilings();
-                let terms = Terms { rates: &self.rates, ceilings };
-                let lowered = ledger.lower_ceilings(now, ceilings, &terms);
+                let limits = LimitsInForce { rates: &self.rates, ceilings };
+                let lowered = ledger.lower_ceilings(now, ceilings, &limits);
                 let changes: Vec<_> = raises.chain(lowered).collect();
                 (!changes.is_empty()).then_some(changes)
             }
         }
     }
 
-    fn follow(&mut self, now: Timestamp, state: &ControlState) {
+    fn apply_state(&mut self, now: Timestamp, state: &ControlState) {
         let revision = Some(state.view_revision());
-        if self.followed != revision {
-            self.followed = revision;
-            self.changed = true;
-            self.follow_document(state);
+        if self.applied_revision != revision {
+            self.applied_revision = revision;
+            self.has_changed = true;
+            self.apply_document(state);
             if let LedgerState::Open(ledger) = &mut self.ledger {
                 ledger.follow_gateways(now, &incarnations(state));
             }
@@ -146,19 +148,19 @@
             let ceilings = state.registry().ceilings().clone();
             log::info!(
                 term = self.term.0, gateways = state.proxies().count(), ceilings = ceilings.len();
-                "the books of tenants' limits are open"
+                "the ledger of tenants' limits is open"
             );
             let ledger =
                 LimitLedger::new(now, self.term, self.bounds, incarnations(state), ceilings);
             self.ledger = LedgerState::Open(Box::new(ledger));
-            self.changed = true;
+            self.has_changed = true;
         }
     }
 
-    fn follow_document(&mut self, state: &ControlState) {
+    fn apply_document(&mut self, state: &ControlState) {
         let document = state.registry().document().map(|stored| &stored.document);
         let is_same = match (document, &self.document) {
-            (Some(document), Some(known)) => Arc::ptr_eq(document, known),
+            (Some(document), Some(applied)) => Arc::ptr_eq(document, applied),
             (None, None) => true,
             _ => false,
         };
@@ -168,78 +170,84 @@
         self.document = document.cloned();
         let tenants = document.and_then(|document| document.tenants.as_deref());
         let rates = tenants.unwrap_or_default().iter();
-        self.rates = rates.filter_map(|it| Some((it.name.clone(), it.rate?))).collect();
+        self.rates = rates.filter_map(|tenant| Some((tenant.name.clone(), tenant.rate?))).collect();
     }
 
-    /// Takes whether the last proposal was applied; where that is not known it is made again.
-    pub(super) fn take_outcome(&mut self, applied: bool) {
-        self.proposed = false;
+    /// Records whether the last proposal was applied. If that is unknown, the proposal is made again.
+    pub(super) fn record_outcome(&mut self, applied: bool) {
+        self.proposal_in_flight = false;
         match &mut self.ledger {
             LedgerState::Proposed if applied => self.ledger = LedgerState::Applied,
             LedgerState::Open(ledger) if applied => {
                 ledger.lowered();
-                self.changed = true;
+                self.has_changed = true;
             }
             _ => (),
         }
     }
 
-    /// Answers a gateway, and requests of others what it needs of theirs. Where the ledger is not open yet,
-    /// or the gateway is not in the state, it is answered once that is so.
-    pub(super) fn take_report(
+    /// Answers a gateway's report, and requests allowances back from other gateways if this one lacks them.
+    /// The report is stored for later if the ledger isn't open yet or the state doesn't contain the
+    /// gateway's incarnation yet.
+    pub(super) fn answer_report(
         &mut self,
         now: Timestamp,
         report: AllowanceReport,
         state: &ControlState,
     ) -> Vec<AllowanceGrant> {
-        self.follow(now, state);
-        // Only incarnations in the state are given anything: a new leader awaits the reports of those.
+        self.apply_state(now, state);
+        // Only incarnations in the state get grants, as a new leader waits for the reports of just these.
         let stored = state.proxy(&report.gateway);
         let is_stored = stored.is_some_and(|stored| stored.incarnation == report.incarnation);
         let LedgerState::Open(ledger) = &mut self.ledger else {
-            self.waiting.insert(report.gateway.clone(), report);
+            self.unanswered.insert(report.gateway.clone(), report);
             return Vec::new();
         };
         if !is_stored {
-            self.waiting.insert(report.gateway.clone(), report);
+            self.unanswered.insert(report.gateway.clone(), report);
             return Vec::new();
         }
         let ceilings = state.registry().ceilings();
-        let answer = ledger.take_report(now, &report, &Terms { rates: &self.rates, ceilings });
-        self.note_raises(answer)
+        let answer =
+            ledger.take_report(now, &report, &LimitsInForce { rates: &self.rates, ceilings });
+        self.record_raises(answer)
     }
 
-    /// The grants after a change of the state, or after some time: reports that waited are answered, and
-    /// what has become free is given.
+    /// Answers the stored reports and grants freed allowances, after a change of the state or at the latest
+    /// after [`OFFER_INTERVAL`].
     pub(super) fn grants_due(
         &mut self,
         now: Timestamp,
         state: &ControlState,
     ) -> Vec<AllowanceGrant> {
-        self.follow(now, state);
-        if !matches!(self.ledger, LedgerState::Open(_)) || now < self.offers_due && !self.changed {
+        self.apply_state(now, state);
+        if !matches!(self.ledger, LedgerState::Open(_))
+            || now < self.next_offer && !self.has_changed
+        {
             return Vec::new();
         }
-        self.changed = false;
-        self.offers_due = now + OFFER_INTERVAL;
-        let waiting = std::mem::take(&mut self.waiting);
-        let mut grants: Vec<_> =
-            waiting.into_values().flat_map(|report| self.take_report(now, report, state)).collect();
+        self.has_changed = false;
+        self.next_offer = now + OFFER_INTERVAL;
+        let unanswered = std::mem::take(&mut self.unanswered);
+        let mut grants: Vec<_> = unanswered
+            .into_values()
+            .flat_map(|report| self.answer_report(now, report, state))
+            .collect();
         if let LedgerState::Open(ledger) = &mut self.ledger {
             let ceilings = state.registry().ceilings();
-            let answer = ledger.offer_again(now, &Terms { rates: &self.rates, ceilings });
-            grants.extend(self.note_raises(answer));
+            let answer = ledger.offer_again(now, &LimitsInForce { rates: &self.rates, ceilings });
+            grants.extend(self.record_raises(answer));
         }
         grants
     }
 
-    fn note_raises(
+    fn record_raises(
         &mut self,
         LedgerAnswer { grants, ceilings }: LedgerAnswer,
     ) -> Vec<AllowanceGrant> {
         for change in ceilings {
             if let CeilingChange::Raise(tenant, operations) = change {
-                let raise = self.raises.entry(tenant).or_default();
+                let raise = self.pending_raises.entry(tenant).or_default();
                 *raise = operations.max(*raise);
             }
         }
@@ -247,20 +255,20 @@
     }
 }
 
-/// Writes a line for each tenant that is near its limit.
-fn log_nearest(ledger: &LimitLedger, terms: &Terms<'_>) {
-    for TenantUse { tenant, limit, given, needed } in ledger.nearest(LOGGED_TENANTS, terms) {
+/// Logs the tenants that are nearest their limits, at most [`MAX_LOGGED_TENANTS`].
+fn log_nearest(ledger: &LimitLedger, limits: &LimitsInForce<'_>) {
+    for TenantUse { tenant, limit, given, needed } in ledger.nearest(MAX_LOGGED_TENANTS, limits) {
         log::info!(tenant:% = tenant, limit, given, needed; "tenant is near its limit");
     }
 }
 
-/// What is in force of limits: the document's rates and the state's ceilings.
-struct Terms<'s> {
+/// The limits in force: the document's rates and the state's ceilings.
+struct LimitsInForce<'s> {
     rates: &'s HashMap<TenantName, TenantRate>,
     ceilings: &'s BTreeMap<TenantName, u64>,
 }
 
-impl LimitTerms for Terms<'_> {
+impl LimitTerms for LimitsInForce<'_> {
     fn rate(&self, tenant: &TenantName) -> Option<TenantRate> {
         self.rates.get(tenant).copied()
     }
@@ -270,7 +278,7 @@
     }
 }
 
-/// The gateways' incarnations that the state knows.
+/// Returns the gateways' incarnations in the state.
 fn incarnations(state: &ControlState) -> BTreeSet<GatewayIncarnation> {
     let incarnation = |(gateway, proxy): (&_, &corktack_core::view::ProxyView)| {
         GatewayIncarnation { gateway: Clone::clone(gateway), incarnation: proxy.incarnation }
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -1,12 +1,11 @@
-//! What only the leader does: watch over proxies, replace failed primaries and lease tenants' limits.
+//! The duties of the leader: proxy membership, failover of primaries, and grants of tenants' limits.
 //!
-//! The decisions are the core's. This module feeds it with reports and answers,
-//! starts the calls it wants and hands its commands to the consensus thread. A
-//! replica that becomes leader starts afresh, and one that stops leading drops
-//! everything, so that answers to an earlier leadership find no one.
+//! The core makes the decisions. This module passes reports and answers to the core, starts the calls that
+//! it requests, and returns its commands to the consensus thread. The consensus thread passes the time, the
+//! applied state and the outcomes of the commands.
 //!
-//! Owns what lasts as long as one leadership. Relies on the consensus thread for the time, the state and
-//! the outcomes of its commands.
+//! A replica starts with an empty state when it becomes the leader, and drops the state when it steps down,
+//! so that answers to an earlier leadership have no effect.
 
 mod contacts;
 mod convert;
--- a/crates/control/src/recovered.rs
+++ b/crates/control/src/recovered.rs
@@ -1,7 +1,7 @@
-//! What a replica finds on its disk at its start, and the settings of the core.
+//! Recovers a replica from its data folder, and builds the settings of the consensus core.
 //!
-//! Relies on the storage for what is whole. The state is that of the snapshot; the entries after it come
-//! from the core, as if they had just been committed.
+//! The storage detects and rejects damaged files. The recovered state is that of the snapshot; the core
+//! hands out the committed entries after it again, as if they had just been committed.
 
 use crate::cell::Disks;
 use crate::clock::Clock;
@@ -12,23 +12,25 @@
 use corktack_core::state::ControlState;
 use corktack_storage::{DataFolder, ReplicaLog};
 
-/// Most entry bytes in one append message. Chosen, not measured; a lower value takes more round trips to
-/// bring a replica up to date, a higher one holds heartbeats up behind slow links.
-const APPEND_BYTES_LIMIT: usize = 256 * 1024;
-/// Bytes of one piece of a snapshot sent to another replica. Chosen, not measured, as that of an append.
+/// Most entry bytes in one append message. A lower limit takes more round trips to bring a replica up to
+/// date; a higher one delays heartbeats on slow links.
+const MAX_APPEND_BYTES: usize = 256 * 1024;
+/// Bytes of one chunk of a snapshot sent to another replica. The same trade-off as for
+/// [`MAX_APPEND_BYTES`].
 const SNAPSHOT_CHUNK_BYTES: usize = 256 * 1024;
 
-/// What a replica found on its disk.
+/// The parts of a replica that were recovered from its data folder.
 pub(crate) struct Recovered {
     pub(crate) replica: Replica,
     pub(crate) log: ReplicaLog,
     pub(crate) disks: Disks,
     pub(crate) state: ControlState,
+    /// Index of the last log entry that `state` holds.
     pub(crate) applied: u64,
 }
 
 impl Recovered {
-    /// Reads the log, its snapshot and the disks known.
+    /// Reads the log, its snapshot and the stored disk ids.
     pub(crate) fn open(settings: &ControlSettings, clock: &Clock) -> Result<Self, ControlError> {
         let folder = DataFolder::open(&settings.data_folder)?;
         let (log, persisted) = ReplicaLog::open(&folder, &settings.cell.0)?;
@@ -44,7 +46,7 @@
     }
 }
 
-/// The state of the snapshot; the core hands out the entries after it once more.
+/// Returns the state and index of the snapshot, or an empty state without one.
 fn recover_state(persisted: &PersistedState) -> Result<(ControlState, u64), ControlError> {
     match &persisted.snapshot {
         Some(snapshot) => Ok((decode_state(&snapshot.data)?, snapshot.index)),
@@ -58,9 +60,9 @@
         election_timeout: settings.election_timeout,
         first_election_timeout: settings.first_election_timeout,
         heartbeat_interval: settings.heartbeat_interval,
-        append_bytes_limit: APPEND_BYTES_LIMIT,
+        append_bytes_limit: MAX_APPEND_BYTES,
         snapshot_chunk_bytes: SNAPSHOT_CHUNK_BYTES,
-        // Numbers drawn in another incarnation of this replica must not come again.
+        // Another incarnation of this replica must draw other random numbers.
         seed: settings.seed ^ settings.incarnation.0,
     }
 }
--- a/crates/control/src/registry_calls/call.rs
+++ b/crates/control/src/registry_calls/call.rs
@@ -1,4 +1,4 @@
-//! Calls about registered back ends, how they are made, and what came of them.
+//! Calls about registered back ends: their targets, the traits that make them, and their results.
 
 use corktack_core::identity::{GroupName, MemberName};
 use corktack_core::registry::{MemberAnswer, PromotionAnswer};
@@ -6,39 +6,39 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Whom a call of a registered back end goes to.
+/// The registered back end that a call goes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberCall {
-    /// Its group.
+    /// The group that the member belongs to.
     pub group: GroupName,
-    /// The member.
+    /// The member's name, which is unique in the registry.
     pub member: MemberName,
-    /// Where it is.
+    /// The address that the call connects to.
     pub address: SocketAddr,
 }
 
 /// How the leader reaches registered back ends and the authority that promotes them.
 #[derive(Clone, Debug)]
 pub struct RegistryCalls {
-    /// How it reaches back ends.
+    /// Calls the members themselves.
     pub members: Arc<dyn MemberCalls>,
-    /// The authority.
+    /// Calls the authority that promotes members.
     pub authority: Arc<dyn PromotionAuthority>,
 }
 
-/// How the leader reaches registered back ends.
+/// Calls registered back ends on behalf of the leader.
 pub trait MemberCalls: Send + Sync + std::fmt::Debug {
-    /// Requests a member's status; with `hold`, keeps it from receiving first, in a term above
-    /// its own.
+    /// Requests a member's status. With `hold`, first stops the member from receiving replication, in a
+    /// term above its own.
     fn status(&self, call: MemberCall, hold: bool) -> LocalBoxFuture<'static, MemberAnswer>;
 
-    /// Lets a held member receive again.
+    /// Lets a held member receive replication again.
     fn release(&self, call: MemberCall) -> LocalBoxFuture<'static, ()>;
 }
 
-/// The outside authority that promotes members.
+/// The external authority that promotes members.
 pub trait PromotionAuthority: Send + Sync + std::fmt::Debug {
-    /// Calls for a promotion, once, under the fence of the decision.
+    /// Requests a promotion once, with the fencing token `fence` of the decision.
     fn promote(
         &self,
         group: GroupName,
@@ -47,11 +47,11 @@
     ) -> LocalBoxFuture<'static, PromotionAnswer>;
 }
 
-/// What came of a call.
+/// The result of a call.
 #[derive(Debug)]
 pub(crate) enum RegistryAnswer {
-    /// What came of a call of a member.
+    /// The result of a status call to a member.
     Status(MemberCall, MemberAnswer),
-    /// The authority's answer to the call under a fence.
+    /// The authority's answer to the promotion request with a fencing token.
     Promotion(GroupName, u64, PromotionAnswer),
 }
--- a/crates/control/src/registry_calls/mod.rs
+++ b/crates/control/src/registry_calls/mod.rs
@@ -1,7 +1,7 @@
-//! Calls on behalf of the leader: to registered back ends, and to the authority that promotes them.
+//! The leader's calls to registered back ends, and to the authority that promotes them.
 //!
-//! What is called and when is decided by the core's promotion duty; how it is done by what the settings
-//! bring as [`RegistryCalls`].
+//! The core's promotion duty decides on the calls. The implementation comes with the settings, as
+//! [`RegistryCalls`].
 
 mod call;
 mod caller;
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,9 +1,9 @@
 //! Starts and stops a control replica.
 //!
-//! Owns the thread, the arbiters and the HTTP server of a running one. A planned stop ends in one place,
-//! [`ControlHandle::stop`]: leadership goes over first ([`TRANSFER_TIMEOUT`], [`SUCCESSOR_TIMEOUT`]), then
-//! proxies and watching operators are let go, requests under way are answered, and the links to other
-//! replicas and the thread end last.
+//! Owns the thread, the arbiters and the HTTP server of a running replica. [`ControlHandle::stop`] performs
+//! a planned stop in this order: transfer leadership ([`TRANSFER_TIMEOUT`], [`SUCCESSOR_TIMEOUT`]), close
+//! the connections of proxies and watching operators, answer the requests in flight, and end the links to
+//! other replicas and the thread.
 
 use crate::clock::Clock;
 use crate::consensus::{ConsensusHandle, ConsensusInput, ReplicaStatus};
@@ -27,14 +27,15 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Longest wait for another replica to take over at a planned stop. Chosen, not measured; a lower value
-/// leaves the others to an election behind slow links, a higher one holds up a stop where none can.
+/// Longest wait for another replica to take leadership over at a planned stop. With a shorter timeout and
+/// slow links, the others need an election; a longer one delays a stop when no replica can take over.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for the first heartbeat of the one that took over. Chosen, not measured; a lower value may
-/// take away the vote that it needs, a higher one holds up a stop where it is lost.
+/// Longest wait for the first heartbeat of the new leader. With a shorter timeout, this replica may end
+/// before it grants the vote that the successor needs; a longer one delays a stop when the heartbeat is
+/// lost.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A control replica.
+/// Starts control replicas.
 #[derive(Debug)]
 pub struct ControlReplica;
 
@@ -42,7 +43,7 @@
     /// Starts a replica on bound listeners. Must be called inside an actix system.
     ///
     /// # Errors
-    /// [`ControlError`]; nothing runs then.
+    /// [`ControlError`] if a check, the recovery or a part of the start fails; no replica runs then.
     pub fn start(
         settings: ControlSettings,
         listeners: ControlListeners,
@@ -58,7 +59,7 @@
     }
 }
 
-/// Operators without a token are only served on loopback.
+/// Fails if operators would be served without a token on an address other than loopback.
 fn check_operators(settings: &ControlSettings, listener: &TcpListener) -> Result<(), ControlError> {
     let address = listener.local_addr().map_err(ControlError::Listener)?;
     if settings.operator_token.is_none() && !address.ip().is_loopback() {
@@ -67,14 +68,14 @@
     Ok(())
 }
 
-/// A running control replica. Dropping it stops it without handing leadership over.
+/// A running control replica. Dropping the handle stops the replica without a transfer of leadership.
 pub struct ControlHandle {
     registry: RegistryHandle,
     consensus: ConsensusHandle,
     status: watch::Receiver<ReplicaStatus>,
-    /// Ends what serves proxies and watching operators, and what calls back ends.
+    /// Ends the tasks that serve proxies and watching operators, and those that call back ends.
     trigger: StopTrigger,
-    /// Ends the connections of other replicas.
+    /// Ends the incoming connections of other replicas.
     cell_trigger: StopTrigger,
     http: ServerHandle,
     arbiters: Vec<Arbiter>,
@@ -88,32 +89,32 @@
 }
 
 impl ControlHandle {
-    /// What the replica is doing now.
+    /// Returns the newest published status of the replica.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         self.status.borrow().clone()
     }
 
-    /// The registry of back ends and the configuration document.
+    /// Returns a handle to the registry of back ends and the configuration document.
     #[must_use]
     pub fn registry(&self) -> RegistryHandle {
         self.registry.clone()
     }
 
-    /// Wakes at each change of the status.
+    /// Returns a receiver that is notified of each change of the status.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<ReplicaStatus> {
         self.status.clone()
     }
 
-    /// Hands leadership over, then stops.
+    /// Transfers leadership if this replica is the leader, then stops.
     pub async fn stop(mut self) {
         self.transfer_leadership().await;
         self.trigger.stop();
-        // Requests under way need the other replicas to be answered.
+        // Requests in flight can only be answered while the other replicas are connected.
         self.http.stop(true).await;
         self.cell_trigger.stop();
-        // The thread has ended already when it takes no more inputs.
+        // An error means that the thread has ended already.
         let _ = self.consensus.send(ConsensusInput::Stop);
         let mut status = self.status.clone();
         drop(status.wait_for(|status| !status.running).await);
@@ -121,22 +122,25 @@
     }
 
     async fn transfer_leadership(&mut self) {
-        let alone = self.status.borrow().cell.voters.len() < 2;
-        let leads = self.status.borrow().role == Role::Leader;
-        if alone || !leads || self.consensus.send(ConsensusInput::TransferLeadership).is_err() {
+        let is_sole_voter = self.status.borrow().cell.voters.len() < 2;
+        let is_leader = self.status.borrow().role == Role::Leader;
+        if is_sole_voter
+            || !is_leader
+            || self.consensus.send(ConsensusInput::TransferLeadership).is_err()
+        {
             return;
         }
-        // Without a successor in time the others hold an election later.
+        // If no successor takes over in time, the others hold an election later.
         let stepped_down = self.status.wait_for(|status| status.role != Role::Leader);
         drop(timeout(TRANSFER_TIMEOUT, stepped_down).await);
-        // The successor needs this replica's vote, and is known by its first heartbeat.
-        let followed = self.status.wait_for(|status| {
+        // The successor needs this replica's vote; its first heartbeat shows that it has won the election.
+        let successor_known = self.status.wait_for(|status| {
             status.role == Role::Leader || status.leader.is_some() || !status.running
         });
-        drop(timeout(SUCCESSOR_TIMEOUT, followed).await);
+        drop(timeout(SUCCESSOR_TIMEOUT, successor_known).await);
     }
 
-    /// The thread has left its loop, so this waits no longer than its last steps.
+    /// Joins the thread, which has already left its loop and ends soon.
     fn join(&mut self) {
         if let Some(thread) = self.thread.take() {
             drop(thread.join());
@@ -162,7 +166,7 @@
 ) -> Result<ControlHandle, ControlError> {
     let clock = Clock::start();
     let recovered = Recovered::open(&settings, &clock)?;
-    let (inputs, received) = mpsc::channel();
+    let (input_sender, input_receiver) = mpsc::channel();
     let (trigger, stop) = stop_channel();
     let (cell_trigger, cell_stop) = stop_channel();
     let (publisher, status) =
@@ -170,7 +174,7 @@
     let starting = Starting {
         metrics,
         clock,
-        consensus: ConsensusHandle::new(inputs, settings.request_timeout),
+        consensus: ConsensusHandle::new(input_sender, settings.request_timeout),
         feed: Feed::new(recovered.state.view_revision(), settings.watch_changes.max(1)),
         proofs: Proofs::default(),
         proxies: ProxyTable::new(),
@@ -185,7 +189,7 @@
     starting.start_proxies(listeners.proxies)?;
     starting.start_platform();
     starting.start_joining();
-    let thread = starting.start_consensus(recovered, publisher, received)?;
+    let thread = starting.start_consensus(recovered, publisher, input_receiver)?;
     let http = starting.start_operators(listeners.operators)?;
     let registry = RegistryHandle::new(&starting);
     let Starting { consensus, status, arbiters, .. } = starting;
--- a/crates/control/src/starting.rs
+++ b/crates/control/src/starting.rs
@@ -1,4 +1,5 @@
-//! Starts the parts of a replica and connects them: which arbiter each runs on, and which stop ends it.
+//! Starts the parts of a replica and connects them. Decides which arbiter each part runs on, and which
+//! stop signal ends it.
 
 use crate::back_end::BackEnds;
 use crate::cell::{Disks, InboundSettings, LinkSettings, Links, accept_replicas};
@@ -30,7 +31,7 @@
 
 const THREAD_NAME: &str = "corktack-consensus";
 
-/// What the parts of a replica on its way up share.
+/// The components that the parts of a replica share, while it starts.
 pub(crate) struct Starting {
     pub(crate) settings: ControlSettings,
     pub(crate) metrics: Metrics,
@@ -47,12 +48,12 @@
 }
 
 impl Starting {
-    /// The arbiter of the cell's connections, of back ends and of the platform's list.
+    /// Returns the arbiter of the cell's connections, the calls to back ends and the platform's list.
     fn first_arbiter(&self) -> ArbiterHandle {
         self.arbiters[0].handle()
     }
 
-    /// The arbiters of the proxies' connections.
+    /// Returns the arbiters of the proxies' connections.
     fn proxy_arbiters(&self) -> Vec<ArbiterHandle> {
         self.arbiters[1..].iter().map(Arbiter::handle).collect()
     }
@@ -115,8 +116,8 @@
         LeaderDuties::new(&self.settings, back_ends, registry, self.metrics.clone())
     }
 
-    /// A listener of the standard library is given to the reactor of the arbiter
-    /// that accepts on it.
+    /// Accepts other replicas. The listener is registered with the reactor of the arbiter that accepts on
+    /// it.
     pub(crate) fn start_cell(&self, listener: TcpListener) -> Result<(), ControlError> {
         listener.set_nonblocking(true).map_err(ControlError::Listener)?;
         let settings = InboundSettings {
@@ -135,16 +136,18 @@
         Ok(())
     }
 
-    /// Accepts proxies and proves to them that the replica is current.
+    /// Accepts proxies, sends summaries of them to the leader, and starts the proofs that this replica is
+    /// current.
     pub(crate) fn start_proxies(&self, listener: TcpListener) -> Result<(), ControlError> {
         listener.set_nonblocking(true).map_err(ControlError::Listener)?;
         let server = self.proxy_server();
         let interval = self.settings.proxy_heartbeat_interval;
         let first = self.first_arbiter();
-        // A proxy learns that this replica is cut off before it counts as silent.
-        let limit = self.settings.proxy_heartbeat_timeout / 2;
+        // Half the heartbeat timeout, so that a proxy learns that this replica is cut off before the replica
+        // counts as silent.
+        let proof_timeout = self.settings.proxy_heartbeat_timeout / 2;
         let proofs = self.proofs.clone();
-        first.spawn(proofs.run(interval, limit, self.consensus.clone(), self.stop.clone()));
+        first.spawn(proofs.run(interval, proof_timeout, self.consensus.clone(), self.stop.clone()));
         let table = server.table.clone();
         first.spawn(send_summaries(table, interval, self.consensus.clone(), self.stop.clone()));
         let arbiters = self.proxy_arbiters();
@@ -171,7 +174,8 @@
         }
     }
 
-    /// Requests other replicas to add this one to their cell, as long as it belongs to none.
+    /// Requests other replicas to add this one to their cell while it belongs to none, if addresses for that
+    /// are configured.
     pub(crate) fn start_joining(&self) {
         let Some(address) = self.settings.cell_address else { return };
         if self.settings.join_through.is_empty() {
@@ -179,7 +183,7 @@
         }
         let joining = Joining {
             member: CellMember { id: self.settings.replica, address },
-            through: self.settings.join_through.clone(),
+            contacts: self.settings.join_through.clone(),
             status: self.status.clone(),
             consensus: self.consensus.clone(),
         };
@@ -187,18 +191,18 @@
         self.first_arbiter().spawn(joining.run(stop));
     }
 
-    /// Polls the platform's list, where there is one.
+    /// Polls the platform's list, if one is configured.
     pub(crate) fn start_platform(&self) {
         let Some(source) = self.settings.platform.clone() else { return };
         let (status, consensus, stop) =
             (self.status.clone(), self.consensus.clone(), self.stop.clone());
-        // The HTTP client stays on the thread that made it.
+        // The HTTP client can't move between threads, so the task creates it on its arbiter.
         self.first_arbiter().spawn_fn(move || {
             actix_rt::spawn(poll_platform(source, status, consensus, stop));
         });
     }
 
-    /// Serves operators.
+    /// Starts the HTTP server for operators and returns its handle.
     pub(crate) fn start_operators(
         &self,
         listener: TcpListener,
--- a/crates/control/src/stop.rs
+++ b/crates/control/src/stop.rs
@@ -1,28 +1,28 @@
-//! The signal that ends the tasks of a replica. The replica's handle owns the trigger; every task holds a
-//! signal.
+//! The signal that ends the tasks of a replica. The replica's handle owns the trigger, and each task
+//! holds a signal.
 
 use tokio::sync::watch;
 
-/// Ends the tasks that hold a [`StopSignal`]; so does its drop.
+/// Ends the tasks that hold a [`StopSignal`]. Dropping the trigger ends them as well.
 #[derive(Debug)]
 pub(crate) struct StopTrigger {
     sender: watch::Sender<bool>,
 }
 
-/// Resolves once the replica stops.
+/// Tells a task that the replica stops.
 #[derive(Clone, Debug)]
 pub(crate) struct StopSignal {
     receiver: watch::Receiver<bool>,
 }
 
-/// A trigger and its signal.
+/// Creates a trigger and its signal.
 pub(crate) fn stop_channel() -> (StopTrigger, StopSignal) {
     let (sender, receiver) = watch::channel(false);
     (StopTrigger { sender }, StopSignal { receiver })
 }
 
 impl StopTrigger {
-    /// Ends the tasks.
+    /// Triggers the signal.
     pub(crate) fn stop(&self) {
         self.sender.send_replace(true);
     }
@@ -32,7 +32,7 @@
     /// Waits for the stop.
     pub(crate) async fn stopped(&self) {
         let mut receiver = self.receiver.clone();
-        // An error says that the trigger is gone, which is a stop as well.
+        // An error means that the trigger was dropped, which counts as a stop.
         drop(receiver.wait_for(|stopped| *stopped).await);
     }
 }
