--- a/crates/control/src/cell/inbound.rs
+++ b/crates/control/src/cell/inbound.rs
@@ -125,14 +125,14 @@
     let mut connection = FramedRead::new(read_half, FrameCodec::default());
     let mut acknowledger = Acknowledger { write_half, next_due: Instant::now() };
     let Some(from) = receive_hello(&mut connection, &settings).await else { return };
-    if consensus.send(ConsensusInput::Connected(from)).is_err() {
+    if consensus.send(ConsensusInput::PeerConnected(from)).is_err() {
         return;
     }
     loop {
         match connection.next().await {
             Some(Ok(message)) => {
                 acknowledger.acknowledge_read();
-                if consensus.send(ConsensusInput::Cell { from, message }).is_err() {
+                if consensus.send(ConsensusInput::PeerMessage { from, message }).is_err() {
                     return;
                 }
             }
--- a/crates/control/src/consensus/dispatch.rs
+++ b/crates/control/src/consensus/dispatch.rs
@@ -9,8 +9,10 @@
 impl ConsensusThread {
     pub(super) fn handle_input(&mut self, input: ConsensusInput, batch: &mut Batch) {
         match input {
-            ConsensusInput::Cell { from, message } => self.handle_message(from, message, batch),
-            ConsensusInput::Connected(replica) => {
+            ConsensusInput::PeerMessage { from, message } => {
+                self.handle_message(from, message, batch)
+            }
+            ConsensusInput::PeerConnected(replica) => {
                 self.parts.links.reconnect_now(replica);
                 batch.events.push(Event::Reachable { replica });
             }
@@ -28,7 +30,7 @@
             ConsensusInput::Platform(list) => {
                 self.parts.duties.record_platform_list(self.parts.clock.now(), list)
             }
-            ConsensusInput::Registry(answer) => {
+            ConsensusInput::RegistryAnswer(answer) => {
                 self.parts.duties.record_registry_answer(self.parts.clock.now(), answer);
             }
             ConsensusInput::Join(member) => self.handle_join(member),
--- a/crates/control/src/consensus/input.rs
+++ b/crates/control/src/consensus/input.rs
@@ -47,14 +47,14 @@
 /// An input of the consensus thread.
 pub(crate) enum ConsensusInput {
     /// A message from another replica.
-    Cell {
+    PeerMessage {
         /// The replica that sent the message.
         from: ReplicaId,
         /// The received message. A repeated hello is ignored.
         message: PeerMessage,
     },
     /// Another replica has connected.
-    Connected(ReplicaId),
+    PeerConnected(ReplicaId),
     /// A proposal from this process.
     Propose {
         /// The command or the change of the cell.
@@ -77,7 +77,7 @@
     /// A list that was polled from the platform.
     Platform(PlatformList),
     /// The result of a call of the leader about registered back ends.
-    Registry(RegistryAnswer),
+    RegistryAnswer(RegistryAnswer),
     /// A replica without a cell requests to be added.
     Join(CellMember),
     /// Another replica's answer with the cell that it belongs to.
--- a/crates/control/src/joining.rs
+++ b/crates/control/src/joining.rs
@@ -24,7 +24,7 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The task that requests to join a cell.
-pub(crate) struct Joining {
+pub(crate) struct JoinTask {
     pub(crate) member: CellMember,
     /// The configured addresses that take join requests.
     pub(crate) contacts: Vec<SocketAddr>,
@@ -32,7 +32,7 @@
     pub(crate) consensus: ConsensusHandle,
 }
 
-impl Joining {
+impl JoinTask {
     /// Sends requests until the stop signal, whenever the replica belongs to no cell.
     pub(crate) async fn run(self, stop: StopSignal) {
         tokio::select! {
--- a/crates/control/src/registry_calls/caller.rs
+++ b/crates/control/src/registry_calls/caller.rs
@@ -67,6 +67,6 @@
             PromotionAction::Propose(_) => return,
         };
         // An error means that the thread has ended, so nobody waits for the answer.
-        let _ = self.consensus.send(ConsensusInput::Registry(answer));
+        let _ = self.consensus.send(ConsensusInput::RegistryAnswer(answer));
     }
 }
--- a/crates/control/src/starting.rs
+++ b/crates/control/src/starting.rs
@@ -10,7 +10,7 @@
 use crate::error::ControlError;
 use crate::feed::Feed;
 use crate::http::{Operators, serve};
-use crate::joining::Joining;
+use crate::joining::JoinTask;
 use crate::leader::LeaderDuties;
 use crate::metrics::Metrics;
 use crate::platform::poll_platform;
@@ -181,14 +181,14 @@
         if self.settings.join_through.is_empty() {
             return;
         }
-        let joining = Joining {
+        let join_task = JoinTask {
             member: CellMember { id: self.settings.replica, address },
             contacts: self.settings.join_through.clone(),
             status: self.status.clone(),
             consensus: self.consensus.clone(),
         };
         let stop = self.stop.clone();
-        self.first_arbiter().spawn(joining.run(stop));
+        self.first_arbiter().spawn(join_task.run(stop));
     }
 
     /// Polls the platform's list, if one is configured.
