--- a/crates/control/tests/cell.rs
+++ b/crates/control/tests/cell.rs
@@ -1,4 +1,4 @@
-//! Restarts, cuts and changes of the cell.
+//! Restarts, network partitions and membership changes of a cell.
 
 mod support;
 
@@ -15,7 +15,7 @@
 #[case::from_the_log(4_096)]
 #[case::from_a_snapshot(8)]
 #[actix_rt::test]
-async fn everything_accepted_survives_a_restart_of_all(#[case] snapshot_entries: u64) {
+async fn accepted_changes_survive_a_restart_of_all_replicas(#[case] snapshot_entries: u64) {
     let adjust = |settings: &mut corktack_control::ControlSettings| {
         settings.snapshot_entries = snapshot_entries;
     };
@@ -40,7 +40,7 @@
 }
 
 #[actix_rt::test]
-async fn a_replica_that_is_cut_off_answers_nothing_old() {
+async fn a_leader_without_a_majority_answers_nothing_stale() {
     let adjust = |settings: &mut corktack_control::ControlSettings| {
         settings.request_timeout = Duration::from_millis(500);
     };
@@ -52,8 +52,8 @@
         (answer.status == StatusCode::OK).then_some(())
     })
     .await;
-    for place in (0..3).filter(|place| *place != leader) {
-        cell.replicas[place].stop().await;
+    for index in (0..3).filter(|index| *index != leader) {
+        cell.replicas[index].stop().await;
     }
     let read = operator.get("/v1/classes/gold").await;
     assert!(read.retry_after);
@@ -63,12 +63,12 @@
     assert!(!operator.status().await.current);
     let body = class(2, None);
     let path = "/v1/classes/gold";
-    let lost = operator.send(Method::PUT, path, Some("change-2"), Some(&body)).await;
-    let lost = lost.refused(StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(lost.change_id.as_deref(), Some("change-2"));
-    // The others come back: the resend is accepted once, whatever became of the first.
-    for place in (0..3).filter(|place| *place != leader) {
-        cell.replicas[place].restart(&adjust).await;
+    let unanswered = operator.send(Method::PUT, path, Some("change-2"), Some(&body)).await;
+    let unanswered = unanswered.refused(StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(unanswered.change_id.as_deref(), Some("change-2"));
+    // The others come back. The resend is accepted once, whether or not the first request took effect.
+    for index in (0..3).filter(|index| *index != leader) {
+        cell.replicas[index].restart(&adjust).await;
     }
     until("the resend is accepted", async || {
         let answer = operator.send(Method::PUT, path, Some("change-2"), Some(&body)).await;
@@ -80,15 +80,15 @@
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_hands_leadership_over() {
+async fn a_planned_stop_transfers_leadership() {
     let mut cell = Cell::start(3);
     let leader = cell.leader().await;
     let term = cell.replicas[leader].running().status().term;
     cell.replicas[leader].stop().await;
-    let next = cell.leader().await;
-    assert_ne!(next, leader);
+    let new_leader = cell.leader().await;
+    assert_ne!(new_leader, leader);
     // A transfer raises the term once; an election after a timeout may need several.
-    assert_eq!(cell.replicas[next].running().status().term.0, term.0 + 1);
+    assert_eq!(cell.replicas[new_leader].running().status().term.0, term.0 + 1);
 }
 
 #[actix_rt::test]
@@ -102,7 +102,7 @@
     for priority in 1..=20 {
         operator.put_class("gold", priority, None).await.accepted();
     }
-    let lost = (0..3).find(|place| *place != leader).expect("a follower");
+    let lost = (0..3).find(|index| *index != leader).expect("a follower");
     let lost_id = cell.replicas[lost].id;
     cell.replicas[lost].stop().await;
     cell.join(4, adjust);
@@ -115,46 +115,48 @@
     for change in &changes {
         until("the cell changes", async || {
             let answer = operator.send(Method::POST, "/v1/cell", None, Some(change)).await;
-            let known = [StatusCode::NO_CONTENT, StatusCode::CONFLICT];
-            assert!(known.contains(&answer.status), "{:?}", answer.body);
+            let allowed = [StatusCode::NO_CONTENT, StatusCode::CONFLICT];
+            assert!(allowed.contains(&answer.status), "{:?}", answer.body);
             (answer.status == StatusCode::NO_CONTENT).then_some(())
         })
         .await;
     }
-    // The second machine lost right after the repair: the newcomer carries the majority.
-    let third = (0..3).find(|place| *place != leader && *place != lost).expect("a third");
+    // A second machine is lost right after the repair, so the majority needs the new replica.
+    let third = (0..3).find(|index| *index != leader && *index != lost).expect("a third");
     cell.replicas[third].stop().await;
-    let newcomer = &cell.replicas[3];
-    until("the newcomer follows", async || (newcomer.role() == Some(Role::Follower)).then_some(()))
-        .await;
-    let list: ResourceList = until("the newcomer answers", async || {
-        let answer = newcomer.operator().get("/v1/classes").await;
+    let new_replica = &cell.replicas[3];
+    until("the new replica is a follower", async || {
+        (new_replica.role() == Some(Role::Follower)).then_some(())
+    })
+    .await;
+    let list: ResourceList = until("the new replica answers", async || {
+        let answer = new_replica.operator().get("/v1/classes").await;
         (answer.status == StatusCode::OK).then(|| answer.read())
     })
     .await;
     assert_eq!(list.items.len(), 1);
-    newcomer.operator().put_class("gold", 21, None).await.accepted();
+    new_replica.operator().put_class("gold", 21, None).await.accepted();
 }
 
-/// Bytes between regions cost more than the time to pack them. The follower is brought up to date by one append of
-/// many entries that are alike.
+/// Bytes between regions cost more than the time to compress them. The follower is brought up to date by
+/// one append of many similar entries.
 #[actix_rt::test]
-async fn large_messages_between_replicas_are_packed() {
+async fn large_messages_between_replicas_are_compressed() {
     let (cell, links) = Cell::start_linked(3, |_| ());
     let leader = cell.leader().await;
-    let behind = cell.follower().await;
-    links.cut_off(cell.replicas[behind].id);
+    let follower = cell.follower().await;
+    links.cut_off(cell.replicas[follower].id);
     let operator = cell.replicas[leader].operator();
     for priority in 1..=150 {
         operator.put_class("gold", priority, None).await.accepted();
     }
-    assert_eq!(links.packed_frames(), 0, "a single change is small");
+    assert_eq!(links.packed_frames(), 0, "a single change is too small to compress");
     links.heal();
-    let last = cell.replicas[leader].running().status().applied_index;
+    let leader_index = cell.replicas[leader].running().status().applied_index;
     until("the follower has the changes", async || {
-        let status = cell.replicas[behind].running().status();
-        (status.applied_index >= last).then_some(())
+        let status = cell.replicas[follower].running().status();
+        (status.applied_index >= leader_index).then_some(())
     })
     .await;
-    assert!(links.packed_frames() > 0, "the append goes packed");
+    assert!(links.packed_frames() > 0, "the append is compressed");
 }
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes raced through different replicas, and resends whose first answer was lost.
+//! Concurrent changes through different replicas, and resends of changes whose first answer was lost.
 
 mod support;
 
@@ -16,35 +16,36 @@
 use tokio::net::TcpStream;
 
 const PATH: &str = "/v1/classes/gold";
-/// Races; who wins one depends on the schedule, that one wins does not.
+/// Rounds of concurrent changes. The schedule decides which change wins a round, but exactly one must.
 const ROUNDS: u32 = 30;
 
 #[actix_rt::test]
-async fn of_changes_raced_through_every_replica_exactly_one_wins() {
+async fn exactly_one_of_concurrent_changes_through_all_replicas_wins() {
     let cell = Cell::start(3);
     cell.leader().await;
-    let operators: Vec<Operator> = cell.replicas.iter().map(|it| it.operator()).collect();
+    let operators: Vec<Operator> = cell.replicas.iter().map(|replica| replica.operator()).collect();
     let mut version = operators[0].put_class("gold", 0, Some(0)).await.accepted().resource_version;
     for round in 0..ROUNDS {
-        let racing = operators.iter().zip(1..);
-        let racing = racing.map(|(operator, place)| {
-            operator.put_class("gold", round * 10 + place, Some(version.0))
+        let numbered = operators.iter().zip(1..);
+        let changes = numbered.map(|(operator, number)| {
+            operator.put_class("gold", round * 10 + number, Some(version.0))
         });
-        let answers = join_all(racing).await;
-        let won: Vec<_> = answers.iter().filter(|it| it.status == StatusCode::OK).collect();
-        assert_eq!(won.len(), 1, "round {round}");
-        let stored = won[0].accepted().resource_version;
-        for lost in answers.iter().filter(|it| it.status != StatusCode::OK) {
-            let lost = lost.refused(StatusCode::CONFLICT);
-            assert_eq!((lost.code, lost.stored_version), (ErrorCode::Conflict, Some(stored)));
+        let answers = join_all(changes).await;
+        let winners: Vec<_> =
+            answers.iter().filter(|answer| answer.status == StatusCode::OK).collect();
+        assert_eq!(winners.len(), 1, "round {round}");
+        let stored = winners[0].accepted().resource_version;
+        for answer in answers.iter().filter(|answer| answer.status != StatusCode::OK) {
+            let loser = answer.refused(StatusCode::CONFLICT);
+            assert_eq!((loser.code, loser.stored_version), (ErrorCode::Conflict, Some(stored)));
         }
         version = stored;
     }
-    let last: AnyManifest = operators[0].get(PATH).await.read();
-    assert_eq!(last.metadata().generation, Some(u64::from(ROUNDS) + 1));
+    let stored: AnyManifest = operators[0].get(PATH).await.read();
+    assert_eq!(stored.metadata().generation, Some(u64::from(ROUNDS) + 1));
 }
 
-/// Sends a PUT on a connection of its own and never reads the answer.
+/// Sends a PUT on a new connection without reading the answer.
 async fn send_unread(to: SocketAddr, change_id: &str, body: &Value) -> TcpStream {
     let mut stream = TcpStream::connect(to).await.expect("the replica accepts");
     let body = body.to_string();
@@ -57,7 +58,7 @@
     stream
 }
 
-/// What happens between a lost answer and the resend.
+/// The fault between the lost answer and the resend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     LeaderKilled,
@@ -69,12 +70,8 @@
     move |settings| settings.snapshot_entries = entries
 }
 
-/// Brings the fault about; gives the place of the replica that takes the resends.
-async fn bring_about(
-    fault: Fault,
-    cell: &mut Cell,
-    adjust: impl Fn(&mut ControlSettings),
-) -> usize {
+/// Injects the fault and returns the index of the replica that gets the resends.
+async fn inject(fault: Fault, cell: &mut Cell, adjust: impl Fn(&mut ControlSettings)) -> usize {
     match fault {
         Fault::LeaderKilled => {
             let leader = cell.leader().await;
@@ -94,13 +91,13 @@
     }
 }
 
-/// A replica that joins an old cell knows the changes before only from a snapshot.
+/// Adds a replica, which gets the earlier changes only from a snapshot, and returns its index.
 async fn catch_up_by_snapshot(cell: &mut Cell, adjust: impl Fn(&mut ControlSettings)) -> usize {
     cell.join(4, adjust);
     cell.add_learner(3).await;
     let operator = cell.replicas[cell.leader().await].operator();
     let newest: AnyManifest = operator.get(PATH).await.read();
-    until("the newcomer has the state", async || {
+    until("the new replica has the state", async || {
         let answer = cell.replicas[3].operator().get(PATH).await;
         (answer.status == StatusCode::OK && answer.read::<AnyManifest>() == newest).then_some(())
     })
@@ -127,7 +124,7 @@
     })
     .await;
     drop(unread);
-    // One that was refused, and enough others for several snapshots of four entries.
+    // A refused change, and enough accepted ones for several snapshots of 4 entries.
     let stale = class(9, Some(0));
     let refused = operator.send(Method::PUT, PATH, Some("lost-2"), Some(&stale)).await;
     let refused = refused.refused(StatusCode::CONFLICT);
@@ -135,18 +132,18 @@
         operator.put_class("gold", priority, None).await.accepted();
     }
 
-    let place = bring_about(fault, &mut cell, adjust).await;
+    let index = inject(fault, &mut cell, adjust).await;
 
-    let operator = cell.replicas[place].operator();
+    let operator = cell.replicas[index].operator();
     let before: AnyManifest = operator.get(PATH).await.read();
     assert_eq!(before.metadata().generation, Some(20));
     let resent = operator.send(Method::PUT, PATH, Some("lost-1"), Some(&first)).await.accepted();
     assert_eq!(Some(resent.resource_version), created.metadata().resource_version);
-    let again = operator.send(Method::PUT, PATH, Some("lost-2"), Some(&stale)).await;
-    let again = again.refused(StatusCode::CONFLICT);
-    assert_eq!(again.stored_version, refused.stored_version);
-    assert_eq!(again.stored_version, Some(resent.resource_version));
-    assert_ne!(again.stored_version, Some(ResourceVersion(0)));
+    let resent_stale = operator.send(Method::PUT, PATH, Some("lost-2"), Some(&stale)).await;
+    let resent_stale = resent_stale.refused(StatusCode::CONFLICT);
+    assert_eq!(resent_stale.stored_version, refused.stored_version);
+    assert_eq!(resent_stale.stored_version, Some(resent.resource_version));
+    assert_ne!(resent_stale.stored_version, Some(ResourceVersion(0)));
     let after: AnyManifest = operator.get(PATH).await.read();
     assert_eq!(after, before, "a resend changes nothing");
 }
--- a/crates/control/tests/currency.rs
+++ b/crates/control/tests/currency.rs
@@ -1,4 +1,4 @@
-//! What replicas serve while they are cut off, and after they forgot old changes.
+//! What replicas serve while they are partitioned from the majority, and after they dropped old changes.
 
 mod support;
 
@@ -12,8 +12,8 @@
 use support::proxy::Proxy;
 use support::{Cell, until};
 
-/// Changes that a proxy sleeps through.
-const MISSED: u32 = 500;
+/// Changes made while a proxy is disconnected.
+const MISSED_CHANGES: u32 = 500;
 const PATH: &str = "/v1/classes/gold";
 
 fn short_requests(settings: &mut ControlSettings) {
@@ -22,19 +22,19 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_replica_cut_off_serves_nothing_old_and_its_proxy_moves_on(
-    #[values(true, false)] the_leader: bool,
+async fn a_partitioned_replica_serves_nothing_stale_and_its_proxy_moves_on(
+    #[values(true, false)] partition_leader: bool,
 ) {
     let (cell, links) = Cell::start_linked(3, short_requests);
-    let place = if the_leader { cell.leader().await } else { cell.follower().await };
-    let (behind, other) = (&cell.replicas[place], &cell.replicas[(place + 1) % 3]);
-    let operator = behind.operator();
+    let index = if partition_leader { cell.leader().await } else { cell.follower().await };
+    let (partitioned, other) = (&cell.replicas[index], &cell.replicas[(index + 1) % 3]);
+    let operator = partitioned.operator();
     let first = operator.put_class("gold", 1, None).await.accepted().revision;
-    let mut proxy = Proxy::connect(behind.proxies, "p-1", View::default()).await;
+    let mut proxy = Proxy::connect(partitioned.proxies, "p-1", View::default()).await;
     proxy.reach(first).await;
     let mut lines = operator.watch(first.0).await.ok().expect("a watch");
 
-    links.cut_off(behind.id);
+    links.cut_off(partitioned.id);
     let newest = until("the majority accepts a change", async || {
         let answer = other.operator().put_class("gold", 2, None).await;
         (answer.status == StatusCode::OK).then(|| answer.accepted().revision)
@@ -54,10 +54,10 @@
     })
     .await;
     assert_eq!((proof, proxy.view.revision), (Some(false), first));
-    let mut newcomer = Proxy::connect(behind.proxies, "p-2", View::default()).await;
-    assert_eq!(newcomer.step().await, None, "no snapshot is handed out");
+    let mut new_proxy = Proxy::connect(partitioned.proxies, "p-2", View::default()).await;
+    assert_eq!(new_proxy.step().await, None, "no snapshot is sent");
 
-    // The proxy moves on with what it has, and gets only what it misses.
+    // The proxy connects to another replica with its view, and gets only the changes that it lacks.
     let mut proxy = Proxy::connect(other.proxies, "p-1", proxy.view).await;
     proxy.reach(newest).await;
     assert!(proxy.confirm().await.expect("the connection goes on"));
@@ -69,12 +69,12 @@
     })
     .await;
     assert_eq!(stored.metadata().generation, Some(2));
-    let mut newcomer = Proxy::connect(behind.proxies, "p-3", View::default()).await;
-    newcomer.reach(newest).await;
+    let mut new_proxy = Proxy::connect(partitioned.proxies, "p-3", View::default()).await;
+    new_proxy.reach(newest).await;
 }
 
 #[actix_rt::test]
-async fn each_change_is_one_delta_of_a_higher_revision() {
+async fn each_change_is_sent_as_one_delta_of_a_higher_revision() {
     let cell = Cell::start(3);
     cell.leader().await;
     let replica = &cell.replicas[cell.follower().await];
@@ -82,7 +82,7 @@
     let first = operator.put_class("gold", 0, None).await.accepted().revision;
     let mut proxy = Proxy::connect(replica.proxies, "p-1", View::default()).await;
     proxy.reach(first).await;
-    // Its own registration may still come; after it only the changes below do.
+    // The proxy's own registration may still arrive as a delta; after it, only the changes below do.
     until("the proxy is registered", async || {
         proxy.confirm().await;
         (proxy.view.proxies.len() == 1).then_some(())
@@ -95,19 +95,19 @@
         let revision = operator.put_class("gold", priority, None).await.accepted().revision;
         assert!(revision > last);
         last = revision;
-        // The proxy's view refuses anything that is not newer than what it has.
+        // The proxy's view refuses deltas that are not newer than its revision.
         proxy.reach(revision).await;
         assert_eq!((proxy.view.revision, proxy.view.classes[&gold].priority), (revision, priority));
     }
     assert_eq!((proxy.snapshots, proxy.deltas), (snapshots, deltas + 50));
 }
 
-/// Makes `MISSED` changes; gives the revisions before and after them.
+/// Makes [`MISSED_CHANGES`] changes and returns the revisions before and after them.
 async fn make_changes(cell: &Cell) -> (Revision, Revision) {
     let operator = cell.replicas[cell.leader().await].operator();
     let first = operator.put_class("gold", 0, None).await.accepted().revision;
     let mut newest = first;
-    for priority in 1..=MISSED {
+    for priority in 1..=MISSED_CHANGES {
         newest = operator.put_class("gold", priority, None).await.accepted().revision;
     }
     (first, newest)
@@ -128,15 +128,16 @@
     let gold = ClassName::new("gold").expect("a valid name");
     for replica in &cell.replicas {
         let operator = replica.operator();
-        let refused = operator.watch(first.0).await.err().expect("no watch from so long ago");
+        let refused =
+            operator.watch(first.0).await.err().expect("no watch from a dropped revision");
         assert_eq!(refused.refused(StatusCode::GONE).code, ErrorCode::TooOld);
         let list: ResourceList = operator.get("/v1/classes").await.read();
         assert!(list.revision >= newest);
         assert!(operator.watch(list.revision.0).await.is_ok());
-        let asleep = View { revision: first, ..View::default() };
-        let mut proxy = Proxy::connect(replica.proxies, "p-1", asleep).await;
+        let old_view = View { revision: first, ..View::default() };
+        let mut proxy = Proxy::connect(replica.proxies, "p-1", old_view).await;
         proxy.reach(newest).await;
-        assert_eq!((proxy.snapshots, proxy.view.classes[&gold].priority), (1, MISSED));
+        assert_eq!((proxy.snapshots, proxy.view.classes[&gold].priority), (1, MISSED_CHANGES));
     }
 }
 
@@ -145,25 +146,26 @@
     let adjust = |settings: &mut ControlSettings| settings.snapshot_entries = 8;
     let mut cell = Cell::start_with(3, adjust);
     let (first, newest) = make_changes(&cell).await;
-    let away = cell.follower().await;
-    let held: AnyManifest = cell.replicas[away].operator().get(PATH).await.read();
-    cell.replicas[away].stop().await;
-    // More than the tail of the log that a leader keeps for those who lag.
+    let lagging = cell.follower().await;
+    let old_manifest: AnyManifest = cell.replicas[lagging].operator().get(PATH).await.read();
+    cell.replicas[lagging].stop().await;
+    // More changes than the leader keeps in its log for lagging replicas.
     let operator = cell.replicas[cell.leader().await].operator();
     let mut latest = newest;
     for priority in 0..1_500 {
         latest = operator.put_class("gold", priority, None).await.accepted().revision;
     }
-    cell.replicas[away].restart(&adjust).await;
-    let operator = cell.replicas[away].operator();
+    cell.replicas[lagging].restart(&adjust).await;
+    let operator = cell.replicas[lagging].operator();
     let stored: AnyManifest = until("the replica has caught up", async || {
         let answer = operator.get(PATH).await;
         (answer.status == StatusCode::OK).then(|| answer.read())
     })
     .await;
-    assert!(stored.metadata().resource_version > held.metadata().resource_version);
-    for old in [first, newest] {
-        let refused = operator.watch(old.0).await.err().expect("no watch from so long ago");
+    assert!(stored.metadata().resource_version > old_manifest.metadata().resource_version);
+    for dropped in [first, newest] {
+        let refused =
+            operator.watch(dropped.0).await.err().expect("no watch from a dropped revision");
         assert_eq!(refused.refused(StatusCode::GONE).code, ErrorCode::TooOld);
     }
     assert!(operator.watch(latest.0).await.is_ok());
--- a/crates/control/tests/formation.rs
+++ b/crates/control/tests/formation.rs
@@ -1,4 +1,4 @@
-//! A cell that forms, grows and repairs itself, and the registry that it serves.
+//! Formation, growth and repair of a cell, and the registry that the cell serves.
 
 mod support;
 
@@ -16,25 +16,25 @@
 use support::proxy::Proxy;
 use support::{Cell, TestReplica, until};
 
-/// An address that refuses connections, and comes before all others in their order.
-const NOBODY: &str = "127.0.0.1:1";
-const READ_LIMIT: Duration = Duration::from_secs(10);
+/// An address that refuses connections and sorts before all others.
+const UNREACHABLE: &str = "127.0.0.1:1";
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn repairing(voters: usize, through: Vec<SocketAddr>) -> impl Fn(&mut ControlSettings) {
+fn repairing(voters: usize, contacts: Vec<SocketAddr>) -> impl Fn(&mut ControlSettings) {
     move |settings| {
         settings.cell_repair =
             Some(CellRepairSettings { voters, replace_after: Duration::from_secs(60) });
-        settings.join_through.clone_from(&through);
+        settings.join_through.clone_from(&contacts);
     }
 }
 
-/// As [`repairing`], for a replica that asks to join.
+/// Returns the settings of [`repairing`] for a replica that requests to join.
 fn joining(
     voters: usize,
-    through: Vec<SocketAddr>,
+    contacts: Vec<SocketAddr>,
     own: SocketAddr,
 ) -> impl Fn(&mut ControlSettings) {
-    let repairing = repairing(voters, through);
+    let repairing = repairing(voters, contacts);
     move |settings| {
         repairing(settings);
         settings.cell_address = Some(own);
@@ -50,13 +50,13 @@
     cell.voters.iter().map(|voter| voter.id).collect()
 }
 
-async fn until_voters(cell: &Cell, wanted: &[u64]) {
-    let wanted: Vec<ReplicaId> = wanted.iter().map(|id| ReplicaId(*id)).collect();
-    until("the voters are those wanted", async || {
+async fn until_voters(cell: &Cell, expected: &[u64]) {
+    let expected: Vec<ReplicaId> = expected.iter().map(|id| ReplicaId(*id)).collect();
+    until("the voters are those expected", async || {
         let agreed = cell.replicas.iter().all(|replica| {
             let mut voters = voters(replica);
             voters.sort();
-            voters == wanted
+            voters == expected
         });
         agreed.then_some(())
     })
@@ -90,66 +90,66 @@
 }
 
 #[actix_rt::test]
-async fn a_replica_that_asks_becomes_a_voter() {
+async fn a_replica_that_requests_to_join_becomes_a_voter() {
     let mut cell = Cell::start_with(2, repairing(3, Vec::new()));
-    let through = proxy_addresses(&cell);
-    cell.join_asking(3, |own, settings| joining(3, through.clone(), own)(settings));
+    let contacts = proxy_addresses(&cell);
+    cell.join_asking(3, |own, settings| joining(3, contacts.clone(), own)(settings));
     until_voters(&cell, &[1, 2, 3]).await;
 }
 
-/// Found by a day of our own (after-ack-wipe on hyttebooking): the leader's link to the lost
-/// replica reached the new one at the same address, which took itself for a learner of the cell,
-/// never asked to join and never voted.
+/// Guards against a new replica that never requests to join and never votes: the leader's link to the lost
+/// replica reaches the new one at the same address, and the new one takes itself for a learner of the cell.
 #[actix_rt::test]
-async fn a_replica_that_lost_its_disk_takes_its_own_place_under_a_new_number() {
+async fn a_replica_that_lost_its_disk_rejoins_at_its_address_under_a_new_id() {
     let mut cell = Cell::start_with(3, repairing(3, Vec::new()));
     let lost = cell.follower().await;
-    let mut through = proxy_addresses(&cell);
-    // The first it asks is gone, so that the leader's link has time to reach it.
-    through.push(NOBODY.parse().expect("an address"));
-    let gone = cell.replicas[lost].id;
+    let mut contacts = proxy_addresses(&cell);
+    // The first target of its requests is unreachable, so that the leader's link has time to reach the new
+    // replica first.
+    contacts.push(UNREACHABLE.parse().expect("an address"));
+    let lost_id = cell.replicas[lost].id;
     cell.replicas[lost].stop().await;
     cell.replicas[lost].lose_disk();
     cell.replicas[lost].id = ReplicaId(9);
     cell.replicas[lost].start = CellStart::Join(Vec::new());
     let own = cell.replicas[lost].cell;
-    cell.replicas[lost].restart(&joining(3, through, own)).await;
-    let wanted: Vec<u64> = (1..=3).filter(|id| ReplicaId(*id) != gone).chain([9]).collect();
-    until_voters(&cell, &wanted).await;
+    cell.replicas[lost].restart(&joining(3, contacts, own)).await;
+    let expected: Vec<u64> = (1..=3).filter(|id| ReplicaId(*id) != lost_id).chain([9]).collect();
+    until_voters(&cell, &expected).await;
 }
 
 #[actix_rt::test]
 async fn a_document_is_read_back_from_every_replica() {
     let cell = Cell::start(3);
     cell.leader().await;
-    let held = cell.replicas[0].running().registry().put_document(document(7)).await;
-    assert_eq!(held, Ok(7));
+    let version = cell.replicas[0].running().registry().put_document(document(7)).await;
+    assert_eq!(version, Ok(7));
     for replica in &cell.replicas {
-        let read = replica.running().registry().document(READ_LIMIT).await;
+        let read = replica.running().registry().document(READ_TIMEOUT).await;
         assert_eq!(read, Ok(Some(document(7))));
     }
-    let overtaken = cell.replicas[1].running().registry().put_document(document(3)).await;
-    assert_eq!(overtaken, Ok(7), "acknowledged, and nothing changes");
-    let read = cell.replicas[2].running().registry().document(READ_LIMIT).await;
+    let version = cell.replicas[1].running().registry().put_document(document(3)).await;
+    assert_eq!(version, Ok(7), "an older version is acknowledged without effect");
+    let read = cell.replicas[2].running().registry().document(READ_TIMEOUT).await;
     assert_eq!(read, Ok(Some(document(7))));
 }
 
 #[actix_rt::test]
-async fn what_never_can_hold_is_refused_even_under_an_old_version() {
+async fn an_invalid_document_is_refused_even_with_an_old_version() {
     let cell = Cell::start(1);
     cell.leader().await;
     let registry = cell.replicas[0].running().registry();
     assert_eq!(registry.put_document(document(7)).await, Ok(7));
-    let mut broken = document(3);
-    let routes = &mut Arc::make_mut(&mut broken.document).routes;
+    let mut invalid = document(3);
+    let routes = &mut Arc::make_mut(&mut invalid.document).routes;
     routes[0].statement_timeout = Duration::ZERO;
-    let refused = registry.put_document(broken).await;
+    let refused = registry.put_document(invalid).await;
     let error = DocumentError::NoTime { route: "r-1".to_owned() };
     assert_eq!(refused, Err(RegistryError::Document(error)));
 }
 
 #[actix_rt::test]
-async fn a_cell_that_is_not_complete_acknowledges_nothing() {
+async fn an_incomplete_cell_acknowledges_no_document() {
     let cell = Cell::start_with(1, |settings| {
         repairing(3, Vec::new())(settings);
         settings.formation_grace = Duration::from_secs(3_600);
@@ -157,12 +157,12 @@
     cell.leader().await;
     let refused = cell.replicas[0].running().registry().put_document(document(1)).await;
     assert_eq!(refused, Err(RegistryError::Forming));
-    let read = cell.replicas[0].running().registry().document(READ_LIMIT).await;
+    let read = cell.replicas[0].running().registry().document(READ_TIMEOUT).await;
     assert_eq!(read, Ok(None));
 }
 
 #[actix_rt::test]
-async fn a_document_survives_the_restart_of_all() {
+async fn a_document_survives_a_restart_of_all_replicas() {
     let mut cell = Cell::start(3);
     cell.leader().await;
     assert_eq!(cell.replicas[0].running().registry().put_document(document(7)).await, Ok(7));
@@ -173,16 +173,16 @@
         replica.restart(&|_| ()).await;
     }
     cell.leader().await;
-    let read = cell.replicas[1].running().registry().document(READ_LIMIT).await;
+    let read = cell.replicas[1].running().registry().document(READ_TIMEOUT).await;
     assert_eq!(read, Ok(Some(document(7))));
 }
 
-/// Found in the recovery after a power loss with two lost disks (hyttebooking, trouble-2): gateways
-/// that had connected to one of the new replicas waited there for a proof that could not come.
+/// Guards against gateways that connect to a replica without a cell and wait there for a proof that it is
+/// current, which never comes. This happens in the recovery from a power loss with two lost disks.
 #[actix_rt::test]
-async fn a_replica_outside_the_cell_turns_proxies_away_at_once() {
+async fn a_replica_outside_the_cell_closes_proxy_connections_at_once() {
     let mut cell = Cell { replicas: Vec::new() };
     cell.join_asking(7, |_, settings| settings.request_timeout = Duration::from_secs(3_600));
     let mut proxy = Proxy::connect(cell.replicas[0].proxies, "p1", View::default()).await;
-    assert_eq!(tokio::time::timeout(READ_LIMIT, proxy.step()).await, Ok(None));
+    assert_eq!(tokio::time::timeout(READ_TIMEOUT, proxy.step()).await, Ok(None));
 }
--- a/crates/control/tests/full_state.rs
+++ b/crates/control/tests/full_state.rs
@@ -1,4 +1,4 @@
-//! A state as large as its limits allow survives a restart from its snapshot.
+//! A replica restarts from a snapshot of a state as large as the limits allow.
 
 mod support;
 
@@ -18,23 +18,23 @@
 use std::str::FromStr;
 use support::{Cell, until};
 
-/// Databases of the largest installation, in groups of three.
+/// Database groups of the largest deployment, each with three members.
 const GROUPS: usize = 733;
-/// Longest name of a group and of a database.
-const NAME_BYTES: usize = 63;
+/// Longest allowed name of a group or database.
+const MAX_NAME_BYTES: usize = 63;
 
 fn name<T: FromStr<Err = NameError>>(text: &str) -> T {
     text.parse().expect("a valid name")
 }
 
 fn long_name(number: usize) -> String {
-    format!("{number:x<NAME_BYTES$}")
+    format!("{number:x<MAX_NAME_BYTES$}")
 }
 
 fn put_group(change: String, group: usize, database: usize) -> Command {
-    let member = |place: u16| MemberSpec {
-        name: name::<MemberName>(&format!("m{place}")),
-        address: ([127, 0, 0, 1], 6_000 + place).into(),
+    let member = |index: u16| MemberSpec {
+        name: name::<MemberName>(&format!("m{index}")),
+        address: ([127, 0, 0, 1], 6_000 + index).into(),
         zone: name::<ZoneName>("amba.a"),
         draining: false,
     };
@@ -53,8 +53,8 @@
     Command::Resource { change: ChangeId(change), operation }
 }
 
-/// Every group, and as many remembered refusals as are kept, each with an id of
-/// the longest kind and the longest reason.
+/// Returns a state with all groups and the most remembered refusals, each with the longest change id and the
+/// longest reason.
 fn full_state() -> ControlState {
     let mut state = ControlState::default();
     let mut apply =
@@ -65,7 +65,7 @@
     }
     for number in GROUPS..GROUPS + RESEND_MEMORY_LIMIT {
         let change = format!("{number:0CHANGE_ID_LIMIT$}");
-        // Its database belongs to the first group.
+        // Refused because the database belongs to the first group.
         let outcome = apply(number, put_group(change, GROUPS, 0));
         assert!(matches!(outcome, Outcome::Refused(Refusal::Invalid { .. })), "{outcome:?}");
     }
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants: reports of gateways reach the leader through any replica, and its answers them.
+//! Limits of tenants: gateways report to the leader and get its grants through any replica.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::proxy::Proxy;
 use support::{Cell, until};
 
-/// 100 operations in a window of 5 s.
+/// Allows 100 operations in a window of 5 s.
 const RATE: TenantRate = TenantRate { per_second: 15.0, burst: 25.0 };
 
 fn tenant() -> TenantName {
@@ -33,38 +33,39 @@
     StoredDocument { document: Arc::new(document), source: "source".into() }
 }
 
-/// A gateway that reports what it holds of the one tenant.
+/// A gateway that reports its allowance of one tenant.
 struct Gateway {
     proxy: Proxy,
     name: &'static str,
     held: u64,
     sequence: u64,
-    taken: u64,
+    /// Number of the newest grant that the gateway has applied.
+    applied_grant: u64,
 }
 
 impl Gateway {
-    async fn connect(cell: &Cell, place: usize, name: &'static str) -> Self {
-        let proxy = Proxy::connect(cell.replicas[place].proxies, name, View::default()).await;
-        Self { proxy, name, held: 0, sequence: 0, taken: 0 }
+    async fn connect(cell: &Cell, index: usize, name: &'static str) -> Self {
+        let proxy = Proxy::connect(cell.replicas[index].proxies, name, View::default()).await;
+        Self { proxy, name, held: 0, sequence: 0, applied_grant: 0 }
     }
 
-    /// Moves to another replica.
-    async fn move_to(&mut self, cell: &Cell, place: usize) {
+    /// Connects to another replica with the same view.
+    async fn move_to(&mut self, cell: &Cell, index: usize) {
         let view = self.proxy.view.clone();
-        self.proxy = Proxy::connect(cell.replicas[place].proxies, self.name, view).await;
+        self.proxy = Proxy::connect(cell.replicas[index].proxies, self.name, view).await;
     }
 
-    /// Reports to the leader of a term until it answers; gives what is granted.
-    async fn ask(&mut self, needed: u64) -> u64 {
+    /// Reports to the leader until it answers, and returns the granted operations.
+    async fn request(&mut self, needed: u64) -> u64 {
         loop {
-            assert!(self.proxy.confirm().await.is_some(), "the replica goes on");
+            assert!(self.proxy.confirm().await.is_some(), "the connection stays open");
             let Some(term) = self.proxy.led else { continue };
             self.report(term, needed).await;
-            // The answer comes before that to a heartbeat some time later, or is asked for again.
+            // The grant comes before the acknowledgement of one of these heartbeats, or is requested again.
             for _ in 0..5 {
-                assert!(self.proxy.confirm().await.is_some(), "the replica goes on");
+                assert!(self.proxy.confirm().await.is_some(), "the connection stays open");
             }
-            if let Some(granted) = self.take(term) {
+            if let Some(granted) = self.apply_grant(term) {
                 return granted;
             }
         }
@@ -79,34 +80,37 @@
             term,
             running: Duration::ZERO,
             sequence: self.sequence,
-            taken: self.taken,
+            taken: self.applied_grant,
             whole: true,
             demands: vec![demand],
         };
         self.proxy.allowances(report).await;
     }
 
-    fn take(&mut self, term: Term) -> Option<u64> {
+    fn apply_grant(&mut self, term: Term) -> Option<u64> {
         let grants = std::mem::take(&mut self.proxy.grants);
         let newest = grants.into_iter().rfind(|grant| grant.term == term)?;
         let granted = newest.allowances.first()?.operations;
-        (self.taken, self.held) = (newest.number, granted);
+        (self.applied_grant, self.held) = (newest.number, granted);
         Some(granted)
     }
 }
 
 #[actix_rt::test]
-async fn gateways_share_a_limit_through_any_replica() {
+async fn gateways_on_different_replicas_share_a_limit() {
     let cell = Cell::start(3);
     let leader = cell.leader().await;
     let registry = cell.replicas[leader].running().registry();
     assert_eq!(registry.put_document(document()).await, Ok(1));
     let mut first = Gateway::connect(&cell, leader, "g-1").await;
     let mut second = Gateway::connect(&cell, (leader + 1) % 3, "g-2").await;
-    // Beyond the ceiling of the start, once a higher one is in the log.
-    until("the first gets its part", async || (first.ask(40).await == 40).then_some(())).await;
-    let granted = until("the second gets the rest", async || {
-        let granted = second.ask(90).await;
+    // More than the initial ceiling allows, so the grant needs a higher ceiling in the log.
+    until("the first gateway gets its share", async || {
+        (first.request(40).await == 40).then_some(())
+    })
+    .await;
+    let granted = until("the second gateway gets the rest", async || {
+        let granted = second.request(90).await;
         (granted >= 55).then_some(granted)
     })
     .await;
@@ -114,7 +118,7 @@
 }
 
 #[actix_rt::test]
-async fn a_new_leader_knows_of_what_the_one_before_gave() {
+async fn a_new_leader_counts_the_allowances_granted_by_the_previous_one() {
     let mut cell = Cell::start(3);
     let leader = cell.leader().await;
     let registry = cell.replicas[leader].running().registry();
@@ -122,17 +126,18 @@
     let follower = (leader + 1) % 3;
     let mut first = Gateway::connect(&cell, follower, "g-1").await;
     let mut second = Gateway::connect(&cell, follower, "g-2").await;
-    until("most of the limit is given", async || (first.ask(90).await >= 85).then_some(())).await;
+    until("most of the limit is granted", async || (first.request(90).await >= 85).then_some(()))
+        .await;
     let held = first.held;
     cell.replicas[leader].stop().await;
-    let next = cell.leader().await;
-    // The second gateway reports first: what the first one holds is not its.
-    second.move_to(&cell, next).await;
+    let new_leader = cell.leader().await;
+    // The second gateway reports first, and must not get operations that the first gateway still holds.
+    second.move_to(&cell, new_leader).await;
     for _ in 0..5 {
-        let granted = second.ask(90).await;
+        let granted = second.request(90).await;
         assert!(held + granted <= 100, "{held} and {granted}");
     }
-    first.move_to(&cell, next).await;
-    let kept = first.ask(90).await;
-    assert!(kept + second.held <= 100, "{kept} and {}", second.held);
+    first.move_to(&cell, new_leader).await;
+    let granted = first.request(90).await;
+    assert!(granted + second.held <= 100, "{granted} and {}", second.held);
 }
--- a/crates/control/tests/lost_disk.rs
+++ b/crates/control/tests/lost_disk.rs
@@ -1,4 +1,4 @@
-//! A replica that lost its disk is not heard under its old id.
+//! Messages of a replica that lost its disk are refused under its old id.
 
 mod support;
 
@@ -14,10 +14,10 @@
 const DISKS_REFUSED: &str = "corktack_control_cell_disks_refused_total";
 const PATH: &str = "/v1/classes/gold";
 
-/// Waits until every replica has seen the disks of the others.
-async fn all_have_met(cell: &Cell) {
+/// Waits until every replica has stored the disk ids of the other two.
+async fn wait_until_disks_stored(cell: &Cell) {
     for replica in &cell.replicas {
-        until("the others are known", async || {
+        until("the disk ids of the others are stored", async || {
             (replica.metric(DISKS_KNOWN).await == 2).then_some(())
         })
         .await;
@@ -25,76 +25,80 @@
 }
 
 fn members(cell: &Cell) -> Vec<CellMember> {
-    cell.replicas.iter().map(|it| CellMember { id: it.id, address: it.cell }).collect()
+    cell.replicas
+        .iter()
+        .map(|replica| CellMember { id: replica.id, address: replica.cell })
+        .collect()
 }
 
-/// A cell of three where only the leader's disk still holds the newest change: a
-/// follower was away, the other lost its disk and runs again under its old id.
-struct Remains {
+/// A cell of three replicas, of which only the stopped leader still stores the newest change. One follower
+/// was stopped before that change; the other lost its disk and runs again under its old id.
+struct DamagedCell {
     cell: Cell,
     leader: usize,
-    away: usize,
+    outdated: usize,
     lost: usize,
-    accepted: AnyManifest,
+    newest: AnyManifest,
 }
 
-async fn lose_a_disk(founds_again: bool) -> Remains {
+async fn lose_a_disk(bootstraps: bool) -> DamagedCell {
     let mut cell = Cell::start(3);
-    all_have_met(&cell).await;
+    wait_until_disks_stored(&cell).await;
     let leader = cell.leader().await;
-    let away = cell.follower().await;
-    let lost = 3 - leader - away;
+    let outdated = cell.follower().await;
+    let lost = 3 - leader - outdated;
     cell.replicas[leader].operator().put_class("gold", 1, None).await.accepted();
-    cell.replicas[away].stop().await;
+    cell.replicas[outdated].stop().await;
     let operator = cell.replicas[leader].operator();
     operator.put_class("gold", 2, None).await.accepted();
-    let accepted: AnyManifest = operator.get(PATH).await.read();
-    for place in [leader, lost] {
-        cell.replicas[place].stop().await;
+    let newest: AnyManifest = operator.get(PATH).await.read();
+    for index in [leader, lost] {
+        cell.replicas[index].stop().await;
     }
     cell.replicas[lost].lose_disk();
-    if !founds_again {
+    if !bootstraps {
         cell.replicas[lost].start = CellStart::Join(members(&cell));
     }
-    for place in [away, lost] {
-        cell.replicas[place].restart(&|_| ()).await;
+    for index in [outdated, lost] {
+        cell.replicas[index].restart(&|_| ()).await;
     }
-    Remains { cell, leader, away, lost, accepted }
+    DamagedCell { cell, leader, outdated, lost, newest }
 }
 
 #[rstest]
 #[actix_rt::test]
-async fn a_replica_without_its_disk_does_not_vote_and_comes_back_as_a_learner(
-    #[values(true, false)] founds_again: bool,
+async fn a_replica_that_lost_its_disk_does_not_vote_and_rejoins_as_a_learner(
+    #[values(true, false)] bootstraps: bool,
 ) {
-    let Remains { mut cell, leader, away, lost, accepted } = lose_a_disk(founds_again).await;
+    let DamagedCell { mut cell, leader, outdated, lost, newest } = lose_a_disk(bootstraps).await;
     let elected = until("an election, or a refusal", async || {
-        let leads = |place: usize| cell.replicas[place].role() == Some(Role::Leader);
-        let refused = cell.replicas[away].metric(DISKS_REFUSED).await > 0;
-        (refused || leads(away) || leads(lost)).then(|| leads(away) || leads(lost))
+        let is_leader = |index: usize| cell.replicas[index].role() == Some(Role::Leader);
+        let is_refused = cell.replicas[outdated].metric(DISKS_REFUSED).await > 0;
+        (is_refused || is_leader(outdated) || is_leader(lost))
+            .then(|| is_leader(outdated) || is_leader(lost))
     })
     .await;
-    assert!(!elected, "a replica without its disk helped to elect a leader");
+    assert!(!elected, "a replica that lost its disk helped to elect a leader");
     cell.replicas[leader].restart(&|_| ()).await;
-    let stored: AnyManifest = until("the two whole replicas serve", async || {
-        let answer = cell.replicas[away].operator().get(PATH).await;
+    let stored: AnyManifest = until("the two undamaged replicas serve", async || {
+        let answer = cell.replicas[outdated].operator().get(PATH).await;
         (answer.status == StatusCode::OK).then(|| answer.read())
     })
     .await;
-    assert_eq!(stored, accepted);
+    assert_eq!(stored, newest);
     assert!(cell.replicas[leader].metric(DISKS_REFUSED).await > 0);
 
-    let mut gone = cell.replicas.remove(lost);
-    gone.stop().await;
+    let mut removed = cell.replicas.remove(lost);
+    removed.stop().await;
     cell.join(4, |_| ());
     cell.add_learner(2).await;
     cell.change(json!({"operation": "promote", "id": 4})).await;
-    cell.change(json!({"operation": "remove", "id": gone.id})).await;
-    // The second machine, lost right after the repair.
+    cell.change(json!({"operation": "remove", "id": removed.id})).await;
+    // A second machine is lost right after the repair.
     let leader = cell.leader().await;
     drop(cell.replicas[leader].handle.take());
-    let next = cell.leader().await;
-    let operator = cell.replicas[next].operator();
-    assert_eq!(operator.get(PATH).await.read::<AnyManifest>(), accepted);
+    let new_leader = cell.leader().await;
+    let operator = cell.replicas[new_leader].operator();
+    assert_eq!(operator.get(PATH).await.read::<AnyManifest>(), newest);
     operator.put_class("gold", 3, None).await.accepted();
 }
--- a/crates/control/tests/planned_stop.rs
+++ b/crates/control/tests/planned_stop.rs
@@ -6,7 +6,7 @@
 use corktack_control::api::{ResourceList, WriteBody};
 use corktack_core::resources::ResourceVersion;
 use futures_util::future::join_all;
-use std::cell::Cell as Shared;
+use std::cell::Cell as SharedCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use support::operator::{Operator, class};
@@ -16,29 +16,29 @@
 
 const WRITERS: usize = 6;
 const STOPS: u64 = 4;
-/// Changes accepted between two steps of the test.
-const CHANGES: usize = 30;
+/// Changes that must be accepted between two steps of the test.
+const CHANGES_PER_STEP: usize = 30;
 
-/// What the writers share.
+/// The progress that the writers share with the test.
 #[derive(Clone, Default)]
 struct Progress {
-    accepted: Rc<Shared<usize>>,
-    done: Rc<Shared<bool>>,
+    accepted: Rc<SharedCell<usize>>,
+    done: Rc<SharedCell<bool>>,
 }
 
 impl Progress {
     async fn wait_for_more(&self) {
-        let target = self.accepted.get() + CHANGES;
+        let target = self.accepted.get() + CHANGES_PER_STEP;
         until("more changes", async || (self.accepted.get() >= target).then_some(())).await;
     }
 }
 
-/// A stop begins while a request is under way: the handler runs and waits for the body.
+/// The stop begins while a request is in flight: its handler runs and waits for the body.
 #[actix_rt::test]
-async fn a_request_under_way_at_a_stop_is_answered() {
+async fn a_request_in_flight_at_a_stop_is_answered() {
     let mut cell = Cell::start(3);
-    let place = cell.follower().await;
-    let mut stream = TcpStream::connect(cell.replicas[place].operators).await.expect("accepted");
+    let index = cell.follower().await;
+    let mut stream = TcpStream::connect(cell.replicas[index].operators).await.expect("accepted");
     let body = class(1, Some(0)).to_string();
     let head = format!(
         "PUT /v1/classes/gold HTTP/1.1\r\nHost: test\r\nExpect: 100-continue\r\n\
@@ -48,7 +48,7 @@
     stream.write_all(head.as_bytes()).await.expect("the head is sent");
     let mut answer = [0; 1_024];
     let count = stream.read(&mut answer).await.expect("an answer");
-    assert!(answer[..count].starts_with(b"HTTP/1.1 100 "), "the body is waited for");
+    assert!(answer[..count].starts_with(b"HTTP/1.1 100 "), "the handler waits for the body");
     let request = async {
         stream.write_all(body.as_bytes()).await.expect("the body is sent");
         let mut answer = Vec::new();
@@ -56,23 +56,23 @@
         String::from_utf8_lossy(&answer).into_owned()
     };
     // The stop is polled first, so it has begun when the body is sent.
-    let ((), answer) = tokio::join!(biased; cell.replicas[place].stop(), request);
+    let ((), answer) = tokio::join!(biased; cell.replicas[index].stop(), request);
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer:?}");
     cell.leader().await;
-    let other = &cell.replicas[(place + 1) % 3];
+    let other = &cell.replicas[(index + 1) % 3];
     assert_eq!(other.operator().get("/v1/classes/gold").await.status, StatusCode::OK);
 }
 
-/// Creates a class, with one change id, through one replica after the other.
+/// Creates a class and retries under the same change id, through one replica after another.
 async fn create(operators: &[Operator], first: usize, name: &str) -> WriteBody {
     let (path, change_id) = (format!("/v1/classes/{name}"), format!("change-{name}"));
     let body = class(1, Some(0));
-    let attempts = Shared::new(first);
+    let attempts = SharedCell::new(first);
     until("an answer", async || {
         let operator = &operators[attempts.get() % operators.len()];
         attempts.set(attempts.get() + 1);
         let answer = operator.try_send(Method::PUT, &path, Some(&change_id), Some(&body)).await?;
-        // A change that took effect twice would be told that the class exists.
+        // A change that took effect twice would be answered with a conflict, as the class exists.
         assert_ne!(answer.status, StatusCode::CONFLICT, "{:?}", answer.body);
         (answer.status == StatusCode::OK).then(|| answer.accepted())
     })
@@ -81,13 +81,13 @@
 
 type Accepted = Vec<(String, ResourceVersion)>;
 
-async fn write(number: usize, operators: Vec<Operator>, progress: Progress) -> Accepted {
+async fn run_writer(number: usize, operators: Vec<Operator>, progress: Progress) -> Accepted {
     let mut accepted = Accepted::new();
     while !progress.done.get() {
         let name = format!("c-{number}-{}", accepted.len());
         let first = create(&operators, number, &name).await;
-        let again = create(&operators, number + 1, &name).await;
-        assert_eq!(again, first, "a resend through another replica");
+        let resent = create(&operators, number + 1, &name).await;
+        assert_eq!(resent, first, "a resend through another replica");
         accepted.push((name, first.resource_version));
         progress.accepted.set(progress.accepted.get() + 1);
     }
@@ -95,28 +95,28 @@
 }
 
 #[actix_rt::test]
-async fn planned_stops_of_the_leader_lose_and_repeat_nothing() {
+async fn planned_stops_of_the_leader_lose_and_repeat_no_changes() {
     let mut cell = Cell::start(3);
     let mut term = cell.replicas[cell.leader().await].running().status().term;
-    let operators: Vec<Operator> = cell.replicas.iter().map(|it| it.operator()).collect();
+    let operators: Vec<Operator> = cell.replicas.iter().map(|replica| replica.operator()).collect();
     let progress = Progress::default();
     let writers: Vec<_> = (0..WRITERS)
-        .map(|number| actix_rt::spawn(write(number, operators.clone(), progress.clone())))
+        .map(|number| actix_rt::spawn(run_writer(number, operators.clone(), progress.clone())))
         .collect();
     for _ in 0..STOPS {
         progress.wait_for_more().await;
         let leader = cell.leader().await;
         cell.replicas[leader].stop().await;
-        let next = cell.leader().await;
+        let new_leader = cell.leader().await;
         // A transfer raises the term once; an election after a timeout may need several.
-        let next_term = cell.replicas[next].running().status().term;
-        assert_eq!(next_term.0, term.0 + 1);
-        term = next_term;
+        let new_term = cell.replicas[new_leader].running().status().term;
+        assert_eq!(new_term.0, term.0 + 1);
+        term = new_term;
         progress.wait_for_more().await;
         cell.replicas[leader].restart(&|_| ()).await;
     }
     progress.done.set(true);
-    let accepted = join_all(writers).await.into_iter().map(|it| it.expect("a writer ends"));
+    let accepted = join_all(writers).await.into_iter().map(|writer| writer.expect("a writer ends"));
     let accepted: BTreeMap<String, ResourceVersion> = accepted.flatten().collect();
     println!("{} changes over {STOPS} planned stops", accepted.len());
     for operator in &operators {
@@ -125,8 +125,8 @@
             (answer.status == StatusCode::OK).then(|| answer.read())
         })
         .await;
-        let stored = list.items.iter().map(|it| {
-            let metadata = it.metadata();
+        let stored = list.items.iter().map(|manifest| {
+            let metadata = manifest.metadata();
             assert_eq!(metadata.generation, Some(1), "{}", metadata.name);
             (metadata.name.clone(), metadata.resource_version.expect("a stored version"))
         });
--- a/crates/control/tests/silence.rs
+++ b/crates/control/tests/silence.rs
@@ -1,18 +1,18 @@
-//! Connections that go silent for good, without a reset, while new ones work.
+//! Connections that silently lose all data without a reset, while new connections work.
 
 mod support;
 
 use awc::http::StatusCode;
 use support::{Cell, until};
 
-/// What the leader sends goes nowhere, and its kernel is told that all of it arrived.
+/// The messages of the leader are lost, although its kernel gets acknowledgements for all of them.
 #[actix_rt::test]
-async fn a_replica_whose_leaders_connection_went_silent_is_reached_by_a_new_one() {
+async fn a_leader_replaces_a_silent_connection_to_a_follower() {
     let (cell, links) = Cell::start_linked(3, |_| ());
     let leader = cell.leader().await;
     let follower = cell.follower().await;
     let (from, to) = (cell.replicas[leader].id, cell.replicas[follower].id);
-    let before = cell.replicas[follower].running().status().term;
+    let term_before = cell.replicas[follower].running().status().term;
     links.silence(from, to);
     let change = cell.replicas[leader].operator().put_class("gold", 1, None).await;
     let revision = change.accepted().revision;
@@ -21,13 +21,14 @@
         (status.applied_index >= revision.0).then_some(())
     })
     .await;
-    let after = cell.replicas[follower].running().status().term;
-    assert_eq!(after, before, "no leader was replaced for it");
+    let term_after = cell.replicas[follower].running().status().term;
+    assert_eq!(term_after, term_before, "the leader was not replaced");
 }
 
-/// The way back: the leader hears nothing of a follower that hears it, and needs it for a majority.
+/// The follower's messages to the leader are lost while the leader's arrive, and the leader needs this
+/// follower for a majority.
 #[actix_rt::test]
-async fn a_follower_whose_connection_to_the_leader_went_silent_is_heard_again() {
+async fn a_follower_replaces_a_silent_connection_to_the_leader() {
     let (cell, links) = Cell::start_linked(3, |_| ());
     let leader = cell.leader().await;
     let follower = cell.follower().await;
@@ -35,9 +36,9 @@
     links.silence(cell.replicas[follower].id, cell.replicas[leader].id);
     links.cut_off(cell.replicas[other].id);
     until("a majority accepts a change", async || {
-        let places = [leader, follower];
-        for place in places {
-            let change = cell.replicas[place].operator().put_class("gold", 1, None).await;
+        let indexes = [leader, follower];
+        for index in indexes {
+            let change = cell.replicas[index].operator().put_class("gold", 1, None).await;
             if change.status == StatusCode::OK {
                 return Some(());
             }
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -1,4 +1,4 @@
-//! What a replica does with a data folder that is not as it left it.
+//! A replica's start on a data folder that is in use, unwritable or damaged.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use support::{Cell, until};
 
 const PATH: &str = "/v1/classes/gold";
-/// The beginning of a record whose write a crash cut short: it was never synced.
+/// The beginning of a record whose write was interrupted by a crash before the sync.
 const TORN_RECORD: [u8; 15] = *b"\xC0rkR\x40\0\0\0\x01\x02\x03\x04abc";
 
 fn start_in(folder: &Path) -> Result<ControlHandle, ControlError> {
@@ -27,8 +27,8 @@
     ControlReplica::start(settings, listeners, &mut Registry::default())
 }
 
-/// The newest segment of a replica's log.
-fn segment(folder: &Path) -> PathBuf {
+/// Returns the newest segment of a replica's log.
+fn newest_segment(folder: &Path) -> PathBuf {
     let files = std::fs::read_dir(folder.join("test")).expect("the folder of the log");
     let paths = files.map(|file| file.expect("a file").path());
     let is_segment = |path: &PathBuf| {
@@ -37,22 +37,23 @@
     paths.filter(is_segment).max().expect("a segment")
 }
 
-/// A cell of three after twenty changes, one replica of it stopped; gives its place.
+/// Starts a cell of three, makes 20 changes and stops a follower. Returns the follower's index and the
+/// newest state.
 async fn with_a_stopped_replica() -> (Cell, usize, AnyManifest) {
     let mut cell = Cell::start(3);
     let operator = cell.replicas[cell.leader().await].operator();
     for priority in 1..=20 {
         operator.put_class("gold", priority, None).await.accepted();
     }
-    let place = cell.follower().await;
-    let replica = &mut cell.replicas[place];
+    let index = cell.follower().await;
+    let replica = &mut cell.replicas[index];
     let stored: AnyManifest = replica.operator().get(PATH).await.read();
     replica.stop().await;
-    (cell, place, stored)
+    (cell, index, stored)
 }
 
 #[actix_rt::test]
-async fn a_folder_in_use_is_refused() {
+async fn a_data_folder_in_use_is_refused() {
     let cell = Cell::start(1);
     let refused = start_in(cell.replicas[0].folder.path());
     let path = cell.replicas[0].folder.path();
@@ -63,9 +64,9 @@
 }
 
 #[actix_rt::test]
-async fn a_folder_that_cannot_be_written_is_refused() {
+async fn an_unwritable_data_folder_is_refused() {
     let folder = tempfile::tempdir().expect("a folder can be made");
-    // Permissions do not stop every user; a folder in the place of a file does.
+    // Permissions do not stop every user, but a folder instead of the lock file does.
     std::fs::create_dir(folder.path().join("LOCK")).expect("a folder");
     let refused = start_in(folder.path());
     let unwritable = StorageError::Unwritable {
@@ -77,10 +78,10 @@
 }
 
 #[actix_rt::test]
-async fn a_byte_flipped_in_the_middle_of_the_log_is_refused_with_its_place() {
-    let (cell, place, _) = with_a_stopped_replica().await;
-    let folder = cell.replicas[place].folder.path();
-    let file = segment(folder);
+async fn a_flipped_byte_in_the_middle_of_the_log_is_refused_with_its_offset() {
+    let (cell, index, _) = with_a_stopped_replica().await;
+    let folder = cell.replicas[index].folder.path();
+    let file = newest_segment(folder);
     let whole = std::fs::read(&file).expect("the segment is read");
     let middle = whole.len() / 2;
     let mut flipped = whole.clone();
@@ -93,18 +94,22 @@
         }
         other => panic!("{other:?}"),
     }
-    assert_eq!(std::fs::read(&file).expect("the segment is read"), flipped, "nothing is cut");
+    assert_eq!(
+        std::fs::read(&file).expect("the segment is read"),
+        flipped,
+        "the file is unchanged"
+    );
 }
 
 #[actix_rt::test]
-async fn a_torn_tail_is_cut_and_the_replica_goes_on() {
-    let (mut cell, place, stored) = with_a_stopped_replica().await;
-    let file = segment(cell.replicas[place].folder.path());
+async fn a_torn_tail_is_truncated_and_the_replica_continues() {
+    let (mut cell, index, stored) = with_a_stopped_replica().await;
+    let file = newest_segment(cell.replicas[index].folder.path());
     let whole = std::fs::read(&file).expect("the segment is read");
     let torn = [&whole, &TORN_RECORD[..]].concat();
     std::fs::write(&file, torn).expect("the segment is written");
-    cell.replicas[place].restart(&|_| ()).await;
-    let operator = cell.replicas[place].operator();
+    cell.replicas[index].restart(&|_| ()).await;
+    let operator = cell.replicas[index].operator();
     let found: AnyManifest = until("the replica serves", async || {
         let answer = operator.get(PATH).await;
         (answer.status == StatusCode::OK).then(|| answer.read())
@@ -112,10 +117,10 @@
     .await;
     assert_eq!(found, stored);
     let newest = operator.put_class("gold", 21, None).await.accepted().resource_version;
-    // What was written after the cut is found at the next start.
-    cell.replicas[place].stop().await;
-    cell.replicas[place].restart(&|_| ()).await;
-    let operator = cell.replicas[place].operator();
+    // The change written after the truncation is read back at the next start.
+    cell.replicas[index].stop().await;
+    cell.replicas[index].restart(&|_| ()).await;
+    let operator = cell.replicas[index].operator();
     until("the replica serves the newest", async || {
         let answer = operator.get(PATH).await;
         let metadata = (answer.status == StatusCode::OK).then(|| answer.read::<AnyManifest>());
