--- a/crates/server/src/telemetry/http.rs
+++ b/crates/server/src/telemetry/http.rs
@@ -1,6 +1,6 @@
-//! Metrics, liveness and readiness over HTTP.
+//! HTTP endpoints for metrics, liveness and readiness.
 //!
-//! Owns the registry that the parts of a process add to, and whether the process may be sent new work.
+//! The parts of a process register their metrics in the [`SharedRegistry`] and set its [`Readiness`].
 
 use actix_web::dev::ServerHandle;
 use actix_web::{App, HttpResponse, HttpServer, web};
@@ -9,40 +9,40 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// Media type of the metrics.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Seconds that open requests may take at a stop. Chosen, not measured; a higher value holds up the stop.
-const SHUTDOWN_SECONDS: u64 = 1;
+/// Media type of the response of `/metrics`.
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// Seconds that requests in flight may take when the server stops. A higher value delays the stop.
+const SHUTDOWN_TIMEOUT_S: u64 = 1;
 
-/// Metrics of a process; its parts add theirs as they start.
+/// Metrics registry of a process; its parts register their metrics as they start.
 pub type SharedRegistry = Arc<RwLock<Registry>>;
 
-/// Lets a part of the process add its metrics.
+/// Calls `add` with exclusive access to the registry and returns its result.
 pub fn with_registry<T>(registry: &SharedRegistry, add: impl FnOnce(&mut Registry) -> T) -> T {
     add(&mut registry.write().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// Whether a process may be sent new work. Starts as "not ready".
+/// Readiness of a process for new requests, shared by its clones. Starts as "not ready".
 #[derive(Clone, Debug, Default)]
 pub struct Readiness(Arc<AtomicBool>);
 
 impl Readiness {
-    /// Says whether new work may come.
+    /// Sets whether the process accepts new requests.
     pub fn set(&self, ready: bool) {
         self.0.store(ready, Ordering::Release);
     }
 
-    /// Whether new work may come.
+    /// Reports whether the process accepts new requests.
     #[must_use]
     pub fn get(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 }
 
-/// Serves `/metrics`, `/live` and `/ready` on a bound listener, from a thread of its own.
+/// Serves `/metrics`, `/live` and `/ready` on a bound listener, from a separate worker thread.
 ///
 /// # Errors
-/// What the listener reports.
+/// The I/O error of the listener when it cannot be used.
 pub fn serve(
     listener: TcpListener,
     registry: SharedRegistry,
@@ -58,7 +58,7 @@
             .route("/live", web::get().to(live))
             .route("/ready", web::get().to(ready))
     });
-    let server = server.workers(1).disable_signals().shutdown_timeout(SHUTDOWN_SECONDS);
+    let server = server.workers(1).disable_signals().shutdown_timeout(SHUTDOWN_TIMEOUT_S);
     let server = server.listen(listener)?.run();
     let handle = server.handle();
     actix_rt::spawn(server);
@@ -69,7 +69,7 @@
     let mut text = String::new();
     let registry = registry.read().unwrap_or_else(PoisonError::into_inner);
     match prometheus_client::encoding::text::encode(&mut text, &registry) {
-        Ok(()) => HttpResponse::Ok().content_type(METRICS_TYPE).body(text),
+        Ok(()) => HttpResponse::Ok().content_type(METRICS_CONTENT_TYPE).body(text),
         Err(_) => HttpResponse::InternalServerError().finish(),
     }
 }
--- a/crates/server/src/telemetry/mod.rs
+++ b/crates/server/src/telemetry/mod.rs
@@ -1,6 +1,6 @@
-//! What a process tells about itself: log, ring of recent events, metrics, health.
+//! Telemetry of a process: log, ring of recent log records, metrics, liveness and readiness.
 //!
-//! Owns the process's logger. Of other libraries only warnings and errors are kept.
+//! This module installs the process's logger. Of other libraries only warnings and errors are kept.
 
 pub mod event_log;
 pub mod http;
@@ -15,29 +15,29 @@
 use std::sync::Arc;
 use std::sync::mpsc::{SyncSender, sync_channel};
 
-/// Target prefix of this project's own records; of other libraries only warnings are kept.
-const OWN_TARGET: &str = "corktack";
+/// Target prefix of this project's own records.
+const OWN_TARGET_PREFIX: &str = "corktack";
 
-/// Why the log could not be installed.
+/// Reasons why the log could not be installed.
 #[derive(Debug, thiserror::Error)]
 pub enum TelemetryError {
-    /// The process has a logger already.
+    /// Another logger was installed earlier.
     #[error("the process has a logger already")]
     Installed(#[from] log::SetLoggerError),
-    /// The folder for event logs cannot be made.
+    /// The folder for event logs could not be created.
     #[error("data_folder = {}: cannot be made", folder.display())]
     Folder {
-        /// The folder.
+        /// The folder that could not be created.
         folder: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The thread that writes event logs could not be started.
+    /// The operating system refused a thread that writes event logs or log lines.
     #[error("the thread that writes event logs cannot be started")]
     Thread(#[source] std::io::Error),
 }
 
-/// A logger that prints by `env_logger` and keeps records of all levels in a ring.
+/// A logger that prints through `env_logger` and keeps records of all levels in the event log.
 struct Tee {
     printer: env_logger::Logger,
     events: Arc<EventLog>,
@@ -45,33 +45,35 @@
 }
 
 impl Tee {
-    /// Joins a printer and a ring; starts the thread that writes the ring out after errors.
+    /// Returns a logger for a printer and an event log, and starts the thread that writes the event log
+    /// after errors.
     fn new(printer: env_logger::Logger, events: Arc<EventLog>) -> Result<Self, TelemetryError> {
-        // One waiting request is enough: the write that it causes holds every record till then.
+        // One queued request is enough: the write that it causes includes all records up to that time.
         let (errors, requests) = sync_channel(1);
         let log = Arc::clone(&events);
-        let write = move || requests.iter().for_each(|()| log.write_limited(WriteReason::Error));
+        let write_on_request =
+            move || requests.iter().for_each(|()| log.write_limited(WriteReason::Error));
         let thread = std::thread::Builder::new().name("event-log".to_owned());
-        thread.spawn(write).map_err(TelemetryError::Thread)?;
+        thread.spawn(write_on_request).map_err(TelemetryError::Thread)?;
         Ok(Self { printer, events, errors })
     }
 }
 
 impl Log for Tee {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        keeps(metadata) || self.printer.enabled(metadata)
+        is_kept(metadata) || self.printer.enabled(metadata)
     }
 
     fn log(&self, record: &Record<'_>) {
         if self.printer.matches(record) {
             self.printer.log(record);
         }
-        if !keeps(record.metadata()) {
+        if !is_kept(record.metadata()) {
             return;
         }
         self.events.push(EventRecord::from_log(record));
         if record.level() == log::Level::Error {
-            // A full channel means that a write is about to happen.
+            // A full channel means that a write is already requested.
             let _ = self.errors.try_send(());
         }
     }
@@ -81,19 +83,20 @@
     }
 }
 
-fn keeps(metadata: &Metadata<'_>) -> bool {
-    metadata.target().starts_with(OWN_TARGET) || metadata.level() <= log::Level::Warn
+fn is_kept(metadata: &Metadata<'_>) -> bool {
+    metadata.target().starts_with(OWN_TARGET_PREFIX) || metadata.level() <= log::Level::Warn
 }
 
-/// Installs the process's log: warnings and above are printed (or what `RUST_LOG` says), all
-/// levels are kept in a ring of `records`, which is written to `folder` on errors and panics.
-/// The folder is made where it is absent.
+/// Installs the process's log. Records of level warning and above are printed, unless `RUST_LOG` selects
+/// others. Records of all levels are kept in a ring of `records`, which is written to `folder` on errors
+/// and panics; a missing folder is created.
 ///
 /// # Errors
-/// [`TelemetryError`] when the process has a logger already.
+/// [`TelemetryError`] when the process has a logger already, the folder cannot be created or the writing
+/// thread cannot be started.
 pub fn install(folder: &Path, records: usize) -> Result<Arc<EventLog>, TelemetryError> {
-    let made = std::fs::create_dir_all(folder);
-    made.map_err(|source| TelemetryError::Folder { folder: folder.to_owned(), source })?;
+    let created = std::fs::create_dir_all(folder);
+    created.map_err(|source| TelemetryError::Folder { folder: folder.to_owned(), source })?;
     let environment = env_logger::Env::default().default_filter_or("warn");
     let printer = env_logger::Builder::from_env(environment).build();
     let events = EventLog::new(folder, records);
@@ -103,11 +106,12 @@
     Ok(events)
 }
 
-/// Installs a log of structured lines on standard output, for machines without a disk: own records
-/// of level info and above, of other libraries warnings (or what `RUST_LOG` says).
+/// Installs a log of structured lines on standard output, for machines without a disk. The log has this
+/// project's records of level info and above and other libraries' warnings and errors, unless `RUST_LOG`
+/// selects others.
 ///
 /// # Errors
-/// [`TelemetryError`] when the process has a logger already, or the writing thread cannot start.
+/// [`TelemetryError`] when the process has a logger already, or the writing thread cannot be started.
 pub fn install_lines() -> Result<(), TelemetryError> {
     let environment = env_logger::Env::default().default_filter_or("warn,corktack=info");
     let filter = env_logger::Builder::from_env(environment).build();
@@ -119,22 +123,23 @@
     Ok(())
 }
 
-/// The metrics of a registry as text, in the OpenMetrics form.
+/// Returns the metrics of a registry as text in the OpenMetrics format.
 #[must_use]
 pub fn metrics_text(registry: &prometheus_client::registry::Registry) -> String {
     let mut text = String::new();
-    // A text takes everything that is written to it.
+    // Writing to a `String` cannot fail.
     let _ = prometheus_client::encoding::text::encode(&mut text, registry);
     text
 }
 
-/// Adds to the panic hook: the panic becomes a record, and the ring is written out at once.
+/// Extends the panic hook, which then logs the panic as an error and writes the ring at once, before the
+/// earlier hook runs.
 fn write_on_panic(events: Arc<EventLog>) {
-    let earlier = std::panic::take_hook();
+    let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         let text = format!("{panic}");
         log::error!(target: "corktack::panic", "thread panicked: {text}");
         events.write_limited(WriteReason::Panic);
-        earlier(panic);
+        previous_hook(panic);
     }));
 }
--- a/crates/server/src/telemetry/ring.rs
+++ b/crates/server/src/telemetry/ring.rs
@@ -1,25 +1,23 @@
-//! A bounded ring of recent log records in memory.
-//!
-//! Owns the records; the oldest leave first.
+//! A bounded in-memory ring of recent log records; a new record replaces the oldest.
 
 use std::collections::VecDeque;
 use std::io::Write;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::SystemTime;
 
-/// Most bytes kept of one record's text. Chosen, not measured; it bounds the ring's memory.
-pub const RECORD_BYTES_LIMIT: usize = 1_024;
+/// Largest length of a record's text, in bytes; longer texts are cut. Bounds the ring's memory.
+pub const MAX_RECORD_BYTES: usize = 1_024;
 
-/// One log record as kept in memory.
+/// A log record as the ring keeps it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventRecord {
-    /// When it was logged.
+    /// Time of day at which the record was logged.
     pub time: SystemTime,
-    /// Its level.
+    /// Level of the record.
     pub level: log::Level,
-    /// The module that logged it.
+    /// Target of the record: the module that logged it, unless the call names another.
     pub target: String,
-    /// Message and key-values.
+    /// Message, followed by ` key=value` for each key, on one line.
     pub text: String,
 }
 
@@ -31,14 +29,14 @@
 }
 
 impl EventRing {
-    /// A ring that keeps the last `capacity` records, at least one.
+    /// Returns a ring that keeps the last `capacity` records, at least one.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         let capacity = capacity.max(1);
         Self { capacity, records: Mutex::new(VecDeque::new()) }
     }
 
-    /// Adds a record; the oldest one leaves a full ring.
+    /// Adds a record; a full ring drops its oldest record.
     pub fn push(&self, record: EventRecord) {
         let mut records = self.lock();
         if records.len() == self.capacity {
@@ -47,50 +45,51 @@
         records.push_back(record);
     }
 
-    /// The records, oldest first.
+    /// Returns a copy of the records, oldest first.
     #[must_use]
     pub fn records(&self) -> Vec<EventRecord> {
         self.lock().iter().cloned().collect()
     }
 
-    /// Writes the records as lines, oldest first. The ring is not locked meanwhile.
+    /// Writes the records as lines, oldest first. The ring is not locked during the write.
     ///
     /// # Errors
-    /// What the writer reports.
+    /// The I/O error of the writer.
     pub fn write_to(&self, mut writer: impl Write) -> std::io::Result<()> {
         for record in self.records() {
-            let since = record.time.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-            let (seconds, micros) = (since.as_secs(), since.subsec_micros());
+            let since_epoch =
+                record.time.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+            let (seconds, micros) = (since_epoch.as_secs(), since_epoch.subsec_micros());
             let EventRecord { level, target, text, .. } = record;
             writeln!(writer, "{seconds}.{micros:06} {level:5} {target} {text}")?;
         }
         writer.flush()
     }
 
-    /// The records stay usable when a thread panicked while it held the lock.
+    /// Locks the records, which stay usable when a thread panicked while it held the lock.
     fn lock(&self) -> MutexGuard<'_, VecDeque<EventRecord>> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl EventRecord {
-    /// A record of the `log` crate as kept in memory: one line, cut at [`RECORD_BYTES_LIMIT`].
+    /// Converts a record of the `log` crate; the text becomes one line of at most [`MAX_RECORD_BYTES`] bytes.
     #[must_use]
     pub fn from_log(record: &log::Record<'_>) -> Self {
         let mut text = record.args().to_string();
         // The visitor below cannot fail: it only appends to a string.
-        let _ = record.key_values().visit(&mut Append(&mut text));
+        let _ = record.key_values().visit(&mut AppendFields(&mut text));
         Self {
             time: SystemTime::now(),
             level: record.level(),
             target: record.target().to_owned(),
-            text: one_line(text),
+            text: to_bounded_line(text),
         }
     }
 }
 
-fn one_line(mut text: String) -> String {
-    let mut end = text.len().min(RECORD_BYTES_LIMIT);
+fn to_bounded_line(mut text: String) -> String {
+    let mut end = text.len().min(MAX_RECORD_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
@@ -101,9 +100,9 @@
     text
 }
 
-struct Append<'a>(&'a mut String);
+struct AppendFields<'a>(&'a mut String);
 
-impl<'kvs> log::kv::VisitSource<'kvs> for Append<'_> {
+impl<'kvs> log::kv::VisitSource<'kvs> for AppendFields<'_> {
     fn visit_pair(
         &mut self,
         key: log::kv::Key<'kvs>,
--- a/crates/server/tests/log_lines.rs
+++ b/crates/server/tests/log_lines.rs
@@ -1,6 +1,6 @@
-//! Log lines: their form, their bounds, and that nobody waits for them.
+//! Log lines: their format, their rate and queue limits, and that logging never blocks.
 
-use corktack_server::telemetry::lines::{LINES_PER_SECOND, LineLog, QUEUE_LINES};
+use corktack_server::telemetry::lines::{LineLog, MAX_LINES_PER_SECOND, MAX_QUEUED_LINES};
 use log::{Level, Log, Record};
 use serde_json::Value;
 use std::io::Write;
@@ -11,11 +11,11 @@
     env_logger::Builder::new().filter_level(log::LevelFilter::Info).build()
 }
 
-/// Keeps what is written.
+/// A sink that keeps all written bytes.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct WrittenBytes(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for WrittenBytes {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("no writer panics").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -26,7 +26,7 @@
     }
 }
 
-impl Kept {
+impl WrittenBytes {
     fn lines(&self) -> Vec<Value> {
         let bytes = self.0.lock().expect("no writer panics").clone();
         let text = String::from_utf8(bytes).expect("lines are text");
@@ -34,10 +34,10 @@
     }
 }
 
-/// A standard output that nobody reads: the first write ends only with the test.
-struct Unread(Receiver<()>);
+/// A standard output that is not read: the first write blocks until the test ends.
+struct BlockedOutput(Receiver<()>);
 
-impl Write for Unread {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let _ = self.0.recv();
         Ok(bytes.len())
@@ -62,11 +62,11 @@
 
 #[test]
 fn a_line_is_one_json_object_with_the_keys_of_the_record() {
-    let kept = Kept::default();
-    let log = LineLog::start(filter(), kept.clone()).expect("the thread starts");
+    let written = WrittenBytes::default();
+    let log = LineLog::start(filter(), written.clone()).expect("the thread starts");
     log_at(&log, Level::Info, "statement \"failed\"\nand more");
     log.flush();
-    let lines = kept.lines();
+    let lines = written.lines();
     assert_eq!(lines.len(), 1);
     assert_eq!(lines[0]["level"], "INFO");
     assert_eq!(lines[0]["target"], "corktack_gateway::session");
@@ -78,40 +78,40 @@
 
 #[test]
 fn records_below_the_level_are_not_written() {
-    let kept = Kept::default();
-    let log = LineLog::start(filter(), kept.clone()).expect("the thread starts");
+    let written = WrittenBytes::default();
+    let log = LineLog::start(filter(), written.clone()).expect("the thread starts");
     log_at(&log, Level::Debug, "detail");
     log.flush();
-    assert!(kept.lines().is_empty());
+    assert!(written.lines().is_empty());
     assert_eq!(log.dropped(), 0);
 }
 
 #[test]
-fn nobody_waits_for_an_output_that_is_not_read() {
-    let (_held, unread): (Sender<()>, _) = channel();
-    let log = LineLog::start(filter(), Unread(unread)).expect("the thread starts");
-    let lines = QUEUE_LINES * 3;
+fn logging_does_not_block_on_an_output_that_is_not_read() {
+    let (_unblock, blocked): (Sender<()>, _) = channel();
+    let log = LineLog::start(filter(), BlockedOutput(blocked)).expect("the thread starts");
+    let lines = MAX_QUEUED_LINES * 3;
     for _ in 0..lines {
         log_at(&log, Level::Warn, "warning");
     }
-    // The writer holds one batch at the most beside the queue.
-    assert!(log.dropped() >= (QUEUE_LINES - 200) as u64, "{}", log.dropped());
-    assert!(log.dropped() <= (lines - QUEUE_LINES) as u64, "{}", log.dropped());
+    // Besides the queue, only the writing thread's current batch holds lines.
+    assert!(log.dropped() >= (MAX_QUEUED_LINES - 200) as u64, "{}", log.dropped());
+    assert!(log.dropped() <= (lines - MAX_QUEUED_LINES) as u64, "{}", log.dropped());
 }
 
 #[test]
-fn a_flood_is_cut_and_said_so() {
-    let kept = Kept::default();
-    let log = LineLog::start(filter(), kept.clone()).expect("the thread starts");
-    // The flood may straddle a second; more than three budgets cannot fit into two.
-    for _ in 0..LINES_PER_SECOND * 4 {
+fn a_flood_is_limited_and_reported() {
+    let written = WrittenBytes::default();
+    let log = LineLog::start(filter(), written.clone()).expect("the thread starts");
+    // The flood may extend over two seconds, whose two budgets cannot hold four budgets of lines.
+    for _ in 0..MAX_LINES_PER_SECOND * 4 {
         log_at(&log, Level::Info, "statement failed");
     }
     log_at(&log, Level::Error, "still heard");
     log.flush();
-    let lines = kept.lines();
+    let lines = written.lines();
     assert!(log.dropped() > 0);
     assert!(lines.iter().any(|line| line["message"] == "still heard"));
-    let told = lines.iter().find(|line| line["message"] == "log lines dropped");
-    assert!(told.is_some_and(|line| line["time_ms"].is_u64()), "{told:?}");
+    let dropped_line = lines.iter().find(|line| line["message"] == "log lines dropped");
+    assert!(dropped_line.is_some_and(|line| line["time_ms"].is_u64()), "{dropped_line:?}");
 }
--- a/crates/server/tests/telemetry.rs
+++ b/crates/server/tests/telemetry.rs
@@ -1,7 +1,7 @@
-//! The ring of events: bounded, and written out on an error and on a panic.
+//! The ring of recent log records: bounded, and written to a file after an error and a panic.
 
-use corktack_server::telemetry::event_log::{FILES_LIMIT, WRITE_INTERVAL};
-use corktack_server::telemetry::ring::RECORD_BYTES_LIMIT;
+use corktack_server::telemetry::event_log::{MAX_FILES, MIN_WRITE_INTERVAL};
+use corktack_server::telemetry::ring::MAX_RECORD_BYTES;
 use corktack_server::telemetry::{EventLog, EventRecord, EventRing, WriteReason, install};
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime};
@@ -27,50 +27,50 @@
 
 #[test]
 fn a_long_record_is_cut_between_characters() {
-    let text = "é".repeat(RECORD_BYTES_LIMIT) + "x";
+    let text = "é".repeat(MAX_RECORD_BYTES) + "x";
     let kept = EventRecord::from_log(&log::Record::builder().args(format_args!("a{text}")).build());
-    assert_eq!(kept.text.len(), RECORD_BYTES_LIMIT - 1);
+    assert_eq!(kept.text.len(), MAX_RECORD_BYTES - 1);
 }
 
 #[test]
-fn files_are_bounded_in_number_and_the_newest_stay() {
+fn the_number_of_files_is_limited_and_the_newest_stay() {
     let folder = tempfile::tempdir().expect("temporary folder");
     let events = EventLog::new(folder.path(), 4);
-    for _ in 0..FILES_LIMIT + 3 {
+    for _ in 0..MAX_FILES + 3 {
         events.write(WriteReason::Signal).expect("events written");
     }
     let names: Vec<String> = event_files(folder.path());
-    assert_eq!(names.len() as u64, FILES_LIMIT);
-    assert!(names.contains(&format!("events-{}.log", FILES_LIMIT + 2)));
+    assert_eq!(names.len() as u64, MAX_FILES);
+    assert!(names.contains(&format!("events-{}.log", MAX_FILES + 2)));
 }
 
 #[test]
-fn files_of_one_reason_are_limited_in_rate() {
+fn writes_for_one_reason_are_rate_limited() {
     let folder = tempfile::tempdir().expect("temporary folder");
     let events = EventLog::new(folder.path(), 4);
     let start = Instant::now();
-    assert!(events.may_write(WriteReason::Error, start));
-    assert!(!events.may_write(WriteReason::Error, start + WRITE_INTERVAL / 2));
-    assert!(events.may_write(WriteReason::Panic, start));
-    assert!(events.may_write(WriteReason::Error, start + WRITE_INTERVAL));
+    assert!(events.reserve_write(WriteReason::Error, start));
+    assert!(!events.reserve_write(WriteReason::Error, start + MIN_WRITE_INTERVAL / 2));
+    assert!(events.reserve_write(WriteReason::Panic, start));
+    assert!(events.reserve_write(WriteReason::Error, start + MIN_WRITE_INTERVAL));
 }
 
-/// One test, because a process has one logger and one panic hook.
+/// Errors and panics share a test, because a process has one logger and one panic hook.
 #[test]
-fn errors_and_panics_write_the_ring_out() {
+fn errors_and_panics_write_the_ring_to_a_file() {
     let folder = tempfile::tempdir().expect("temporary folder");
     install(folder.path(), 16).expect("first logger");
     log::debug!(target: "corktack::test", group = "records"; "before the error");
     log::debug!(target: "other", "of another library");
     log::error!(target: "corktack::test", "the error");
-    let written = wait_for(folder.path(), 1);
+    let written = wait_for_event_files(folder.path(), 1);
     assert!(written.contains("before the error group=records"), "{written}");
     assert!(written.contains("the error"), "{written}");
     assert!(!written.contains("of another library"), "{written}");
 
     let panicked = std::thread::spawn(|| panic!("a broken invariant")).join();
     assert!(panicked.is_err());
-    let written = wait_for(folder.path(), 2);
+    let written = wait_for_event_files(folder.path(), 2);
     assert!(written.contains("a broken invariant"), "{written}");
 }
 
@@ -83,8 +83,8 @@
     names
 }
 
-/// Polls until that many files are there and the last one is whole; returns the last one's text.
-fn wait_for(folder: &Path, files: usize) -> String {
+/// Polls until `files` event files exist and the last one has records; returns the text of the last file.
+fn wait_for_event_files(folder: &Path, files: usize) -> String {
     let deadline = Instant::now() + Duration::from_secs(20);
     while Instant::now() < deadline {
         let names = event_files(folder);
