--- a/crates/server/src/explain/line.rs
+++ b/crates/server/src/explain/line.rs
@@ -1,31 +1,32 @@
-//! A log line, read back, and which lines belong to what happened to a request.
+//! Parsing of log lines, and the rule for which lines may explain what happened to a request.
 
 use serde_json::{Map, Value};
 
-/// How long before a request's end a line may be part of its cause, in milliseconds. Chosen, not measured; a
-/// lower value misses causes of requests that waited, a higher one shows more that is none.
-const BEFORE_MS: u64 = 3_000;
-/// How long after it: lines of other processes may be stamped by another clock. Chosen, not measured; it bounds
-/// the difference of clocks that is made up for.
-const AFTER_MS: u64 = 1_000;
-/// Messages that concern every group.
-const ABOUT_ALL: [&str; 3] = ["role changed", "connection to control lost", "document in force"];
+/// Longest time before a request's end at which a line may explain it, in milliseconds. A lower value
+/// misses causes of requests that waited, a higher one shows more unrelated lines.
+const MAX_MS_BEFORE_END: u64 = 3_000;
+/// Longest time after a request's end at which a line may explain it, in milliseconds. Other processes may
+/// use another clock: the value bounds the clock difference that is tolerated.
+const MAX_MS_AFTER_END: u64 = 1_000;
+/// Messages of events that affect every group.
+const GLOBAL_MESSAGES: [&str; 3] =
+    ["role changed", "connection to control lost", "document in force"];
 
-/// A line of a process.
+/// A log line of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// What stood before the JSON: the machine, say.
+    /// Text before the JSON, for example the machine's name.
     pub source: String,
-    /// Its time of day, in milliseconds.
+    /// Time of day at which the line was logged, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// Its message.
+    /// Text of the line's `message`.
     pub message: String,
-    /// Its other keys.
+    /// Keys and values other than `message` and `time_ms`.
     pub fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line; none if it holds no line of this product's.
+    /// Parses a line; returns `None` when the text is not a log line of this project.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let (source, json) = text.split_at(text.find('{')?);
@@ -35,32 +36,38 @@
         Some(Self { source: source.trim().to_owned(), time_ms, message, fields })
     }
 
-    /// A number among its keys.
-    pub(super) fn number(&self, key: &str) -> Option<u64> {
+    /// Returns the value of a key, when it is an unsigned number.
+    pub(super) fn number_field(&self, key: &str) -> Option<u64> {
         self.fields.get(key)?.as_u64()
     }
 
-    /// A text among its keys.
-    pub(super) fn text(&self, key: &str) -> Option<&str> {
+    /// Returns the value of a key, when it is a string.
+    pub(super) fn text_field(&self, key: &str) -> Option<&str> {
         self.fields.get(key)?.as_str()
     }
 
-    /// Whether the line may be part of what happened to a request.
-    pub(super) fn concerns(&self, request: &Self) -> bool {
+    /// Reports whether the line may explain what happened to a request: it is not a request's own line, is
+    /// near the request's end in time and is about the request's group or about all groups.
+    pub(super) fn may_explain(&self, request: &Self) -> bool {
         let time = request.time_ms;
-        let near = (time.saturating_sub(BEFORE_MS)..=time + AFTER_MS).contains(&self.time_ms);
-        let group = request.text("group").filter(|group| !group.is_empty());
-        let same_group = group.is_some() && self.text("group") == group;
+        let is_near = (time.saturating_sub(MAX_MS_BEFORE_END)..=time + MAX_MS_AFTER_END)
+            .contains(&self.time_ms);
+        let group = request.text_field("group").filter(|group| !group.is_empty());
+        let has_same_group = group.is_some() && self.text_field("group") == group;
         let is_request = self.fields.contains_key("id");
-        near && !is_request && (same_group || ABOUT_ALL.contains(&self.message.as_str()))
+        is_near
+            && !is_request
+            && (has_same_group || GLOBAL_MESSAGES.contains(&self.message.as_str()))
     }
 }
 
 impl std::fmt::Display for LogLine {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "{} {} {}", self.time_ms, self.source, self.message)?;
-        let hidden = ["level", "target", "up_ms"];
-        for (key, value) in self.fields.iter().filter(|(key, _)| !hidden.contains(&key.as_str())) {
+        let omitted_keys = ["level", "target", "up_ms"];
+        for (key, value) in
+            self.fields.iter().filter(|(key, _)| !omitted_keys.contains(&key.as_str()))
+        {
             write!(formatter, " {key}={value}")?;
         }
         Ok(())
--- a/crates/server/src/explain/losses/attempt.rs
+++ b/crates/server/src/explain/losses/attempt.rs
@@ -1,93 +1,93 @@
-//! What was asked of a member in vain, read from the texts of log lines.
+//! Parses failed attempts at members and failed connections from the texts of log lines.
 //!
-//! It is for the counts of [`super::counts`]. It owns what the texts in `attempts` of `statement ended` and in
-//! `error` of `member cannot be connected to` mean; the gateway writes them. A text that it does not know counts
-//! as [`AttemptKind::Other`] or [`DialKind::Other`], so that nothing is hidden.
+//! The gateway writes these texts in `attempts` of `statement ended` and in `error` of `member cannot be
+//! connected to`. An unknown text counts as [`AttemptFailure::Other`] or [`ConnectFailure::Other`], so that
+//! no failure is hidden.
 
-/// Between the attempts of one line.
+/// Separator between the attempts of one line.
 const SEPARATOR: &str = "; ";
-/// Before the name of a member, in most texts.
-const AT_MEMBER: &str = " at ";
-/// Before the name of a member, in texts that begin with it.
-const MEMBER: &str = "member ";
-/// Texts of attempts by what they mean; a text belongs to the first that it contains.
-const ATTEMPTS: [(&str, AttemptKind); 10] = [
-    ("Lagging at ", AttemptKind::Lagging),
-    ("ReadOnly at ", AttemptKind::NotPrimary),
-    ("Busy at ", AttemptKind::Full),
-    ("TooManyConnections at ", AttemptKind::Full),
-    ("takes no more connections", AttemptKind::Full),
-    ("no answer in time", AttemptKind::Silent),
-    ("is silent", AttemptKind::Silent),
-    ("closed the connection", AttemptKind::Lost),
-    ("the connection failed", AttemptKind::Lost),
-    ("cannot be connected to", AttemptKind::Lost),
+/// Text before the name of a member, in most attempts.
+const BEFORE_MEMBER: &str = " at ";
+/// Text before the name of a member, in attempts that begin with the member.
+const MEMBER_PREFIX: &str = "member ";
+/// Parts of attempts' texts with the failure that they mean; the first part that a text contains decides.
+const ATTEMPT_TEXTS: [(&str, AttemptFailure); 10] = [
+    ("Lagging at ", AttemptFailure::Lagging),
+    ("ReadOnly at ", AttemptFailure::NotPrimary),
+    ("Busy at ", AttemptFailure::Full),
+    ("TooManyConnections at ", AttemptFailure::Full),
+    ("takes no more connections", AttemptFailure::Full),
+    ("no answer in time", AttemptFailure::Silent),
+    ("is silent", AttemptFailure::Silent),
+    ("closed the connection", AttemptFailure::Lost),
+    ("the connection failed", AttemptFailure::Lost),
+    ("cannot be connected to", AttemptFailure::Lost),
 ];
-/// What the error of a refused connection begins with where the member has all that it takes.
-const DIAL_FULL: &str = "refused with TooManyConnections";
-/// What the error begins with where nothing answers at the member's address, or another member does.
-const DIAL_UNREACHABLE: [&str; 2] = ["unreachable: ", "refused with WrongMember"];
+/// Prefix of a connection's error when the member accepts no more connections.
+const CONNECT_FULL_PREFIX: &str = "refused with TooManyConnections";
+/// Prefixes of a connection's error when nothing answers at the member's address, or another member does.
+const CONNECT_UNREACHABLE_PREFIXES: [&str; 2] = ["unreachable: ", "refused with WrongMember"];
 
-/// Why a member that was offered a statement gave no result.
+/// Reason why an attempt to run a statement at a member gave no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptKind {
-    /// It lacks the position that the read needs.
+pub enum AttemptFailure {
+    /// The member has not reached the position that the read needs.
     Lagging,
-    /// It has no slot or takes no more connections.
+    /// The member has no free slot or accepts no more connections.
     Full,
-    /// It is not the primary.
+    /// The member is not the primary.
     NotPrimary,
-    /// No answer came, from it or from the gateway that holds the connection.
+    /// No answer came from the member or from the gateway that holds the connection.
     Silent,
-    /// The connection broke, or could not be opened.
+    /// The connection failed or could not be opened.
     Lost,
-    /// Anything else.
+    /// Any other failure.
     Other,
 }
 
-/// One offer of a statement that was in vain.
+/// A failed attempt to run a statement at a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Why.
-    pub kind: AttemptKind,
-    /// The member, where the text names one.
+    /// Reason of the failure.
+    pub kind: AttemptFailure,
+    /// Name of the member, where the text names one.
     pub member: Option<String>,
 }
 
 impl Attempt {
-    /// The attempts that one line tells, in their order.
+    /// Parses the attempts of one line, in their order.
     #[must_use]
-    pub fn list(attempts: &str) -> Vec<Self> {
-        attempts.split(SEPARATOR).filter(|text| !text.is_empty()).map(Self::read).collect()
+    pub fn parse_list(attempts: &str) -> Vec<Self> {
+        attempts.split(SEPARATOR).filter(|text| !text.is_empty()).map(Self::parse).collect()
     }
 
-    fn read(text: &str) -> Self {
-        let known = ATTEMPTS.iter().find(|(part, _)| text.contains(part));
-        let kind = known.map_or(AttemptKind::Other, |(_, kind)| *kind);
-        let behind = text.rsplit_once(AT_MEMBER).map(|(_, member)| member);
-        let ahead = || text.strip_prefix(MEMBER)?.split(' ').next();
-        Self { kind, member: behind.or_else(ahead).map(str::to_owned) }
+    fn parse(text: &str) -> Self {
+        let matching = ATTEMPT_TEXTS.iter().find(|(part, _)| text.contains(part));
+        let kind = matching.map_or(AttemptFailure::Other, |(_, kind)| *kind);
+        let name_at_end = text.rsplit_once(BEFORE_MEMBER).map(|(_, member)| member);
+        let name_at_start = || text.strip_prefix(MEMBER_PREFIX)?.split(' ').next();
+        Self { kind, member: name_at_end.or_else(name_at_start).map(str::to_owned) }
     }
 }
 
-/// Why a connection to a member could not be opened.
+/// Reason why a connection to a member could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DialKind {
-    /// The member takes no more connections.
+pub enum ConnectFailure {
+    /// The member accepts no more connections.
     Full,
-    /// Nothing answers at its address, or another member does.
+    /// Nothing answers at the member's address, or another member does.
     Unreachable,
-    /// It was reached and was not ready, or the error is not known.
+    /// The member was reached and was not ready, or the error is unknown.
     Other,
 }
 
-impl DialKind {
-    /// Reads the error of a line.
+impl ConnectFailure {
+    /// Classifies the error of a line.
     #[must_use]
-    pub fn read(error: &str) -> Self {
-        if error.starts_with(DIAL_FULL) {
+    pub fn parse(error: &str) -> Self {
+        if error.starts_with(CONNECT_FULL_PREFIX) {
             Self::Full
-        } else if DIAL_UNREACHABLE.iter().any(|start| error.starts_with(start)) {
+        } else if CONNECT_UNREACHABLE_PREFIXES.iter().any(|start| error.starts_with(start)) {
             Self::Unreachable
         } else {
             Self::Other
--- a/crates/server/src/explain/losses/counts.rs
+++ b/crates/server/src/explain/losses/counts.rs
@@ -1,33 +1,33 @@
-//! What is counted of a window, of a process and of a member.
+//! The counts that are kept for a window of time, a process and a member.
 //!
-//! It is for [`super::Losses`], which finds the lines, and [`super::text`], which writes the tables. It owns the
-//! counts and how times are put together.
+//! [`super::Losses`] adds the lines to these counts, and [`super::text`] formats them as tables.
 
-use super::attempt::{AttemptKind, DialKind};
-use crate::explain::Ends;
+use super::attempt::{AttemptFailure, ConnectFailure};
+use crate::explain::FailureCounts;
 
-/// Times of requests, in milliseconds.
+/// Durations of requests, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Times(Vec<u64>);
+pub struct Durations(Vec<u64>);
 
-impl Times {
+impl Durations {
     pub(super) fn add(&mut self, millis: u64) {
         self.0.push(millis);
     }
 
-    /// How many.
+    /// Returns the number of durations.
     #[must_use]
     pub fn count(&self) -> usize {
         self.0.len()
     }
 
-    /// All of them together.
+    /// Returns the sum of the durations, in milliseconds.
     #[must_use]
     pub fn sum_ms(&self) -> u64 {
         self.0.iter().sum()
     }
 
-    /// The one in the middle; of two in the middle the longer.
+    /// Returns the median duration, the longer of the two middle ones for an even number; `None` without
+    /// durations.
     #[must_use]
     pub fn median_ms(&self) -> Option<u64> {
         let mut sorted = self.0.clone();
@@ -35,150 +35,150 @@
         sorted.get(sorted.len() / 2).copied()
     }
 
-    /// How many are longer than a limit.
+    /// Returns the number of durations above a limit.
     #[must_use]
-    pub fn beyond(&self, limit_ms: u64) -> usize {
+    pub fn count_above(&self, limit_ms: u64) -> usize {
         self.0.iter().filter(|millis| **millis > limit_ms).count()
     }
 }
 
-/// Offers of statements to members that were in vain.
+/// Failed attempts to run statements at members, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Offers {
-    /// The member lacked the position that the read needed.
+pub struct FailedAttempts {
+    /// Attempts at members that had not reached the position that the read needed.
     pub lagging: u64,
-    /// It had no slot or took no more connections.
+    /// Attempts at members that had no free slot or accepted no more connections.
     pub full: u64,
-    /// It was not the primary.
+    /// Attempts at members that were not the primary.
     pub not_primary: u64,
-    /// No answer came.
+    /// Attempts without an answer.
     pub silent: u64,
-    /// The connection broke, or could not be opened.
+    /// Attempts whose connection failed or could not be opened.
     pub lost: u64,
-    /// Anything else.
+    /// Attempts that failed for any other reason.
     pub other: u64,
 }
 
-impl Offers {
-    pub(super) fn add(&mut self, kind: AttemptKind) {
+impl FailedAttempts {
+    pub(super) fn add(&mut self, kind: AttemptFailure) {
         *match kind {
-            AttemptKind::Lagging => &mut self.lagging,
-            AttemptKind::Full => &mut self.full,
-            AttemptKind::NotPrimary => &mut self.not_primary,
-            AttemptKind::Silent => &mut self.silent,
-            AttemptKind::Lost => &mut self.lost,
-            AttemptKind::Other => &mut self.other,
+            AttemptFailure::Lagging => &mut self.lagging,
+            AttemptFailure::Full => &mut self.full,
+            AttemptFailure::NotPrimary => &mut self.not_primary,
+            AttemptFailure::Silent => &mut self.silent,
+            AttemptFailure::Lost => &mut self.lost,
+            AttemptFailure::Other => &mut self.other,
         } += 1;
     }
 
-    /// All of them, in the order of the tables.
+    /// Returns the counts in the order of the tables' columns.
     #[must_use]
     pub const fn all(&self) -> [u64; 6] {
         [self.lagging, self.full, self.not_primary, self.silent, self.lost, self.other]
     }
 
-    /// How many.
+    /// Returns the sum of the counts.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.all().iter().sum()
     }
 }
 
-/// Connections to members that could not be opened.
+/// Connections to members that could not be opened, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Dials {
-    /// The member takes no more.
+pub struct FailedConnects {
+    /// Connections to members that accept no more connections.
     pub full: u64,
-    /// Nothing answers at its address, or another member does.
+    /// Connections to members at whose address nothing answers, or another member does.
     pub unreachable: u64,
-    /// It was reached and was not ready, or the error is not known.
+    /// Connections to members that were reached and were not ready, or whose error is unknown.
     pub other: u64,
 }
 
-impl Dials {
-    pub(super) fn add(&mut self, kind: DialKind) {
+impl FailedConnects {
+    pub(super) fn add(&mut self, kind: ConnectFailure) {
         *match kind {
-            DialKind::Full => &mut self.full,
-            DialKind::Unreachable => &mut self.unreachable,
-            DialKind::Other => &mut self.other,
+            ConnectFailure::Full => &mut self.full,
+            ConnectFailure::Unreachable => &mut self.unreachable,
+            ConnectFailure::Other => &mut self.other,
         } += 1;
     }
 
-    /// All of them, in the order of the tables.
+    /// Returns the counts in the order of the tables' columns.
     #[must_use]
     pub const fn all(&self) -> [u64; 3] {
         [self.full, self.unreachable, self.other]
     }
 
-    /// How many.
+    /// Returns the sum of the counts.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.all().iter().sum()
     }
 }
 
-/// What happened that explains losses.
+/// Number of events that may explain losses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Events {
     /// Gateways that started.
-    pub started: u64,
-    /// Times that a gateway found another member to be a primary; each gateway finds it for itself.
-    pub found: u64,
-    /// Members that were promoted and lead.
-    pub promoted: u64,
-    /// Leaders of control that were elected.
-    pub elected: u64,
+    pub gateways_started: u64,
+    /// Times that a gateway learned that another member is a primary; each gateway learns this for itself.
+    pub primaries_found: u64,
+    /// Members that became primaries by a promotion.
+    pub members_promoted: u64,
+    /// Control leaders that were elected.
+    pub leaders_elected: u64,
 }
 
-/// What was lost in a window of time, and what happened in it.
+/// Lost requests and events in a window of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Window {
-    /// How requests ended that failed, other than those that did not run.
-    pub failed: Ends,
-    /// How requests ended that did not run.
-    pub refused: Ends,
-    /// What requests that were lost had been offered in vain.
-    pub offers: Offers,
-    /// Time that requests took which did not run, and had been offered to a member in vain.
-    pub refused_offered: Times,
-    /// Time that requests took which did not run, where no offer to a member is told.
-    pub refused_not_offered: Times,
-    /// When callers were told to come back.
-    pub retry_after: Times,
+    /// Failed requests that ran or may have run, by outcome.
+    pub failed: FailureCounts,
+    /// Requests that did not run, by outcome.
+    pub refused: FailureCounts,
+    /// Failed attempts of lost requests.
+    pub failed_attempts: FailedAttempts,
+    /// Durations of requests that did not run and had failed attempts.
+    pub refused_after_attempts: Durations,
+    /// Durations of requests that did not run and for which no attempt is reported.
+    pub refused_without_attempts: Durations,
+    /// Retry delays that were reported to callers.
+    pub retry_after: Durations,
     /// Connections to members that could not be opened.
-    pub dials: Dials,
-    /// What happened.
+    pub failed_connects: FailedConnects,
+    /// Events in the window.
     pub events: Events,
 }
 
 impl Window {
-    /// Requests that were lost.
+    /// Returns the number of lost requests, whether they ran or not.
     #[must_use]
     pub fn lost(&self) -> u64 {
         self.failed.values().chain(self.refused.values()).sum()
     }
 }
 
-/// What a process lost.
+/// Lost requests and failed attempts of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessLosses {
-    /// Requests that failed, other than those that did not run.
+    /// Failed requests that ran or may have run.
     pub failed: u64,
     /// Requests that did not run.
     pub refused: u64,
-    /// Offers in vain.
-    pub offers: Offers,
+    /// Failed attempts.
+    pub failed_attempts: FailedAttempts,
     /// Connections to members that could not be opened.
-    pub dials: Dials,
-    /// Times that it started as a gateway.
-    pub started: u64,
+    pub failed_connects: FailedConnects,
+    /// Times that the process started as a gateway.
+    pub gateway_starts: u64,
 }
 
-/// What was asked of a member in vain.
+/// Failed attempts and connections at a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberLosses {
-    /// Offers of statements.
-    pub offers: Offers,
-    /// Connections that could not be opened.
-    pub dials: Dials,
+    /// Failed attempts to run statements.
+    pub failed_attempts: FailedAttempts,
+    /// Connections to the member that could not be opened.
+    pub failed_connects: FailedConnects,
 }
--- a/crates/server/src/explain/mod.rs
+++ b/crates/server/src/explain/mod.rs
@@ -1,8 +1,8 @@
-//! From the id of a request to its cause, by log lines alone.
+//! Explains from log lines alone why a request ended as it did.
 //!
-//! Takes lines as processes write them (see [`crate::telemetry::lines`]), in any order and from any
-//! number of processes, with or without something before the JSON. Gives the lines of the request
-//! and those that tell what happened around it to its group, in order of time.
+//! The input is lines as processes write them (see [`crate::telemetry::lines`]), in any order and from any
+//! number of processes, with or without text before the JSON. The result is the lines of the request and
+//! the lines about its group from around the same time, in order of time.
 
 mod line;
 pub mod losses;
@@ -12,34 +12,36 @@
 
 pub use line::LogLine;
 pub use report::{Report, report};
-pub use summary::{Ends, LimitedTenant, Summary, summarize};
+pub use summary::{FailureCounts, LimitedTenant, Summary, summarize};
 
-/// Why a request cannot be explained.
+/// Error for a request that no line mentions.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no line has the id {id:?}")]
 pub struct UnknownRequest {
-    /// The id.
+    /// Id of the request.
     pub id: String,
 }
 
-/// The lines that explain the request of an id, in order of time.
+/// Returns the lines that explain the request with an id, in order of time.
 ///
 /// # Errors
-/// [`UnknownRequest`] when no line has the id: it succeeded and was not sampled, its line was
-/// dropped (a line says how many were), or it reached no process.
+/// [`UnknownRequest`] when no line has the id: the request succeeded and was not sampled, its line was
+/// dropped (a line reports how many were), or the request reached no process.
 pub fn explain<'t>(
     id: &str,
     lines: impl Iterator<Item = &'t str>,
 ) -> Result<Vec<LogLine>, UnknownRequest> {
     let lines: Vec<LogLine> = lines.filter_map(LogLine::parse).collect();
-    let requests: Vec<&LogLine> = lines.iter().filter(|it| it.text("id") == Some(id)).collect();
+    let requests: Vec<&LogLine> =
+        lines.iter().filter(|line| line.text_field("id") == Some(id)).collect();
     if requests.is_empty() {
         return Err(UnknownRequest { id: id.to_owned() });
     }
-    let wanted = |line: &&LogLine| {
-        line.text("id") == Some(id) || requests.iter().any(|request| line.concerns(request))
+    let belongs = |line: &&LogLine| {
+        line.text_field("id") == Some(id)
+            || requests.iter().any(|request| line.may_explain(request))
     };
-    let mut explained: Vec<LogLine> = lines.iter().filter(wanted).cloned().collect();
+    let mut explained: Vec<LogLine> = lines.iter().filter(belongs).cloned().collect();
     explained.sort_by_key(|line| line.time_ms);
     Ok(explained)
 }
--- a/crates/server/src/explain/report.rs
+++ b/crates/server/src/explain/report.rs
@@ -1,23 +1,23 @@
-//! The whole summary of logs: how many failed and why, then where they were lost.
+//! The report of `corktack explain --summary`: how many requests failed and why, then where they were lost.
 //!
-//! It is for `corktack explain --summary`. It owns the order of the two and reads each line once.
+//! Both parts are counted in one pass over the lines.
 
 use super::line::LogLine;
 use super::losses::Losses;
 use super::summary::Summary;
 use std::fmt;
 
-/// What the logs of processes tell of requests that failed.
+/// Failed requests, as the logs of processes report them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// How many failed, when, why and whose.
+    /// Counts of the failed requests by time, class, tenant and group.
     pub summary: Summary,
-    /// Where they were lost.
+    /// Counts of the failed requests by window of time, process and member.
     pub losses: Losses,
 }
 
-/// Reads the lines of any number of processes, each with the name of the log that it stands in: it names the
-/// process where nothing stands before the JSON of a line.
+/// Counts the lines of any number of processes. Each line comes with the name of its log, which names the
+/// process where the line has no text before the JSON.
 #[must_use]
 pub fn report<'t>(lines: impl Iterator<Item = (&'t str, &'t str)>) -> Report {
     let mut report = Report::default();
--- a/crates/server/src/explain/table.rs
+++ b/crates/server/src/explain/table.rs
@@ -1,10 +1,8 @@
-//! Tables of counts as text: columns as wide as their widest cell.
-//!
-//! It is for the tables of a summary. It owns how they are laid out and knows nothing of what they hold.
+//! Layout of the report's tables as text: each column is as wide as its widest cell.
 
 use std::fmt;
 
-/// One column.
+/// Heading and alignment of a column.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Column {
     heading: &'static str,
@@ -12,18 +10,18 @@
 }
 
 impl Column {
-    /// A column whose cells start at its left edge.
+    /// Returns a left-aligned column.
     pub(super) const fn text(heading: &'static str) -> Self {
         Self { heading, is_number: false }
     }
 
-    /// A column whose cells end at its right edge.
+    /// Returns a right-aligned column.
     pub(super) const fn number(heading: &'static str) -> Self {
         Self { heading, is_number: true }
     }
 }
 
-/// Rows under a title and headings.
+/// A table with a title, column headings and rows.
 #[derive(Clone, Debug)]
 pub(super) struct Table {
     title: String,
@@ -36,12 +34,12 @@
         Self { title, columns: columns.to_vec(), rows: Vec::new() }
     }
 
-    /// Adds a row, a cell for each column.
-    pub(super) fn row(&mut self, cells: Vec<String>) {
+    /// Adds a row with one cell for each column.
+    pub(super) fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
-    fn width(&self, index: usize, column: &Column) -> usize {
+    fn column_width(&self, index: usize, column: &Column) -> usize {
         let cells = self.rows.iter().filter_map(|row| row.get(index));
         let widest = cells.map(|cell| cell.chars().count()).max().unwrap_or(0);
         widest.max(column.heading.len())
@@ -54,7 +52,7 @@
     ) -> fmt::Result {
         let mut line = String::new();
         for (index, (cell, column)) in cells.zip(&self.columns).enumerate() {
-            let width = self.width(index, column);
+            let width = self.column_width(index, column);
             line.push_str("  ");
             let padded = if column.is_number {
                 format!("{cell:>width$}")
