--- a/crates/server/src/deployment/bounds.rs
+++ b/crates/server/src/deployment/bounds.rs
@@ -1,41 +1,43 @@
-//! The bounds that a deployment must keep, and what follows from them for its watches.
+//! The bounds that a deployment must keep, and the silence timeout of its watches, which follows from them.
 
 use corktack_core::limits::LimitBounds;
 use std::time::Duration;
 
-/// Part of the time for a configuration that a gateway waits for a proof before it changes replica,
-/// and the shortest and longest such wait. 1.5 s at one replica of a minority fitted a bound of 3 s only just:
-/// 0.4 of it lets a gateway come upon two such replicas. Lower values change replicas that are only slow.
-const WATCH_SILENCE_PART: f64 = 0.4;
-const WATCH_SILENCE_SHORTEST: Duration = Duration::from_millis(800);
-pub(super) const WATCH_SILENCE_LONGEST: Duration = Duration::from_millis(1_500);
+/// Silence timeout of a gateway's watch as a fraction of the bound on applying a configuration, and its
+/// smallest and largest value. A timeout of 1.5 s at one replica of a minority keeps a bound of 3 s only
+/// just; the fraction 0.4 lets a gateway time out at two such replicas. Lower values leave replicas that
+/// are merely slow.
+const WATCH_SILENCE_FRACTION: f64 = 0.4;
+const MIN_WATCH_SILENCE: Duration = Duration::from_millis(800);
+pub(super) const MAX_WATCH_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// Bounds that the deployment must keep.
+/// Bounds of a deployment, which come from the settings of the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DeploymentBounds {
-    /// Time at a planned stop until the process is killed.
+    /// Time from the start of a planned stop until the process is killed.
     pub stop_grace: Duration,
-    /// Time that a back end serves on after it was acknowledged as leaving.
+    /// Time for which a back end still serves after control acknowledged that it is draining.
     pub drain: Duration,
-    /// Replicas that may be lost at once.
+    /// Number of control replicas that may be lost at the same time.
     pub tolerated_losses: usize,
-    /// Time after which a replica that came back counts as there.
+    /// Time within which a restarted replica must have caught up; a replica that is absent for longer is
+    /// replaced.
     pub catch_up: Duration,
-    /// Time in which an acknowledged configuration is in force everywhere, where there is a bound.
+    /// Time within which an acknowledged configuration is in force on all gateways; `None` without a bound.
     pub config_apply: Option<Duration>,
-    /// By what the limits of tenants are kept.
+    /// Bounds within which tenants' limits are enforced.
     pub limits: LimitBounds,
-    /// How old the last proof that the configuration is current may be for operations to begin; none
-    /// where they begin by the last configuration, however old.
+    /// Largest age of the last confirmation that the configuration is current at which operations may
+    /// begin; `None` when operations may begin under the last configuration regardless of its age.
     pub unproved_limit: Option<Duration>,
 }
 
 impl DeploymentBounds {
-    /// Time without a proof before a gateway changes its control replica: it may come upon two
-    /// replicas in vain, and have the newest configuration in time all the same.
-    pub(super) fn watch_silence(&self) -> Duration {
-        let Some(bound) = self.config_apply else { return WATCH_SILENCE_LONGEST };
-        let part = bound.mul_f64(WATCH_SILENCE_PART);
-        part.clamp(WATCH_SILENCE_SHORTEST, WATCH_SILENCE_LONGEST)
+    /// Returns the time without a confirmation after which a gateway leaves its control replica. A gateway
+    /// may time out at two replicas and still receive the newest configuration within the bound.
+    pub(super) fn watch_silence_timeout(&self) -> Duration {
+        let Some(bound) = self.config_apply else { return MAX_WATCH_SILENCE };
+        let silence = bound.mul_f64(WATCH_SILENCE_FRACTION);
+        silence.clamp(MIN_WATCH_SILENCE, MAX_WATCH_SILENCE)
     }
 }
--- a/crates/server/src/deployment/gateway.rs
+++ b/crates/server/src/deployment/gateway.rs
@@ -1,6 +1,7 @@
-//! A gateway with its watch of control, and what passes between them.
+//! A gateway together with its watch of control, and the observations that the gateway sends through the
+//! watch.
 //!
-//! Owns both for the time of the process. A planned stop ends in one place, [`RunningGateway::stop`].
+//! [`RunningGateway`] owns both until the process ends; [`RunningGateway::stop`] performs a planned stop.
 
 use crate::watch_client::WatchHandle;
 use corktack_core::position::Term;
@@ -8,20 +9,20 @@
 use corktack_protocol::control::{MemberHealth, Observation};
 use tokio::sync::mpsc;
 
-/// Passes what the gateway found of members on to control.
-pub(super) async fn observe(
-    mut found: mpsc::UnboundedReceiver<MemberReach>,
+/// Forwards to control which members the gateway could reach and which not.
+pub(super) async fn forward_reach_reports(
+    mut reach_reports: mpsc::UnboundedReceiver<MemberReach>,
     observations: mpsc::UnboundedSender<Observation>,
 ) {
-    while let Some(MemberReach { group, member, reached }) = found.recv().await {
+    while let Some(MemberReach { group, member, reached }) = reach_reports.recv().await {
         let health =
             if reached { MemberHealth::Replica(Term(0)) } else { MemberHealth::Unreachable };
-        // Nobody listens at the end of the process only.
+        // The receiver is dropped only at the end of the process.
         let _ = observations.send(Observation { group, member, health });
     }
 }
 
-/// A gateway with its watch of control.
+/// Handles of a running gateway and its watch of control.
 #[derive(Debug)]
 pub struct RunningGateway<W: Wire> {
     pub(super) watch: WatchHandle,
@@ -29,16 +30,18 @@
 }
 
 impl<W: Wire> RunningGateway<W> {
-    /// Waits until the configuration in force is proved to be current and callers can be served.
+    /// Waits until the configuration in force is confirmed current and holds a document, so that callers
+    /// can be served.
     pub async fn until_ready(&self) {
-        let mut proved = self.watch.proved();
+        let mut confirmed_current = self.watch.proved();
         let mut views = self.watch.views();
-        // Both end only with the process.
-        drop(proved.wait_for(Option::is_some).await);
+        // Both channels close only at the end of the process.
+        drop(confirmed_current.wait_for(Option::is_some).await);
         drop(views.wait_for(|view| view.document.is_some()).await);
     }
 
-    /// Stops as planned: tells control, gives callers notice, ends sessions as they fall quiet.
+    /// Performs a planned stop: reports to control that the gateway is draining, notifies callers, ends
+    /// sessions as they become idle, and then ends the watch.
     pub async fn stop(self) {
         self.watch.drain();
         self.gateway.drain().await;
--- a/crates/server/src/deployment/member_calls.rs
+++ b/crates/server/src/deployment/member_calls.rs
@@ -1,6 +1,6 @@
-//! The leader's calls of registered back ends, over the wire of the deployment.
+//! The control leader's calls to registered back ends, over the deployment's wire protocol.
 //!
-//! Owns nothing between calls; the gateway's side of the wire makes them.
+//! The calls use the gateway's client functions; no state is kept between calls.
 
 use super::{Deployment, DeploymentError};
 use corktack_control::{MemberCall, MemberCalls, PromotionAuthority, RegistryCalls};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl Deployment {
-    /// How the leader reaches registered back ends and the authority.
+    /// Returns the leader's means to call registered back ends and the promotion authority.
     pub(super) fn registry_calls<W: Wire + Send + Sync + std::fmt::Debug>(
         &self,
         wire: W,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Calls over the wire of the deployment.
+/// [`MemberCalls`] over the deployment's wire protocol.
 #[derive(Debug)]
 struct WireCalls<W> {
     wire: W,
--- a/crates/server/src/deployment/mod.rs
+++ b/crates/server/src/deployment/mod.rs
@@ -1,8 +1,8 @@
-//! A deployment whose back ends register themselves and whose configuration is one document.
+//! The processes of a deployment whose back ends register themselves and whose configuration is one document.
 //!
-//! Processes of such a deployment know little: their own machine, a few seeds and the bounds that
-//! must be kept. This module owns their addresses; `start` starts their parts, whose timers stand in
-//! `settings` and `bounds`.
+//! Such a process is configured only with its own machine, a few seeds and the bounds that the deployment
+//! must keep. This module derives the addresses; `start` starts the parts of a process, and `settings` and
+//! `bounds` hold their timers.
 
 mod bounds;
 mod gateway;
@@ -21,49 +21,50 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Why a process of a deployment could not start.
+/// Reasons why a process of a deployment could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum DeploymentError {
-    /// A name of the machine is not valid.
+    /// The name of the machine is not a valid name.
     #[error("machine name or zone")]
     Name(#[from] NameError),
-    /// An address cannot be listened on.
+    /// An address could not be listened on.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The control replica cannot start.
+    /// The control replica could not start.
     #[error(transparent)]
     Control(#[from] ControlError),
-    /// The watch of control cannot start.
+    /// The watch of control could not start.
     #[error(transparent)]
     Watch(#[from] WatchError),
-    /// The gateway cannot start.
+    /// The gateway could not start.
     #[error(transparent)]
     Gateway(#[from] GatewayError),
-    /// The machine has no disk, and the role needs one.
+    /// The machine has no data folder, and the role needs one.
     #[error("the role needs a data folder")]
     NoDataFolder,
 }
 
-/// What a process knows of its deployment.
+/// Configuration of a process of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Name of the machine.
+    /// Name of the machine; its gateway uses it as its proxy name.
     pub name: String,
-    /// Its address, as other processes reach it.
+    /// Address at which other processes reach the machine.
     pub machine: IpAddr,
-    /// Where it listens for other processes, if not at its address: behind a relay, say.
+    /// Address on which the process listens for other processes, where it differs from `machine`, for
+    /// example behind a relay.
     pub listen: Option<IpAddr>,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// First of the ports for what processes say to each other; the same on all machines.
+    /// First of the four consecutive ports for connections between processes; the same on all machines.
     pub first_port: u16,
-    /// Machines with control replicas.
+    /// Addresses of machines with control replicas.
     pub seeds: Vec<IpAddr>,
     /// Whether the whole deployment starts for the first time.
     pub bootstrap: bool,
-    /// Folder of the disk, on machines that have one.
+    /// Data folder, on machines that have a disk.
     pub data_folder: Option<PathBuf>,
-    /// Bounds that must be kept.
+    /// Bounds that the deployment must keep.
     pub bounds: DeploymentBounds,
 }
 
@@ -84,25 +85,26 @@
         self.first_port + 3
     }
 
-    /// Where other gateways reach this one.
-    fn peers(&self) -> SocketAddr {
+    /// Returns the address at which other gateways reach this one.
+    fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.machine, self.peers_port())
     }
 
-    fn listening_at(&self, port: u16) -> SocketAddr {
+    fn listen_address(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.listen.unwrap_or(self.machine), port)
     }
 
-    /// Operators come from the machine itself.
-    fn operators(&self) -> SocketAddr {
-        let listening = self.listening_at(self.operators_port());
-        if listening.ip().is_loopback() {
-            return listening;
+    /// Returns the address of the operators' interface, always a loopback address: operators connect from
+    /// the machine itself.
+    fn operator_address(&self) -> SocketAddr {
+        let address = self.listen_address(self.operators_port());
+        if address.ip().is_loopback() {
+            return address;
         }
-        SocketAddr::new(Ipv4Addr::LOCALHOST.into(), listening.port())
+        SocketAddr::new(Ipv4Addr::LOCALHOST.into(), address.port())
     }
 
-    fn at_seeds(&self, port: u16) -> Vec<SocketAddr> {
+    fn seed_addresses(&self, port: u16) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(*seed, port)).collect()
     }
 }
--- a/crates/server/src/deployment/settings.rs
+++ b/crates/server/src/deployment/settings.rs
@@ -1,10 +1,10 @@
 //! The settings of a deployment's control replicas, watches and gateways.
 //!
-//! The timers of these parts stand here: each follows from the deployment's bounds, or is a constant with its
-//! reason. Times of promotions and of control's calls to members stand with their rules
-//! (`core::registry::promotion`, `control::registry_calls`).
+//! Each timer of these parts follows from the deployment's bounds or is a constant of this module. The
+//! timers of promotions and of control's calls to members are in `core::registry::promotion` and
+//! `control::registry_calls`.
 
-use super::bounds::WATCH_SILENCE_LONGEST;
+use super::bounds::MAX_WATCH_SILENCE;
 use super::{Deployment, DeploymentError};
 use crate::watch_client::state::WatchSettings;
 use corktack_control::{ControlSettings, Identity};
@@ -16,66 +16,67 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Name of the one cell of a deployment.
-const CELL: &str = "deployment";
-/// Time between heartbeats of the leader, and the shortest time without one before an election:
-/// several round trips between regions, and few wake-ups on small machines. Chosen, not measured; lower
-/// values replace leaders behind slow links, higher ones add to the time without a leader after a loss.
+/// Name of a deployment's only cell.
+const CELL_NAME: &str = "deployment";
+/// Time between heartbeats of the leader, and the shortest time without a heartbeat before an election. The
+/// values cover several round trips between regions and cause few wake-ups on small machines. Lower values
+/// replace leaders behind slow links, higher ones add to the time without a leader after a loss.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(80);
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(400);
-/// The same for the first election after a start: when all processes were lost together, callers
-/// wait for it, and where a leader lives a pre-vote disturbs nobody. With it, and with pre-votes that are
-/// requested again once a voter can be reached, a leader was there 0.7 s sooner after a simulated loss of
-/// everything. Chosen, not measured by itself; lower values have more candidates at once.
+/// Election timeout for the first election after a start. Callers wait for this election when all processes
+/// were lost together, and a pre-vote doesn't disturb a live leader. Together with pre-votes that are
+/// repeated once a voter can be reached, the short timeout elects a leader 0.7 s sooner after a simulated
+/// loss of all processes. Lower values cause more simultaneous candidates.
 const FIRST_ELECTION_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time between heartbeats of a gateway. Chosen, not measured; a lower value costs small machines more
-/// wake-ups, a higher one adds to the time until a gateway that is gone is noticed.
-const WATCH_INTERVAL: Duration = Duration::from_millis(250);
-/// First and longest pause before other replicas are tried. Chosen, not measured; lower values dial replicas
-/// that are gone more often, higher ones let callers wait after a loss of everything.
-const WATCH_RETRY_FIRST: Duration = Duration::from_millis(50);
-const WATCH_RETRY_LAST: Duration = Duration::from_millis(200);
-/// Log entries after which a snapshot is made: an entry may hold a whole document. Chosen, not measured; a
-/// lower value writes snapshots more often, a higher one sends more entries to a replica that lags.
-const SNAPSHOT_ENTRIES: u64 = 64;
-/// Changes kept for gateways, counted by size. Chosen, not measured; a lower value sends more whole
-/// configurations to those that lag, a higher one takes more memory.
-const WATCH_CHANGES: usize = 1_024;
-/// Longest time that a change waits for its outcome; who sent it tries another replica sooner. Chosen, not
-/// measured; a lower value gives up on changes during an election, a higher one keeps those that are lost.
-const REQUEST_LIMIT: Duration = Duration::from_millis(2_500);
-/// Longest wait until a member accepts a connection. Chosen, not measured: some round trips between regions;
-/// a lower value misses far members, a higher one adds to the time until one that is gone is noticed.
-const MEMBER_CONNECT_LIMIT: Duration = Duration::from_millis(180);
-/// Longest wait for the begin of a transaction at a member. Chosen, not measured, as that for a connection.
-const BEGIN_LIMIT: Duration = Duration::from_millis(200);
-/// Longest wait after that until it is ready: the start takes a slot, which may be long in coming. Chosen,
-/// not measured; a lower value gives up on busy members, a higher one holds up what waits for a connection.
-const DIAL_LIMIT: Duration = Duration::from_millis(600);
+/// Time between heartbeats of a gateway's watch. A lower value costs small machines more wake-ups, a higher
+/// one adds to the time until the loss of a gateway is detected.
+const WATCH_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// First and longest pause before a watch tries other replicas. Lower values connect to lost replicas more
+/// often, higher ones let callers wait after a loss of all processes.
+const MIN_WATCH_RETRY_PAUSE: Duration = Duration::from_millis(50);
+const MAX_WATCH_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Number of log entries after which a snapshot is made; an entry may hold a whole document. A lower value
+/// writes snapshots more often, a higher one sends more entries to a lagging replica.
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 64;
+/// Changes kept for gateways, counted by size. A lower value sends more whole configurations to lagging
+/// gateways, a higher one takes more memory.
+const MAX_WATCH_CHANGES: usize = 1_024;
+/// Longest time that a change waits for its outcome; its sender tries another replica sooner. A lower value
+/// abandons changes during an election, a higher one keeps changes that are lost.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Longest wait until a member accepts a connection: several round trips between regions. A lower value
+/// misses distant members, a higher one adds to the time until the loss of a member is detected.
+const MEMBER_CONNECT_TIMEOUT: Duration = Duration::from_millis(180);
+/// Longest wait for a member to begin a transaction; the same trade-off as for [`MEMBER_CONNECT_TIMEOUT`].
+const BEGIN_TIMEOUT: Duration = Duration::from_millis(200);
+/// Longest wait until an accepted connection is ready: its start takes a slot at the member, which may be
+/// free only late. A lower value abandons busy members, a higher one delays requests that wait for a
+/// connection.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Deployment {
-    /// Settings of the control replica of this machine, without its calls of registered back ends.
+    /// Returns the settings of this machine's control replica, without its calls to registered back ends.
     pub(super) fn control_settings(
         &self,
         identity: &Identity,
-        own: SocketAddr,
+        cell_address: SocketAddr,
         folder: PathBuf,
     ) -> ControlSettings {
-        let cell = CellName(CELL.to_owned());
+        let cell = CellName(CELL_NAME.to_owned());
         let mut settings = ControlSettings::new(cell, identity.replica, identity.start(), folder);
         settings.incarnation = Incarnation(rand::random());
         settings.election_timeout = ELECTION_TIMEOUT;
         settings.first_election_timeout = FIRST_ELECTION_TIMEOUT;
         settings.heartbeat_interval = HEARTBEAT_INTERVAL;
-        settings.proxy_heartbeat_interval = WATCH_INTERVAL;
-        settings.proxy_heartbeat_timeout = WATCH_SILENCE_LONGEST * 2;
-        settings.snapshot_entries = SNAPSHOT_ENTRIES;
-        settings.watch_changes = WATCH_CHANGES;
-        settings.request_timeout = REQUEST_LIMIT;
+        settings.proxy_heartbeat_interval = WATCH_HEARTBEAT_INTERVAL;
+        settings.proxy_heartbeat_timeout = MAX_WATCH_SILENCE * 2;
+        settings.snapshot_entries = SNAPSHOT_INTERVAL_ENTRIES;
+        settings.watch_changes = MAX_WATCH_CHANGES;
+        settings.request_timeout = REQUEST_TIMEOUT;
         settings.workers = 1;
         settings.limits = self.bounds.limits;
-        settings.cell_address = Some(own);
-        settings.join_through = self.at_seeds(self.proxies_port());
+        settings.cell_address = Some(cell_address);
+        settings.join_through = self.seed_addresses(self.proxies_port());
         settings.formation_grace = self.bounds.catch_up;
         settings.cell_repair = Some(CellRepairSettings {
             voters: 2 * self.bounds.tolerated_losses + 1,
@@ -88,13 +89,13 @@
         Ok(WatchSettings {
             proxy: ProxyName::new(self.name.as_str())?,
             incarnation: Incarnation(rand::random()),
-            address: self.peers(),
+            address: self.peer_address(),
             zone: self.zone.clone(),
-            replicas: self.at_seeds(self.proxies_port()),
-            heartbeat_interval: WATCH_INTERVAL,
-            silence_timeout: self.bounds.watch_silence(),
-            retry_minimum: WATCH_RETRY_FIRST,
-            retry_maximum: WATCH_RETRY_LAST,
+            replicas: self.seed_addresses(self.proxies_port()),
+            heartbeat_interval: WATCH_HEARTBEAT_INTERVAL,
+            silence_timeout: self.bounds.watch_silence_timeout(),
+            retry_minimum: MIN_WATCH_RETRY_PAUSE,
+            retry_maximum: MAX_WATCH_RETRY_PAUSE,
             follows_cell: true,
             seed: rand::random(),
         })
@@ -103,15 +104,15 @@
     pub(super) fn gateway_settings(&self) -> Result<GatewaySettings, DeploymentError> {
         Ok(GatewaySettings {
             name: ProxyName::new(self.name.as_str())?,
-            // The watch's, where a gateway is started.
+            // Replaced by the watch's incarnation when a gateway is started.
             incarnation: Incarnation(0),
             limits: self.bounds.limits,
             unproved_limit: self.bounds.unproved_limit,
-            peers: self.peers(),
+            peers: self.peer_address(),
             zone: self.zone.clone(),
-            connect_timeout: MEMBER_CONNECT_LIMIT,
-            dial_timeout: DIAL_LIMIT,
-            begin_timeout: BEGIN_LIMIT,
+            connect_timeout: MEMBER_CONNECT_TIMEOUT,
+            dial_timeout: DIAL_TIMEOUT,
+            begin_timeout: BEGIN_TIMEOUT,
             drain_limit: self.bounds.drain / 2,
             notice: self.bounds.stop_grace / 3,
             transaction_grace: self.bounds.stop_grace / 6,
--- a/crates/server/src/deployment/start.rs
+++ b/crates/server/src/deployment/start.rs
@@ -1,11 +1,11 @@
 //! Starts the control replica or the gateway of a machine.
 //!
-//! Owns nothing of what it started. Relies on `settings` for every timer but the first wait for a connection.
+//! The caller owns the returned handles. All timers but the first connect timeout come from `settings`.
 
-use super::gateway::{RunningGateway, observe};
+use super::gateway::{RunningGateway, forward_reach_reports};
 use super::{Deployment, DeploymentError};
 use crate::listeners::bind;
-use crate::watch_client::{self, NotKept, WatchInputs};
+use crate::watch_client::{self, NoViewStore, WatchInputs};
 use corktack_control::{
     ControlHandle, ControlListeners, ControlReplica, PromotionAuthority, find_identity,
 };
@@ -18,32 +18,32 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// First wait for a connection to control: three round trips between regions of 40 ms. Chosen, not measured
-/// by itself; a lower value misses far replicas at first, a higher one lets callers wait for one that is dark.
-const CONNECT_LIMIT: Duration = Duration::from_millis(120);
+/// First connect timeout of the watch: three round trips of 40 ms between regions. A lower value misses
+/// distant replicas at first, a higher one lets callers wait for an unreachable replica.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 
 impl Deployment {
-    /// Starts the control replica of this machine, inside an actix system. The registry holds its
-    /// metrics.
+    /// Starts the control replica of this machine, inside an actix system. Returns its handle and the
+    /// registry of its metrics.
     ///
     /// # Errors
-    /// [`DeploymentError`]; nothing runs then.
+    /// [`DeploymentError`] when a part cannot be started; no part is left running.
     pub fn start_control<W: Wire + Send + Sync + std::fmt::Debug>(
         &self,
         wire: W,
         authority: Option<Arc<dyn PromotionAuthority>>,
     ) -> Result<(ControlHandle, Registry), DeploymentError> {
         let folder = self.data_folder.clone().ok_or(DeploymentError::NoDataFolder)?;
-        let own = SocketAddr::new(self.machine, self.cell_port());
-        let seeds = self.at_seeds(self.cell_port());
-        let identity = find_identity(&folder, own, &seeds, self.bootstrap)?;
-        let mut settings = self.control_settings(&identity, own, folder);
+        let cell_address = SocketAddr::new(self.machine, self.cell_port());
+        let seeds = self.seed_addresses(self.cell_port());
+        let identity = find_identity(&folder, cell_address, &seeds, self.bootstrap)?;
+        let mut settings = self.control_settings(&identity, cell_address, folder);
         let calls = authority.map(|authority| self.registry_calls(wire, authority));
         settings.registry_calls = calls.transpose()?;
         let listeners = ControlListeners {
-            cell: bind("cell", self.listening_at(self.cell_port()))?,
-            proxies: bind("proxies", self.listening_at(self.proxies_port()))?,
-            operators: bind("operators", self.operators())?,
+            cell: bind("cell", self.listen_address(self.cell_port()))?,
+            proxies: bind("proxies", self.listen_address(self.proxies_port()))?,
+            operators: bind("operators", self.operator_address())?,
         };
         log::info!(machine = self.name.as_str(), replica = identity.replica.0; "control starts");
         let mut registry = Registry::default();
@@ -51,30 +51,34 @@
         Ok((control, registry))
     }
 
-    /// Starts the gateway of this machine, inside an actix system; it serves callers at `callers`.
-    /// The registry holds its metrics.
+    /// Starts the gateway of this machine, inside an actix system; the gateway serves callers at `callers`.
+    /// Returns its handles and the registry of its metrics.
     ///
     /// # Errors
-    /// [`DeploymentError`]; nothing runs then.
+    /// [`DeploymentError`] when a part cannot be started; no part is left running.
     pub fn start_gateway<W: Wire>(
         &self,
         wire: W,
         callers: SocketAddr,
     ) -> Result<(RunningGateway<W>, Registry), DeploymentError> {
-        let peers = self.listening_at(self.peers_port());
+        let peers = self.listen_address(self.peers_port());
         let listeners =
             GatewayListeners { callers: bind("callers", callers)?, peers: bind("peers", peers)? };
         let mut registry = Registry::default();
-        let (observations, observed) = mpsc::unbounded_channel();
-        let (reach, found) = mpsc::unbounded_channel();
-        actix_rt::spawn(observe(found, observations));
-        let (reports, allowances) = mpsc::unbounded_channel();
-        let (said, news) = mpsc::unbounded_channel();
-        let inputs = WatchInputs { observations: observed, allowances, limits: said };
+        let (observations, observation_receiver) = mpsc::unbounded_channel();
+        let (reach, reach_reports) = mpsc::unbounded_channel();
+        actix_rt::spawn(forward_reach_reports(reach_reports, observations));
+        let (reports, allowance_reports) = mpsc::unbounded_channel();
+        let (limit_sender, news) = mpsc::unbounded_channel();
+        let inputs = WatchInputs {
+            observations: observation_receiver,
+            allowance_reports,
+            limit_updates: limit_sender,
+        };
         let settings = self.watch_settings()?;
         let incarnation = settings.incarnation;
-        let store = Box::new(NotKept);
-        let watch = watch_client::start(settings, CONNECT_LIMIT, store, inputs, &mut registry)?;
+        let store = Box::new(NoViewStore);
+        let watch = watch_client::start(settings, CONNECT_TIMEOUT, store, inputs, &mut registry)?;
         let settings = GatewaySettings { incarnation, ..self.gateway_settings()? };
         let limits = LimitsLink { reports, news };
         let links = GatewayLinks { views: watch.views(), proved: watch.proved(), reach, limits };
--- a/crates/server/src/watch_client/connection.rs
+++ b/crates/server/src/watch_client/connection.rs
@@ -1,7 +1,7 @@
-//! The connection to a control replica, as one of three conditions.
+//! The connection to a control replica: closed, opening or open.
 //!
-//! Owns the socket. Decides how the replicas that it is given are tried beside each other; which ones and for
-//! how long is the state machine's.
+//! This module owns the socket and staggers the connection attempts to the given replicas. The state machine
+//! decides which replicas are tried and with which timeout.
 
 use corktack_protocol::control::{ControlMessage, ProxyMessage};
 use corktack_protocol::frame::{FrameCodec, FrameError};
@@ -15,103 +15,111 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Time after which the next replica is tried beside one that has not accepted: a round trip between
-/// the users' farthest regions takes 40 ms. Chosen, not measured by itself; a lower value connects to more
-/// replicas than are needed, a higher one costs more time where the first is dark.
+/// Delay before the next replica is tried in parallel with one that has not accepted yet. A round trip
+/// between the users' farthest regions takes 40 ms: a shorter delay connects to more replicas than needed,
+/// a longer one costs more time when the first replica is unreachable.
 const CONNECT_STAGGER: Duration = Duration::from_millis(50);
 
 type Frames = Framed<TcpStream, FrameCodec<ProxyMessage, ControlMessage>>;
 
-/// What came of waiting on a connection.
+/// What happened on a connection.
 #[derive(Debug)]
-pub(super) enum Arrival {
-    /// It is open now, to this replica.
+pub(super) enum ConnectionEvent {
+    /// The connection is open; the address of the replica, where the socket reports it.
     Opened(Option<SocketAddr>),
-    /// It could not be opened, or is lost.
+    /// The connection could not be opened, or was lost.
     Lost(FrameError),
-    /// A message came in.
+    /// A message arrived.
     Message(Box<ControlMessage>),
 }
 
-/// The connection to a control replica.
+/// State of the connection to a control replica.
 pub(super) enum Connection {
-    /// There is none.
+    /// No connection exists or is being opened.
     Closed,
-    /// It is being opened.
+    /// Replicas are being connected to.
     Opening(BoxFuture<'static, std::io::Result<Frames>>),
-    /// It is open.
+    /// A replica has accepted the connection.
     Open(Box<Frames>),
 }
 
 impl Connection {
-    /// Starts to open a connection to one of the replicas.
-    pub(super) fn open(replicas: Vec<SocketAddr>, limit: Duration) -> Self {
-        Self::Opening(connect_first(replicas, limit).boxed())
+    /// Starts to open a connection to the first of the replicas that accepts; each attempt has
+    /// `connect_timeout`.
+    pub(super) fn open(replicas: Vec<SocketAddr>, connect_timeout: Duration) -> Self {
+        Self::Opening(connect_first(replicas, connect_timeout).boxed())
     }
 
-    /// Waits for the next thing to happen. May be dropped and called again.
-    pub(super) async fn next(&mut self) -> Arrival {
+    /// Waits for the next event. Cancel-safe: the future may be dropped and the function called again.
+    pub(super) async fn next_event(&mut self) -> ConnectionEvent {
         match self {
             Self::Closed => pending().await,
-            Self::Opening(opening) => match opening.await {
+            Self::Opening(attempt) => match attempt.await {
                 Ok(frames) => {
                     let replica = frames.get_ref().peer_addr().ok();
                     *self = Self::Open(Box::new(frames));
-                    Arrival::Opened(replica)
+                    ConnectionEvent::Opened(replica)
                 }
-                Err(error) => self.lost(error.into()),
+                Err(error) => self.close_lost(error.into()),
             },
             Self::Open(frames) => match frames.next().await {
-                Some(Ok(message)) => Arrival::Message(Box::new(message)),
-                Some(Err(error)) => self.lost(error),
-                None => self.lost(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into()),
+                Some(Ok(message)) => ConnectionEvent::Message(Box::new(message)),
+                Some(Err(error)) => self.close_lost(error),
+                None => {
+                    self.close_lost(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into())
+                }
             },
         }
     }
 
-    /// Sends a message; one that cannot be sent within the limit is a lost connection.
+    /// Sends a message on an open connection; without one the message is dropped. A send that exceeds
+    /// `send_timeout` fails with `TimedOut`.
     pub(super) async fn send(
         &mut self,
         message: ProxyMessage,
-        limit: Duration,
+        send_timeout: Duration,
     ) -> Result<(), FrameError> {
         let Self::Open(frames) = self else {
             return Ok(());
         };
-        let late = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
-        timeout(limit, frames.send(message)).await.map_err(late)?
+        let timed_out = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
+        timeout(send_timeout, frames.send(message)).await.map_err(timed_out)?
     }
 
-    fn lost(&mut self, error: FrameError) -> Arrival {
+    fn close_lost(&mut self, error: FrameError) -> ConnectionEvent {
         *self = Self::Closed;
-        Arrival::Lost(error)
+        ConnectionEvent::Lost(error)
     }
 }
 
-/// Connects to the first replica that accepts. Each is tried a little after the one before, whether
-/// that has failed or is still silent: a machine that is dark costs little time.
-async fn connect_first(replicas: Vec<SocketAddr>, limit: Duration) -> std::io::Result<Frames> {
-    let mut tries: FuturesUnordered<_> = replicas
+/// Connects to the first replica that accepts. Attempts start [`CONNECT_STAGGER`] apart, whether the
+/// earlier ones have failed or are still unanswered, so that an unreachable machine costs little time.
+async fn connect_first(
+    replicas: Vec<SocketAddr>,
+    connect_timeout: Duration,
+) -> std::io::Result<Frames> {
+    let mut attempts: FuturesUnordered<_> = replicas
         .into_iter()
         .zip(0..)
-        .map(|(replica, place)| async move {
-            sleep(CONNECT_STAGGER * place).await;
-            connect(replica, limit).await
+        .map(|(replica, index)| async move {
+            sleep(CONNECT_STAGGER * index).await;
+            connect(replica, connect_timeout).await
         })
         .collect();
-    let mut failure = std::io::Error::from(std::io::ErrorKind::AddrNotAvailable);
-    while let Some(connected) = tries.next().await {
+    let mut last_error = std::io::Error::from(std::io::ErrorKind::AddrNotAvailable);
+    while let Some(connected) = attempts.next().await {
         match connected {
             Ok(frames) => return Ok(frames),
-            Err(error) => failure = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(failure)
+    Err(last_error)
 }
 
-async fn connect(replica: SocketAddr, limit: Duration) -> std::io::Result<Frames> {
-    let late = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
-    let stream = timeout(limit, TcpStream::connect(replica)).await.map_err(late)??;
+async fn connect(replica: SocketAddr, connect_timeout: Duration) -> std::io::Result<Frames> {
+    let timed_out = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
+    let stream =
+        timeout(connect_timeout, TcpStream::connect(replica)).await.map_err(timed_out)??;
     Liveness::WITHIN_DEPLOYMENT.apply(&stream)?;
     Ok(Framed::new(stream, FrameCodec::default()))
 }
--- a/crates/server/src/watch_client/metrics.rs
+++ b/crates/server/src/watch_client/metrics.rs
@@ -1,24 +1,24 @@
-//! Metrics of the watch of control.
+//! Metrics of the proxy's watch of control.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Metrics of the watch of control.
+/// The metrics; a clone updates the same values.
 #[derive(Clone, Debug, Default)]
 pub struct WatchMetrics {
-    /// Revision in force.
+    /// Revision of the configuration in force.
     pub revision: Gauge,
-    /// Whether a connection to a control replica is open.
+    /// 1 while a connection to a control replica is open, otherwise 0.
     pub connected: Gauge,
-    /// Connections opened.
+    /// Number of connections opened since the start.
     pub connections: Counter,
-    /// Configurations that could not be put on disk.
+    /// Number of configurations that could not be written to disk.
     pub sync_failures: Counter,
 }
 
 impl WatchMetrics {
-    /// Makes the metrics known to a registry.
+    /// Registers the metrics in a registry.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         registry.register(
--- a/crates/server/src/watch_client/mod.rs
+++ b/crates/server/src/watch_client/mod.rs
@@ -1,8 +1,8 @@
-//! The proxy's side of the watch of control.
+//! The proxy's client of the configuration watch that control replicas serve.
 //!
-//! A task on a thread of its own connects to one control replica, publishes the
-//! configuration in force and sends heartbeats; [`state`] decides, this module performs.
-//! A configuration is published at once and reported as in force once it is on disk.
+//! A task on its own thread connects to one control replica, publishes the configuration in force and sends
+//! heartbeats. The state machine in [`state`] makes the decisions; this module does the I/O. A
+//! configuration is published at once and reported to control as in force once it is on disk.
 
 mod connection;
 mod inputs;
@@ -15,7 +15,7 @@
 pub use inputs::WatchInputs;
 pub use metrics::WatchMetrics;
 pub use state::WatchSettings;
-pub use store::{NotKept, ViewStore};
+pub use store::{NoViewStore, ViewStore};
 pub use view_file::ViewFile;
 
 use corktack_core::view::View;
@@ -28,75 +28,75 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Why the watch could not start.
+/// Reasons why the watch could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// The stored configuration cannot be read.
+    /// The store failed to load the last configuration.
     #[error("the stored configuration cannot be read")]
     Store(#[from] StorageError),
-    /// A thread could not be started.
+    /// The operating system refused the thread that stores configurations.
     #[error("the thread that stores configurations cannot be started")]
     Thread(#[source] std::io::Error),
 }
 
-/// Longest wait of a stop for the thread that stores configurations: a disk that hangs must
-/// not hold up the end of the process. Chosen, not measured; a lower value gives up on slow disks.
-const STOP_LIMIT: Duration = Duration::from_secs(5);
+/// Longest time that a stop waits for the thread that stores configurations, so that a hanging disk does not
+/// block the end of the process. A shorter timeout leaves slow disks without their last write.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A running watch. It ends when the handle is dropped.
+/// Handle of a running watch; dropping it ends the watch.
 #[derive(Debug)]
 pub struct WatchHandle {
     views: watch::Receiver<Arc<View>>,
-    proved: watch::Receiver<Option<Instant>>,
+    confirmed_current: watch::Receiver<Option<Instant>>,
     requests: mpsc::UnboundedSender<Request>,
     arbiter: actix_rt::Arbiter,
-    /// Closed once the store is let go of.
-    ended: mpsc::Receiver<()>,
+    /// Closed once the store is dropped.
+    store_closed: mpsc::Receiver<()>,
 }
 
 impl WatchHandle {
-    /// The configuration in force.
+    /// Returns a receiver of the configuration in force.
     #[must_use]
     pub fn views(&self) -> watch::Receiver<Arc<View>> {
         self.views.clone()
     }
 
-    /// When the newest heartbeat was sent whose answer proved that the configuration in force is current; none
-    /// before the first proof since the start.
+    /// Returns a receiver of the time at which the newest heartbeat was sent whose answer confirmed that the
+    /// configuration in force is current; `None` until the first confirmation since the start.
     #[must_use]
     pub fn proved(&self) -> watch::Receiver<Option<Instant>> {
-        self.proved.clone()
+        self.confirmed_current.clone()
     }
 
-    /// Reports from now on that the proxy is stopping.
+    /// Reports to control from now on that the proxy is draining.
     pub fn drain(&self) {
-        // A watch that has ended reports nothing any more.
+        // Sending fails only after the watch has ended, when it sends no more heartbeats.
         let _ = self.requests.send(Request::Drain);
     }
 
-    /// Ends the watch, and returns once its store is let go of, and with it the lock of the
-    /// data folder. Dropping the handle ends the watch as well, without the wait.
+    /// Ends the watch and waits until its store is dropped, which releases the lock of the data folder.
+    /// Dropping the handle ends the watch as well, but doesn't wait.
     pub async fn stop(mut self) {
-        // It fails only when the watch has ended already.
+        // Sending fails only when the watch has ended already.
         let _ = self.requests.send(Request::Stop);
-        if timeout(STOP_LIMIT, self.ended.recv()).await.is_err() {
-            log::error!("the configuration was still being stored at the end of the watch");
+        if timeout(STOP_TIMEOUT, self.store_closed.recv()).await.is_err() {
+            log::error!("the configuration was not stored before the watch's stop timed out");
         }
     }
 }
 
 impl Drop for WatchHandle {
     fn drop(&mut self) {
-        // Both fail only when the watch has ended already.
+        // Both calls fail only when the watch has ended already.
         let _ = self.requests.send(Request::Stop);
         self.arbiter.stop();
     }
 }
 
-/// Starts the watch from the stored configuration, on a thread of its own.
+/// Starts the watch on its own thread, from the stored configuration.
 ///
 /// # Errors
-/// [`WatchError`] when the stored configuration cannot be read.
+/// [`WatchError`] when the stored configuration cannot be read or a thread cannot be started.
 pub fn start(
     settings: WatchSettings,
     connect_timeout: Duration,
@@ -107,11 +107,11 @@
     let metrics = WatchMetrics::register(registry);
     let stored = store.load()?.unwrap_or_default();
     metrics.revision.set(i64::try_from(stored.revision.0).unwrap_or(i64::MAX));
-    let (publish, views) = watch::channel(Arc::new(stored.clone()));
-    let (proof, proved) = watch::channel(None);
-    let (requests, received) = mpsc::unbounded_channel();
-    let (running, ended) = mpsc::channel(1);
-    let syncer = store::Syncer::start(store, metrics.clone(), running);
+    let (view_sender, views) = watch::channel(Arc::new(stored.clone()));
+    let (confirmed_sender, confirmed_current) = watch::channel(None);
+    let (requests, request_receiver) = mpsc::unbounded_channel();
+    let (store_guard, store_closed) = mpsc::channel(1);
+    let syncer = store::Syncer::start(store, metrics.clone(), store_guard);
     let syncer = syncer.map_err(WatchError::Thread)?;
     let task = WatchTask {
         settings,
@@ -119,12 +119,12 @@
         connect_timeout,
         syncer,
         inputs,
-        requests: received,
-        publish,
-        proved: proof,
+        requests: request_receiver,
+        view_sender,
+        confirmed_current: confirmed_sender,
         metrics,
     };
     let arbiter = actix_rt::Arbiter::new();
     arbiter.spawn(task.run());
-    Ok(WatchHandle { views, proved, requests, arbiter, ended })
+    Ok(WatchHandle { views, confirmed_current, requests, arbiter, store_closed })
 }
--- a/crates/server/src/watch_client/state/messages.rs
+++ b/crates/server/src/watch_client/state/messages.rs
@@ -1,4 +1,4 @@
-//! What the watch is made with, what happens to it and what it wants done.
+//! Settings, events and actions of the watch's state machine.
 
 use corktack_core::identity::{Incarnation, ProxyName, ZoneName};
 use corktack_core::limits::{AllowanceGrant, AllowanceReport};
@@ -11,67 +11,67 @@
 /// Settings of the watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchSettings {
-    /// The proxy.
+    /// Name of the proxy, as it announces itself to control.
     pub proxy: ProxyName,
-    /// Its incarnation.
+    /// The proxy's incarnation, which differs between starts.
     pub incarnation: Incarnation,
-    /// Address of its owner interface, for other proxies.
+    /// Address at which other proxies reach the proxy's owner interface.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The proxy's zone.
     pub zone: ZoneName,
-    /// The control replicas; tried in an order shuffled by `seed`.
+    /// Addresses of the control replicas, tried in an order shuffled by `seed`.
     pub replicas: Vec<SocketAddr>,
-    /// Time between heartbeats.
+    /// Time between heartbeats to control; shorter while observations wait.
     pub heartbeat_interval: Duration,
-    /// Time without a proof that the replica is current before another one is taken.
+    /// Time without a confirmation that the replica is current after which another replica is tried.
     pub silence_timeout: Duration,
     /// Shortest wait before another replica is tried; doubles with each failure.
     pub retry_minimum: Duration,
     /// Longest wait before another replica is tried.
     pub retry_maximum: Duration,
-    /// Whether the replicas that control names take the place of those configured: so it is where
-    /// all of them serve proxies at one port.
+    /// Whether the voters of the cell, as control reports them, replace the configured replicas. This
+    /// requires that all replicas serve proxies at the same port.
     pub follows_cell: bool,
-    /// Seed of the order of replicas and of the jitter.
+    /// Seed of the replicas' order and of the retry jitter.
     pub seed: u64,
 }
 
-/// What happens to the watch.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// The deadline of the state machine is due.
     Tick,
     /// The connection requested is open.
     Connected,
     /// The connection could not be opened, or was lost.
     Disconnected,
-    /// A message came in on the open connection.
+    /// A message arrived on the open connection.
     Message(ControlMessage),
-    /// The proxy observed changes at back ends.
+    /// The proxy observed changes of back ends' health.
     Observed(Vec<Observation>),
-    /// The proxy reports what it holds of tenants' limits.
+    /// The proxy reports on tenants' limits.
     Allowances(AllowanceReport),
-    /// The proxy is stopping.
+    /// The proxy began to drain.
     Draining,
     /// The configuration of this revision is on disk.
     Synced(Revision),
 }
 
-/// What the shell must do, in order.
+/// An output of the state machine, which the watch's task performs in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Open a connection to the first of these that accepts one; the one before is closed.
+    /// Open a connection to the first of these replicas that accepts; an earlier connection is dropped.
     Connect(Vec<SocketAddr>),
     /// Close the connection.
     Disconnect,
-    /// Send on the open connection.
+    /// Send a message on the open connection.
     Send(ProxyMessage),
-    /// The configuration in force rose: publish it and put it on disk.
+    /// Publish the new configuration in force and write it to disk.
     Publish,
-    /// The replica proved that it is current, so the configuration in force is too.
-    Current,
-    /// Pass on to the proxy in which term a leader has been elected.
-    Led(Term),
-    /// Pass on to the proxy what the leader gives of tenants' limits.
-    Granted(AllowanceGrant),
+    /// The replica confirmed that it is current, so the configuration in force is current too.
+    ConfirmedCurrent,
+    /// Forward to the proxy the term in which a leader was elected.
+    LeaderElected(Term),
+    /// Forward to the proxy the leader's grant of tenants' limits.
+    ForwardGrant(AllowanceGrant),
 }
--- a/crates/server/src/watch_client/state/mod.rs
+++ b/crates/server/src/watch_client/state/mod.rs
@@ -1,10 +1,10 @@
-//! Decisions of the proxy's watch of control, as a state machine without I/O.
+//! The state machine of the proxy's watch of control; it does no I/O.
 //!
-//! The shell feeds [`Event`]s with the time and performs the [`Action`]s in order.
-//!
-//! Owns the phase of the connection, the configuration, and what is unacknowledged and unsent. Which replica
-//! is tried next is decided in `replicas`; that one is left in [`WatchState::handle`], when nothing has proved
-//! for the silence timeout that it is current, and when a change doesn't fit the configuration in force.
+//! The watch's task passes [`Event`]s with the time and performs the returned [`Action`]s in order. The
+//! state machine owns the phase of the connection, the configuration in force, the unacknowledged
+//! heartbeats and the unsent observations. `replicas` decides which replica is tried next.
+//! [`WatchState::handle`] leaves a replica that has not confirmed for the silence timeout that it is
+//! current, or whose change doesn't fit the configuration in force.
 
 mod messages;
 mod observations;
@@ -21,13 +21,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Shortest time between two heartbeats that observations cause. Chosen, not measured; a lower value sends more
-/// heartbeats in a burst, a higher one adds to the time until control knows of a fault.
+/// Shortest time between two heartbeats while observations wait. A lower value sends more heartbeats in a
+/// burst, a higher one adds to the time until control learns of a fault.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Waits until the time to try the next replica.
+    /// No connection; the next replicas are tried at this time.
     Waiting(Timestamp),
     /// A connection was requested.
     Connecting,
@@ -35,7 +35,7 @@
     Connected,
 }
 
-/// The state machine.
+/// The watch's state machine.
 #[derive(Debug)]
 pub struct WatchState {
     settings: WatchSettings,
@@ -44,23 +44,23 @@
     phase: Phase,
     replicas: Replicas,
     sequence: u64,
-    /// Sequence of the first heartbeat on the open connection.
+    /// Sequence number of the first heartbeat on the open connection.
     first_sequence: u64,
     last_heartbeat: Timestamp,
-    last_proof: Timestamp,
-    /// When the heartbeats that are not acknowledged yet were sent, by sequence.
+    last_confirmation: Timestamp,
+    /// Send times of the heartbeats that are not acknowledged yet, by sequence number.
     unacknowledged: BTreeMap<u64, Timestamp>,
-    /// When the newest heartbeat that proved something was sent.
-    proved_at: Option<Timestamp>,
+    /// Send time of the newest heartbeat whose answer confirmed that the configuration was current.
+    confirmed_at: Option<Timestamp>,
     draining: bool,
-    /// Whether a change did not fit the configuration in force: the whole is requested.
-    wants_whole: bool,
+    /// Whether a change did not fit the configuration in force: the next hello then requests a snapshot.
+    needs_snapshot: bool,
     observations: Observations,
 }
 
 impl WatchState {
-    /// A watch that goes on from `in_force`, which is on disk or empty. The first
-    /// [`Event::Tick`] makes it connect.
+    /// Returns a watch that starts from `in_force`, which is on disk or empty. The first [`Event::Tick`]
+    /// makes the watch connect.
     #[must_use]
     pub fn new(settings: WatchSettings, in_force: View, now: Timestamp) -> Self {
         Self {
@@ -72,50 +72,52 @@
             sequence: 0,
             first_sequence: 0,
             last_heartbeat: now,
-            last_proof: now,
+            last_confirmation: now,
             unacknowledged: BTreeMap::new(),
-            proved_at: None,
+            confirmed_at: None,
             draining: false,
-            wants_whole: false,
+            needs_snapshot: false,
             observations: Observations::default(),
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub const fn in_force(&self) -> &View {
         &self.in_force
     }
 
-    /// When the newest heartbeat was sent by whose answer the configuration was current.
+    /// Returns the send time of the newest heartbeat whose answer confirmed that the configuration was
+    /// current.
     #[must_use]
-    pub const fn proved_at(&self) -> Option<Timestamp> {
-        self.proved_at
+    pub const fn confirmed_at(&self) -> Option<Timestamp> {
+        self.confirmed_at
     }
 
-    /// When the next [`Event::Tick`] is due.
+    /// Returns the time at which the next [`Event::Tick`] is due.
     #[must_use]
     pub fn deadline(&self) -> Timestamp {
         match self.phase {
             Phase::Waiting(until) => until,
-            Phase::Connecting => self.last_proof + self.settings.silence_timeout,
+            Phase::Connecting => self.last_confirmation + self.settings.silence_timeout,
             Phase::Connected => {
-                let silence = self.last_proof + self.settings.silence_timeout;
-                silence.min(self.last_heartbeat + self.heartbeat_gap())
+                let silence_deadline = self.last_confirmation + self.settings.silence_timeout;
+                silence_deadline.min(self.last_heartbeat + self.next_heartbeat_interval())
             }
         }
     }
 
-    /// Takes one event; the actions are to be performed in order.
+    /// Handles one event and returns the actions to perform, in order.
     #[must_use]
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => {}
-            Event::Connected => return self.connected(now),
-            Event::Disconnected => return self.lost(now),
-            Event::Message(message) => return self.receive(now, message),
-            Event::Observed(observations) => self.observations.take(observations),
-            // What is lost with a connection is reported anew on the next one.
+            Event::Connected => return self.handle_connected(now),
+            Event::Disconnected => return self.handle_disconnected(now),
+            Event::Message(message) => return self.handle_message(now, message),
+            Event::Observed(observations) => self.observations.record(observations),
+            // A report that is lost with its connection is not kept: the proxy sends a new one on the next
+            // connection.
             Event::Allowances(report) if self.phase == Phase::Connected => {
                 return vec![Action::Send(ProxyMessage::Allowances(report))];
             }
@@ -130,42 +132,45 @@
         match self.phase {
             Phase::Waiting(until) if now >= until => vec![self.connect(now)],
             Phase::Waiting(_) => Vec::new(),
-            _ if now >= self.last_proof + self.settings.silence_timeout => self.change_replica(now),
-            Phase::Connected if now >= self.last_heartbeat + self.heartbeat_gap() => {
+            _ if now >= self.last_confirmation + self.settings.silence_timeout => {
+                self.leave_replica(now)
+            }
+            Phase::Connected if now >= self.last_heartbeat + self.next_heartbeat_interval() => {
                 vec![self.heartbeat(now)]
             }
             _ => Vec::new(),
         }
     }
 
-    /// Time between the last heartbeat and the next; short while observations wait.
-    fn heartbeat_gap(&self) -> Duration {
-        if self.observations.wait() {
+    /// Returns the time between the last heartbeat and the next; shorter while observations wait.
+    fn next_heartbeat_interval(&self) -> Duration {
+        if self.observations.has_unsent() {
             return OBSERVATION_INTERVAL.min(self.settings.heartbeat_interval);
         }
         self.settings.heartbeat_interval
     }
 
     fn connect(&mut self, now: Timestamp) -> Action {
-        let replicas = self.replicas.take_next();
+        let replicas = self.replicas.next_replicas();
         self.phase = Phase::Connecting;
-        self.last_proof = now;
+        self.last_confirmation = now;
         Action::Connect(replicas)
     }
 
-    /// Longest wait for a connection: `first` at the first attempt, and twice and four times that
-    /// after failures. Where a replica is dark another is there sooner, and far ones get their time.
+    /// Returns the connect timeout: `initial` at first, doubled after the first failure and doubled again
+    /// after the second. The short first timeout leaves an unreachable replica soon, the longer ones
+    /// suffice for distant replicas.
     #[must_use]
-    pub fn connect_limit(&self, first: Duration) -> Duration {
-        self.replicas.connect_limit(first)
+    pub fn connect_timeout(&self, initial: Duration) -> Duration {
+        self.replicas.connect_timeout(initial)
     }
 
-    fn connected(&mut self, now: Timestamp) -> Vec<Action> {
+    fn handle_connected(&mut self, now: Timestamp) -> Vec<Action> {
         if self.phase != Phase::Connecting {
             return Vec::new();
         }
         self.phase = Phase::Connected;
-        self.last_proof = now;
+        self.last_confirmation = now;
         self.first_sequence = self.sequence + 1;
         self.unacknowledged.clear();
         self.observations.resend_all();
@@ -180,7 +185,7 @@
             incarnation: self.settings.incarnation,
             address: self.settings.address,
             zone: self.settings.zone.clone(),
-            revision: if self.wants_whole { Revision::default() } else { in_force },
+            revision: if self.needs_snapshot { Revision::default() } else { in_force },
         }
     }
 
@@ -205,82 +210,90 @@
         vec![self.heartbeat(now)]
     }
 
-    fn receive(&mut self, now: Timestamp, message: ControlMessage) -> Vec<Action> {
+    fn handle_message(&mut self, now: Timestamp, message: ControlMessage) -> Vec<Action> {
         if self.phase != Phase::Connected {
             return Vec::new();
         }
         match message {
             ControlMessage::Snapshot(view) => {
-                let taken = self.in_force.replace(*view);
-                self.wants_whole &= taken.is_err();
-                self.take(now, taken)
+                let result = self.in_force.replace(*view);
+                self.needs_snapshot &= result.is_err();
+                self.finish_update(now, result)
             }
             ControlMessage::Delta(delta) => {
-                let taken = self.in_force.apply(delta);
-                self.take(now, taken)
+                let result = self.in_force.apply(delta);
+                self.finish_update(now, result)
             }
             ControlMessage::Cell(cell) => {
-                self.replicas.follow_cell(&cell);
+                self.replicas.apply_cell(&cell);
                 Vec::new()
             }
             ControlMessage::HeartbeatAck { sequence, current } => {
-                self.acknowledged(now, sequence, current)
+                self.handle_acknowledgement(now, sequence, current)
             }
-            ControlMessage::Led { term } => vec![Action::Led(term)],
-            ControlMessage::Allowances(grant) => vec![Action::Granted(grant)],
+            ControlMessage::Led { term } => vec![Action::LeaderElected(term)],
+            ControlMessage::Allowances(grant) => vec![Action::ForwardGrant(grant)],
         }
     }
 
-    /// What is not newer is dropped: configuration never reverts. Where a change is for another
-    /// configuration than the one in force, the whole is requested on a new connection.
-    fn take(&mut self, now: Timestamp, taken: Result<(), ViewError>) -> Vec<Action> {
-        match taken {
+    /// Completes an update of the configuration. An update that is not newer was ignored, since the
+    /// configuration never reverts. When a change applies to another document than the one in force, the
+    /// watch reconnects and requests a snapshot.
+    fn finish_update(&mut self, now: Timestamp, result: Result<(), ViewError>) -> Vec<Action> {
+        match result {
             Ok(()) => (),
             Err(ViewError::NotNewer { .. }) => return Vec::new(),
             Err(ViewError::Document(error)) => {
-                log::warn!(error:% = error; "the configuration is asked for whole");
-                self.wants_whole = true;
-                return self.change_replica(now);
+                log::warn!(error:% = error; "configuration change does not fit: a snapshot is requested");
+                self.needs_snapshot = true;
+                return self.leave_replica(now);
             }
         }
         let in_force = &self.in_force;
-        self.observations.retain_groups(|group| is_served(in_force, group));
+        self.observations.retain_groups(|group| has_group(in_force, group));
         vec![Action::Publish]
     }
 
-    /// Only an answer to a heartbeat of this connection proves anything about its replica.
-    fn acknowledged(&mut self, now: Timestamp, sequence: u64, current: bool) -> Vec<Action> {
+    /// Handles the answer to a heartbeat. Only answers to heartbeats of this connection say anything about
+    /// its replica.
+    fn handle_acknowledgement(
+        &mut self,
+        now: Timestamp,
+        sequence: u64,
+        current: bool,
+    ) -> Vec<Action> {
         let of_this_connection = (self.first_sequence..=self.sequence).contains(&sequence);
         if !current || !of_this_connection {
             return Vec::new();
         }
-        self.replicas.note_proof();
-        self.last_proof = now;
+        self.replicas.record_confirmation();
+        self.last_confirmation = now;
         let sent = self.unacknowledged.remove(&sequence);
-        self.unacknowledged.retain(|other, _| *other > sequence);
-        self.proved_at = self.proved_at.max(sent);
-        vec![Action::Current]
+        self.unacknowledged.retain(|unacknowledged, _| *unacknowledged > sequence);
+        self.confirmed_at = self.confirmed_at.max(sent);
+        vec![Action::ConfirmedCurrent]
     }
 
-    fn change_replica(&mut self, now: Timestamp) -> Vec<Action> {
-        self.wait(now);
+    fn leave_replica(&mut self, now: Timestamp) -> Vec<Action> {
+        self.schedule_retry(now);
         vec![Action::Disconnect]
     }
 
-    fn lost(&mut self, now: Timestamp) -> Vec<Action> {
+    fn handle_disconnected(&mut self, now: Timestamp) -> Vec<Action> {
         if !matches!(self.phase, Phase::Waiting(_)) {
-            self.wait(now);
+            self.schedule_retry(now);
         }
         Vec::new()
     }
 
-    fn wait(&mut self, now: Timestamp) {
-        self.phase = Phase::Waiting(now + self.replicas.pause_after_failure());
+    fn schedule_retry(&mut self, now: Timestamp) {
+        self.phase = Phase::Waiting(now + self.replicas.record_failure());
     }
 }
 
-/// Whether the configuration has the group: declared by operators, or by the document.
-fn is_served(view: &View, group: &GroupName) -> bool {
+/// Reports whether the configuration has the group, either declared by operators or as a service of the
+/// document.
+fn has_group(view: &View, group: &GroupName) -> bool {
     let in_document = view.document.as_ref().and_then(|document| document.service(group));
     view.groups.contains_key(group) || in_document.is_some()
 }
--- a/crates/server/src/watch_client/state/observations.rs
+++ b/crates/server/src/watch_client/state/observations.rs
@@ -1,4 +1,4 @@
-//! What the proxy observed of back ends, and what of it the replica has not been sent.
+//! The proxy's observations of back ends' health, and which of them the replica has not been sent yet.
 
 use corktack_core::identity::{GroupName, MemberName};
 use corktack_protocol::control::{MemberHealth, Observation};
@@ -7,39 +7,39 @@
 /// The newest observation of each member.
 #[derive(Debug, Default)]
 pub(super) struct Observations {
-    observed: BTreeMap<(GroupName, MemberName), Observed>,
-    /// Whether one of them may be unsent.
-    unsent: bool,
+    observed: BTreeMap<(GroupName, MemberName), ObservedHealth>,
+    /// Whether at least one observation may be unsent.
+    has_unsent: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Observed {
+struct ObservedHealth {
     health: MemberHealth,
     sent: bool,
 }
 
 impl Observations {
-    /// Whether observations wait to be sent.
-    pub(super) const fn wait(&self) -> bool {
-        self.unsent
+    /// Reports whether observations wait to be sent.
+    pub(super) const fn has_unsent(&self) -> bool {
+        self.has_unsent
     }
 
-    /// Takes new ones in place of older ones.
-    pub(super) fn take(&mut self, observations: Vec<Observation>) {
+    /// Records new observations; each replaces the earlier one of its member.
+    pub(super) fn record(&mut self, observations: Vec<Observation>) {
         for Observation { group, member, health } in observations {
-            self.observed.insert((group, member), Observed { health, sent: false });
-            self.unsent = true;
+            self.observed.insert((group, member), ObservedHealth { health, sent: false });
+            self.has_unsent = true;
         }
     }
 
-    /// A new connection begins: its replica has been sent none of them.
+    /// Marks all observations as unsent, for a replica that was newly connected to.
     pub(super) fn resend_all(&mut self) {
         self.observed.values_mut().for_each(|observed| observed.sent = false);
     }
 
-    /// Those that were not sent yet; they count as sent from now on.
+    /// Returns the unsent observations and marks them as sent.
     pub(super) fn take_unsent(&mut self) -> Vec<Observation> {
-        self.unsent = false;
+        self.has_unsent = false;
         let mut observations = Vec::new();
         for ((group, member), observed) in &mut self.observed {
             if !observed.sent {
@@ -51,7 +51,7 @@
         observations
     }
 
-    /// Forgets groups that are no part of the configuration any more.
+    /// Removes the observations of groups that are no longer in the configuration.
     pub(super) fn retain_groups(&mut self, has_group: impl Fn(&GroupName) -> bool) {
         self.observed.retain(|(group, _), _| has_group(group));
     }
--- a/crates/server/src/watch_client/state/replicas.rs
+++ b/crates/server/src/watch_client/state/replicas.rs
@@ -1,8 +1,8 @@
-//! Which control replicas are tried next, and how long after a failure.
+//! Chooses the control replicas to try next and the pause before each attempt.
 //!
-//! Owns the replicas that are known, whose turn it is, the failures in a row and the random draws: the order
-//! of the replicas and the jitter of the pauses. Relies on the state machine for when a replica is given up:
-//! once nothing has proved for the silence timeout that it is current.
+//! This module owns the replicas' addresses, the position in their order, the number of consecutive
+//! failures and the random generator for the order and the jitter. The state machine decides when a replica
+//! is abandoned: when it has not confirmed for the silence timeout that it is current.
 
 use super::messages::WatchSettings;
 use corktack_core::consensus::CellConfig;
@@ -12,24 +12,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often the time for a connection is doubled after failures. Chosen, not measured; a lower value misses
-/// replicas behind slow links for longer, a higher one waits for longer for those that are dark.
-const CONNECT_LIMIT_DOUBLINGS: u32 = 2;
-/// How often the pause between tries is doubled at most, so that the doubled pause stays in range.
-const RETRY_DOUBLINGS: u32 = 16;
-/// Replicas that are tried at the same time for one connection. As many as the users' deployments may
-/// lose at once, and one more.
-const REPLICAS_TRIED: usize = 3;
-/// Replicas that are remembered. Chosen, not measured; a lower value forgets former replicas sooner, a higher
-/// one tries more that are gone.
-const REPLICA_LIMIT: usize = 16;
+/// Largest number of times that the connect timeout is doubled after failures. A lower value misses
+/// replicas behind slow links for longer, a higher one waits longer for unreachable replicas.
+const MAX_CONNECT_DOUBLINGS: u32 = 2;
+/// Largest number of times that the retry pause is doubled, so that the factor stays within `u32`.
+const MAX_RETRY_DOUBLINGS: u32 = 16;
+/// Replicas that are tried in parallel for one connection: one more than the users' deployments may lose at
+/// once.
+const MAX_REPLICAS_TRIED: usize = 3;
+/// Largest number of replicas that are remembered. A lower value forgets former replicas sooner, a higher one
+/// tries more that no longer exist.
+const MAX_REMEMBERED_REPLICAS: usize = 16;
 
-/// The control replicas as a watch tries them.
+/// The control replicas in the order in which the watch tries them.
 #[derive(Debug)]
 pub(super) struct Replicas {
-    known: Vec<SocketAddr>,
-    next: usize,
-    failures: u32,
+    addresses: Vec<SocketAddr>,
+    next_index: usize,
+    consecutive_failures: u32,
     follows_cell: bool,
     retry_minimum: Duration,
     retry_maximum: Duration,
@@ -37,15 +37,15 @@
 }
 
 impl Replicas {
-    /// The replicas of the settings, in an order shuffled by the seed.
+    /// Returns the replicas of the settings, in an order shuffled by their seed.
     pub(super) fn new(settings: &WatchSettings) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
-        let mut known = settings.replicas.clone();
-        known.shuffle(&mut rng);
+        let mut addresses = settings.replicas.clone();
+        addresses.shuffle(&mut rng);
         Self {
-            known,
-            next: 0,
-            failures: 0,
+            addresses,
+            next_index: 0,
+            consecutive_failures: 0,
             follows_cell: settings.follows_cell,
             retry_minimum: settings.retry_minimum,
             retry_maximum: settings.retry_maximum,
@@ -53,62 +53,66 @@
         }
     }
 
-    /// The replicas to try for one connection, the first of them first; none where none is known, which the
-    /// shell answers with a failed attempt.
-    pub(super) fn take_next(&mut self) -> Vec<SocketAddr> {
-        let mut replicas = self.known.clone();
-        let Some(first) = self.next.checked_rem(replicas.len()) else { return replicas };
+    /// Returns the replicas to try for the next connection, in order, and moves on to the following
+    /// replica. The list is empty when no replica is known; the connection attempt then fails.
+    pub(super) fn next_replicas(&mut self) -> Vec<SocketAddr> {
+        let mut replicas = self.addresses.clone();
+        let Some(first) = self.next_index.checked_rem(replicas.len()) else { return replicas };
         replicas.rotate_left(first);
-        replicas.truncate(REPLICAS_TRIED);
-        self.next += 1;
+        replicas.truncate(MAX_REPLICAS_TRIED);
+        self.next_index += 1;
         replicas
     }
 
-    /// Longest wait for a connection: `first` at the first attempt, and twice and four times that
-    /// after failures. Where a replica is dark another is there sooner, and far ones get their time.
-    pub(super) fn connect_limit(&self, first: Duration) -> Duration {
-        first * (1 << self.failures.min(CONNECT_LIMIT_DOUBLINGS))
+    /// Returns the connect timeout: `initial` at first, doubled after the first failure and doubled again
+    /// after the second. The short first timeout leaves an unreachable replica soon, the longer ones
+    /// suffice for distant replicas.
+    pub(super) fn connect_timeout(&self, initial: Duration) -> Duration {
+        initial * (1 << self.consecutive_failures.min(MAX_CONNECT_DOUBLINGS))
     }
 
-    /// A replica has proved that it is current.
-    pub(super) fn note_proof(&mut self) {
-        self.failures = 0;
+    /// Resets the back-off: a replica has confirmed that it is current.
+    pub(super) fn record_confirmation(&mut self) {
+        self.consecutive_failures = 0;
     }
 
-    /// Counts a failure; the pause before the next try is random, between half and all of the doubled
-    /// minimum.
-    pub(super) fn pause_after_failure(&mut self) -> Duration {
-        let doublings = self.failures.min(RETRY_DOUBLINGS);
+    /// Records a failure and returns the pause before the next attempt: a random time between half and all
+    /// of the minimum pause, which doubles with each failure up to the maximum pause.
+    pub(super) fn record_failure(&mut self) -> Duration {
+        let doublings = self.consecutive_failures.min(MAX_RETRY_DOUBLINGS);
         let doubled = self.retry_minimum.saturating_mul(1 << doublings);
-        let longest = doubled.min(self.retry_maximum);
-        let pause = longest.mul_f64(self.rng.random_range(0.5..=1.0));
-        self.failures += 1;
+        let max_pause = doubled.min(self.retry_maximum);
+        let pause = max_pause.mul_f64(self.rng.random_range(0.5..=1.0));
+        self.consecutive_failures += 1;
         pause
     }
 
-    /// Later connections go to the replicas that there are now, at the port of those configured.
-    pub(super) fn follow_cell(&mut self, cell: &CellConfig) {
-        let Some(port) = self.known.first().map(SocketAddr::port) else { return };
+    /// Makes later connections go to the voters of `cell`, at the port of the configured replicas.
+    pub(super) fn apply_cell(&mut self, cell: &CellConfig) {
+        let Some(port) = self.addresses.first().map(SocketAddr::port) else { return };
         let addresses = cell.voters.iter().map(|voter| SocketAddr::new(voter.address.ip(), port));
         let mut replicas: Vec<SocketAddr> = addresses.collect();
         if !self.follows_cell || replicas.is_empty() {
             return;
         }
-        // While the cell stays the same so does the order: what was tried in vain is not tried
-        // again before the others.
-        let known = &self.known[..replicas.len().min(self.known.len())];
-        if known.len() == replicas.len() && replicas.iter().all(|it| known.contains(it)) {
+        // An unchanged cell keeps its order, so that a replica that failed is not tried again before the
+        // others.
+        let tried_first = &self.addresses[..replicas.len().min(self.addresses.len())];
+        if tried_first.len() == replicas.len()
+            && replicas.iter().all(|replica| tried_first.contains(replica))
+        {
             return;
         }
         replicas.shuffle(&mut self.rng);
-        // Those known before stay behind them, for the day when all the others are gone.
-        let former = std::mem::take(&mut self.known);
-        replicas.extend(former.into_iter().filter(|it| !cell_has(cell, *it)));
-        replicas.truncate(REPLICA_LIMIT);
-        self.known = replicas;
+        // Former replicas stay at the end of the list, as a fallback when all current voters are unreachable.
+        let former_addresses = std::mem::take(&mut self.addresses);
+        replicas
+            .extend(former_addresses.into_iter().filter(|address| !has_voter_at(cell, *address)));
+        replicas.truncate(MAX_REMEMBERED_REPLICAS);
+        self.addresses = replicas;
     }
 }
 
-fn cell_has(cell: &CellConfig, replica: SocketAddr) -> bool {
+fn has_voter_at(cell: &CellConfig, replica: SocketAddr) -> bool {
     cell.voters.iter().any(|voter| voter.address.ip() == replica.ip())
 }
--- a/crates/server/src/watch_client/store.rs
+++ b/crates/server/src/watch_client/store.rs
@@ -1,7 +1,7 @@
-//! The last configuration in force, kept on disk over restarts.
+//! Stores the last configuration in force, so that it survives restarts.
 //!
-//! Owns the thread that writes, so that no event loop waits for the disk. Only the newest configuration is
-//! written where several wait.
+//! A thread of this module does the writes, so that no event loop waits for the disk. When several
+//! configurations are queued, only the newest is written.
 
 use super::metrics::WatchMetrics;
 use corktack_core::view::{Revision, View};
@@ -10,27 +10,27 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use tokio::sync::mpsc;
 
-/// Keeps the last configuration in force.
+/// Storage of the last configuration in force.
 pub trait ViewStore: Send {
-    /// What was kept last; none when nothing was, or when it is damaged: the proxy then starts
-    /// like a fresh one, and waits for control.
+    /// Returns the configuration that was saved last, or `None` when none was saved or the stored one is
+    /// damaged: the proxy then waits for control, as at its first start.
     ///
     /// # Errors
-    /// [`StorageError::Io`].
+    /// [`StorageError::Io`] when the store cannot be read.
     fn load(&self) -> Result<Option<View>, StorageError>;
 
-    /// Keeps a configuration; it is synced when this returns.
+    /// Saves a configuration; it is synced to disk when the call returns.
     ///
     /// # Errors
-    /// [`StorageError::Io`].
+    /// [`StorageError::Io`] when the configuration cannot be written or synced.
     fn save(&mut self, view: &View) -> Result<(), StorageError>;
 }
 
-/// Keeps nothing, for a proxy without a disk: it waits for control at each start.
+/// Stores nothing, for a proxy without a disk: the proxy waits for control at each start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NotKept;
+pub struct NoViewStore;
 
-impl ViewStore for NotKept {
+impl ViewStore for NoViewStore {
     fn load(&self) -> Result<Option<View>, StorageError> {
         Ok(None)
     }
@@ -40,37 +40,38 @@
     }
 }
 
-/// Writes configurations on a thread of its own, so that no event loop waits for the disk.
+/// Handle of the thread that writes configurations to the store.
 pub(super) struct Syncer {
     views: Sender<Arc<View>>,
     synced: mpsc::UnboundedReceiver<Revision>,
 }
 
 impl Syncer {
-    /// Starts the thread; it drops `running` after the store.
+    /// Starts the thread, which drops `store_guard` after the store: the guard's receiver then sees the
+    /// store closed.
     pub(super) fn start(
         store: Box<dyn ViewStore>,
         metrics: WatchMetrics,
-        running: mpsc::Sender<()>,
+        store_guard: mpsc::Sender<()>,
     ) -> std::io::Result<Self> {
-        let (views, written) = channel();
-        let (report, synced) = mpsc::unbounded_channel();
+        let (views, queued_views) = channel();
+        let (synced_sender, synced) = mpsc::unbounded_channel();
         let thread = std::thread::Builder::new().name("view-sync".to_owned());
         thread.spawn(move || {
-            write_views(store, &written, &report, &metrics);
-            drop(running);
+            write_views(store, &queued_views, &synced_sender, &metrics);
+            drop(store_guard);
         })?;
         Ok(Self { views, synced })
     }
 
-    /// Asks for a configuration to be written.
+    /// Queues a configuration to be written.
     pub(super) fn sync(&self, view: Arc<View>) {
         // The thread ends only after this value is dropped.
         let _ = self.views.send(view);
     }
 
-    /// The next revision that is on disk.
-    pub(super) async fn synced(&mut self) -> Option<Revision> {
+    /// Waits for the next revision that is on disk.
+    pub(super) async fn next_synced(&mut self) -> Option<Revision> {
         self.synced.recv().await
     }
 }
@@ -78,16 +79,16 @@
 fn write_views(
     mut store: Box<dyn ViewStore>,
     views: &Receiver<Arc<View>>,
-    report: &mpsc::UnboundedSender<Revision>,
+    synced_sender: &mpsc::UnboundedSender<Revision>,
     metrics: &WatchMetrics,
 ) {
     while let Ok(mut view) = views.recv() {
-        // Only the newest matters.
+        // An older configuration is never read again once a newer one is saved.
         while let Ok(newer) = views.try_recv() {
             view = newer;
         }
         match store.save(&view) {
-            Ok(()) => drop(report.send(view.revision)),
+            Ok(()) => drop(synced_sender.send(view.revision)),
             Err(error) => {
                 metrics.sync_failures.inc();
                 log::error!(error:? = error; "the configuration in force cannot be put on disk");
--- a/crates/server/src/watch_client/task.rs
+++ b/crates/server/src/watch_client/task.rs
@@ -1,9 +1,9 @@
-//! The task that performs what the watch's state machine decides.
+//! The task that performs the actions of the watch's state machine.
 //!
-//! Owns the connection, what is published and the inputs. Relies on the state machine for every decision, and
-//! on the syncer for what is on disk.
+//! The task owns the connection, the published configuration and the input channels. The state machine
+//! makes every decision; the syncer reports which revision is on disk.
 
-use super::connection::{Arrival, Connection};
+use super::connection::{Connection, ConnectionEvent};
 use super::inputs::{Request, WatchInputs};
 use super::metrics::WatchMetrics;
 use super::state::{Action, Event, WatchSettings, WatchState};
@@ -19,11 +19,11 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// Most messages taken before what they changed is published. Chosen, not measured; a lower value publishes more
-/// often in a burst, a higher one later.
-const MESSAGES_BEFORE_PUBLISH: usize = 256;
+/// Connection events handled in one burst before the resulting configuration is published. A lower value
+/// publishes more often in a burst, a higher one later.
+const MAX_MESSAGES_BEFORE_PUBLISH: usize = 256;
 
-/// What the task starts from.
+/// The parts that the task is started with.
 pub(super) struct WatchTask {
     pub(super) settings: WatchSettings,
     pub(super) stored: View,
@@ -31,83 +31,83 @@
     pub(super) syncer: Syncer,
     pub(super) inputs: WatchInputs,
     pub(super) requests: mpsc::UnboundedReceiver<Request>,
-    pub(super) publish: watch::Sender<Arc<View>>,
-    pub(super) proved: watch::Sender<Option<Instant>>,
+    pub(super) view_sender: watch::Sender<Arc<View>>,
+    pub(super) confirmed_current: watch::Sender<Option<Instant>>,
     pub(super) metrics: WatchMetrics,
 }
 
 impl WatchTask {
-    /// Runs until a stop is requested or every handle is gone.
+    /// Runs the watch until a stop is requested or the handle is dropped.
     pub(super) async fn run(self) {
         let origin = Instant::now();
-        let send_limit = self.settings.silence_timeout;
+        let send_timeout = self.settings.silence_timeout;
         let state = WatchState::new(self.settings, self.stored, Timestamp::ZERO);
-        let WatchInputs { observations, allowances, limits } = self.inputs;
-        let shell = Shell {
-            limits,
+        let WatchInputs { observations, allowance_reports, limit_updates } = self.inputs;
+        let driver = Driver {
+            limit_updates,
             origin,
             state,
             connection: Connection::Closed,
             replica: None,
             connect_timeout: self.connect_timeout,
-            send_limit,
+            send_timeout,
             syncer: self.syncer,
-            publish: self.publish,
-            proved: self.proved,
+            view_sender: self.view_sender,
+            confirmed_current: self.confirmed_current,
             metrics: self.metrics,
-            unpublished: false,
+            has_unpublished_view: false,
         };
-        shell.run(observations, allowances, self.requests).await;
+        driver.run(observations, allowance_reports, self.requests).await;
     }
 }
 
-/// The state machine and what its actions act on.
-struct Shell {
+/// Feeds events to the state machine and performs its actions.
+struct Driver {
     origin: Instant,
     state: WatchState,
     connection: Connection,
-    /// The replica of the connection, or of the last one.
+    /// Replica of the open connection, or of the last one that was open.
     replica: Option<SocketAddr>,
     connect_timeout: Duration,
-    send_limit: Duration,
+    send_timeout: Duration,
     syncer: Syncer,
-    publish: watch::Sender<Arc<View>>,
-    proved: watch::Sender<Option<Instant>>,
+    view_sender: watch::Sender<Arc<View>>,
+    confirmed_current: watch::Sender<Option<Instant>>,
     metrics: WatchMetrics,
-    /// Takes what control grants of limits.
-    limits: mpsc::UnboundedSender<LimitNews>,
-    unpublished: bool,
+    /// Receives control's grants and the terms of newly elected leaders.
+    limit_updates: mpsc::UnboundedSender<LimitNews>,
+    has_unpublished_view: bool,
 }
 
-impl Shell {
+impl Driver {
     async fn run(
         mut self,
         mut observations: mpsc::UnboundedReceiver<Observation>,
-        mut allowances: mpsc::UnboundedReceiver<AllowanceReport>,
+        mut allowance_reports: mpsc::UnboundedReceiver<AllowanceReport>,
         mut requests: mpsc::UnboundedReceiver<Request>,
     ) {
         loop {
-            let wake = tokio::time::Instant::from_std(self.instant(self.state.deadline()));
+            let deadline = tokio::time::Instant::from_std(self.to_instant(self.state.deadline()));
             tokio::select! {
                 request = requests.recv() => match request {
                     Some(Request::Drain) => self.handle(Event::Draining).await,
                     Some(Request::Stop) | None => return,
                 },
                 Some(first) = observations.recv() => {
-                    let mut seen = vec![first];
-                    while let Ok(next) = observations.try_recv() {
-                        seen.push(next);
+                    let mut observed = vec![first];
+                    while let Ok(observation) = observations.try_recv() {
+                        observed.push(observation);
                     }
-                    self.handle(Event::Observed(seen)).await;
+                    self.handle(Event::Observed(observed)).await;
                 }
-                Some(report) = allowances.recv() => {
+                Some(report) = allowance_reports.recv() => {
                     self.handle(Event::Allowances(report)).await;
                 }
-                Some(revision) = self.syncer.synced() => {
+                Some(revision) = self.syncer.next_synced() => {
                     self.handle(Event::Synced(revision)).await;
                 }
-                arrival = self.connection.next() => self.arrived(arrival).await,
-                () = tokio::time::sleep_until(wake) => self.handle(Event::Tick).await,
+                event = self.connection.next_event() => self.handle_connection_events(event).await,
+                () = tokio::time::sleep_until(deadline) => self.handle(Event::Tick).await,
             }
         }
     }
@@ -116,39 +116,39 @@
         Timestamp::ZERO + self.origin.elapsed()
     }
 
-    fn instant(&self, time: Timestamp) -> Instant {
+    fn to_instant(&self, time: Timestamp) -> Instant {
         self.origin + time.saturating_since(Timestamp::ZERO)
     }
 
-    /// Takes what arrived, and what is there already behind it, then publishes once.
-    async fn arrived(&mut self, first: Arrival) {
+    /// Handles a connection event and those that are available without waiting, then publishes once.
+    async fn handle_connection_events(&mut self, first: ConnectionEvent) {
         let mut next = Some(first);
-        let mut taken = 0;
-        while let Some(arrival) = next.take() {
-            let event = self.event(arrival);
-            self.handle(event).await;
-            taken += 1;
-            if taken < MESSAGES_BEFORE_PUBLISH {
-                next = self.connection.next().now_or_never();
+        let mut handled = 0;
+        while let Some(event) = next.take() {
+            let watch_event = self.translate_event(event);
+            self.handle(watch_event).await;
+            handled += 1;
+            if handled < MAX_MESSAGES_BEFORE_PUBLISH {
+                next = self.connection.next_event().now_or_never();
             }
         }
-        self.publish();
+        self.publish_view();
     }
 
-    fn event(&mut self, arrival: Arrival) -> Event {
-        match arrival {
-            Arrival::Opened(replica) => {
+    fn translate_event(&mut self, event: ConnectionEvent) -> Event {
+        match event {
+            ConnectionEvent::Opened(replica) => {
                 self.replica = replica;
                 self.metrics.connections.inc();
                 self.metrics.connected.set(1);
                 Event::Connected
             }
-            Arrival::Lost(error) => {
+            ConnectionEvent::Lost(error) => {
                 log::info!(replica:? = self.replica, error:% = error; "connection to control lost");
                 self.metrics.connected.set(0);
                 Event::Disconnected
             }
-            Arrival::Message(message) => Event::Message(*message),
+            ConnectionEvent::Message(message) => Event::Message(*message),
         }
     }
 
@@ -163,58 +163,59 @@
         match action {
             Action::Connect(replicas) => {
                 log::debug!(replicas:? = replicas; "connecting to control");
-                let limit = self.state.connect_limit(self.connect_timeout);
-                self.connection = Connection::open(replicas, limit);
+                let timeout = self.state.connect_timeout(self.connect_timeout);
+                self.connection = Connection::open(replicas, timeout);
             }
             Action::Disconnect => {
                 log::warn!(
                     replica:? = self.replica;
-                    "no proof from the control replica that it is current; changing it"
+                    "control replica did not confirm in time that it is current: another is tried"
                 );
-                self.close();
+                self.close_connection();
             }
             Action::Send(message) => {
-                if let Err(error) = self.connection.send(message, self.send_limit).await {
+                if let Err(error) = self.connection.send(message, self.send_timeout).await {
                     log::info!(
                         replica:? = self.replica, error:% = error; "connection to control lost"
                     );
-                    self.close();
-                    // A lost connection only sets the time of the next try.
+                    self.close_connection();
+                    // The state machine answers a lost connection with no action: it only sets the time of
+                    // the next attempt.
                     let now = self.now();
                     let _ = self.state.handle(now, Event::Disconnected);
                 }
             }
-            Action::Publish => self.unpublished = true,
-            Action::Led(term) => self.pass_on(LimitNews::Led(term)),
-            Action::Granted(grant) => self.pass_on(LimitNews::Granted(grant)),
-            Action::Current => {
-                self.publish();
-                let proved_at = self.state.proved_at().map(|at| self.instant(at));
-                if self.proved.send_replace(proved_at).is_none() {
-                    log::info!(replica:? = self.replica; "configuration is proved to be current");
+            Action::Publish => self.has_unpublished_view = true,
+            Action::LeaderElected(term) => self.forward_limit_update(LimitNews::Led(term)),
+            Action::ForwardGrant(grant) => self.forward_limit_update(LimitNews::Granted(grant)),
+            Action::ConfirmedCurrent => {
+                self.publish_view();
+                let confirmed_at = self.state.confirmed_at().map(|time| self.to_instant(time));
+                if self.confirmed_current.send_replace(confirmed_at).is_none() {
+                    log::info!(replica:? = self.replica; "configuration is confirmed current");
                 }
             }
         }
     }
 
-    fn pass_on(&self, news: LimitNews) {
-        // A proxy without tenants does not listen.
-        let _ = self.limits.send(news);
+    fn forward_limit_update(&self, update: LimitNews) {
+        // A proxy without tenants has dropped the receiver.
+        let _ = self.limit_updates.send(update);
     }
 
-    fn close(&mut self) {
+    fn close_connection(&mut self) {
         self.connection = Connection::Closed;
         self.metrics.connected.set(0);
     }
 
-    fn publish(&mut self) {
-        if !std::mem::take(&mut self.unpublished) {
+    fn publish_view(&mut self) {
+        if !std::mem::take(&mut self.has_unpublished_view) {
             return;
         }
         let view = Arc::new(self.state.in_force().clone());
         self.metrics.revision.set(i64::try_from(view.revision.0).unwrap_or(i64::MAX));
         log::debug!(revision = view.revision.0; "configuration in force");
         self.syncer.sync(Arc::clone(&view));
-        self.publish.send_replace(view);
+        self.view_sender.send_replace(view);
     }
 }
--- a/crates/server/src/watch_client/view_file.rs
+++ b/crates/server/src/watch_client/view_file.rs
@@ -1,6 +1,6 @@
-//! The last configuration in a file of the data folder.
+//! A [`ViewStore`] that keeps the last configuration in one file of the data folder.
 //!
-//! Owns the file. A damaged one is passed over: the proxy then waits for control, as at its first start.
+//! A damaged file is ignored: the proxy then waits for control, as at its first start.
 
 use super::store::ViewStore;
 use corktack_core::view::View;
@@ -9,17 +9,17 @@
 /// Name of the file in the data folder.
 const VIEW_FILE: &str = "view";
 
-/// Keeps the configuration in one file, replaced as a whole and synced.
+/// Keeps the configuration in one file, which each save replaces as a whole and syncs.
 #[derive(Debug)]
 pub struct ViewFile {
     file: SyncedFile,
 }
 
 impl ViewFile {
-    /// A store in a data folder.
+    /// Returns the store in a data folder; no file needs to exist yet.
     ///
     /// # Errors
-    /// [`StorageError::Io`].
+    /// [`StorageError::Io`] when the file cannot be accessed.
     pub fn open(folder: &DataFolder) -> Result<Self, StorageError> {
         Ok(Self { file: SyncedFile::new(folder, VIEW_FILE)? })
     }
@@ -29,7 +29,7 @@
     fn load(&self) -> Result<Option<View>, StorageError> {
         match self.file.load() {
             Err(error @ StorageError::Corrupt { .. }) => {
-                log::warn!(error:% = error; "the stored configuration is not used");
+                log::warn!(error:% = error; "the stored configuration is damaged and not used");
                 Ok(None)
             }
             loaded => loaded,
--- a/crates/server/tests/watch_client.rs
+++ b/crates/server/tests/watch_client.rs
@@ -1,4 +1,4 @@
-//! The watch over sockets, against control replicas played by the test.
+//! Tests of the watch over sockets, against control replicas that the tests simulate.
 
 use corktack_core::identity::Incarnation;
 use corktack_core::resources::PriorityClassSpec;
@@ -6,7 +6,7 @@
 use corktack_protocol::control::{ControlMessage, ProxyMessage};
 use corktack_protocol::frame::FrameCodec;
 use corktack_server::watch_client::{
-    self, NotKept, ViewFile, ViewStore, WatchHandle, WatchInputs, WatchSettings,
+    self, NoViewStore, ViewFile, ViewStore, WatchHandle, WatchInputs, WatchSettings,
 };
 use corktack_storage::{DataFolder, StorageError};
 use futures_util::{FutureExt, SinkExt, StreamExt};
@@ -23,17 +23,17 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// Bound on every wait of these tests.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Longest duration of every wait in these tests.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-type Proxy = Framed<TcpStream, FrameCodec<ControlMessage, ProxyMessage>>;
+type ProxyConnection = Framed<TcpStream, FrameCodec<ControlMessage, ProxyMessage>>;
 
 fn start(folder: &Path, replicas: Vec<SocketAddr>) -> WatchHandle {
-    start_with(Box::new(open(folder)), replicas)
+    start_with_store(Box::new(open_view_file(folder)), replicas)
 }
 
-fn start_with(store: Box<dyn ViewStore>, replicas: Vec<SocketAddr>) -> WatchHandle {
-    start_settings(store, settings(replicas))
+fn start_with_store(store: Box<dyn ViewStore>, replicas: Vec<SocketAddr>) -> WatchHandle {
+    start_with_settings(store, settings(replicas))
 }
 
 fn settings(replicas: Vec<SocketAddr>) -> WatchSettings {
@@ -52,15 +52,15 @@
     }
 }
 
-fn start_settings(store: Box<dyn ViewStore>, settings: WatchSettings) -> WatchHandle {
+fn start_with_settings(store: Box<dyn ViewStore>, settings: WatchSettings) -> WatchHandle {
     let (_, observations) = mpsc::unbounded_channel();
     let mut registry = Registry::default();
     let inputs = WatchInputs::without_limits(observations);
-    watch_client::start(settings, LIMIT, store, inputs, &mut registry).expect("watch started")
+    watch_client::start(settings, TIMEOUT, store, inputs, &mut registry).expect("watch started")
 }
 
-/// Opens the view's file; the lock goes with the folder's last user.
-fn open(folder: &Path) -> ViewFile {
+/// Opens the view's file; the folder stays locked until its last user is dropped.
+fn open_view_file(folder: &Path) -> ViewFile {
     ViewFile::open(&DataFolder::open(folder).expect("free folder")).expect("view file opened")
 }
 
@@ -70,12 +70,12 @@
     (listener, address)
 }
 
-/// Takes a connection; returns it with the revision of its hello.
-async fn accept(listener: &TcpListener) -> (Proxy, Revision) {
+/// Accepts a connection and returns it with the revision in its hello.
+async fn accept(listener: &TcpListener) -> (ProxyConnection, Revision) {
     let (stream, _) =
-        timeout(LIMIT, listener.accept()).await.expect("a connection in time").expect("accepted");
+        timeout(TIMEOUT, listener.accept()).await.expect("a connection in time").expect("accepted");
     let mut proxy = Framed::new(stream, FrameCodec::default());
-    let hello = timeout(LIMIT, proxy.next())
+    let hello = timeout(TIMEOUT, proxy.next())
         .await
         .expect("a hello in time")
         .expect("open connection")
@@ -84,13 +84,13 @@
     (proxy, revision)
 }
 
-/// Where packets get no answer, as at a machine that lost its power: the queue of connections that
-/// nobody accepts is full. The sockets keep it so.
-fn dark() -> (Vec<socket2::Socket>, SocketAddr) {
+/// Returns an address at which connection attempts get no answer, as at a machine without power: the
+/// backlog of its listener is full, as long as the returned sockets are kept.
+fn unreachable_replica() -> (Vec<socket2::Socket>, SocketAddr) {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("valid literal");
     let socket = || {
-        let kind = socket2::Type::STREAM.nonblocking();
-        socket2::Socket::new(socket2::Domain::IPV4, kind, None).expect("a socket")
+        let socket_type = socket2::Type::STREAM.nonblocking();
+        socket2::Socket::new(socket2::Domain::IPV4, socket_type, None).expect("a socket")
     };
     let listener = socket();
     listener.bind(&any.into()).expect("free port");
@@ -99,32 +99,35 @@
     let mut sockets = vec![listener];
     for _ in 0..4 {
         let filler = socket();
-        // Under way as long as the socket lives.
+        // The connection attempt lasts as long as the socket exists.
         let _ = filler.connect(&address);
         sockets.push(filler);
     }
     (sockets, address.as_socket().expect("an address of the internet"))
 }
 
-/// Each dark one costs 50 ms, not the whole time that a connection may take. The seed decides which
-/// is tried first.
+/// Guards against waiting for the whole connect timeout of an unreachable replica: each costs only 50 ms.
+/// The seed decides which replica is tried first.
 #[rstest]
 #[actix_rt::test]
-async fn a_replica_that_is_dark_does_not_hold_the_first_connection_up(
+async fn an_unreachable_replica_does_not_delay_the_first_connection(
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
-    let (_first, dark_first) = dark();
-    let (_second, dark_second) = dark();
-    let (listener, alive) = listen().await;
-    let replicas = vec![dark_first, dark_second, alive];
-    let settings = WatchSettings { silence_timeout: LIMIT, seed, ..settings(replicas) };
-    let _watch = start_settings(Box::new(NotKept), settings);
-    let accepted = timeout(LIMIT / 4, accept(&listener)).await;
-    assert_eq!(accepted.expect("long before a dark one is given up").1, Revision(0));
+    let (_first_sockets, first_unreachable) = unreachable_replica();
+    let (_second_sockets, second_unreachable) = unreachable_replica();
+    let (listener, reachable) = listen().await;
+    let replicas = vec![first_unreachable, second_unreachable, reachable];
+    let settings = WatchSettings { silence_timeout: TIMEOUT, seed, ..settings(replicas) };
+    let _watch = start_with_settings(Box::new(NoViewStore), settings);
+    let accepted = timeout(TIMEOUT / 4, accept(&listener)).await;
+    assert_eq!(
+        accepted.expect("accepted long before the attempt at an unreachable replica times out").1,
+        Revision(0)
+    );
 }
 
 /// Answers heartbeats until one reports the revision.
-async fn acknowledge_until(proxy: &mut Proxy, expected: Revision) {
+async fn acknowledge_until(proxy: &mut ProxyConnection, expected: Revision) {
     let answer = async {
         loop {
             let message = proxy.next().await.expect("open connection").expect("whole frame");
@@ -136,18 +139,18 @@
             }
         }
     };
-    timeout(LIMIT, answer).await.expect("the revision is reported in time");
+    timeout(TIMEOUT, answer).await.expect("the revision is reported in time");
 }
 
 async fn wait_for_revision(watch: &WatchHandle, revision: Revision) {
     let mut views = watch.views();
-    timeout(LIMIT, views.wait_for(|view| view.revision == revision))
+    timeout(TIMEOUT, views.wait_for(|view| view.revision == revision))
         .await
         .expect("in time")
         .expect("the watch runs");
 }
 
-/// Reads the file once the watch that was dropped has let go of the folder.
+/// Reads the view's file once the dropped watch has released the folder.
 async fn wait_for_file(folder: &Path) -> View {
     let read = async {
         loop {
@@ -161,7 +164,7 @@
             tokio::task::yield_now().await;
         }
     };
-    timeout(LIMIT, read).await.expect("the folder is free in time")
+    timeout(TIMEOUT, read).await.expect("the folder is free in time")
 }
 
 fn delta(revision: u64) -> ControlMessage {
@@ -184,7 +187,7 @@
     wait_for_revision(&watch, Revision(500)).await;
     acknowledge_until(&mut proxy, Revision(500)).await;
     let in_force = watch.views().borrow().clone();
-    timeout(LIMIT, watch.proved().wait_for(Option::is_some))
+    timeout(TIMEOUT, watch.proved().wait_for(Option::is_some))
         .await
         .expect("in time")
         .expect("the watch runs");
@@ -195,10 +198,10 @@
 }
 
 #[actix_rt::test]
-async fn a_restarted_proxy_goes_on_from_the_stored_configuration() {
+async fn a_restarted_proxy_starts_from_the_stored_configuration() {
     let folder = tempfile::tempdir().expect("temporary folder");
     let stored = View { revision: Revision(7), ..View::default() };
-    open(folder.path()).save(&stored).expect("view stored");
+    open_view_file(folder.path()).save(&stored).expect("view stored");
     let (listener, address) = listen().await;
     let watch = start(folder.path(), vec![address]);
     assert_eq!(watch.views().borrow().revision, Revision(7));
@@ -213,7 +216,7 @@
 #[case::empty(|bytes: &mut Vec<u8>| bytes.clear())]
 fn a_damaged_file_is_not_used(#[case] damage: fn(&mut Vec<u8>)) {
     let folder = tempfile::tempdir().expect("temporary folder");
-    let mut file = open(folder.path());
+    let mut file = open_view_file(folder.path());
     file.save(&View { revision: Revision(7), ..View::default() }).expect("view stored");
     let path = folder.path().join("view");
     let mut bytes = std::fs::read(&path).expect("file read");
@@ -223,20 +226,20 @@
 }
 
 #[actix_rt::test]
-async fn a_silent_replica_is_left_for_another_one_and_nothing_reverts() {
+async fn a_silent_replica_is_replaced_by_another_and_the_configuration_never_reverts() {
     let folder = tempfile::tempdir().expect("temporary folder");
     let (first, first_address) = listen().await;
     let (second, second_address) = listen().await;
     let watch = start(folder.path(), vec![first_address, second_address]);
-    let (silent, other) = tokio::select! {
+    let (silent, other_listener) = tokio::select! {
         accepted = accept(&first) => (accepted, &second),
         accepted = accept(&second) => (accepted, &first),
     };
     let mut silent = silent.0;
     silent.send(delta(3)).await.expect("sent to the proxy");
     wait_for_revision(&watch, Revision(3)).await;
-    // The silent one keeps its connection open and proves nothing.
-    let (mut proxy, revision) = accept(other).await;
+    // The silent replica keeps its connection open and confirms nothing.
+    let (mut proxy, revision) = accept(other_listener).await;
     assert_eq!(revision, Revision(3));
     let old = View { revision: Revision(2), ..View::default() };
     proxy.send(ControlMessage::Snapshot(Box::new(old))).await.expect("sent to the proxy");
@@ -245,13 +248,13 @@
     assert_eq!(watch.views().borrow().classes.len(), 2);
 }
 
-/// A store that is let go of only once the test says so.
-struct HeldStore {
-    release: Receiver<()>,
-    released: Arc<AtomicBool>,
+/// A store whose drop blocks until the test allows it.
+struct BlockingStore {
+    allow_drop: Receiver<()>,
+    dropped: Arc<AtomicBool>,
 }
 
-impl ViewStore for HeldStore {
+impl ViewStore for BlockingStore {
     fn load(&self) -> Result<Option<View>, StorageError> {
         Ok(None)
     }
@@ -261,23 +264,23 @@
     }
 }
 
-impl Drop for HeldStore {
+impl Drop for BlockingStore {
     fn drop(&mut self) {
-        self.release.recv().expect("the test releases it");
-        self.released.store(true, Ordering::SeqCst);
+        self.allow_drop.recv().expect("the test allows the drop");
+        self.dropped.store(true, Ordering::SeqCst);
     }
 }
 
 #[actix_rt::test]
-async fn a_stop_returns_once_the_data_folder_is_let_go_of() {
-    let (release, held) = channel();
-    let released = Arc::new(AtomicBool::new(false));
-    let store = HeldStore { release: held, released: Arc::clone(&released) };
+async fn a_stop_returns_once_the_store_is_dropped() {
+    let (allow_drop, drop_allowed) = channel();
+    let dropped = Arc::new(AtomicBool::new(false));
+    let store = BlockingStore { allow_drop: drop_allowed, dropped: Arc::clone(&dropped) };
     let (_listener, address) = listen().await;
-    let watch = start_with(Box::new(store), vec![address]);
+    let watch = start_with_store(Box::new(store), vec![address]);
     let mut stop = Box::pin(watch.stop());
-    assert!(stop.as_mut().now_or_never().is_none(), "the store is still held");
-    release.send(()).expect("the store waits");
+    assert!(stop.as_mut().now_or_never().is_none(), "the store is not dropped yet");
+    allow_drop.send(()).expect("the store waits");
     stop.await;
-    assert!(released.load(Ordering::SeqCst));
+    assert!(dropped.load(Ordering::SeqCst));
 }
