--- a/crates/owner/src/backlog.rs
+++ b/crates/owner/src/backlog.rs
@@ -1,17 +1,17 @@
-//! Messages that wait to be sent on a link.
+//! Queue of messages to send on a link, with backpressure.
 //!
-//! Answers of back ends are bounded by the window of each stream. What the owner
-//! itself says, such as refusals, is bounded here: a link is not read while too
-//! many messages wait on it, so an edge that asks and does not listen waits too.
+//! The window of each stream bounds the answers of back ends. This queue bounds the owner's own messages,
+//! such as refusals: a link is not read while too many messages wait on it, so an edge that sends requests
+//! without receiving answers is slowed down.
 
 use corktack_protocol::peer::OwnerMessage;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::{Notify, mpsc};
 
-/// Messages that may wait before a link is no longer read. Chosen, not measured: far above what an edge that
-/// listens has waiting; a lower limit holds up edges with many streams, a higher one costs memory for an edge
-/// that does not listen.
+/// Number of waiting messages at which a link is no longer read. The limit is far above the backlog of an
+/// edge that receives its answers. A lower limit slows down edges with many streams; a higher one costs
+/// memory for an edge that does not receive.
 const BACKLOG_LIMIT: usize = 16 * 1024;
 
 #[derive(Debug, Default)]
@@ -20,21 +20,21 @@
     sent: Notify,
 }
 
-/// The end of a link's queue that messages are put in.
+/// The sending half of a link's queue.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkSender {
     queue: mpsc::UnboundedSender<OwnerMessage>,
     waiting: Arc<Waiting>,
 }
 
-/// The end that the link sends from.
+/// The receiving half of a link's queue, from which the link writes to its socket.
 #[derive(Debug)]
 pub(crate) struct LinkQueue {
     queue: mpsc::UnboundedReceiver<OwnerMessage>,
     waiting: Arc<Waiting>,
 }
 
-/// A queue for one link.
+/// Creates the queue of one link.
 pub(crate) fn queue() -> (LinkSender, LinkQueue) {
     let (sender, receiver) = mpsc::unbounded_channel();
     let waiting = Arc::<Waiting>::default();
@@ -43,19 +43,19 @@
 }
 
 impl LinkSender {
-    /// Puts a message in the queue.
+    /// Queues a message.
     pub fn send(&self, message: OwnerMessage) {
         self.waiting.count.fetch_add(1, Ordering::Relaxed);
-        // A link that is gone has no one to answer.
+        // The send fails only when the link is closed, and its edge is gone then.
         let _ = self.queue.send(message);
     }
 
-    /// Whether as many messages wait as may.
+    /// Reports whether the queue has reached its limit.
     pub fn is_full(&self) -> bool {
         self.waiting.count.load(Ordering::Relaxed) >= BACKLOG_LIMIT
     }
 
-    /// Waits until fewer messages wait than may.
+    /// Waits until the queue is below its limit.
     pub async fn has_room(&self) {
         while self.is_full() {
             self.waiting.sent.notified().await;
@@ -64,13 +64,13 @@
 }
 
 impl LinkQueue {
-    /// The next message; none when no sender is left. Safe to cancel.
+    /// Waits for the next message; returns `None` when no sender is left. Safe to cancel.
     pub async fn recv(&mut self) -> Option<OwnerMessage> {
         let message = self.queue.recv().await;
         self.note_taken(message)
     }
 
-    /// The next message, if one waits.
+    /// Returns the next message if one is queued.
     pub fn try_recv(&mut self) -> Option<OwnerMessage> {
         let message = self.queue.try_recv().ok();
         self.note_taken(message)
--- a/crates/owner/src/barrier.rs
+++ b/crates/owner/src/barrier.rs
@@ -1,10 +1,8 @@
 //! Barriers: committed positions that a majority confirmed after a request arrived.
 //!
-//! One barrier is in flight at a time. A request that arrives after it was sent
-//! waits for the next one, since only that is confirmed after its arrival.
-//!
-//! The module owns the connection to the primary for barriers; it relies on `barrier_queue` for who waits and
-//! on the configuration in force for who is the primary.
+//! One barrier is in flight at a time. A request that arrives after a barrier was sent waits for the next
+//! barrier, since only that one is confirmed after the request's arrival. Barriers have a connection of their
+//! own to the primary; `barrier_queue` holds the requests that wait.
 
 use crate::connection::{ConnectionError, ServerConnection};
 use crate::group::{CONTROL_APPLICATION_NAME, Group};
@@ -14,11 +12,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for the primary's answer. Chosen, not measured: a shorter one fails reads behind a slow link, a
-/// longer one holds all reads that wait behind a primary that says nothing.
+/// Longest wait for the primary's answer. A shorter timeout fails reads behind a slow link; a longer one
+/// delays all reads that wait for an unresponsive primary.
 const BARRIER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connection to the primary for barriers.
+/// Connection for barriers, with the primary and term that it was opened for.
 struct BarrierConnection {
     connection: ServerConnection,
     primary: (MemberName, Term),
@@ -29,14 +27,14 @@
     let mut connection = None;
     loop {
         group.barriers.arrived().await;
-        // All that wait now arrived before the question below is sent.
+        // These requests arrived before the query below is sent.
         let waiting = group.barriers.take();
         if waiting.is_empty() {
             continue;
         }
         let position = confirm(&group, &mut connection).await;
         for sender in waiting {
-            // A waiter that is gone needs no answer.
+            // The send fails only when the request is gone.
             let _ = sender.send(position);
         }
     }
--- a/crates/owner/src/barrier_queue.rs
+++ b/crates/owner/src/barrier_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a barrier, and how they get its answer.
+//! Queue of the requests that wait for a barrier.
 
 use crate::lock::lock;
 use corktack_core::position::Position;
@@ -13,7 +13,7 @@
 }
 
 impl BarrierQueue {
-    /// A position confirmed after this call; none when the primary gave none.
+    /// Waits for a position that is confirmed after this call; returns `None` when the primary gave none.
     pub async fn confirmed_position(&self) -> Option<Position> {
         let (sender, receiver) = oneshot::channel();
         lock(&self.waiting).push(sender);
@@ -21,12 +21,12 @@
         receiver.await.ok().flatten()
     }
 
-    /// Waits until a request has come.
+    /// Waits until a request was added.
     pub async fn arrived(&self) {
         self.arrived.notified().await;
     }
 
-    /// The requests that wait now.
+    /// Removes and returns all waiting requests.
     pub fn take(&self) -> Vec<oneshot::Sender<Option<Position>>> {
         std::mem::take(&mut *lock(&self.waiting))
     }
--- a/crates/owner/src/batch.rs
+++ b/crates/owner/src/batch.rs
@@ -1,7 +1,7 @@
-//! Turns a batch of the caller into what is sent on one server connection, and says what its texts may do.
+//! Analysis of a caller's batch, and its translation into the messages sent on one server connection.
 //!
-//! The module owns no state and does no I/O; it relies on `corktack_core` for what a text means and for the
-//! books of a connection's prepared statements.
+//! The module keeps no state and does no I/O. `corktack_core` classifies statement texts and tracks the
+//! prepared statements of a connection.
 
 use crate::wire::{self, WireError};
 use bytes::BytesMut;
@@ -12,47 +12,47 @@
 use pgwire::messages::simplequery::Query;
 use std::collections::{BTreeSet, HashMap};
 
-/// Prepared statements kept on one connection. Chosen, not measured: with fewer, callers' statements are
-/// prepared again and again, with more, each connection costs the back end more memory.
+/// Number of prepared statements kept on one connection. With fewer, callers' statements are prepared
+/// repeatedly; with more, each connection costs the back end more memory.
 pub(crate) const STATEMENT_LIMIT: usize = 256;
-/// Kind of a Close that names a statement.
+/// Target type of a Close message that names a prepared statement.
 const CLOSE_STATEMENT: u8 = b'S';
 
-/// A batch that breaks the rules between edge and owner.
+/// Violations of the protocol between edge and owner in a batch.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BatchError {
     /// A message is malformed.
     #[error("batch with a malformed message")]
     Wire(#[from] WireError),
-    /// A message that a batch may not hold.
+    /// A batch must not contain a message with this tag.
     #[error("batch with a message of tag {0}")]
     Tag(u8),
     /// The batch does not end with a Sync, a simple query or a Flush.
     #[error("batch without an end")]
     Incomplete,
-    /// A Flush stands elsewhere than at the end of the batch.
+    /// A Flush is not the last message of the batch.
     #[error("batch that goes on after a Flush")]
     AfterFlush,
 }
 
-/// What the texts of a batch say about it.
+/// Properties of a batch, derived from its statement texts and messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BatchFacts {
-    /// It may leave session state behind.
+    /// The batch may leave session state behind.
     pub may_change_session: bool,
-    /// It may commit an open transaction.
+    /// The batch may commit an open transaction.
     pub may_commit: bool,
-    /// It opens a transaction and does nothing else.
+    /// The batch opens a transaction and does nothing else.
     pub only_begins: bool,
-    /// It may open or end a transaction.
+    /// The batch may open or end a transaction.
     pub controls_transaction: bool,
-    /// It runs a statement, and does not only prepare or describe.
+    /// The batch runs a statement, rather than only preparing or describing one.
     pub executes: bool,
-    /// It ends with a Flush: what it runs is committed by a later Sync.
+    /// The batch ends with a Flush: a later Sync commits the statements that it runs.
     pub flushes: bool,
 }
 
-/// Finds out what a batch may do, without regard to a connection.
+/// Determines the properties of a batch, independently of any connection.
 pub(crate) fn facts(batch: &Batch) -> Result<BatchFacts, BatchError> {
     let mut texts: Vec<String> = Vec::new();
     texts.extend(batch.prepared.iter().map(|statement| statement.query.clone()));
@@ -76,7 +76,7 @@
     if !rest.is_empty() || !matches!(last, front::QUERY | front::SYNC | front::FLUSH) {
         return Err(BatchError::Incomplete);
     }
-    // The text behind a portal of an earlier batch is not at hand.
+    // The text of a portal that an earlier batch bound is not available.
     let unseen = executes && (!binds || texts.is_empty());
     Ok(BatchFacts {
         may_change_session: texts.iter().any(|text| statements::may_change_session(text)),
@@ -91,13 +91,13 @@
     })
 }
 
-/// Texts of the statements that a batch relies on, by their names.
+/// Returns the texts of the prepared statements that a batch relies on, by statement name.
 pub(crate) fn statement_texts(batch: &Batch) -> HashMap<String, String> {
     let named = batch.prepared.iter();
     named.map(|statement| (statement.name.clone(), statement.query.clone())).collect()
 }
 
-/// Whether a batch runs a statement, and does not only prepare or describe.
+/// Reports whether a batch runs a statement, rather than only preparing or describing one.
 pub(crate) fn runs_something(batch: &Batch) -> bool {
     let mut rest = BytesMut::from(batch.messages.as_slice());
     while let Ok(Some(message)) = wire::split_message(&mut rest) {
@@ -108,7 +108,7 @@
     false
 }
 
-/// How a batch ends a transaction, if its one statement does nothing else.
+/// Returns how a batch ends a transaction, if the batch has a single statement that does nothing else.
 pub(crate) fn only_ends(batch: &Batch) -> Option<TransactionEnd> {
     let mut texts: Vec<String> = statement_texts(batch).into_values().collect();
     let mut rest = BytesMut::from(batch.messages.as_slice());
@@ -125,8 +125,8 @@
     statements::only_ends(text)
 }
 
-/// Appends a batch to a connection's output: statements that are missing there
-/// are prepared first, and ones that exist are not prepared again.
+/// Appends a batch to a connection's output. Statements that the connection lacks are prepared first; those
+/// that it has are not prepared again.
 pub(crate) fn queue(
     batch: &Batch,
     tracker: &mut ReplyTracker,
--- a/crates/owner/src/connection.rs
+++ b/crates/owner/src/connection.rs
@@ -1,7 +1,8 @@
-//! One server connection: its socket, what is sent and not answered, and what is known of its session.
+//! One server connection: its socket, its buffers, the requests without an answer, and the state of its
+//! session.
 //!
-//! The module owns the socket and its buffers; it relies on `wire` to cut messages and on the reply tracker of
-//! `corktack_core` to tell which answer belongs to what. Who uses the connection is the lease's concern.
+//! `wire` splits messages, and the reply tracker of `corktack_core` matches answers to requests. Leases
+//! decide which transaction uses the connection.
 
 use crate::wire::{self, RawMessage, WireError};
 use bytes::{Buf, BytesMut};
@@ -15,30 +16,30 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::TcpStream;
 
-/// Longest wait for a new connection to be ready, and for room under the group's limit. Chosen, not measured:
-/// a shorter one finds members behind slow links unreachable, a longer one holds requests at a member that is
+/// Longest wait for a new connection to be ready, and for a free place under the group's limit. A shorter
+/// timeout treats members behind slow links as unreachable; a longer one delays requests to a member that is
 /// gone.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Bytes of room made for each read. Chosen, not measured: fewer mean more system calls, more mean memory a
+/// Free buffer space reserved for each read, in bytes. Less means more system calls; more costs memory per
 /// connection.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Why a server connection cannot be used any more.
+/// Reasons why a server connection cannot be used any more, or could not be obtained.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectionError {
     /// The socket failed.
     #[error("server connection failed")]
     Io(#[from] std::io::Error),
-    /// The back end closed it.
+    /// The back end closed the connection.
     #[error("server connection closed by the back end")]
     Closed,
-    /// The back end sent bytes that are no message.
+    /// The back end sent bytes that are not a valid message.
     #[error("server connection broke the protocol")]
     Wire(#[from] WireError),
-    /// The back end sent an answer to nothing.
+    /// The back end sent an answer that no request is waiting for.
     #[error("server connection broke the order of answers")]
     Unexpected(#[from] UnexpectedReply),
-    /// The back end answered with an error where none is expected.
+    /// The back end answered with an error.
     #[error("back end answered SQLSTATE {sqlstate}")]
     Refused {
         /// The SQLSTATE.
@@ -47,15 +48,15 @@
     /// The back end's status row is malformed.
     #[error("back end with a malformed status")]
     Status(#[from] corktack_core::backend::StatusError),
-    /// The group's limit left no connection in time.
+    /// No connection became free under the group's limit in time.
     #[error("no server connection within the group's limit")]
     NoRoom,
-    /// No answer in time.
+    /// The back end did not answer in time.
     #[error("no answer from the back end in time")]
     TimedOut,
 }
 
-/// One server connection with what is known of its session.
+/// One server connection and the state of its session.
 #[derive(Debug)]
 pub(crate) struct ServerConnection {
     socket: TcpStream,
@@ -63,7 +64,7 @@
     input: BytesMut,
     /// Bytes that wait to be sent.
     pub output: BytesMut,
-    /// Answers that are due, and prepared statements.
+    /// Tracks the expected answers and the prepared statements.
     pub tracker: ReplyTracker,
     /// Bytes sent since the count was last reset.
     pub sent_bytes: usize,
@@ -72,7 +73,7 @@
     key: Option<BackendKeyData>,
 }
 
-/// Who connects to which database.
+/// Startup parameters of a server connection.
 #[derive(Clone, Debug)]
 pub(crate) struct Login {
     pub user: String,
@@ -81,7 +82,7 @@
 }
 
 impl ServerConnection {
-    /// Connects and waits until the back end is ready.
+    /// Connects and waits until the back end is ready, for at most [`CONNECT_TIMEOUT`].
     pub async fn connect(address: SocketAddr, login: &Login) -> Result<Self, ConnectionError> {
         let attempt = Self::connect_unbounded(address, login);
         let done = tokio::time::timeout(CONNECT_TIMEOUT, attempt).await;
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Sends and receives what is possible, at least one of both. Waits for ever
-    /// when there is nothing to send and nothing may be read. Safe to cancel.
+    /// Waits until the socket can send or receive, and does whichever is possible. Never returns when there
+    /// is nothing to send and `may_read` is false. Safe to cancel.
     pub async fn progress(&mut self, may_read: bool) -> Result<(), ConnectionError> {
         let interest = match (may_read, !self.output.is_empty()) {
             (true, true) => Interest::READABLE | Interest::WRITABLE,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// The next whole message received, placed among the answers due.
+    /// Returns the next complete message received, matched to the request that it answers.
     pub fn next_reply(&mut self) -> Result<Option<(RawMessage, Reply)>, ConnectionError> {
         let Some(message) = wire::split_message(&mut self.input)? else {
             return Ok(None);
@@ -191,7 +192,7 @@
         Ok(Some((message, reply)))
     }
 
-    /// Whether the connection, idle until now, is alive and quiet.
+    /// Reports whether an idle connection is still open and has neither pending answers nor unexpected input.
     pub fn is_reusable(&mut self) -> bool {
         let quiet = self.input.is_empty() && self.output.is_empty() && self.tracker.is_idle();
         quiet && self.receive_some().is_ok() && self.input.is_empty()
@@ -204,7 +205,7 @@
         Ok(())
     }
 
-    /// Runs a simple query of the owner's own and returns its rows as text.
+    /// Runs a simple query of the owner itself and returns its rows as text.
     pub async fn query(
         &mut self,
         text: &str,
@@ -234,8 +235,8 @@
         }
     }
 
-    /// Waits until all that was sent is answered, and drops the answers. The
-    /// result tells whether the session is outside a transaction.
+    /// Waits until every request sent is answered, and drops the answers. Returns whether the session is
+    /// outside a transaction.
     pub async fn settle(&mut self) -> Result<bool, ConnectionError> {
         let mut idle = false;
         loop {
@@ -255,7 +256,8 @@
         }
     }
 
-    /// What it takes to cancel the statement that runs here.
+    /// Returns the address and key for cancelling the statement that runs on this connection, if the back end
+    /// gave a key.
     pub fn cancel_target(&self) -> Option<CancelTarget> {
         let key = self.key.as_ref()?;
         let request = CancelRequest::new(key.pid, key.secret_key.clone());
@@ -263,7 +265,7 @@
     }
 }
 
-/// What it takes to cancel a statement.
+/// Address and key for cancelling a statement.
 #[derive(Debug)]
 pub(crate) struct CancelTarget {
     address: SocketAddr,
@@ -271,14 +273,15 @@
 }
 
 impl CancelTarget {
-    /// Sends the request and waits until the back end has taken it.
+    /// Sends the cancel request and waits until the back end closes the connection or [`CONNECT_TIMEOUT`]
+    /// passes.
     pub async fn send(self) -> Result<(), ConnectionError> {
         let mut buffer = BytesMut::new();
         self.request.encode(&mut buffer).map_err(WireError::from)?;
         let exchange = async {
             let mut socket = TcpStream::connect(self.address).await?;
             socket.write_all(&buffer).await?;
-            // The back end closes without an answer.
+            // The back end closes the connection without an answer.
             socket.read_u8().await.ok();
             Ok(())
         };
--- a/crates/owner/src/context.rs
+++ b/crates/owner/src/context.rs
@@ -1,7 +1,5 @@
-//! What all tasks of an owner share.
-//!
-//! The module owns the threads, the map of owned groups, and the counts of open streams and links that a
-//! drain waits for; it relies on the settings and on the configuration in force.
+//! State that all tasks of an owner share: the threads, the map of owned groups, and the counts of open
+//! streams and links that a drain waits for.
 
 use crate::group::Group;
 use crate::lock::lock;
@@ -20,28 +18,28 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, watch};
 
-/// Shards of the map of groups, each under its own lock. Chosen, not measured: fewer make threads wait for
-/// each other more often, more cost little memory.
+/// Number of shards of the group map, each under its own lock. Fewer shards make threads contend for the
+/// locks more often; more cost little memory.
 const GROUP_SHARDS: usize = 16;
 
-/// How far a stop has gone.
+/// Progress of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
     /// New streams are served.
     Serving,
     /// New streams are refused, open ones finish.
     Draining,
-    /// Links flush what is queued and close.
+    /// Links flush their queued messages and close.
     Closing,
 }
 
-/// What all tasks of an owner share.
+/// State that all tasks of an owner share.
 #[derive(Debug)]
 pub(crate) struct Context {
     pub settings: OwnerSettings,
     /// The configuration in force.
     pub view: watch::Receiver<Arc<View>>,
-    /// What probes see, for control.
+    /// Channel that carries the results of probes to the control service.
     pub observations: mpsc::UnboundedSender<Observation>,
     pub metrics: Metrics,
     phase: watch::Sender<Phase>,
@@ -54,7 +52,7 @@
 }
 
 impl Context {
-    /// Starts the threads; nothing is owned yet.
+    /// Starts the threads; the new context owns no group.
     pub fn new(
         settings: OwnerSettings,
         view: watch::Receiver<Arc<View>>,
@@ -77,29 +75,29 @@
         }
     }
 
-    /// The time now, on the clock that the core sees.
+    /// Returns the current time on the owner's clock, which starts at zero when the context is made.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO + self.origin.elapsed()
     }
 
-    /// Runs a task on the next arbiter in turn.
+    /// Spawns a task on the next arbiter in round-robin order.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let turn = self.next_arbiter.fetch_add(1, Ordering::Relaxed);
-        // A stopped arbiter drops the task, which is what a stop means.
+        // A stopped arbiter drops the task, as a stop is meant to.
         self.arbiters[turn % self.arbiters.len()].spawn(task);
     }
 
-    /// How far a stop has gone, to be followed.
+    /// Returns a receiver for the progress of a shutdown.
     pub fn phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Whether new streams are refused.
+    /// Reports whether new streams are refused.
     pub fn is_draining(&self) -> bool {
         *self.phase.borrow() >= Phase::Draining
     }
 
-    /// Has new streams refused from now on.
+    /// Makes the owner refuse new streams from now on.
     pub fn begin_drain(&self) {
         self.phase.send_replace(Phase::Draining);
     }
@@ -109,40 +107,40 @@
         wait_for_zero(&self.open_streams).await;
     }
 
-    /// Lets links send what is queued, and waits until they are closed.
+    /// Makes links send their queued messages and close, and waits until all are closed.
     pub async fn close_links(&self) {
         self.phase.send_replace(Phase::Closing);
         wait_for_zero(&self.open_links).await;
     }
 
-    /// Stops the threads with all that runs on them.
+    /// Stops the threads and drops every task on them.
     pub fn stop(&self) {
         for arbiter in &self.arbiters {
             arbiter.stop();
         }
     }
 
-    /// Counts a stream as open.
+    /// Counts a stream as open until the returned value is dropped.
     pub fn count_stream(&self) -> OpenCount {
         OpenCount::new(&self.open_streams)
     }
 
-    /// Counts a link as open.
+    /// Counts a link as open until the returned value is dropped.
     pub fn count_link(&self) -> OpenCount {
         OpenCount::new(&self.open_links)
     }
 
-    /// An owned group.
+    /// Returns a group by its name if this proxy owns it.
     pub fn group(&self, name: &GroupName) -> Option<Arc<Group>> {
         lock(self.shard(name)).get(name).cloned()
     }
 
-    /// Notes that a group is owned from now on.
+    /// Adds a group that this proxy owns from now on.
     pub fn insert_group(&self, name: GroupName, group: Arc<Group>) {
         lock(self.shard(&name)).insert(name, group);
     }
 
-    /// Notes that a group is owned no more.
+    /// Removes a group that this proxy no longer owns.
     pub fn remove_group(&self, name: &GroupName) -> Option<Arc<Group>> {
         lock(self.shard(name)).remove(name)
     }
@@ -156,11 +154,11 @@
 
 async fn wait_for_zero(count: &watch::Sender<usize>) {
     let mut receiver = count.subscribe();
-    // The sender lives in the context that this call borrows.
+    // The wait cannot fail: the caller's context keeps the sender alive.
     let _ = receiver.wait_for(|count| *count == 0).await;
 }
 
-/// Counts something as open until it is dropped.
+/// Guard that keeps a counter of open objects incremented until the guard is dropped.
 #[derive(Debug)]
 pub(crate) struct OpenCount {
     count: watch::Sender<usize>,
--- a/crates/owner/src/decisions/loss.rs
+++ b/crates/owner/src/decisions/loss.rs
@@ -1,48 +1,47 @@
-//! What a request comes to when its server connection is lost, or its answer cannot count.
+//! Decides what follows for a request whose server connection is lost or whose answer is not valid.
 //!
-//! Functions of what is known of the batch in flight; nothing is repeated that may have run and would harm
-//! when it runs twice.
+//! A batch that may have run is repeated only if running it twice does no harm.
 
 use super::refusal::RetryCause;
 use corktack_core::position::Position;
 use corktack_protocol::peer::{Access, Failure, ServedBy, TransactionStatus};
 
-/// What is known of a batch that is sent and not wholly answered.
+/// State of a batch that is sent and not completely answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlight {
-    /// What the transaction may do.
+    /// Whether the transaction may write.
     pub access: Access,
     /// Status of the transaction before the batch.
     pub status: TransactionStatus,
-    /// Whether the caller has a part of the transaction's answers.
+    /// Whether a part of the transaction's answers was forwarded to the caller.
     pub forwarded: bool,
     /// Whether the write runs under an idempotency key.
     pub keyed: bool,
-    /// Bytes of the batch that were sent.
+    /// Number of bytes of the batch that were sent.
     pub sent_bytes: usize,
     /// Whether the batch may commit an open transaction.
     pub may_commit: bool,
     /// Whether the batch opens a transaction and does nothing else.
     pub only_begins: bool,
-    /// Whether something may be committed of a batch that is unfinished since its `Flush`.
+    /// Whether the batch is unfinished since its `Flush` and one of its statements may be committed.
     pub unfinished_may_be_committed: bool,
 }
 
-/// What a lost connection leads to.
+/// Action after the loss of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterLoss {
-    /// It is tried again: its key tells whether it ran.
+    /// Retry the request: its idempotency key shows whether it ran.
     RepeatUnderKey,
-    /// It is tried again: nothing ran, or nothing that harms when it runs twice.
+    /// Retry the request: no statement ran, or running it twice does no harm.
     Repeat,
-    /// The caller hears that the answer is too large: any member would give the same.
+    /// Report to the caller that the answer is too large: every member would give the same answer.
     RefuseAnswer,
-    /// The caller's final answer.
+    /// End the stream with this failure.
     Final(Failure),
 }
 
-/// Decides what a lost connection leads to. `answer_too_large` tells that the owner gave it up for a
-/// message of the answer that does not fit a frame.
+/// Decides what follows from a lost connection. `answer_too_large` says that the owner closed the connection
+/// because a message of the answer does not fit a frame.
 #[must_use]
 pub fn after_loss(batch: &InFlight, answer_too_large: bool) -> AfterLoss {
     let opens = batch.status == TransactionStatus::Idle;
@@ -60,7 +59,7 @@
     AfterLoss::Final(failure_of_loss(batch))
 }
 
-/// The final answer to a request that was given up while this batch was in flight.
+/// Returns the final answer to a request that failed while this batch was in flight.
 #[must_use]
 pub fn failure_of_loss(batch: &InFlight) -> Failure {
     let sent = batch.sent_bytes > 0;
@@ -76,8 +75,8 @@
     Failure::TransactionLost
 }
 
-/// Why a request is tried again that a member refused. A statement that a replica does not run is one for the
-/// primary.
+/// Returns the cause to retry a request that a member refused. A statement that a replica refuses as
+/// `NotPrimary` is retried at the primary.
 #[must_use]
 pub fn retry_after_refusal(cause: RetryCause, served_by: ServedBy) -> RetryCause {
     match (cause, served_by) {
@@ -86,24 +85,25 @@
     }
 }
 
-/// The answer to a batch, as far as it tells how fresh it is.
+/// Properties of the answer to a batch that show how fresh it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Who gave it.
+    /// Kind of the member that answered.
     pub served_by: ServedBy,
     /// Status of the transaction before the batch.
     pub before: TransactionStatus,
-    /// Status after it.
+    /// Status of the transaction after the batch.
     pub after: TransactionStatus,
-    /// Whether it holds an error.
+    /// Whether the answer contains an error.
     pub failed: bool,
     /// Whether a statement of the stream completed.
     pub completed: bool,
-    /// Position that the member reported with it.
+    /// Position that the member reported with the answer.
     pub position: Option<Position>,
 }
 
-/// Whether a replica answered a read without proof that it holds the minimum.
+/// Reports whether a replica answered a read outside a transaction without evidence that it has applied the
+/// minimum.
 #[must_use]
 pub fn is_unverified(answer: &Answer, minimum: Option<Position>) -> bool {
     let idle = TransactionStatus::Idle;
@@ -114,8 +114,8 @@
     answer.position.is_none_or(|position| is_behind(answer.served_by, position, minimum))
 }
 
-/// Whether a position that a member reported lacks something that the session must see. The primary
-/// has everything.
+/// Reports whether a replica's position does not cover the minimum that the session must see. A primary is
+/// never behind.
 #[must_use]
 pub fn is_behind(served_by: ServedBy, position: Position, minimum: Option<Position>) -> bool {
     let replica = served_by == ServedBy::Replica;
--- a/crates/owner/src/decisions/mod.rs
+++ b/crates/owner/src/decisions/mod.rs
@@ -1,9 +1,9 @@
-//! What the owner decides about one request or probe, as functions without I/O.
+//! The owner's decisions about one request or probe, as functions without I/O or state.
 //!
-//! `waiting` says how long a request may wait and which reason it is refused with, `loss` what it comes to when
-//! its server connection is lost or its answer cannot count, `refusal` has the words for both; `health` says what a
-//! probe means for the primary. The module owns
-//! no state. It is public so that its tests reach it.
+//! `waiting` limits the wait of a request and gives the reason of its refusal, `loss` decides what follows
+//! from a lost server connection or an answer that is not valid, and `refusal` defines the types that both
+//! use. `health` says whether a probe makes the primary suspect. The module is public so that its tests can
+//! call it.
 
 mod health;
 mod loss;
--- a/crates/owner/src/decisions/refusal.rs
+++ b/crates/owner/src/decisions/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request does not run, or is tried again.
+//! Reasons why a request does not run, or is retried.
 
 use corktack_core::admission::AdmissionError;
 use corktack_protocol::peer::NotRunReason;
@@ -6,9 +6,9 @@
 /// A request that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason that the caller gets.
     pub reason: NotRunReason,
-    /// When to come back, in milliseconds; estimated from the queue when absent.
+    /// Retry hint in milliseconds; estimated from the queue when absent.
     pub retry_after_ms: Option<u32>,
 }
 
@@ -32,15 +32,15 @@
     }
 }
 
-/// Why a request that did not run, or only read, is tried again.
+/// Reasons to retry a request that did not run, or only read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryCause {
-    /// The connection broke.
+    /// The server connection was lost or could not be opened.
     ConnectionLost,
-    /// The back end is not the primary (any longer).
+    /// The back end is not, or no longer, the primary.
     NotPrimary,
-    /// The back end takes no work now.
+    /// The back end accepts no work at present.
     BackEndRefused,
-    /// A replica was behind what was known of it.
+    /// A replica was behind its last known position, or does not run the statement.
     ReplicaBehind,
 }
--- a/crates/owner/src/decisions/waiting.rs
+++ b/crates/owner/src/decisions/waiting.rs
@@ -1,19 +1,19 @@
-//! How long a request may wait for a server connection, and what it is refused with when that is over.
+//! Limits the wait of a request for a server connection, and gives the reason of its refusal after that.
 
 use super::refusal::RetryCause;
 use corktack_core::admission::Lane;
 use corktack_protocol::peer::NotRunReason;
 use std::time::Duration;
 
-/// The longest wait of a request, from what the edge asks and what the group allows, both in milliseconds.
-/// An edge that asks for zero leaves it to the group.
+/// Returns the longest wait of a request, given the edge's timeout and the group's limit in milliseconds. A
+/// timeout of zero selects the group's limit.
 #[must_use]
 pub fn longest_wait(asked_ms: u32, group_limit_ms: u32) -> Duration {
     let asked_ms = if asked_ms == 0 { group_limit_ms } else { asked_ms };
     Duration::from_millis(u64::from(asked_ms.min(group_limit_ms)))
 }
 
-/// The reason of a request that is late after it was tried again for this cause.
+/// Returns the reason to refuse a request whose deadline passes after it was retried for this cause.
 #[must_use]
 pub fn late_reason(cause: RetryCause) -> NotRunReason {
     match cause {
@@ -24,8 +24,8 @@
     }
 }
 
-/// The reason of a request whose wait for a slot is over. One that was not tried yet and waited for a primary
-/// that the group does not have did not wait for a slot.
+/// Returns the reason to refuse a request whose wait for a slot timed out. A request without an earlier
+/// attempt that waited for a primary while the group has none gets `NoBackEnd`, not `QueueTimeout`.
 #[must_use]
 pub fn reason_when_late(
     known: NotRunReason,
--- a/crates/owner/src/exchange/claim.rs
+++ b/crates/owner/src/exchange/claim.rs
@@ -1,6 +1,6 @@
-//! The claim of an idempotency key, and the look-up of what a taken key holds.
+//! Claims an idempotency key, and loads the transcript stored under a key that is taken.
 //!
-//! The statements are those of `corktack_core::pool::outcomes`; their answers do not reach the caller.
+//! `corktack_core::pool::outcomes` defines the statements; their answers are not forwarded to the caller.
 
 use super::own::OwnError;
 use super::replies::CANNOT_CONNECT_NOW;
@@ -16,24 +16,24 @@
 use corktack_protocol::peer::{Failure, TransactionStatus};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Statements of the owner's own.
+/// Statement that opens the owner's transaction around a standalone write.
 const BEGIN: &str = "BEGIN";
 pub(super) const ROLLBACK: &str = "ROLLBACK";
-/// Tag of a claim that found the key free.
+/// Command tag of a claim that inserted the key.
 const CLAIMED_TAG: &str = "INSERT 0 1";
 
 /// Outcome of a claim.
 pub(super) enum Claim {
     Won,
     Taken,
-    /// The table is missing, or the claim collided with another.
+    /// The table of outcomes was missing and has been created; the claim must be repeated.
     Again,
-    /// This is the answer.
+    /// The claim failed, and the batch ends with this outcome.
     Ended(Step),
 }
 
 impl Exchange<'_> {
-    /// Claims the key, in a transaction that is open or opened with it.
+    /// Claims the key in the open transaction, or in a new one if `opens` is set.
     pub(super) async fn claim(&mut self, opens: bool) -> Result<Claim, Step> {
         let statement = claim_statement(self.key(), now_ms());
         let text = if opens { format!("{BEGIN}; {statement}") } else { statement };
@@ -48,7 +48,8 @@
         if error.sqlstate == UNDEFINED_TABLE {
             self.own(ROLLBACK).await?;
             for statement in CREATE_STATEMENTS {
-                // Another owner may create it now; the next claim tells.
+                // Errors are ignored: another owner may be creating the table, and the next claim shows
+                // whether it exists.
                 self.own(statement).await?;
             }
             return Ok(Claim::Again);
@@ -56,20 +57,20 @@
         self.claim_failed(error).await.map(Claim::Ended)
     }
 
-    /// Nothing of the write has run.
+    /// Returns the outcome of a batch whose claim failed with an error; no statement of the write has run.
     async fn claim_failed(&mut self, error: OwnError) -> Result<Step, Step> {
         match error.sqlstate.as_str() {
             NOT_PRIMARY => Ok(self.refused(RetryCause::NotPrimary)),
             CANNOT_CONNECT_NOW | TOO_MANY_CONNECTIONS => {
                 Ok(Step::Retry(RetryCause::BackEndRefused))
             }
-            // Class 40: it collided with another transaction.
+            // Class 40, transaction rollback: the claim conflicted with another transaction.
             state if state.starts_with("40") => Ok(Step::Retry(RetryCause::BackEndRefused)),
             _ => self.fail_with(&error).await,
         }
     }
 
-    /// Reads the transcript of the first request; false when it is gone meanwhile.
+    /// Loads the transcript of the first request; returns false when its row was removed in the meantime.
     pub(super) async fn look_up(&mut self) -> Result<bool, Step> {
         let text = lookup_statement(self.key());
         let answer = self.own(&text).await?;
@@ -91,7 +92,7 @@
         Ok(true)
     }
 
-    /// Ends the transaction without effect; this error is the answer.
+    /// Rolls the transaction back and answers the caller with the error.
     pub(super) async fn fail_with(&mut self, error: &OwnError) -> Result<Step, Step> {
         self.own(ROLLBACK).await?;
         self.held.clear();
@@ -99,12 +100,12 @@
         Ok(Step::Ready(TransactionStatus::Idle))
     }
 
-    /// The key of the write.
+    /// Returns the idempotency key of the write, or an empty string if it has none.
     pub(super) fn key(&self) -> &str {
         self.keyed.as_ref().map(|keyed| keyed.key.as_str()).unwrap_or_default()
     }
 
-    /// The statement that stores the transcript under the key.
+    /// Returns the statement that stores the transcript under the key.
     pub(super) fn store_statement(&self) -> Result<String, Step> {
         let turns = self.keyed.as_ref().map(|keyed| keyed.turns.as_slice()).unwrap_or_default();
         let bytes = frame::encode(&turns).map_err(|_| Step::Violation)?;
@@ -112,7 +113,7 @@
     }
 }
 
-/// The time of day, in milliseconds since 1970.
+/// Returns the system time in milliseconds since the Unix epoch.
 pub(super) fn now_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/owner/src/exchange/ending.rs
+++ b/crates/owner/src/exchange/ending.rs
@@ -1,6 +1,6 @@
-//! How the transaction ends: answered, given up, left by its caller, or to be tried again.
+//! End of a transaction: answered, failed, abandoned by its caller, or to be retried.
 //!
-//! The module owns what happens to the lease then; it relies on `decisions` for what a lost connection comes to.
+//! The module decides whether the connection is reused; `decisions` says what follows from a lost connection.
 
 use super::claim;
 use super::state::{Exchange, Exit};
@@ -12,25 +12,24 @@
 use corktack_protocol::peer::{Access, Failure, TransactionStatus};
 use std::time::Duration;
 
-/// Longest wait for the removal of old outcomes; the slot is held meanwhile. Chosen, not measured: a shorter
-/// one closes connections for a removal that is a little slow, a longer one keeps the slot from the next
-/// request.
+/// Longest wait for the removal of old outcomes; the slot stays occupied meanwhile. A shorter timeout closes
+/// connections whose removal is a little slow; a longer one delays the next request for the slot.
 const SWEEP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// SQLSTATE of an answer that is over a limit.
+/// SQLSTATE `program_limit_exceeded`.
 const LIMIT_EXCEEDED: &str = "54000";
-/// Answer to a read whose answer holds a message that does not fit a frame.
+/// Error text for a read whose answer contains a message that does not fit a frame.
 const ANSWER_REFUSED: &str = "a row of the answer is over the limit of 7.8 MiB";
 
 impl Exchange<'_> {
-    /// Forwards what is held, and tells the edge that the batch is answered.
+    /// Forwards the buffered answer, and reports to the edge that the batch is answered.
     pub(super) fn answer_ready(&mut self, status: TransactionStatus) {
         self.forward();
         self.status = status;
         self.outbound.ready(status, self.lease.destination().served_by);
     }
 
-    /// The transaction is over and answered: the connection is given back where it may be used again.
+    /// Answers the transaction's last batch, and returns the connection to the pool if it may be reused.
     pub(super) async fn finish(mut self) -> Exit {
         self.answer_ready(TransactionStatus::Idle);
         if self.request.access == Access::Read {
@@ -43,8 +42,8 @@
         Exit::Ended
     }
 
-    /// Removes old outcomes of keyed writes now and then, after the caller's
-    /// answer; false when the connection must not be reused.
+    /// Removes old outcomes of keyed writes after the caller's answer, once per a number of keyed commits.
+    /// Returns false when the connection must not be reused.
     async fn sweep_outcomes(&mut self) -> bool {
         if self.keyed.is_none() || !self.group.with_state(GroupState::sweep_is_due) {
             return true;
@@ -60,22 +59,23 @@
         swept.is_ok()
     }
 
-    /// The caller is gone. A connection in an unfinished batch is closed, for which the
-    /// back end rolls back: a Sync would commit, and after an error it hears nothing else.
+    /// Ends the transaction of a caller that is gone. Rolls back, or closes the connection if a batch is
+    /// unfinished, so that the back end rolls back: a Sync would commit the batch, and after an error the
+    /// back end ignores every other message.
     pub(super) async fn abandon(self) {
         if !self.cancelled && !self.unfinished.is_open() {
             self.lease.roll_back().await;
         }
     }
 
-    /// The stream is tried again. A keyed write is safe to repeat even after its
-    /// commit was sent: the key tells whether it ran.
+    /// Returns the result of an exchange that must be retried. A keyed write is safe to repeat even after its
+    /// commit was sent: the key shows whether the write ran.
     pub(super) fn retried(&self, cause: RetryCause) -> Exit {
         let unresolved = self.keyed.as_ref().is_some_and(|keyed| keyed.commit_sent);
         if unresolved { Exit::Unresolved(cause) } else { Exit::Retry(cause) }
     }
 
-    /// The connection is lost.
+    /// Returns the result of an exchange whose connection is lost.
     pub(super) fn lost(mut self, error: &ConnectionError) -> Exit {
         log::debug!(group:% = self.group.name, error:? = error; "server connection lost");
         match after_loss(&self.in_flight(), is_too_large(error)) {
@@ -86,7 +86,8 @@
         }
     }
 
-    /// The answer to a read cannot be passed on; another member would give the same.
+    /// Answers a read with an error because its answer is too large; another member would give the same
+    /// answer.
     fn refuse_answer(&mut self) -> Exit {
         let Ok(message) = wire::error_response(LIMIT_EXCEEDED, ANSWER_REFUSED) else {
             return Exit::Failed(Failure::TransactionLost);
@@ -96,7 +97,7 @@
         Exit::Ended
     }
 
-    /// The final answer when the batch in flight breaks the rules between edge and owner.
+    /// Returns the final answer to a batch that violates the protocol between edge and owner.
     pub(super) fn failure_of_violation(&mut self) -> Failure {
         failure_of_loss(&self.in_flight())
     }
--- a/crates/owner/src/exchange/keyed.rs
+++ b/crates/owner/src/exchange/keyed.rs
@@ -1,9 +1,8 @@
 //! Writes under an idempotency key: at most once, with the first answer for repeats.
 //!
-//! A write alone is wrapped in a transaction of the owner's that claims the key,
-//! runs the write and stores its answer. A transaction of the caller's is kept as
-//! it is; the key is claimed after its BEGIN and the transcript is stored before
-//! its COMMIT. Either way key, write and answer are committed together.
+//! The owner wraps a standalone write in a transaction that claims the key, runs the write and stores its
+//! answer. In a transaction of the caller, the owner claims the key after BEGIN and stores the transcript
+//! before COMMIT. In both cases key, write and answer are committed together.
 
 use super::claim::{Claim, ROLLBACK};
 use super::own::OwnAnswer;
@@ -17,14 +16,14 @@
 use corktack_core::pool::statements::TransactionEnd;
 use corktack_protocol::peer::{Batch, Failure, TransactionStatus};
 
-/// Commits the transaction of the owner's own.
+/// Statement that commits the owner's transaction around a standalone write.
 const COMMIT: &str = "COMMIT";
-/// Claims tried before the request is given back to the router. Chosen, not measured: one finds the table
-/// missing, one may collide with its creation by another owner, the others are room; more hold the slot
-/// longer.
+/// Number of attempts to claim a key before the request goes back to the router. The first may find the table
+/// missing, the second may conflict with the table's creation by another owner, and the others are a margin;
+/// more attempts occupy the slot for longer.
 const CLAIM_ATTEMPTS: usize = 4;
 
-/// An answer of the owner's own to a keyed write that did not run.
+/// Error with which the owner answers a keyed write that did not take effect.
 struct Refused {
     sqlstate: &'static str,
     text: &'static str,
@@ -98,7 +97,7 @@
     async fn run_alone(&mut self, batch: &Batch) -> Result<Step, Step> {
         match ready(self.run_batch(batch).await)? {
             TransactionStatus::Failed => {
-                // The error is the answer; nothing is kept, so a repeat may run.
+                // The error is the answer. Nothing is stored, so a repeat of the request runs again.
                 self.own(ROLLBACK).await?;
                 Ok(Step::Ready(TransactionStatus::Idle))
             }
@@ -112,7 +111,7 @@
                 let answer = self.own(&text).await?;
                 self.end_alone(answer).await
             }
-            // It ended the transaction by itself: the key is taken without an answer.
+            // The batch ended the transaction itself, so the key may be committed without an answer.
             TransactionStatus::Idle => Ok(Step::Failed(Failure::Unknown)),
         }
     }
@@ -161,7 +160,7 @@
         Ok(self.run_batch(batch).await)
     }
 
-    /// Adds a turn of the caller's transaction to the transcript.
+    /// Adds a batch of the caller's transaction and its answer to the transcript.
     async fn note_turn(&mut self, batch: &Batch, status: TransactionStatus) -> Result<Step, Step> {
         if self.is_oversized() {
             return self.refuse_keyed(&ANSWER_TOO_LARGE).await;
@@ -220,7 +219,7 @@
     }
 }
 
-/// The status after a batch, or the step that ended it otherwise.
+/// Returns the status after a batch, or the outcome of a batch that is not answered.
 fn ready(step: Step) -> Result<TransactionStatus, Step> {
     match step {
         Step::Ready(status) => Ok(status),
@@ -228,8 +227,8 @@
     }
 }
 
-/// Whether an error to a commit leaves its outcome open: the connection or
-/// the back end failed, not the transaction.
+/// Reports whether an error on a commit leaves the outcome unknown because the connection or the back end
+/// failed, rather than the transaction.
 fn leaves_outcome_open(sqlstate: &str) -> bool {
     ["08", "57P", "58", "XX"].iter().any(|class| sqlstate.starts_with(class))
 }
--- a/crates/owner/src/exchange/keyed_write.rs
+++ b/crates/owner/src/exchange/keyed_write.rs
@@ -1,26 +1,26 @@
-//! What is known of a write under an idempotency key.
+//! State of a write under an idempotency key.
 
 use crate::batch;
 use crate::transcript::Turn;
 use corktack_core::pool::outcomes::ANSWER_LIMIT;
 use corktack_protocol::peer::{Access, OpenRequest};
 
-/// What is known of a keyed write.
+/// State of a keyed write.
 #[derive(Debug)]
 pub(super) struct KeyedWrite {
     pub key: String,
-    /// Answers so far, or those of the first request.
+    /// Batches and answers so far; those of the first request if this request is a repeat.
     pub turns: Vec<Turn>,
-    /// Turns already replayed; none while the write itself runs.
+    /// Number of entries replayed; `None` if this request runs the write itself.
     pub replayed: Option<usize>,
-    /// Its commit was sent and not yet answered.
+    /// Whether the commit was sent and is not yet answered.
     pub commit_sent: bool,
-    /// The answer held is over the limit, and was dropped.
+    /// Whether the buffered answer exceeded the limit and was dropped.
     pub oversized: bool,
 }
 
 impl KeyedWrite {
-    /// The keyed write of a request, if it is one and runs something.
+    /// Returns the keyed write of a request, if the request is one and runs a statement.
     pub fn of(request: &OpenRequest) -> Option<Self> {
         let key = request.idempotency_key.clone()?;
         let runs = request.access == Access::Write && batch::runs_something(&request.batch);
@@ -37,7 +37,7 @@
         self.turns.iter().map(|turn| turn.messages.len()).sum()
     }
 
-    /// Whether an answer of this size would be over the limit.
+    /// Reports whether an answer of this size in bytes would exceed the limit of a transcript.
     pub fn is_over_limit(&self, held: usize) -> bool {
         self.kept_bytes() + held > ANSWER_LIMIT
     }
--- a/crates/owner/src/exchange/mod.rs
+++ b/crates/owner/src/exchange/mod.rs
@@ -1,13 +1,12 @@
-//! The transaction itself: batches out on a leased connection, answers back.
+//! Execution of a transaction: sends its batches on a leased connection and relays the answers.
 //!
-//! The module owns the lease and what is known of the batch in flight (`state`); it relies on `batch` for
-//! what a text may do, on `connection` for the wire, and on `decisions` for what a lost connection or a stale
-//! answer comes to.
+//! An [`Exchange`] holds the lease and the state of the batch in flight (`state`). `batch` classifies
+//! statement texts, and `decisions` says what follows from a lost connection or a stale answer.
 //!
-//! `run` takes the transaction from batch to batch. Each is sent and answered by `send`, which takes in what
-//! the back end says with `replies`; a write under an idempotency key goes through `keyed`, which wraps it
-//! with `claim` and the owner's `own` statements. `ending` closes the transaction. `keyed_write` and
-//! `unfinished` keep the books of a keyed write and of a flushed batch.
+//! `run` loops over the batches of the transaction. `send` sends each batch and waits for its answer, which
+//! `replies` reads; a write under an idempotency key goes through `keyed`, which wraps the write with `claim`
+//! and with the owner's `own` statements. `ending` closes the transaction. `keyed_write` and `unfinished`
+//! track the state of a keyed write and of a flushed batch.
 
 mod claim;
 mod ending;
--- a/crates/owner/src/exchange/own.rs
+++ b/crates/owner/src/exchange/own.rs
@@ -1,6 +1,5 @@
-//! Statements of the owner's own on the leased connection.
-//!
-//! The module owns their answers, which do not reach the caller; it relies on `send` to wait.
+//! Statements that the owner itself runs on the leased connection. Their answers are not forwarded to the
+//! caller.
 
 use super::replies::status_of;
 use super::state::{Exchange, Step};
@@ -12,28 +11,28 @@
 use corktack_protocol::peer::TransactionStatus;
 use pgwire::messages::response::CommandComplete;
 
-/// An error that the back end answered.
+/// An error answer of the back end to a statement of the owner.
 #[derive(Debug)]
 pub(super) struct OwnError {
     pub sqlstate: String,
     pub message: RawMessage,
 }
 
-/// The whole answer to a statement of the owner's own.
+/// The complete answer to a statement of the owner.
 #[derive(Debug)]
 pub(super) struct OwnAnswer {
     pub rows: Vec<Vec<Option<String>>>,
-    /// Tag of the last statement that completed.
+    /// Command tag of the last completed statement.
     pub tag: String,
     pub error: Option<OwnError>,
-    /// Position reported with it.
+    /// Position that the member reported with the answer.
     pub position: Option<Position>,
     pub status: TransactionStatus,
 }
 
 impl Exchange<'_> {
-    /// Runs a statement of the owner's own; its answer does not reach the caller.
-    /// A [`Step`] other than [`Step::Ready`] is returned when it did not end.
+    /// Runs a statement of the owner, whose answer is not forwarded to the caller. Fails with the outcome of
+    /// the batch, never [`Step::Ready`], if the statement is not answered completely.
     pub(super) async fn own(&mut self, text: &str) -> Result<OwnAnswer, Step> {
         self.lease
             .connection()
@@ -56,7 +55,7 @@
         }
     }
 
-    /// Takes in the messages received; true when the answer is whole.
+    /// Reads the messages received; returns true when the answer is complete.
     fn read_own(&mut self, answer: &mut OwnAnswer) -> Result<bool, ConnectionError> {
         while let Some((message, reply)) = self.lease.connection()?.next_reply()? {
             match message.tag {
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -1,7 +1,6 @@
-//! Takes in what the back end answers and passes it on.
+//! Reads the back end's answers, buffers them and forwards them to the edge.
 //!
-//! The module owns what is held of an answer before any of it is forwarded; it relies on the connection's
-//! tracker for which messages are the caller's.
+//! The connection's reply tracker says which messages are for the caller.
 
 use super::state::Exchange;
 use crate::connection::ConnectionError;
@@ -15,20 +14,20 @@
 use pgwire::messages::extendedquery::ParseComplete;
 use pgwire::messages::response::TransactionStatus as ReadyStatus;
 
-/// Answers are held up to this many bytes, so that a request that turns out not to
-/// have run, or to have been read from a replica that is behind, can be retried. Chosen, not measured: fewer make
-/// large reads of a stale replica fail where they could be repeated, more cost memory and a later first row.
+/// Size in bytes up to which an answer is buffered, so that the request can be retried if it turns out not to
+/// have run or to have read from a stale replica. A smaller buffer makes large reads of a stale replica fail
+/// where they could be repeated; a larger one costs memory and delays the first row.
 const HOLD_BYTES: usize = 64 * 1024;
-/// Bytes of one frame of answers once nothing is held any more. Chosen, not measured: smaller frames cost a header
-/// and a wake-up more often, larger ones delay the other streams of the link.
+/// Size in bytes of one frame of answers once a first part was forwarded. Smaller frames cost more headers
+/// and wake-ups; larger ones delay the other streams of the link.
 const FRAME_BYTES: usize = 32 * 1024;
-/// SQLSTATE of a back end that takes no work now.
+/// SQLSTATE `cannot_connect_now`: the back end accepts no work at present.
 pub(super) const CANNOT_CONNECT_NOW: &str = "57P03";
-/// Answer to a back end that asks for data that no caller can send.
+/// Error text sent to a back end that asks for copy data, which no caller can send.
 const COPY_REFUSED: &str = "COPY FROM STDIN is not supported";
 
 impl Exchange<'_> {
-    /// Takes in the messages received; the status when the batch is answered.
+    /// Reads the messages received; returns the status when the batch is answered.
     pub(super) fn read_replies(&mut self) -> Result<Option<TransactionStatus>, ConnectionError> {
         while let Some((message, reply)) = self.lease.connection()?.next_reply()? {
             for _ in 0..reply.synthesized {
@@ -45,7 +44,7 @@
         self.read_flush()
     }
 
-    /// The status when everything up to a Flush is answered: the transaction goes on.
+    /// Returns an open status when everything up to a Flush is answered: the transaction continues.
     fn read_flush(&mut self) -> Result<Option<TransactionStatus>, ConnectionError> {
         let Some(skipped) = self.lease.connection()?.tracker.flushed() else {
             return Ok(None);
@@ -80,7 +79,7 @@
         Ok(None)
     }
 
-    /// Takes a parameter in: a position is for the edge, others for the caller.
+    /// Records a reported position for the edge, and buffers any other parameter for the caller.
     fn take_parameter(&mut self, message: RawMessage) -> Result<(), ConnectionError> {
         let (name, value) = wire::parameter(&message)?;
         if name != POSITION_PARAMETER {
@@ -95,7 +94,8 @@
         Ok(())
     }
 
-    /// Learns a position that the back end reported, and tells the edge.
+    /// Records a position that the back end reported, and reports it to the edge unless it is behind the
+    /// session.
     pub(super) fn note_position(&mut self, position: Option<Position>) {
         let Some(position) = position else {
             return;
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Keeps a message until it is forwarded. What a keyed write cannot store is
-    /// dropped, since the write is rolled back.
+    /// Buffers a message until it is forwarded. Drops the answer of a keyed write if it is too large to
+    /// store, since the write is rolled back then.
     fn hold(&mut self, message: &RawMessage) {
         self.held.extend_from_slice(&message.bytes);
         if let Some(keyed) = &mut self.keyed
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Notes an error; one that came before anything ran may be a refusal.
+    /// Records an error answer. An error before any statement ran may be a refusal of the request.
     fn take_error(&mut self, message: &RawMessage) -> Result<(), ConnectionError> {
         self.failed = true;
         let nothing_ran = self.status == TransactionStatus::Idle && !self.completed;
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// The protocol between edge and owner has no way to send copy data.
+    /// Refuses `COPY FROM STDIN`: the protocol between edge and owner cannot carry copy data.
     fn refuse_copy(&mut self) -> Result<(), ConnectionError> {
         let connection = self.lease.connection()?;
         wire::encode(&CopyFail::new(COPY_REFUSED.to_owned()), &mut connection.output)?;
@@ -145,7 +145,7 @@
 
     fn forward_if_large(&mut self) {
         if self.keyed.is_some() {
-            // Its answer counts only once it is stored.
+            // The answer of a keyed write is valid only once it is stored.
             return;
         }
         let limit = if self.forwarded { FRAME_BYTES } else { HOLD_BYTES };
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Sends what is held to the edge; from then on the request cannot be tried again.
+    /// Sends the buffered answer to the edge. The request cannot be retried afterwards.
     pub(super) fn forward(&mut self) {
         if self.held.is_empty() {
             return;
@@ -166,7 +166,7 @@
     }
 }
 
-/// The status of `ReadyForQuery` in the words of the protocol between edge and owner.
+/// Converts the status of `ReadyForQuery` to that of the protocol between edge and owner.
 pub(super) fn status_of(status: ReadyStatus) -> TransactionStatus {
     match status {
         ReadyStatus::Idle => TransactionStatus::Idle,
--- a/crates/owner/src/exchange/run.rs
+++ b/crates/owner/src/exchange/run.rs
@@ -1,6 +1,5 @@
-//! The transaction from its first batch to its end.
-//!
-//! The module owns the loop; between two batches it watches for the caller, the member and a change of primary.
+//! Main loop of a transaction, from its first batch to its end. Between two batches the loop watches for
+//! input of the caller, loss of the connection, an unresponsive member and a change of primary.
 
 use super::state::{Exchange, Exit, Step};
 use super::unfinished;
@@ -10,7 +9,7 @@
 use corktack_protocol::peer::TransactionStatus;
 
 impl Exchange<'_> {
-    /// Runs the transaction to its end.
+    /// Runs the transaction to its end and returns its result.
     pub async fn run(mut self) -> Exit {
         let mut step = self.run_first_batch().await;
         loop {
@@ -63,7 +62,7 @@
                 return Step::Lost(ConnectionError::Closed);
             };
             connection.sent_bytes = 0;
-            // Anything that arrives now answers nothing, and is found out here.
+            // No request is pending: a message that arrives now is read below and found unexpected.
             let lost = connection.progress(true);
             tokio::select! {
                 () = replaced => return Step::Lost(ConnectionError::Closed),
--- a/crates/owner/src/exchange/send.rs
+++ b/crates/owner/src/exchange/send.rs
@@ -1,7 +1,7 @@
-//! One batch: out on the leased connection, and its answer in, until the member is ready or the batch is lost.
+//! Sends one batch on the leased connection and waits until it is answered or lost.
 //!
-//! The module owns the wait for either side while a batch is in flight; it relies on `replies` to take
-//! messages in and on `decisions` for whether the answer counts.
+//! While a batch is in flight, the module waits for both the back end and the caller. `replies` reads the
+//! answer, and `decisions` says whether the answer is valid.
 
 use super::state::{Exchange, Step};
 use crate::batch;
@@ -11,7 +11,7 @@
 use corktack_protocol::peer::{Access, Batch, ServedBy, TransactionStatus};
 
 impl Exchange<'_> {
-    /// Sends a batch and takes its answer in.
+    /// Sends a batch and reads its answer.
     pub(super) async fn run_batch(&mut self, batch: &Batch) -> Step {
         self.observed = None;
         self.failed = false;
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Waits for input of either side while a batch is in flight.
+    /// Waits for input of the back end or the caller while a batch is in flight; returns an outcome if the
+    /// input ends the batch.
     pub(super) async fn wait(&mut self) -> Option<Step> {
         let may_read = self.input.window > 0;
         let may_retry = self.request.access == Access::Read && !self.forwarded;
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The batch is answered: decides whether the answer counts.
+    /// Decides whether the complete answer to the batch is valid.
     fn end_of_batch(&mut self, status: TransactionStatus) -> Step {
         let alone = status == TransactionStatus::Idle || self.is_first_flush();
         if let Some(cause) = self.refusal.filter(|_| alone) {
@@ -85,7 +86,7 @@
         Step::Ready(status)
     }
 
-    /// The request was refused before anything ran.
+    /// Returns the outcome of a request that the member refused before any statement ran.
     pub(super) fn refused(&self, cause: RetryCause) -> Step {
         let destination = self.lease.destination();
         if (cause, destination.served_by) == (RetryCause::NotPrimary, ServedBy::Primary) {
@@ -94,7 +95,7 @@
         Step::Retry(retry_after_refusal(cause, destination.served_by))
     }
 
-    /// Whether a replica answered a read without proof that it holds the minimum.
+    /// Reports whether a replica answered a read without evidence that it has applied the minimum.
     fn is_unverified(&self, status: TransactionStatus) -> bool {
         let answer = Answer {
             served_by: self.lease.destination().served_by,
@@ -107,7 +108,7 @@
         is_unverified(&answer, self.minimum)
     }
 
-    /// Whether the batch in flight is the first of the stream and ends with a Flush.
+    /// Reports whether the batch in flight is the first of the stream and ends with a Flush.
     fn is_first_flush(&self) -> bool {
         self.facts.flushes && self.status == TransactionStatus::Idle
     }
--- a/crates/owner/src/exchange/state.rs
+++ b/crates/owner/src/exchange/state.rs
@@ -1,4 +1,4 @@
-//! What is known of a transaction on its lease, and how it may end.
+//! State of a transaction on its lease, and the results of a batch and of a transaction.
 
 use super::keyed_write::KeyedWrite;
 use super::unfinished::Unfinished;
@@ -14,32 +14,32 @@
 use corktack_protocol::peer::{Failure, OpenRequest, TransactionStatus};
 use std::sync::Arc;
 
-/// How an exchange ended.
+/// Result of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// The caller has its whole answer, or is gone.
+    /// The caller has its complete answer, or is gone.
     Ended,
     /// The stream's final answer is a failure.
     Failed(Failure),
-    /// Nothing ran, or it only read and nothing was forwarded.
+    /// The request can be retried: no statement ran, or the request only read and no answer was forwarded.
     Retry(RetryCause),
-    /// The commit of a keyed write was sent; only a repeat tells its outcome.
+    /// The commit of a keyed write was sent; only a repeat shows its outcome.
     Unresolved(RetryCause),
 }
 
-/// What happened to the batch in flight.
+/// Outcome of the batch in flight.
 pub(super) enum Step {
-    /// Its answer is complete; this is the status after it.
+    /// The answer is complete and leaves the transaction in this status.
     Ready(TransactionStatus),
-    /// The connection is lost, or must be given up.
+    /// The connection is lost, or must be closed.
     Lost(ConnectionError),
     /// The caller is gone.
     Gone,
-    /// The batch must be tried at another member, or again at this one.
+    /// The batch must be retried, at this or another member.
     Retry(RetryCause),
-    /// The edge broke the rules.
+    /// The edge violated the protocol.
     Violation,
-    /// The outcome is known to be this failure.
+    /// The transaction ended with this failure.
     Failed(Failure),
 }
 
@@ -51,32 +51,32 @@
     pub(super) minimum: Option<Position>,
     pub(super) input: &'stream mut Input,
     pub(super) outbound: &'stream Outbound,
-    /// What the batch in flight may do.
+    /// Properties of the batch in flight.
     pub(super) facts: BatchFacts,
-    /// Status before the batch in flight.
+    /// Transaction status before the batch in flight.
     pub(super) status: TransactionStatus,
-    /// Answers not forwarded yet.
+    /// Messages of the answer that are not forwarded yet.
     pub(super) held: BytesMut,
-    /// Something of the answer was forwarded.
+    /// Whether a part of the answers was forwarded.
     pub(super) forwarded: bool,
-    /// A statement of the stream completed.
+    /// Whether a statement of the stream returned a row or completed.
     pub(super) completed: bool,
-    /// Why the member refused the request before anything ran.
+    /// Reason why the member refused the request before any statement ran.
     pub(super) refusal: Option<RetryCause>,
-    /// Position reported with the batch in flight.
+    /// Position that the member reported with the batch in flight.
     pub(super) observed: Option<Position>,
-    /// An error was part of the answer to the batch in flight.
+    /// Whether the answer to the batch in flight contains an error.
     pub(super) failed: bool,
-    /// A cancel was sent; it may hit the connection late, which is thus not reused.
+    /// Whether a cancel was sent. The cancel may take effect late, so the connection is not reused.
     pub(super) cancelled: bool,
-    /// The write runs under an idempotency key.
+    /// State of the write if it has an idempotency key.
     pub(super) keyed: Option<KeyedWrite>,
-    /// What a batch between its first Flush and its Sync has done.
+    /// State of a batch between its first Flush and its Sync.
     pub(super) unfinished: Unfinished,
 }
 
 impl<'stream> Exchange<'stream> {
-    /// A transaction of which nothing is sent yet.
+    /// Creates the exchange of a transaction of which no batch is sent yet.
     pub fn new(
         group: &'stream Arc<Group>,
         lease: Lease,
--- a/crates/owner/src/exchange/unfinished.rs
+++ b/crates/owner/src/exchange/unfinished.rs
@@ -1,31 +1,31 @@
 //! A batch of the extended protocol between its first Flush and its Sync.
 //!
-//! What it runs is committed by the Sync. Some statements (`CREATE DATABASE`,
-//! `VACUUM`) and some back ends commit each statement as it runs, so anything that
-//! ran counts as possibly committed when the connection is lost.
+//! The Sync commits the statements of the batch. But some statements (`CREATE DATABASE`, `VACUUM`) commit as
+//! they run, and some back ends commit every statement as it runs, so each statement that ran counts as
+//! possibly committed when the connection is lost.
 
 use crate::batch::{self, BatchFacts};
 use corktack_protocol::peer::{Access, OpenRequest};
 
-/// What an unfinished batch has done.
+/// State of an unfinished batch. Each message sequence up to a Flush or the Sync is one part of the batch.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Unfinished {
-    /// A Flush was sent, and no Sync was answered since.
+    /// Whether a Flush was sent, and no Sync answered since.
     open: bool,
-    /// A part that ran a statement was answered.
+    /// Whether a part that ran a statement was answered.
     ran: bool,
-    /// The part in flight runs a statement.
+    /// Whether the part in flight runs a statement.
     runs: bool,
 }
 
 impl Unfinished {
-    /// Notes a part that is sent.
+    /// Records a part that is about to be sent.
     pub fn sent(&mut self, facts: &BatchFacts) {
         self.open |= facts.flushes;
         self.runs = facts.executes;
     }
 
-    /// Notes that the part in flight is answered; one without a Flush ends the batch.
+    /// Records that the part in flight is answered; a part without a Flush ends the batch.
     pub fn answered(&mut self, facts: &BatchFacts) {
         if facts.flushes {
             self.ran |= facts.executes;
@@ -34,21 +34,21 @@
         }
     }
 
-    /// Whether the back end waits for a Sync.
+    /// Reports whether the back end waits for a Sync.
     pub fn is_open(&self) -> bool {
         self.open
     }
 
-    /// Whether something of it may be committed, if so many bytes of the part in
-    /// flight were sent.
+    /// Reports whether a statement of the batch may be committed, given the number of bytes of the part in
+    /// flight that were sent.
     pub fn may_have_committed(&self, sent: usize) -> bool {
         self.open && (self.ran || (self.runs && sent > 0))
     }
 }
 
-/// Whether a stream may leave a batch unfinished. The later parts are not known yet
-/// and may write, so a replica cannot serve them; and the answer under a key is kept
-/// with the commit, so none of it can be given before.
+/// Reports whether a stream may leave a batch unfinished. A read may not: the later parts are unknown and may
+/// write, so a replica cannot serve them. A keyed write may not: its answer is stored with the commit, so no
+/// part of the answer can be given before.
 pub(super) fn may_flush(request: &OpenRequest) -> bool {
     let keyed = request.idempotency_key.is_some() && batch::runs_something(&request.batch);
     request.access == Access::Write && !keyed
--- a/crates/owner/src/group/connections.rs
+++ b/crates/owner/src/group/connections.rs
@@ -1,6 +1,5 @@
-//! The server connections of a group, within the limit that they have together.
-//!
-//! The module owns the count; a connection counts from before it is opened until it is dropped.
+//! The server connections of a group, within the group's limit. A connection counts towards the limit from
+//! before it is opened until it is dropped.
 
 use super::Group;
 use crate::connection::{ConnectionError, Login, ServerConnection};
@@ -10,19 +9,19 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::sync::Notify;
 
-/// `application_name` of connections that serve callers.
+/// `application_name` of connections that serve callers' transactions.
 const APPLICATION_NAME: &str = "corktack";
-/// `application_name` of probes and barriers; it is exempt from slots.
+/// `application_name` of the connections for probes and barriers, which need no slot.
 pub(crate) const CONTROL_APPLICATION_NAME: &str = "corktack-control";
 
-/// A server connection that counts towards the group's limit.
+/// A server connection that counts towards the group's limit until it is dropped.
 #[derive(Debug)]
 pub(crate) struct PooledConnection {
     pub connection: ServerConnection,
     _open: OpenConnection,
 }
 
-/// One of the connections that the group's limit allows, open or being opened.
+/// A reservation of one of the connections that the group's limit allows.
 #[derive(Debug)]
 pub(crate) struct OpenConnection {
     open: Arc<AtomicU32>,
@@ -37,7 +36,7 @@
 }
 
 impl Group {
-    /// Takes one of the connections that the limit allows, if any is left.
+    /// Reserves a connection under the group's limit, if one is left.
     pub fn reserve_connection(&self) -> Option<OpenConnection> {
         let limit = self.view().spec.connections;
         let one_more = |open| (open < limit).then_some(open + 1);
@@ -45,7 +44,7 @@
         Some(OpenConnection { open: Arc::clone(&self.open), room: Arc::clone(&self.room) })
     }
 
-    /// Opens a new server connection.
+    /// Opens a new server connection to a member under a reservation.
     pub async fn connect(
         &self,
         member: &MemberName,
@@ -57,12 +56,12 @@
         Ok(PooledConnection { connection, _open: open })
     }
 
-    /// Server connections that are open or being opened.
+    /// Returns the number of server connections that are open or being opened.
     pub fn open_connections(&self) -> u32 {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Address of a member, and how to log in there.
+    /// Returns a member's address, if the view has the member, and the parameters to log in with.
     pub fn login(
         &self,
         member: &MemberName,
--- a/crates/owner/src/group/mod.rs
+++ b/crates/owner/src/group/mod.rs
@@ -1,9 +1,9 @@
-//! One owned group: its queue, what is known of its members, its connections.
+//! One owned group: its queue, the state of its members, and its connections.
 //!
-//! The module owns the group's state, which its tasks and streams change in short steps under one lock, and the
-//! signals that wake them. It relies on `corktack_core` for the decisions (queue, routing, retry budget) and
-//! on `connection` for the wire. `state` is what the lock protects, `slots` the right to run a transaction,
-//! `connections` the limit of server connections, `standing` whether the group is still owned here.
+//! The group's tasks and streams change its state in short steps under one lock, and wait on its
+//! notifications. `corktack_core` makes the decisions (queue, routing, retry budget). `state` defines the
+//! state that the lock protects, `slots` the right to run a transaction, `connections` the limit of server
+//! connections, and `standing` whether this proxy still owns the group.
 
 mod connections;
 mod slots;
@@ -32,7 +32,7 @@
 use std::time::Instant;
 use tokio::sync::{Notify, watch};
 
-/// One owned group.
+/// One owned group, shared by its tasks and streams.
 #[derive(Debug)]
 pub(crate) struct Group {
     pub name: GroupName,
@@ -41,14 +41,14 @@
     pub barriers: BarrierQueue,
     /// Wakes the task that keeps connections warm.
     pub warm: Notify,
-    /// Wakes one that waits for a connection, when one was closed or given back.
+    /// Wakes a request that waits for a connection when one was closed or returned to the pool.
     pub room: Arc<Notify>,
     state: Mutex<GroupState>,
     view: watch::Sender<Arc<GroupView>>,
-    /// Wakes what waits when the group is retired. Apart from `knowledge`, which
-    /// changes with each commit, so that a long queue sleeps through those.
+    /// Wakes waiting requests when the group is retired. This is separate from `knowledge`, which changes
+    /// with each commit, so that commits do not wake every request in a long queue.
     pub retirement: watch::Sender<bool>,
-    /// Rises when a position or the reachability of a member changes.
+    /// Counter that increases when a position or the reachability of a member changes.
     knowledge: watch::Sender<u64>,
     open: Arc<AtomicU32>,
     origin: Timestamp,
@@ -56,7 +56,7 @@
 }
 
 impl Group {
-    /// A group that this proxy owns from now on, which is `origin` on the owner's clock.
+    /// Creates a group that this proxy owns from now on; `origin` is the current time on the owner's clock.
     pub fn new(
         name: GroupName,
         view: Arc<GroupView>,
@@ -89,42 +89,42 @@
         group
     }
 
-    /// Runs a short step under the group's lock.
+    /// Runs a short operation under the group's lock.
     pub fn with_state<T>(&self, step: impl FnOnce(&mut GroupState) -> T) -> T {
         step(&mut lock(&self.state))
     }
 
-    /// The time now, on the owner's clock.
+    /// Returns the current time on the owner's clock.
     pub fn now(&self) -> Timestamp {
         self.origin + self.started.elapsed()
     }
 
-    /// The group as the configuration in force has it.
+    /// Returns the group as defined in the configuration in force.
     pub fn view(&self) -> Arc<GroupView> {
         Arc::clone(&self.view.borrow())
     }
 
-    /// The same, to be followed.
+    /// Returns a receiver for changes of the group in the configuration.
     pub fn follow_view(&self) -> watch::Receiver<Arc<GroupView>> {
         self.view.subscribe()
     }
 
-    /// Changes with what is known of the members.
+    /// Returns a receiver that is notified when the state of a member changes.
     pub fn follow_knowledge(&self) -> watch::Receiver<u64> {
         self.knowledge.subscribe()
     }
 
-    /// Wakes what waits for more to be known of the members.
+    /// Wakes the tasks that wait for a change in the state of a member.
     pub fn knowledge_changed(&self) {
         self.knowledge.send_modify(|count| *count += 1);
     }
 
-    /// The label of the group's metrics.
+    /// Returns the label of the group's metrics.
     pub fn label(&self) -> GroupLabel {
         GroupLabel { group: self.name.to_string() }
     }
 
-    /// Puts a later view in force.
+    /// Applies a newer view. Closes idle connections to draining members and to a replaced primary.
     pub fn apply_view(
         self: &Arc<Self>,
         view: &Arc<GroupView>,
@@ -150,22 +150,22 @@
         self.grant_slots();
     }
 
-    /// Whether a write could be sent now.
+    /// Reports whether there is a primary that accepts work: one that is neither suspect nor draining.
     pub fn primary_available(&self, state: &GroupState) -> bool {
         let view = self.view.borrow();
         let usable = |primary: &MemberName| !is_draining(&view, primary);
         !state.primary_suspect && view.primary.as_ref().is_some_and(usable)
     }
 
-    /// The primary to send work to, with its term.
+    /// Returns the primary and its term, if the primary accepts work.
     pub fn available_primary(&self) -> Option<(MemberName, Term)> {
         let available = self.with_state(|state| self.primary_available(state));
         let view = self.view();
         view.primary.clone().filter(|_| available).map(|primary| (primary, view.term))
     }
 
-    /// Records that the primary failed or refused, so that no more work is sent
-    /// to it before a probe finds it well.
+    /// Records that the primary failed or refused work, so that it gets no more work before a probe finds it
+    /// leading. Has no effect if the member is no longer the primary of that term.
     pub fn suspect_primary(&self, member: &MemberName, term: Term) {
         let view = self.view();
         if view.primary.as_ref() == Some(member) && view.term == term {
@@ -173,14 +173,14 @@
         }
     }
 
-    /// Records a position that a member reported with an answer.
+    /// Records a position that a member reported with an answer, and wakes waiting tasks if it is new.
     pub fn learn_position(&self, member: &MemberName, position: Position) {
         if self.with_state(|state| state.routing.learn_position(member, position)) {
             self.knowledge_changed();
         }
     }
 
-    /// How long the outcome of an idempotency key is kept, in milliseconds.
+    /// Returns the retention of the outcomes of idempotency keys, in milliseconds.
     pub fn outcome_retention_ms(&self) -> u64 {
         u64::try_from(self.settings.outcome_retention.as_millis()).unwrap_or(u64::MAX)
     }
--- a/crates/owner/src/group/slots.rs
+++ b/crates/owner/src/group/slots.rs
@@ -1,6 +1,5 @@
-//! Slots of a group: the right to run one transaction, and the wait for it.
-//!
-//! The module owns the grants; it relies on the admission queue of `corktack_core` for whose turn it is.
+//! Slots of a group: the right to run one transaction, and the wait for it. The admission queue of
+//! `corktack_core` decides the order of the grants.
 
 use super::{Group, GroupState};
 use corktack_core::admission::{AdmissionError, Lane, Ticket};
@@ -11,7 +10,7 @@
 use tokio::sync::oneshot;
 
 impl Group {
-    /// Asks for a slot.
+    /// Adds a request for a slot to the queue; fails when the queue is full or the deadline cannot be met.
     pub fn enqueue(
         self: &Arc<Self>,
         class: &ClassName,
@@ -22,7 +21,7 @@
         let now = self.now();
         let ticket = self.with_state(|state| {
             let admitted = state.admission.enqueue(class, lane, now, deadline)?;
-            // Without its sender, a request given up hears of it at once.
+            // Dropping the sender ends the wait of a displaced request at once.
             admitted.displaced.map(|displaced| state.grants.remove(&displaced));
             state.grants.insert(admitted.ticket, sender);
             Ok(admitted.ticket)
@@ -31,7 +30,7 @@
         Ok(PendingSlot { group: Arc::clone(self), ticket, receiver })
     }
 
-    /// Hands free slots to waiting requests.
+    /// Grants free slots to waiting requests.
     pub fn grant_slots(self: &Arc<Self>) {
         let now = self.now();
         let granted = self.with_state(|state| {
@@ -44,7 +43,7 @@
         });
         for sender in granted {
             let slot = Slot { group: Arc::clone(self), granted: Instant::now() };
-            // A slot that nobody takes any more is released when it is dropped.
+            // If the request is gone, dropping the slot releases it.
             drop(sender.map(|sender| sender.send(slot)));
         }
     }
@@ -70,7 +69,7 @@
     }
 }
 
-/// The right to run one transaction; given back when dropped.
+/// The right to run one transaction; dropping it releases the slot.
 #[derive(Debug)]
 pub(crate) struct Slot {
     group: Arc<Group>,
@@ -83,16 +82,16 @@
     }
 }
 
-/// Why a wait for a slot ended without one.
+/// Reasons why a wait for a slot ended without one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GivenUp {
-    /// The deadline came first.
+    /// The deadline passed first.
     Late,
-    /// The place in the full queue went to another class.
+    /// A request of another class took the place in the full queue.
     Displaced,
 }
 
-/// A place in the queue; given up when dropped.
+/// A place in the queue; dropping it removes the request from the queue.
 #[derive(Debug)]
 pub(crate) struct PendingSlot {
     group: Arc<Group>,
@@ -101,7 +100,7 @@
 }
 
 impl PendingSlot {
-    /// The slot, unless the wait is given up.
+    /// Waits for the slot until the deadline.
     pub async fn wait(mut self, deadline: Timestamp) -> Result<Slot, GivenUp> {
         let left = deadline.saturating_since(self.group.now());
         let granted = tokio::time::timeout(left, &mut self.receiver).await;
--- a/crates/owner/src/group/standing.rs
+++ b/crates/owner/src/group/standing.rs
@@ -1,14 +1,12 @@
-//! Whether a group is still owned here, and whether its members answer.
-//!
-//! The module owns what follows from either: which idle connections are closed, and who is woken.
+//! Retirement of a group that another proxy owns now, and reactions to members that leave probes unanswered.
 
 use super::Group;
 use corktack_core::identity::MemberName;
 use std::time::Instant;
 
 impl Group {
-    /// Gives up the connections that no transaction uses: another proxy owns the
-    /// group now, and the back end's limit is for its connections.
+    /// Closes the idle connections and refuses waiting requests, since another proxy owns the group now and
+    /// needs the connections that the back end allows.
     pub fn retire(&self) {
         let closed = self.with_state(|state| {
             state.retired = true;
@@ -18,7 +16,7 @@
         self.retirement.send_replace(true);
     }
 
-    /// Takes the group up again after [`Group::retire`].
+    /// Marks the group as owned again after [`Group::retire`].
     pub fn resume(&self) {
         self.with_state(|state| state.retired = false);
         self.retirement.send_replace(false);
@@ -27,11 +25,12 @@
     /// Waits until the group is retired.
     pub async fn retired(&self) {
         let mut retirement = self.retirement.subscribe();
-        // The sender lives in the group.
+        // The wait cannot fail: the group keeps the sender alive.
         let _ = retirement.wait_for(|retired| *retired).await;
     }
 
-    /// Records whether a probe of a member was answered.
+    /// Records whether a probe of a member was answered. Closes the idle connections to a member that has
+    /// been unresponsive for `silence_timeout`.
     pub fn note_probe(&self, member: &MemberName, answered: bool) {
         let bound = self.settings.silence_timeout;
         let (changed, closed) = self.with_state(|state| {
@@ -44,7 +43,7 @@
             if since.elapsed() < bound {
                 return (!known, None);
             }
-            // What the member may never answer must not be handed out again.
+            // The member may never answer on these connections, so they must not be reused.
             (!known, state.idle.remove(member))
         });
         drop(closed);
--- a/crates/owner/src/group/state.rs
+++ b/crates/owner/src/group/state.rs
@@ -1,7 +1,5 @@
-//! What a group's lock protects.
-//!
-//! The module owns the fields and small steps on them; who waits for a change is woken by the group, outside
-//! the lock.
+//! State that a group's lock protects, with short operations on it. The group wakes waiting tasks outside the
+//! lock.
 
 use super::connections::PooledConnection;
 use super::slots::Slot;
@@ -15,35 +13,36 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// What the group's lock protects. Never held across an await.
+/// State that the group's lock protects. The lock is never held across an await.
 #[derive(Debug)]
 pub(crate) struct GroupState {
-    /// Who waits for a slot, and whose turn it is.
+    /// Queue of the requests that wait for a slot.
     pub admission: AdmissionQueue,
-    /// What is known of the members: reachable, position, work in flight.
+    /// State of the members: reachability, position, work in flight.
     pub routing: RoutingTable,
-    /// Connections that no transaction uses, by member.
+    /// Idle connections by member.
     pub idle: BTreeMap<MemberName, Vec<PooledConnection>>,
-    /// Retries that the group's requests have left.
+    /// Budget of retries that the group's requests share.
     pub retry: RetryBudget,
-    /// Waits before retries.
+    /// Delays before retries.
     pub backoff: Backoff,
-    /// The primary in the view failed or refused; writes wait for a probe or a new view.
+    /// Whether the primary in the view failed or refused work; writes then wait for a probe or a new view.
     pub primary_suspect: bool,
-    /// Rises with each change of primary or term; connections made before are not pooled after.
+    /// Counter that increases with each change of primary or term. Leased connections from an earlier epoch
+    /// are not returned to the pool.
     pub epoch: u64,
-    /// Members that leave probes unanswered, and since when.
+    /// Members that leave probes unanswered, with the time of the first unanswered probe.
     pub silent_since: BTreeMap<MemberName, Instant>,
-    /// Another proxy owns the group now: what is open finishes, nothing is pooled.
+    /// Whether another proxy owns the group now: open streams finish, and no connection returns to the pool.
     pub retired: bool,
-    /// Keyed commits before old outcomes are removed again.
+    /// Number of keyed commits until old outcomes are removed again.
     commits_to_sweep: u32,
-    /// Who waits for which ticket.
+    /// Channels to the requests that wait for a slot, by ticket.
     pub grants: HashMap<Ticket, oneshot::Sender<Slot>>,
 }
 
 impl GroupState {
-    /// Nothing is known of the members yet, and nothing waits.
+    /// Creates the state of a group without known members or waiting requests.
     pub fn new(admission: AdmissionQueue, backoff: Backoff) -> Self {
         Self {
             admission,
@@ -60,7 +59,7 @@
         }
     }
 
-    /// Counts a keyed commit; true when old outcomes are to be removed.
+    /// Counts a keyed commit; returns true when old outcomes must be removed.
     pub fn sweep_is_due(&mut self) -> bool {
         let due = self.commits_to_sweep == 0;
         self.commits_to_sweep =
@@ -68,8 +67,8 @@
         due
     }
 
-    /// Keeps a connection that was made in an epoch for the next transaction. It comes back, to be closed
-    /// outside the lock, where the group is retired or the epoch over.
+    /// Adds a connection from the given epoch to the pool. Returns the connection, for the caller to close
+    /// outside the lock, if the group is retired or the epoch has passed.
     pub fn keep_idle(
         &mut self,
         member: &MemberName,
@@ -83,7 +82,8 @@
         None
     }
 
-    /// Takes out idle connections to members that are gone, draining or were primary.
+    /// Removes and returns idle connections to members that are gone or draining, and to the replaced
+    /// primary.
     pub fn take_unusable(
         &mut self,
         view: &GroupView,
--- a/crates/owner/src/groups.rs
+++ b/crates/owner/src/groups.rs
@@ -1,8 +1,8 @@
-//! Follows the configuration in force: which groups this proxy owns, and which it observes.
+//! Applies the configuration in force: starts and stops the tasks (probes, barriers, warm connections) of the
+//! groups that this proxy owns or observes.
 //!
-//! The module owns the tasks of each group (probes, barriers, warm connections) and ends them with what this proxy
-//! does for the group; a group that is lost stays until its streams have finished. It relies on the view for who
-//! owns a group and on `corktack_core` for who is its second observer.
+//! A group that another proxy owns now stays in memory until its streams have finished. The view names the
+//! owner of a group, and `corktack_core` chooses its second observer.
 
 use crate::barrier;
 use crate::connection::Login;
@@ -18,19 +18,19 @@
 use std::sync::{Arc, Weak};
 use tokio_util::sync::CancellationToken;
 
-/// A second observer probes this many times slower than the owner. Measured with the owner's probes every 200 ms:
-/// a frozen primary, which both observers have to miss, was replaced within 1.0 s at twice and 1.4 s at four times
-/// (middle of three runs), for 6.4 and 5.4 KB/s a group (docs/CAPACITY.md).
+/// Factor between the probe intervals of a second observer and of the owner. A frozen primary is replaced
+/// only after both observers miss probes of it: with probes of the owner every 200 ms, that takes 1.0 s at a
+/// factor of 2, for 6.4 KB/s per group, and 1.4 s at a factor of 4, for 5.4 KB/s (docs/CAPACITY.md).
 const OBSERVER_SLOWDOWN: u32 = 2;
 
-/// What this proxy does for a group.
+/// Role of this proxy for a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Owner,
     Observer,
 }
 
-/// The tasks that run for a group, stopped when dropped.
+/// The tasks that run for a group; dropping the value stops them.
 struct Duty {
     role: Role,
     members: Vec<MemberSpec>,
@@ -46,15 +46,15 @@
     }
 }
 
-/// A group that another proxy owns now. Open streams hold it; until they have
-/// finished they must still hear of a change of primary and of silent members.
+/// A group that another proxy owns now. Open streams keep the group alive; until they have finished, they
+/// must still be notified of a change of primary and of unresponsive members.
 struct RetiredGroup {
     name: GroupName,
     group: Weak<Group>,
 }
 
 impl RetiredGroup {
-    /// Passes a view on; false when no stream is open any more.
+    /// Applies a view to the group; returns false when no stream is open any more.
     fn follow(&self, view: &View) -> bool {
         let Some(group) = self.group.upgrade() else {
             return false;
@@ -66,8 +66,8 @@
     }
 }
 
-/// Ends what this proxy does for a group that it lost. Its probes go on by
-/// themselves for as long as streams hold the group.
+/// Stops owning a group that another proxy owns now. The group's probes continue detached until no stream
+/// holds the group.
 fn retire(context: &Context, name: &GroupName, duty: &mut Duty) -> Option<RetiredGroup> {
     let group = context.remove_group(name)?;
     group.retire();
@@ -75,7 +75,7 @@
     Some(RetiredGroup { name: name.clone(), group: Arc::downgrade(&group) })
 }
 
-/// Applies each view as it comes, until the owner stops.
+/// Applies each new view until the owner stops.
 pub(crate) async fn follow_view(context: Arc<Context>) {
     let mut views = context.view.clone();
     let mut duties = Duties::default();
@@ -83,13 +83,13 @@
         let view = Arc::clone(&views.borrow_and_update());
         duties.apply(&context, &view);
         if views.changed().await.is_err() {
-            // No further view can come; what is in force stays in force.
+            // The sender is gone: the last view stays in force.
             return std::future::pending().await;
         }
     }
 }
 
-/// What this proxy does for all groups under the view applied last.
+/// The groups that this proxy owns, observes or has retired under the last view.
 #[derive(Default)]
 struct Duties {
     duties: BTreeMap<GroupName, Duty>,
@@ -150,7 +150,7 @@
                 context.now(),
             ))
         });
-        // Streams that are still open from before count towards the same slots.
+        // Streams still open from an earlier ownership count towards the same slots.
         owned.resume();
         let duty = Duty::new(Role::Owner);
         duty.spawn(context, warm::keep_warm(Arc::clone(&owned)));
@@ -160,7 +160,7 @@
     }
 }
 
-/// What a proxy does for a group under a view.
+/// Returns the role of a proxy for a group, if it has one.
 fn role(
     proxy: &ProxyName,
     observers: &SecondObservers,
--- a/crates/owner/src/idle.rs
+++ b/crates/owner/src/idle.rs
@@ -1,8 +1,8 @@
-//! The idle server connections of a group: how a transaction gets one.
+//! Choice of a server connection for a transaction.
 //!
-//! The module owns the order of the choice: an idle connection to the member, a new one within the group's limit,
-//! the room of an idle one to another member, the next that is given back. It relies on the group for the
-//! connections and their limit.
+//! A transaction takes, in this order: an idle connection to its member, a new connection within the group's
+//! limit, a new one in place of an idle connection to another member, or the next connection that is
+//! returned.
 
 use crate::connection::{CONNECT_TIMEOUT, ConnectionError};
 use crate::group::{Group, GroupState, PooledConnection};
@@ -19,8 +19,8 @@
     }
 }
 
-/// An idle connection to the member, or a new one within the group's limit. At the
-/// limit an idle connection to another member is closed, or the next one awaited.
+/// Returns an idle connection to the member, or a new one within the group's limit. At the limit, closes an
+/// idle connection to another member, or waits until a connection is closed or returned.
 pub(crate) async fn obtain_connection(
     group: &Group,
     member: &MemberName,
@@ -47,7 +47,7 @@
     closed.is_some()
 }
 
-/// Closes idle connections that broke while nobody used them.
+/// Closes idle connections that broke while they were in the pool.
 pub(crate) fn sweep_idle(group: &Group) {
     let dead = group.with_state(|state| {
         let mut dead = Vec::new();
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -1,9 +1,8 @@
 //! Leases of server connections: one transaction, one slot, one connection.
 //!
-//! A [`Lease`] owns its connection: no other transaction can reach it before
-//! the lease gives it back, clean, with [`Lease::recycle`]. A lease that is
-//! dropped closes the connection. The module relies on `idle` for a connection and on the group's
-//! state for when the work must not go on at its member.
+//! A [`Lease`] owns its connection exclusively until [`Lease::recycle`] resets the connection and returns it
+//! to the pool. Dropping a lease closes the connection. Connections come from `idle`; the group's state says
+//! when a transaction must not continue at its member.
 
 use crate::connection::{ConnectionError, ServerConnection};
 use crate::group::{Group, PooledConnection, Slot};
@@ -16,32 +15,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Statement that brings a session back to its first state.
+/// Statement that resets a session to its initial state.
 const RESET_SESSION: &str = "DISCARD ALL";
-/// Statement that ends a transaction that its caller left.
+/// Statement that ends a transaction whose caller is gone.
 const ROLLBACK: &str = "ROLLBACK";
-/// Longest time for a connection to become clean again before it is closed. The slot is held meanwhile. Chosen,
-/// not measured: a shorter one closes connections whose last statement is a little slow, a longer one keeps the
-/// slot from the next request.
+/// Longest time to reset a connection before it is closed instead. The slot stays occupied meanwhile. A
+/// shorter timeout closes connections whose last statement is a little slow; a longer one delays the next
+/// request for the slot.
 const CLEAN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A member chosen for a transaction.
+/// The member chosen for a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Destination {
     pub member: MemberName,
     pub served_by: ServedBy,
-    /// Term of the view that the choice was made from.
+    /// Term of the view in which the member was chosen.
     pub term: Term,
 }
 
 impl Destination {
-    /// Whether the member is still the primary of the same term.
+    /// Reports whether the member is still the primary of the same term.
     pub fn is_primary_of(&self, view: &GroupView) -> bool {
         view.primary.as_ref() == Some(&self.member) && view.term == self.term
     }
 }
 
-/// A server connection in the hands of one transaction.
+/// Exclusive use of a server connection and a slot by one transaction.
 #[derive(Debug)]
 pub(crate) struct Lease {
     pooled: Option<PooledConnection>,
@@ -52,7 +51,7 @@
 }
 
 impl Lease {
-    /// Takes an idle connection to the member, or opens one.
+    /// Acquires an idle connection to the member, or opens a new one.
     pub async fn take(
         group: &Arc<Group>,
         slot: Slot,
@@ -67,18 +66,19 @@
         Ok(Self { pooled: Some(pooled), group, destination, epoch, _slot: slot })
     }
 
-    /// The member that the transaction runs at.
+    /// Returns the member that the transaction runs at.
     pub fn destination(&self) -> &Destination {
         &self.destination
     }
 
-    /// The connection. Absent only after the lease has ended, which consumes it.
+    /// Returns the connection. The connection is absent only after the lease has ended, which consumes the
+    /// lease.
     pub fn connection(&mut self) -> Result<&mut ServerConnection, ConnectionError> {
         let pooled = self.pooled.as_mut().ok_or(ConnectionError::Closed)?;
         Ok(&mut pooled.connection)
     }
 
-    /// Waits until the work must not go on here: the primary was replaced.
+    /// Waits until the primary that serves the transaction is replaced; never returns for a replica.
     pub fn replaced(&self) -> impl Future<Output = ()> + use<> {
         let mut views = self.group.follow_view();
         let destination = self.destination.clone();
@@ -87,12 +87,13 @@
                 return std::future::pending().await;
             }
             let replaced = |view: &Arc<GroupView>| !destination.is_primary_of(view);
-            // The sender lives in the group, which the lease holds.
+            // The wait cannot fail: the lease holds the group, which holds the sender.
             let _ = views.wait_for(replaced).await;
         }
     }
 
-    /// Waits until probes of the replica go unanswered; for the primary the view decides.
+    /// Waits until probes of the replica go unanswered. Never returns for the primary, whose replacement the
+    /// view announces.
     pub fn unreachable(&self) -> impl Future<Output = ()> + use<> {
         let mut knowledge = self.group.follow_knowledge();
         let group = Arc::clone(&self.group);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Waits until the member was silent for longer than the bound.
+    /// Waits until the member has left probes unanswered for longer than `silence_timeout`.
     pub fn silent(&self) -> impl Future<Output = ()> + use<> {
         let mut knowledge = self.group.follow_knowledge();
         let group = Arc::clone(&self.group);
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Ends the lease after a whole answer, outside a transaction. The connection
-    /// is reset where its session may have changed, and given back.
+    /// Ends the lease after a complete answer, outside a transaction. Resets the connection if its session
+    /// may have changed, and returns it to the pool.
     pub async fn recycle(mut self) {
         if let Ok(connection) = self.connection() {
             let clean = clean_session(connection).await;
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Ends the lease of a caller that is gone: what runs is awaited, and the
-    /// open transaction rolled back, both within a bound.
+    /// Ends the lease of a caller that is gone: waits for the running statement and rolls back the open
+    /// transaction, both within a time limit.
     pub async fn roll_back(mut self) {
         if let Ok(connection) = self.connection() {
             let settled = tokio::time::timeout(CLEAN_TIMEOUT, roll_back(connection)).await;
@@ -182,7 +183,7 @@
     }
 }
 
-/// Settles what runs, then rolls back; whether the session is outside a transaction.
+/// Waits for the running statements, then rolls back; returns whether the session is outside a transaction.
 async fn roll_back(connection: &mut ServerConnection) -> Result<bool, ConnectionError> {
     connection.settle().await?;
     connection.queue_query(ROLLBACK)?;
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -1,23 +1,28 @@
 //! The owner side of a proxy: server connections, wait queue and routing of a group.
 //!
 //! The crate owns the server connections of the groups that this proxy owns, their wait queues, and probes of
-//! their members. It relies on `corktack_core` for the decisions that several proxies share (admission, routing,
-//! retry budget), on [`corktack_protocol::peer`] for the messages to edges, and on the configuration in force.
-//! Ownership of a group is an optimisation: nothing here relies on there being one owner only.
+//! their members. It relies on `corktack_core` for the decisions that several proxies share (admission,
+//! routing, retry budget), on [`corktack_protocol::peer`] for the messages to edges, and on the configuration
+//! in force. Ownership of a group is an optimisation: the crate stays correct while two proxies own the same
+//! group.
 //!
-//! The way of a statement:
+//! How a statement is served:
 //!
-//! 1. An edge's message comes on a `link`, which passes it to its stream by `stream_input`. A stream is one
-//!    transaction; `stream` serves it from its request to its final answer.
-//! 2. `router` finds the request a server connection: a confirmed position by `barrier` where a read has none, a
-//!    slot of its `group`'s queue, then a `lease` of an `idle` connection or a new one.
-//! 3. `exchange` sends the batches on the lease's `connection` and takes the answers in: `batch` says what a text may
-//!    do, `wire` cuts messages, `transcript` stores and replays the answers of keyed writes.
-//! 4. `outbound` sends the answer to the edge, in a queue that `backlog` bounds.
-//! 5. Where no whole answer comes, [`decisions`] says whether the stream goes back to step 2 or how it ends.
+//! 1. A `link` receives an edge's message and passes it to the message's stream through `stream_input`. A
+//!    stream is one transaction; `stream` serves it from its request to its final answer.
+//! 2. `router` finds a server connection for the request: it asks `barrier` for a confirmed position if a
+//!    read has none, waits for a slot in the `group`'s queue, then takes a `lease` of an `idle` connection or
+//!    of a new one.
+//! 3. `exchange` sends the batches on the lease's `connection` and receives the answers: `batch` classifies
+//!    the statement texts, `wire` splits messages, `transcript` stores and replays the answers of keyed
+//!    writes.
+//! 4. `outbound` sends the answer to the edge, through a queue that `backlog` bounds.
+//! 5. If no complete answer arrives, [`decisions`] says whether the stream goes back to step 2 or how it
+//!    ends.
 //!
-//! Beside the streams, `groups` follows the configuration in force and runs for each group a `probe` of every
-//! member, the barriers, and the task that keeps connections `warm`. `context` is what all of them share.
+//! Beside the streams, `groups` applies the configuration in force and runs for each group a `probe` of every
+//! member, the barriers, and the task that keeps connections `warm`. `context` holds the state that all of
+//! these share.
 
 mod backlog;
 mod barrier;
@@ -54,12 +59,12 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Links stay open this long after the word that the owner stops, so that what edges sent before they heard
-/// it still gets its answer. Chosen, not measured: a shorter time cuts off what is on the way over a slow
-/// link, which its edge then has to repeat, a longer one adds its length to every stop.
+/// How long links stay open after the owner announced that it stops, so that requests that edges sent before
+/// they received the announcement still get an answer. A shorter time cuts off requests in transit on a slow
+/// link, which their edge then has to repeat; a longer one delays every stop by as much.
 const DRAIN_LINGER: Duration = Duration::from_millis(250);
 
-/// Why an owner could not start.
+/// Reasons why an owner could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum OwnerError {
     /// The listener cannot be used.
@@ -67,12 +72,13 @@
     Listener(#[from] std::io::Error),
 }
 
-/// The owner side of a proxy.
+/// Entry point of the owner side of a proxy; [`Owner::start`] returns the running instance.
 #[derive(Debug)]
 pub struct Owner;
 
 impl Owner {
-    /// Starts to serve edges on the listener. Must be called inside an `actix_rt` system.
+    /// Starts to serve edges on the listener, for the groups that `view` assigns to this proxy. Must be
+    /// called inside an `actix_rt` system.
     ///
     /// # Errors
     /// [`OwnerError::Listener`] when the listener cannot be used.
@@ -92,7 +98,8 @@
     }
 }
 
-/// A running owner. Dropping it stops it at once; [`OwnerHandle::drain`] cuts nothing.
+/// A running owner. Dropping the handle stops the owner at once and cuts off open streams;
+/// [`OwnerHandle::drain`] lets them finish.
 #[derive(Debug)]
 pub struct OwnerHandle {
     context: Arc<Context>,
@@ -100,13 +107,13 @@
 }
 
 impl OwnerHandle {
-    /// The address that edges connect to.
+    /// Returns the address that edges connect to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Refuses new streams, lets open ones finish, then stops.
+    /// Refuses new streams, waits until the open ones have finished, then stops the owner.
     pub async fn drain(self) {
         self.context.begin_drain();
         tokio::time::sleep(DRAIN_LINGER).await;
--- a/crates/owner/src/link.rs
+++ b/crates/owner/src/link.rs
@@ -1,7 +1,7 @@
-//! Links from edges: frames in, frames out, streams told apart by their id.
+//! Links from edges: connections that multiplex streams, each identified by its id, over frames.
 //!
-//! The module owns the sockets and the open streams of each link; it relies on `stream` to serve a stream, and on
-//! `backlog` to hold a link up whose edge does not take what is said to it.
+//! Each link holds its socket and its open streams, which `stream` serves. `backlog` pauses reading from a
+//! link whose edge does not receive its answers.
 
 use crate::backlog::{self, LinkQueue, LinkSender};
 use crate::context::{Context, Phase};
@@ -22,26 +22,26 @@
 
 type Frames = Framed<TcpStream, FrameCodec<OwnerMessage, EdgeMessage>>;
 
-/// Pause after a failed accept, so that a lack of file descriptors is not a busy loop. Chosen, not measured:
-/// a longer one delays edges after the lack is over.
+/// Pause after a failed accept, which prevents a busy loop when file descriptors run out. A longer pause
+/// delays edges after descriptors are available again.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Why a link was closed. All its streams are rolled back.
+/// Reasons why a link was closed. The open transactions of all its streams are rolled back.
 #[derive(Debug, thiserror::Error)]
 enum LinkError {
     /// A frame could not be read or written.
     #[error("link failed")]
     Frame(#[from] FrameError),
-    /// The edge closed it.
+    /// The edge closed the link.
     #[error("link closed by the edge")]
     Closed,
-    /// The first message is not a hello, or a later one is.
+    /// The first message is not a hello, or a later message is one.
     #[error("link without a proper hello")]
     Hello,
-    /// More batches than a stream may have ahead of their answers.
+    /// A stream has more unanswered batches than the limit allows.
     #[error("stream {stream:?} sent batches ahead of their answers")]
     Flood { stream: StreamId },
-    /// A stream id that does not rise.
+    /// The id of a new stream is not above that of the last one.
     #[error("stream {offered:?} does not rise above {last:?}")]
     StreamId { offered: StreamId, last: StreamId },
 }
@@ -93,8 +93,8 @@
     }
 }
 
-/// Sends what streams queue, and the word that the owner stops. Ends when the
-/// links are to close and nothing is left to send.
+/// Writes queued messages to the edge, and announces that the owner stops. Returns when links are to close
+/// and the queue is empty.
 async fn write(
     mut sink: SplitSink<Frames, OwnerMessage>,
     mut queue: LinkQueue,
@@ -120,13 +120,13 @@
                 Some(message) => sink.feed(message).await?,
                 None => return Ok(()),
             },
-            // The sender lives in the context.
+            // The context keeps the sender alive.
             _ = phase.changed() => {}
         }
     }
 }
 
-/// Counts a link as not read until it is dropped.
+/// Guard that counts a link as paused until the guard is dropped.
 struct HeldLink<'a>(&'a Gauge);
 
 impl<'a> HeldLink<'a> {
@@ -146,7 +146,7 @@
     context: Arc<Context>,
     outbound: LinkSender,
     ended: mpsc::UnboundedSender<StreamId>,
-    /// Open streams. Dropping the map tells all of them that the caller is gone.
+    /// Open streams. Dropping the map signals to all of them that their caller is gone.
     streams: HashMap<StreamId, StreamSender>,
     last: Option<StreamId>,
 }
@@ -214,7 +214,8 @@
         }
     }
 
-    /// A message for a stream that has ended crossed its end, and is dropped.
+    /// Passes input to a stream. Input for a stream that has ended is dropped: the edge sent it before it
+    /// received the stream's end.
     fn pass(&self, stream: StreamId, input: StreamInput) {
         if let Some(sender) = self.streams.get(&stream) {
             sender.send(input);
--- a/crates/owner/src/lock.rs
+++ b/crates/owner/src/lock.rs
@@ -1,9 +1,9 @@
-//! Locks that a panic elsewhere does not close.
+//! Locking that ignores poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks, also after a panic of another holder: what the locks of this crate protect is
-/// changed in steps that leave it usable.
+/// Locks a mutex, even after another holder panicked: the state behind the locks of this crate is valid after
+/// each single change.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/owner/src/metrics.rs
+++ b/crates/owner/src/metrics.rs
@@ -1,6 +1,4 @@
-//! Metrics of the owner: their names and labels.
-//!
-//! The module owns the counters; streams, leases and links count with them.
+//! Metrics of the owner with their names and labels, updated by streams, leases and links.
 
 use corktack_protocol::peer::{NotRunReason, ServedBy};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -23,14 +21,14 @@
     pub class: String,
 }
 
-/// Label of a group and who served.
+/// Labels of a group and of the kind of member that served a read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ServerLabel {
     pub group: String,
     pub server: &'static str,
 }
 
-/// Label of a refusal.
+/// Labels of a group and of the reason of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ReasonLabel {
     pub group: String,
@@ -40,32 +38,32 @@
 /// Metrics of the owner.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
-    /// Requests that wait for a slot now.
+    /// Requests that currently wait for a slot.
     pub queue_length: Family<GroupLabel, Gauge>,
-    /// Seconds that requests waited for a slot, or until they gave up.
+    /// Seconds that requests waited for a slot, whether or not they got one.
     pub queue_wait: Family<ClassLabel, Histogram, fn() -> Histogram>,
-    /// Transactions that hold a slot now.
+    /// Transactions that currently hold a slot.
     pub slots_in_use: Family<GroupLabel, Gauge>,
-    /// Read transactions that were answered.
+    /// Answered read transactions.
     pub reads: Family<ServerLabel, Counter>,
-    /// Questions to a primary for a confirmed position.
+    /// Requests to a primary for a confirmed position.
     pub barriers: Family<GroupLabel, Counter>,
-    /// Attempts of requests after the first.
+    /// Attempts of requests beyond the first.
     pub retries: Family<GroupLabel, Counter>,
-    /// Requests that were refused as not run.
+    /// Requests refused as not run, by reason.
     pub refusals: Family<ReasonLabel, Counter>,
-    /// Server connections that were closed and not used again.
+    /// Server connections that were closed rather than returned to the pool.
     pub discarded: Family<GroupLabel, Counter>,
-    /// Links that are not read now, since their edge does not take answers.
+    /// Links whose reading is paused because their edge does not receive answers.
     pub links_held: Gauge,
 }
 
-/// Upper bound of the first bucket of the wait, in seconds. Chosen, not measured: a higher one does not tell a free
-/// slot from a short wait; with a lower one the last bucket ends before the usual limit of a wait.
+/// Upper bound of the first bucket of the wait histogram, in seconds. A higher bound cannot tell a free slot
+/// from a short wait; with a lower one the last bucket ends before the usual limit of a wait.
 const FIRST_BUCKET_SECONDS: f64 = 0.000_1;
-/// Each bucket's bound over that of the one before.
+/// Ratio of each bucket's bound to the previous bucket's.
 const BUCKET_FACTOR: f64 = 2.0;
-/// Number of buckets: the last ends at 13 s.
+/// Number of buckets; the last one ends at 13 s.
 const BUCKETS: u16 = 18;
 
 fn wait_histogram() -> Histogram {
@@ -73,7 +71,7 @@
 }
 
 impl Metrics {
-    /// Registers the metrics.
+    /// Registers the metrics under the prefix `corktack_owner`.
     pub fn register(registry: &mut Registry) -> Self {
         let wait: fn() -> Histogram = wait_histogram;
         let metrics = Self {
@@ -102,7 +100,7 @@
         metrics
     }
 
-    /// Counts a read transaction that was answered.
+    /// Counts an answered read transaction.
     pub fn read_served(&self, group: &str, served_by: ServedBy) {
         let server = match served_by {
             ServedBy::Primary => "primary",
@@ -112,7 +110,7 @@
         self.reads.get_or_create(&label).inc();
     }
 
-    /// Counts a request that was refused as not run.
+    /// Counts a request refused as not run.
     pub fn refused(&self, group: &str, reason: NotRunReason) {
         let label = ReasonLabel { group: group.to_owned(), reason: format!("{reason:?}") };
         self.refusals.get_or_create(&label).inc();
--- a/crates/owner/src/outbound.rs
+++ b/crates/owner/src/outbound.rs
@@ -1,13 +1,11 @@
-//! What a stream sends to its edge.
-//!
-//! The module owns nothing but the way to the link; it relies on the link to write messages in their order.
+//! Messages from a stream to its edge. The link writes them in the order in which they were queued.
 
 use crate::backlog::LinkSender;
 use corktack_core::position::Position;
 use corktack_protocol::peer::{Failure, OwnerMessage, ServedBy, StreamId, TransactionStatus};
 use tokio::sync::mpsc;
 
-/// The output side of a stream; tells the link when the stream has ended.
+/// The output side of a stream. Dropping it notifies the link that the stream has ended.
 #[derive(Debug)]
 pub(crate) struct Outbound {
     stream: StreamId,
@@ -16,12 +14,12 @@
 }
 
 impl Outbound {
-    /// The way from a stream to its link; `ended` hears of its end.
+    /// Connects a stream to its link; `ended` receives the stream's id when the stream ends.
     pub fn new(stream: StreamId, link: LinkSender, ended: mpsc::UnboundedSender<StreamId>) -> Self {
         Self { stream, link, ended }
     }
 
-    /// Sends messages for the caller.
+    /// Sends encoded PostgreSQL messages for the caller.
     pub fn data(&self, messages: Vec<u8>) {
         self.send(OwnerMessage::Data { stream: self.stream, messages });
     }
@@ -31,12 +29,12 @@
         self.send(OwnerMessage::Position { stream: self.stream, position });
     }
 
-    /// Tells that a batch is answered.
+    /// Reports that a batch is answered.
     pub fn ready(&self, status: TransactionStatus, served_by: ServedBy) {
         self.send(OwnerMessage::Ready { stream: self.stream, status, served_by });
     }
 
-    /// Sends the final answer of a stream that a back end did not answer.
+    /// Sends a failure as the final answer of the stream.
     pub fn failed(&self, failure: Failure) {
         self.send(OwnerMessage::Failed { stream: self.stream, failure });
     }
--- a/crates/owner/src/probe.rs
+++ b/crates/owner/src/probe.rs
@@ -1,7 +1,7 @@
-//! Probes of members: health for control, positions for routing.
+//! Probes of members, which report health to the control service and positions to the group's routing table.
 //!
-//! The module owns the connections of the probes; it relies on `corktack_core` for the status row of a
-//! member. A second observer runs the same probes and learns nothing for itself.
+//! Each probe keeps its own connection and reads the member's status row, which `corktack_core` parses. A
+//! second observer runs the same probes but reports to the control service only.
 
 use crate::connection::{CONNECT_TIMEOUT, ConnectionError, Login, ServerConnection};
 use crate::decisions::{Probed, primary_is_suspect};
@@ -15,12 +15,12 @@
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Who learns from a probe beside control.
+/// Recipient of a probe's results in addition to the control service.
 #[derive(Clone, Debug)]
 pub(crate) enum Learner {
-    /// Nobody: this proxy is a second observer.
+    /// No further recipient: this proxy is a second observer.
     Nobody,
-    /// The owned group, for as long as it is owned or has open streams.
+    /// The owned group, as long as it is owned or has open streams.
     Group(Weak<Group>),
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// One member to probe.
+/// One member to probe, with the times of its probes.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeTarget {
     pub group: GroupName,
@@ -44,7 +44,7 @@
     pub interval: Duration,
     /// Longest wait for an answer.
     pub timeout: Duration,
-    /// Who learns from the probe.
+    /// Recipient of the results in addition to the control service.
     pub learner: Learner,
 }
 
@@ -65,7 +65,7 @@
             },
         }
         if target.learner.is_retired() {
-            // The new owner reports to control.
+            // The new owner reports the member's health to the control service.
             continue;
         }
         let health = health(status.as_ref());
@@ -73,13 +73,13 @@
             last = Some(health);
             let group = target.group.clone();
             let member = target.member.clone();
-            // Without a receiver the proxy is stopping.
+            // The receiver is gone only while the proxy stops.
             let _ = observations.send(Observation { group, member, health });
         }
     }
 }
 
-/// Asks once; a connection that broke since the last probe is replaced at once.
+/// Probes the member once; replaces a connection that broke since the last probe without waiting.
 async fn probe(
     target: &ProbeTarget,
     held: &mut Option<ServerConnection>,
@@ -124,7 +124,8 @@
     }
 }
 
-/// Brings what the group knows of a member up to date with a probe, and wakes what waits for that.
+/// Updates the group's state of a member with the result of a probe, and wakes the tasks that wait for a
+/// change.
 fn learn(group: &Arc<Group>, member: &MemberName, status: Option<&MemberStatus>) {
     group.note_probe(member, status.is_some());
     let view = group.view();
@@ -138,7 +139,7 @@
         state.routing.set_reachable(member, status.is_some());
         state.routing.set_primary_term(member, leads);
         if position.is_some() {
-            // A member that restarted may be behind what it once reported.
+            // A restarted member may be behind the position that it reported earlier.
             state.routing.reset_position(member, position);
         }
         if let Some(suspect) = primary_is_suspect(probed, view.term) {
--- a/crates/owner/src/router.rs
+++ b/crates/owner/src/router.rs
@@ -1,7 +1,7 @@
-//! The way of one request to a lease: barrier, wait for a replica, queue, connection.
+//! Steps by which one request obtains a lease: barrier, wait for a replica, queue, connection.
 //!
-//! The module owns the request's deadline and what it has learned on its way; it relies on `decisions` and on the
-//! routing table of `corktack_core` for what to do, on `group` for the queue and on `lease` for connections.
+//! A [`Router`] holds the request's deadline and the results of earlier attempts. It takes its choices from
+//! `decisions` and the routing table of `corktack_core`, slots from `group` and connections from `lease`.
 
 use crate::connection::ConnectionError;
 use crate::decisions::{Refusal, RetryCause, late_reason, longest_wait, reason_when_late};
@@ -17,30 +17,29 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Pause before a barrier is asked for again when the primary gave none. Chosen, not measured: a shorter one
-/// asks a group without a primary more often, a longer one adds its length to reads that wait for a change
-/// of primary.
+/// Pause before a barrier is requested again when the primary gave none. A shorter pause sends more requests
+/// in a group without a primary; a longer one delays reads that wait for a change of primary by as much.
 const BARRIER_PAUSE: Duration = Duration::from_millis(20);
 
-/// Finds a server connection for one request, again for each attempt.
+/// Obtains a server connection for one request, anew for each attempt.
 pub(crate) struct Router {
     group: Arc<Group>,
     class: ClassName,
     access: Access,
-    /// What a read must see at least; filled in by a barrier.
+    /// Lowest position that a read may be served at; set by a barrier if the request has none.
     pub minimum: Option<Position>,
-    /// A barrier was confirmed after the request arrived.
+    /// Whether a barrier was confirmed after the request arrived.
     confirmed: bool,
-    /// A replica failed the request, so the primary serves it.
+    /// Whether only the primary may serve the request, since a replica failed to.
     primary_only: bool,
     deadline: Timestamp,
     attempt: u32,
-    /// Reason given when the deadline comes.
+    /// Reason of the refusal if the deadline passes.
     late_reason: NotRunReason,
 }
 
 impl Router {
-    /// A request that has just come.
+    /// Creates the router of a request that has just arrived.
     pub fn new(group: Arc<Group>, request: &OpenRequest) -> Self {
         let wait = longest_wait(request.timeout_ms, group.view().spec.queue_timeout_ms);
         let deadline = group.now() + wait;
@@ -57,8 +56,8 @@
         }
     }
 
-    /// Waits its turn and takes a server connection. Safe to cancel. What has not
-    /// started when another proxy becomes the owner is left to that proxy.
+    /// Waits for a slot and a server connection. Safe to cancel. Refuses the request as `NotOwner` if another
+    /// proxy becomes the owner before it has started.
     pub async fn obtain(&mut self) -> Result<Lease, Refusal> {
         let group = Arc::clone(&self.group);
         tokio::select! {
@@ -73,7 +72,7 @@
             let lane = self.choose_lane().await?;
             let slot = self.wait_for_slot(lane).await?;
             let Some(destination) = self.destination(lane) else {
-                // What was known at the enqueueing has changed.
+                // The primary or the replicas changed while the request waited.
                 continue;
             };
             match self.lease(slot, &destination).await {
@@ -83,7 +82,7 @@
         }
     }
 
-    /// Takes a retry from the budget and waits the backoff.
+    /// Takes a retry from the budget and waits for the back-off delay; fails when the budget is used up.
     pub async fn prepare_retry(&mut self, cause: RetryCause) -> Result<(), Refusal> {
         self.primary_only |= cause == RetryCause::ReplicaBehind;
         self.late_reason = late_reason(cause);
@@ -115,15 +114,15 @@
         Ok(Lane::Primary)
     }
 
-    /// Whether what the primary was seen to have committed holds the minimum, so
-    /// that even a primary that was replaced since shows the session's own writes.
+    /// Reports whether the primary's last known commit position covers the minimum. If so, even a primary
+    /// that was replaced since then shows the session's own writes.
     fn primary_covers(&self, minimum: Position) -> bool {
         let primary = self.group.view().primary.clone();
         let covers = |name| self.group.with_state(|state| state.routing.covers(name, minimum));
         primary.as_ref().is_some_and(covers)
     }
 
-    /// A position confirmed after the request arrived; asked for until the deadline.
+    /// Obtains a position that was confirmed after the request arrived, retrying until the deadline.
     async fn barrier(&mut self) -> Result<Position, Refusal> {
         loop {
             let left = self.deadline.saturating_since(self.group.now());
@@ -142,7 +141,8 @@
         }
     }
 
-    /// Waits, within the group's bound, until a replica holds the minimum.
+    /// Waits until a replica has applied the minimum, for at most the group's `replica_wait_ms`. Returns
+    /// whether one has.
     async fn replica_catches_up(&self, minimum: Position) -> bool {
         let wait = Duration::from_millis(u64::from(self.group.view().spec.replica_wait_ms));
         let end = tokio::time::Instant::now() + wait;
@@ -207,7 +207,7 @@
             _ = replaced => return None,
             leased = Lease::take(&self.group, slot, destination) => leased,
         };
-        // Without room for a connection nothing is known of the member.
+        // A full connection pool says nothing about the member.
         if leased.as_ref().is_err_and(|error| !matches!(error, ConnectionError::NoRoom)) {
             self.note_unreachable(destination);
         }
--- a/crates/owner/src/stream.rs
+++ b/crates/owner/src/stream.rs
@@ -1,7 +1,7 @@
 //! One stream: a transaction from its request to its final answer.
 //!
-//! The module owns the attempts of a request: it obtains a lease by `router`, runs an `exchange` on it, and goes on
-//! with what that asks for. Every stream ends with exactly one final answer, unless its caller is gone.
+//! Each attempt obtains a lease from `router` and runs an `exchange` on it, whose result says whether another
+//! attempt follows. Every stream ends with exactly one final answer, unless its caller is gone.
 
 use crate::batch::{self, BatchFacts};
 use crate::context::{Context, OpenCount};
@@ -18,9 +18,8 @@
 
 /// SQLSTATE of a statement that was cancelled.
 const QUERY_CANCELED: &str = "57014";
-/// When to come back after a refusal that does not depend on the queue, in milliseconds. Chosen, not
-/// measured: a lower one brings requests back before the next configuration is in force, a higher one keeps
-/// them away after it is.
+/// Retry hint of a refusal that does not depend on the queue, in milliseconds. A lower value brings requests
+/// back before the next configuration is in force; a higher one delays them after it is.
 const RETRY_AFTER_MS: u32 = 100;
 
 /// How the wait for a server connection ended.
@@ -31,7 +30,7 @@
     Gone,
 }
 
-/// Serves one stream to its end.
+/// Serves one stream from its request to its final answer.
 pub(crate) async fn run(
     context: Arc<Context>,
     request: OpenRequest,
@@ -74,7 +73,7 @@
     group.with_state(|state| state.retry.request());
     let mut router = Router::new(Arc::clone(group), &request);
     let mut reported = request.minimum;
-    // The commit of a keyed write was sent in an earlier attempt.
+    // Set when an earlier attempt sent the commit of a keyed write.
     let mut unresolved = false;
     loop {
         let lease = match obtain(&mut router, input).await {
@@ -125,7 +124,7 @@
     }
 }
 
-/// Ends a stream that is not tried again. A keyed write whose commit was sent may have run.
+/// Ends a stream that is not retried. The outcome is unknown for a keyed write whose commit was sent.
 fn end(group: &Group, outbound: &Outbound, refusal: Refusal, unresolved: bool) {
     if unresolved {
         return outbound.failed(Failure::Unknown);
@@ -141,7 +140,7 @@
     outbound.failed(Failure::NotRun { reason: refusal.reason, retry_after_ms });
 }
 
-/// A request cancelled before it was sent is answered as a cancelled statement.
+/// Answers a request that was cancelled before it was sent as PostgreSQL answers a cancelled statement.
 fn cancelled(outbound: &Outbound) {
     let text = "canceling statement due to user request";
     match wire::error_response(QUERY_CANCELED, text) {
--- a/crates/owner/src/transcript.rs
+++ b/crates/owner/src/transcript.rs
@@ -1,12 +1,9 @@
-//! Transcripts of keyed writes: what a caller asked, and what it was answered.
+//! Transcripts of keyed writes: fingerprints of a transaction's batches, and the stored answers.
 //!
-//! A transcript holds the answers to the batches of one transaction. A repeat is
-//! answered from it, batch by batch. The repeat may prepare its statements
-//! where the first request found them prepared, or the other way round, so
-//! completions of Parse and Close are not kept but made up for the repeat.
-//!
-//! The module owns the form in which an answer is stored, does no I/O and relies on `wire`; when a transcript
-//! is stored or replayed is the concern of `exchange`.
+//! The owner answers a repeated request from the transcript, batch by batch. The repeat may prepare
+//! statements that the first request found prepared, or the reverse, so completions of Parse and Close are
+//! not stored but generated for the repeat. The module does no I/O; `exchange` decides when a transcript is
+//! stored or replayed.
 
 use crate::batch::{BatchError, statement_texts};
 use crate::wire::{self, RawMessage, WireError};
@@ -22,21 +19,22 @@
 use pgwire::messages::simplequery::Query;
 use serde::{Deserialize, Serialize};
 
-/// Tag that completes a commit.
+/// Command tag of a completed commit.
 const COMMIT_TAG: &str = "COMMIT";
 
 /// One batch and its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Turn {
-    /// Fingerprint of what was asked.
+    /// Fingerprint of the batch.
     pub fingerprint: u64,
-    /// Messages of the answer that depend on the data.
+    /// Messages of the answer, without those that a repeat regenerates or omits.
     pub messages: Vec<u8>,
-    /// Status of the transaction after it.
+    /// Status of the transaction after the batch.
     pub status: TransactionStatus,
 }
 
-/// Fingerprint of what a batch asks, whether or not it also prepares statements.
+/// Computes the fingerprint of a batch. The result does not depend on whether the batch also prepares its
+/// statements.
 pub(crate) fn fingerprint(batch: &Batch) -> Result<u64, BatchError> {
     let mut texts = statement_texts(batch);
     let mut fingerprint = Fingerprint::default();
@@ -84,7 +82,7 @@
     }
 }
 
-/// The part of an answer that a transcript keeps.
+/// Returns the messages of an answer that a transcript stores.
 pub(crate) fn kept_messages(answer: &[u8]) -> Result<Vec<u8>, WireError> {
     let mut rest = BytesMut::from(answer);
     let mut kept = Vec::new();
@@ -96,7 +94,7 @@
     Ok(kept)
 }
 
-/// Messages that a repeat gets without a record, or not at all.
+/// Reports whether a message is generated for a repeat, or omitted from its answer, rather than stored.
 fn is_made_up(tag: u8) -> bool {
     matches!(
         tag,
@@ -108,7 +106,7 @@
     )
 }
 
-/// The answer to a repeat of a batch, from what was kept of the first.
+/// Builds the answer to a repeated batch from the stored messages of the first answer.
 pub(crate) fn replayed(batch: &Batch, kept: &[u8]) -> Result<BytesMut, BatchError> {
     let mut rest = BytesMut::from(batch.messages.as_slice());
     let mut kept = BytesMut::from(kept);
@@ -130,14 +128,14 @@
             tag => take_until(ends_of(tag), &mut kept, &mut answer)?,
         };
         if !whole {
-            // The first request failed here; the rest of it was skipped.
+            // The first request failed at this message, and the back end skipped the rest.
             break;
         }
     }
     Ok(answer)
 }
 
-/// Tags that end the answer to a message of the extended protocol.
+/// Returns the tags that end the answer to a message of the extended protocol.
 fn ends_of(tag: u8) -> &'static [u8] {
     match tag {
         front::BIND => &[back::BIND_COMPLETE],
@@ -147,7 +145,8 @@
     }
 }
 
-/// Moves messages up to one of the ends; false when an error came instead.
+/// Moves messages up to and including one of the end tags; returns false when an error comes first or the
+/// messages run out.
 fn take_until(ends: &[u8], kept: &mut BytesMut, answer: &mut BytesMut) -> Result<bool, WireError> {
     if ends.is_empty() {
         return Ok(true);
@@ -164,7 +163,7 @@
     Ok(false)
 }
 
-/// What will be kept of the answer to a batch that commits and does nothing else.
+/// Builds the messages to store for a batch that commits and does nothing else, before its answer is known.
 pub(crate) fn commit_messages(batch: &Batch) -> Result<Vec<u8>, BatchError> {
     let mut rest = BytesMut::from(batch.messages.as_slice());
     let mut answer = BytesMut::new();
--- a/crates/owner/src/warm.rs
+++ b/crates/owner/src/warm.rs
@@ -1,7 +1,7 @@
-//! The task that keeps some server connections of a group open before they are needed.
+//! The task that opens server connections of a group before they are needed.
 //!
-//! The module owns the task; it relies on `corktack_core` for how many connections each member should have,
-//! and on the group's limit, which it never goes over.
+//! `corktack_core` says how many connections each member should have. The task never exceeds the group's
+//! limit.
 
 use crate::group::Group;
 use crate::idle::sweep_idle;
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two rounds of the task when nothing wakes it. Chosen, not measured: a shorter one replaces broken
-/// idle connections sooner and wakes an idle process more often.
+/// Time between two rounds of the task when nothing wakes it. A shorter interval replaces broken idle
+/// connections sooner but wakes an idle process more often.
 const WARM_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Keeps idle connections to each member; runs as long as the group is owned.
+/// Keeps idle connections to each member open; runs as long as the group is owned.
 pub(crate) async fn keep_warm(group: Arc<Group>) {
     loop {
         sweep_idle(&group);
--- a/crates/owner/src/wire.rs
+++ b/crates/owner/src/wire.rs
@@ -1,7 +1,5 @@
-//! PostgreSQL messages as they pass through: split by their header, decoded by
-//! `pgwire` only where their content matters.
-//!
-//! The module owns the limit of a message and the errors of malformed ones; it keeps no state.
+//! PostgreSQL messages as the owner relays them: split by their header, and decoded with `pgwire` only where
+//! their content matters. The module keeps no state.
 
 use bytes::{Buf, BytesMut};
 use corktack_protocol::frame::PAYLOAD_LIMIT;
@@ -11,38 +9,38 @@
 use pgwire::messages::startup::{BackendKeyData, ParameterStatus};
 use pgwire::messages::{DecodeContext, Message, ProtocolVersion};
 
-/// Bytes of a message's tag and length.
+/// Size of a message's tag and length field in bytes.
 const HEADER_BYTES: usize = 5;
-/// Bytes of the length, which counts itself.
+/// Size of the length field in bytes; the encoded length includes the field itself.
 const LENGTH_BYTES: usize = 4;
-/// Largest message that is passed on, in bytes: it fits one frame of a link, together with the answers that
-/// are held before it (64 KiB) and as much again for the frame's own fields.
+/// Largest message that the owner relays, in bytes. Such a message fits one frame of a link together with the
+/// answers that are buffered before it (64 KiB) and as much again for the frame's own fields.
 pub(crate) const MESSAGE_LIMIT: usize = PAYLOAD_LIMIT - 128 * 1024;
 /// Field of an `ErrorResponse` that holds the SQLSTATE.
 const SQLSTATE_FIELD: u8 = b'C';
 
-/// Bytes that are no PostgreSQL message.
+/// Errors of bytes that are not a valid PostgreSQL message.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WireError {
-    /// The length of a message breaks the limits.
+    /// The length of a message is outside the limits.
     #[error("message with tag {tag} and impossible length {length}")]
     Length { tag: u8, length: usize },
     /// The content of a message is malformed.
     #[error("malformed message")]
     Malformed(#[from] PgWireError),
-    /// A message ends early.
+    /// The content of a message ends early.
     #[error("message with tag {tag} ends early")]
     Truncated { tag: u8 },
 }
 
-/// One whole message with its header.
+/// One complete message with its header.
 #[derive(Clone, Debug)]
 pub(crate) struct RawMessage {
     pub tag: u8,
     pub bytes: BytesMut,
 }
 
-/// Takes the first whole message out of a buffer.
+/// Removes the first complete message from a buffer; returns `None` when the buffer holds only a part of it.
 pub(crate) fn split_message(buffer: &mut BytesMut) -> Result<Option<RawMessage>, WireError> {
     if buffer.len() < HEADER_BYTES {
         return Ok(None);
@@ -73,31 +71,31 @@
     Ok(message.encode(buffer)?)
 }
 
-/// SQLSTATE of an `ErrorResponse`; empty when it has none.
+/// Returns the SQLSTATE of an `ErrorResponse`, or an empty string when the message has none.
 pub(crate) fn sqlstate(message: &RawMessage) -> Result<String, WireError> {
     let error: ErrorResponse = decode(message)?;
     let code = error.fields.into_iter().find(|(field, _)| *field == SQLSTATE_FIELD);
     Ok(code.map(|(_, value)| value).unwrap_or_default())
 }
 
-/// Name and value of a `ParameterStatus`.
+/// Returns the name and value of a `ParameterStatus`.
 pub(crate) fn parameter(message: &RawMessage) -> Result<(String, String), WireError> {
     let status: ParameterStatus = decode(message)?;
     Ok((status.name, status.value))
 }
 
-/// Process number and secret of a `BackendKeyData`.
+/// Decodes a `BackendKeyData`: the process id and the secret that cancel requests need.
 pub(crate) fn key_data(message: &RawMessage) -> Result<BackendKeyData, WireError> {
     decode(message)
 }
 
-/// Transaction status of a `ReadyForQuery`.
+/// Returns the transaction status of a `ReadyForQuery`.
 pub(crate) fn ready_status(message: &RawMessage) -> Result<ReadyStatus, WireError> {
     let ready: ReadyForQuery = decode(message)?;
     Ok(ready.status)
 }
 
-/// Columns of a `DataRow` as text.
+/// Returns the columns of a `DataRow` as text, with `None` for NULL.
 pub(crate) fn row_columns(message: &RawMessage) -> Result<Vec<Option<String>>, WireError> {
     let row: DataRow = decode(message)?;
     let truncated = || WireError::Truncated { tag: message.tag };
@@ -120,7 +118,7 @@
     Ok(columns)
 }
 
-/// An encoded `ErrorResponse`.
+/// Encodes an `ErrorResponse` with severity `ERROR`.
 pub(crate) fn error_response(sqlstate: &str, text: &str) -> Result<BytesMut, WireError> {
     let field = |code: u8, value: &str| (code, value.to_owned());
     let fields = vec![
