--- a/crates/owner/src/barrier.rs
+++ b/crates/owner/src/barrier.rs
@@ -26,49 +26,53 @@
 pub(crate) async fn run(group: Arc<Group>) {
     let mut connection = None;
     loop {
-        group.barriers.arrived().await;
+        group.barriers.wait_for_request().await;
         // These requests arrived before the query below is sent.
-        let waiting = group.barriers.take();
-        if waiting.is_empty() {
+        let waiters = group.barriers.take_waiting();
+        if waiters.is_empty() {
             continue;
         }
-        let position = confirm(&group, &mut connection).await;
-        for sender in waiting {
+        let position = confirm_position(&group, &mut connection).await;
+        for sender in waiters {
             // The send fails only when the request is gone.
             let _ = sender.send(position);
         }
     }
 }
 
-async fn confirm(group: &Group, held: &mut Option<BarrierConnection>) -> Option<Position> {
+async fn confirm_position(
+    group: &Group,
+    cached: &mut Option<BarrierConnection>,
+) -> Option<Position> {
     let view = group.view();
     let primary = (view.primary.clone()?, view.term);
-    let mut reuse = held.take().filter(|held| held.primary == primary);
+    let mut reuse = cached.take().filter(|held| held.primary == primary);
     if reuse.as_mut().is_some_and(|held| !held.connection.is_reusable()) {
         reuse = None;
     }
     group.metrics.barriers.get_or_create(&group.label()).inc();
-    let mut changes = group.follow_view();
-    let replaced = changes.wait_for(|now| now.primary != view.primary || now.term != view.term);
+    let mut view_changes = group.subscribe_view();
+    let replaced = view_changes
+        .wait_for(|current| current.primary != view.primary || current.term != view.term);
     tokio::select! {
         _ = replaced => None,
-        answer = ask(group, reuse, primary) => {
+        answer = query_read_index(group, reuse, primary) => {
             let (position, connection) = answer.ok()?;
-            group.learn_position(&connection.primary.0, position);
-            *held = Some(connection);
+            group.record_position(&connection.primary.0, position);
+            *cached = Some(connection);
             Some(position)
         }
     }
 }
 
-async fn ask(
+async fn query_read_index(
     group: &Group,
     reuse: Option<BarrierConnection>,
     primary: (MemberName, Term),
 ) -> Result<(Position, BarrierConnection), ConnectionError> {
     let mut held = match reuse {
         Some(held) => held,
-        None => open(group, primary).await?,
+        None => open_connection(group, primary).await?,
     };
     let rows = held.connection.query(SHOW_READ_INDEX, BARRIER_TIMEOUT).await?;
     let text = rows.into_iter().next().and_then(|row| row.into_iter().next()).flatten();
@@ -76,7 +80,7 @@
     Ok((position.ok_or(ConnectionError::Closed)?, held))
 }
 
-async fn open(
+async fn open_connection(
     group: &Group,
     primary: (MemberName, Term),
 ) -> Result<BarrierConnection, ConnectionError> {
--- a/crates/owner/src/barrier_queue.rs
+++ b/crates/owner/src/barrier_queue.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct BarrierQueue {
     waiting: Mutex<Vec<oneshot::Sender<Option<Position>>>>,
-    arrived: Notify,
+    request_added: Notify,
 }
 
 impl BarrierQueue {
@@ -17,17 +17,17 @@
     pub async fn confirmed_position(&self) -> Option<Position> {
         let (sender, receiver) = oneshot::channel();
         lock(&self.waiting).push(sender);
-        self.arrived.notify_one();
+        self.request_added.notify_one();
         receiver.await.ok().flatten()
     }
 
     /// Waits until a request was added.
-    pub async fn arrived(&self) {
-        self.arrived.notified().await;
+    pub async fn wait_for_request(&self) {
+        self.request_added.notified().await;
     }
 
     /// Removes and returns all waiting requests.
-    pub fn take(&self) -> Vec<oneshot::Sender<Option<Position>>> {
+    pub fn take_waiting(&self) -> Vec<oneshot::Sender<Option<Position>>> {
         std::mem::take(&mut *lock(&self.waiting))
     }
 }
--- a/crates/owner/src/batch.rs
+++ b/crates/owner/src/batch.rs
@@ -37,7 +37,7 @@
 
 /// Properties of a batch, derived from its statement texts and messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct BatchFacts {
+pub(crate) struct BatchProperties {
     /// The batch may leave session state behind.
     pub may_change_session: bool,
     /// The batch may commit an open transaction.
@@ -53,15 +53,15 @@
 }
 
 /// Determines the properties of a batch, independently of any connection.
-pub(crate) fn facts(batch: &Batch) -> Result<BatchFacts, BatchError> {
+pub(crate) fn analyze(batch: &Batch) -> Result<BatchProperties, BatchError> {
     let mut texts: Vec<String> = Vec::new();
     texts.extend(batch.prepared.iter().map(|statement| statement.query.clone()));
     let mut executes = false;
     let mut binds = false;
-    let mut last = 0;
+    let mut last_tag = 0;
     let mut rest = BytesMut::from(batch.messages.as_slice());
     while let Some(message) = wire::split_message(&mut rest)? {
-        if last == front::FLUSH {
+        if last_tag == front::FLUSH {
             return Err(BatchError::AfterFlush);
         }
         match message.tag {
@@ -71,34 +71,34 @@
             front::EXECUTE => executes = true,
             _ => {}
         }
-        last = message.tag;
+        last_tag = message.tag;
     }
-    if !rest.is_empty() || !matches!(last, front::QUERY | front::SYNC | front::FLUSH) {
+    if !rest.is_empty() || !matches!(last_tag, front::QUERY | front::SYNC | front::FLUSH) {
         return Err(BatchError::Incomplete);
     }
     // The text of a portal that an earlier batch bound is not available.
-    let unseen = executes && (!binds || texts.is_empty());
-    Ok(BatchFacts {
+    let has_unseen_text = executes && (!binds || texts.is_empty());
+    Ok(BatchProperties {
         may_change_session: texts.iter().any(|text| statements::may_change_session(text)),
-        may_commit: unseen || texts.iter().any(|text| statements::may_commit(text)),
-        only_begins: !unseen
+        may_commit: has_unseen_text || texts.iter().any(|text| statements::may_commit(text)),
+        only_begins: !has_unseen_text
             && !texts.is_empty()
             && texts.iter().all(|t| statements::only_begins(t)),
-        controls_transaction: unseen
+        controls_transaction: has_unseen_text
             || texts.iter().any(|text| statements::may_control_transaction(text)),
-        executes: executes || last == front::QUERY,
-        flushes: last == front::FLUSH,
+        executes: executes || last_tag == front::QUERY,
+        flushes: last_tag == front::FLUSH,
     })
 }
 
 /// Returns the texts of the prepared statements that a batch relies on, by statement name.
 pub(crate) fn statement_texts(batch: &Batch) -> HashMap<String, String> {
-    let named = batch.prepared.iter();
-    named.map(|statement| (statement.name.clone(), statement.query.clone())).collect()
+    let prepared = batch.prepared.iter();
+    prepared.map(|statement| (statement.name.clone(), statement.query.clone())).collect()
 }
 
 /// Reports whether a batch runs a statement, rather than only preparing or describing one.
-pub(crate) fn runs_something(batch: &Batch) -> bool {
+pub(crate) fn runs_statement(batch: &Batch) -> bool {
     let mut rest = BytesMut::from(batch.messages.as_slice());
     while let Ok(Some(message)) = wire::split_message(&mut rest) {
         if matches!(message.tag, front::QUERY | front::EXECUTE) {
@@ -109,7 +109,7 @@
 }
 
 /// Returns how a batch ends a transaction, if the batch has a single statement that does nothing else.
-pub(crate) fn only_ends(batch: &Batch) -> Option<TransactionEnd> {
+pub(crate) fn transaction_end(batch: &Batch) -> Option<TransactionEnd> {
     let mut texts: Vec<String> = statement_texts(batch).into_values().collect();
     let mut rest = BytesMut::from(batch.messages.as_slice());
     while let Ok(Some(message)) = wire::split_message(&mut rest) {
--- a/crates/owner/src/connection.rs
+++ b/crates/owner/src/connection.rs
@@ -70,7 +70,7 @@
     pub sent_bytes: usize,
     /// Whether session state may differ from that of a new connection.
     pub session_changed: bool,
-    key: Option<BackendKeyData>,
+    cancel_key: Option<BackendKeyData>,
 }
 
 /// Startup parameters of a server connection.
@@ -84,12 +84,12 @@
 impl ServerConnection {
     /// Connects and waits until the back end is ready, for at most [`CONNECT_TIMEOUT`].
     pub async fn connect(address: SocketAddr, login: &Login) -> Result<Self, ConnectionError> {
-        let attempt = Self::connect_unbounded(address, login);
-        let done = tokio::time::timeout(CONNECT_TIMEOUT, attempt).await;
-        done.unwrap_or(Err(ConnectionError::TimedOut))
+        let attempt = Self::connect_without_timeout(address, login);
+        let result = tokio::time::timeout(CONNECT_TIMEOUT, attempt).await;
+        result.unwrap_or(Err(ConnectionError::TimedOut))
     }
 
-    async fn connect_unbounded(
+    async fn connect_without_timeout(
         address: SocketAddr,
         login: &Login,
     ) -> Result<Self, ConnectionError> {
@@ -103,7 +103,7 @@
             tracker: ReplyTracker::default(),
             sent_bytes: 0,
             session_changed: false,
-            key: None,
+            cancel_key: None,
         };
         connection.queue_startup(login)?;
         connection.await_startup().await?;
@@ -129,7 +129,7 @@
             while let Some(message) = wire::split_message(&mut self.input)? {
                 match message.tag {
                     back::READY => return Ok(()),
-                    back::KEY_DATA => self.key = Some(wire::key_data(&message)?),
+                    back::KEY_DATA => self.cancel_key = Some(wire::key_data(&message)?),
                     back::ERROR => {
                         return Err(ConnectionError::Refused {
                             sqlstate: wire::sqlstate(&message)?,
@@ -194,8 +194,9 @@
 
     /// Reports whether an idle connection is still open and has neither pending answers nor unexpected input.
     pub fn is_reusable(&mut self) -> bool {
-        let quiet = self.input.is_empty() && self.output.is_empty() && self.tracker.is_idle();
-        quiet && self.receive_some().is_ok() && self.input.is_empty()
+        let has_no_pending =
+            self.input.is_empty() && self.output.is_empty() && self.tracker.is_idle();
+        has_no_pending && self.receive_some().is_ok() && self.input.is_empty()
     }
 
     /// Queues a simple query.
@@ -212,22 +213,22 @@
         timeout: Duration,
     ) -> Result<Vec<Vec<Option<String>>>, ConnectionError> {
         self.queue_query(text)?;
-        let done = tokio::time::timeout(timeout, self.query_answer()).await;
-        done.unwrap_or(Err(ConnectionError::TimedOut))
+        let result = tokio::time::timeout(timeout, self.query_answer()).await;
+        result.unwrap_or(Err(ConnectionError::TimedOut))
     }
 
     async fn query_answer(&mut self) -> Result<Vec<Vec<Option<String>>>, ConnectionError> {
         let mut rows = Vec::new();
-        let mut refused = None;
+        let mut error_sqlstate = None;
         loop {
             while let Some((message, reply)) = self.next_reply()? {
                 match message.tag {
                     back::DATA_ROW => rows.push(wire::row_columns(&message)?),
-                    back::ERROR => refused = Some(wire::sqlstate(&message)?),
+                    back::ERROR => error_sqlstate = Some(wire::sqlstate(&message)?),
                     _ => {}
                 }
                 if reply.disposition == Disposition::Ready {
-                    return refused
+                    return error_sqlstate
                         .map_or(Ok(rows), |sqlstate| Err(ConnectionError::Refused { sqlstate }));
                 }
             }
@@ -237,20 +238,20 @@
 
     /// Waits until every request sent is answered, and drops the answers. Returns whether the session is
     /// outside a transaction.
-    pub async fn settle(&mut self) -> Result<bool, ConnectionError> {
-        let mut idle = false;
+    pub async fn drain_replies(&mut self) -> Result<bool, ConnectionError> {
+        let mut is_idle = false;
         loop {
             while let Some((message, reply)) = self.next_reply()? {
                 if reply.disposition == Disposition::Ready {
                     let status = wire::ready_status(&message)?;
-                    idle = status == pgwire::messages::response::TransactionStatus::Idle;
+                    is_idle = status == pgwire::messages::response::TransactionStatus::Idle;
                     if self.tracker.is_idle() {
-                        return Ok(idle);
+                        return Ok(is_idle);
                     }
                 }
             }
             if self.tracker.is_idle() {
-                return Ok(idle);
+                return Ok(is_idle);
             }
             self.progress(true).await?;
         }
@@ -259,7 +260,7 @@
     /// Returns the address and key for cancelling the statement that runs on this connection, if the back end
     /// gave a key.
     pub fn cancel_target(&self) -> Option<CancelTarget> {
-        let key = self.key.as_ref()?;
+        let key = self.cancel_key.as_ref()?;
         let request = CancelRequest::new(key.pid, key.secret_key.clone());
         Some(CancelTarget { address: self.address, request })
     }
@@ -285,7 +286,7 @@
             socket.read_u8().await.ok();
             Ok(())
         };
-        let done = tokio::time::timeout(CONNECT_TIMEOUT, exchange).await;
-        done.unwrap_or(Err(ConnectionError::TimedOut))
+        let result = tokio::time::timeout(CONNECT_TIMEOUT, exchange).await;
+        result.unwrap_or(Err(ConnectionError::TimedOut))
     }
 }
--- a/crates/owner/src/decisions/loss.rs
+++ b/crates/owner/src/decisions/loss.rs
@@ -44,16 +44,16 @@
 /// because a message of the answer does not fit a frame.
 #[must_use]
 pub fn after_loss(batch: &InFlight, answer_too_large: bool) -> AfterLoss {
-    let opens = batch.status == TransactionStatus::Idle;
-    let nothing_answered = opens && !batch.forwarded;
-    if nothing_answered && batch.keyed {
+    let opens_transaction = batch.status == TransactionStatus::Idle;
+    let is_unanswered = opens_transaction && !batch.forwarded;
+    if is_unanswered && batch.keyed {
         return AfterLoss::RepeatUnderKey;
     }
-    let only_reads = batch.access == Access::Read;
-    if only_reads && opens && answer_too_large {
+    let is_read = batch.access == Access::Read;
+    if is_read && opens_transaction && answer_too_large {
         return AfterLoss::RefuseAnswer;
     }
-    if nothing_answered && (only_reads || batch.sent_bytes == 0 || batch.only_begins) {
+    if is_unanswered && (is_read || batch.sent_bytes == 0 || batch.only_begins) {
         return AfterLoss::Repeat;
     }
     AfterLoss::Final(failure_of_loss(batch))
@@ -62,11 +62,11 @@
 /// Returns the final answer to a request that failed while this batch was in flight.
 #[must_use]
 pub fn failure_of_loss(batch: &InFlight) -> Failure {
-    let sent = batch.sent_bytes > 0;
+    let was_sent = batch.sent_bytes > 0;
     let may_be_committed = batch.unfinished_may_be_committed
         || match batch.status {
-            TransactionStatus::Idle => sent,
-            TransactionStatus::Open => sent && batch.may_commit,
+            TransactionStatus::Idle => was_sent,
+            TransactionStatus::Open => was_sent && batch.may_commit,
             TransactionStatus::Failed => false,
         };
     if batch.access == Access::Write && may_be_committed {
@@ -107,8 +107,12 @@
 #[must_use]
 pub fn is_unverified(answer: &Answer, minimum: Option<Position>) -> bool {
     let idle = TransactionStatus::Idle;
-    let alone = answer.before == idle && answer.after == idle;
-    if answer.served_by != ServedBy::Replica || !alone || answer.failed || !answer.completed {
+    let outside_transaction = answer.before == idle && answer.after == idle;
+    if answer.served_by != ServedBy::Replica
+        || !outside_transaction
+        || answer.failed
+        || !answer.completed
+    {
         return false;
     }
     answer.position.is_none_or(|position| is_behind(answer.served_by, position, minimum))
--- a/crates/owner/src/decisions/mod.rs
+++ b/crates/owner/src/decisions/mod.rs
@@ -10,10 +10,10 @@
 mod refusal;
 mod waiting;
 
-pub use health::{Probed, primary_is_suspect};
+pub use health::{ProbeResult, primary_is_suspect};
 pub use loss::{
     AfterLoss, Answer, InFlight, after_loss, failure_of_loss, is_behind, is_unverified,
     retry_after_refusal,
 };
 pub use refusal::{Refusal, RetryCause};
-pub use waiting::{late_reason, longest_wait, reason_when_late};
+pub use waiting::{max_wait, reason_after_retry, slot_timeout_reason};
--- a/crates/owner/src/decisions/waiting.rs
+++ b/crates/owner/src/decisions/waiting.rs
@@ -8,14 +8,14 @@
 /// Returns the longest wait of a request, given the edge's timeout and the group's limit in milliseconds. A
 /// timeout of zero selects the group's limit.
 #[must_use]
-pub fn longest_wait(asked_ms: u32, group_limit_ms: u32) -> Duration {
-    let asked_ms = if asked_ms == 0 { group_limit_ms } else { asked_ms };
-    Duration::from_millis(u64::from(asked_ms.min(group_limit_ms)))
+pub fn max_wait(timeout_ms: u32, group_limit_ms: u32) -> Duration {
+    let timeout_ms = if timeout_ms == 0 { group_limit_ms } else { timeout_ms };
+    Duration::from_millis(u64::from(timeout_ms.min(group_limit_ms)))
 }
 
 /// Returns the reason to refuse a request whose deadline passes after it was retried for this cause.
 #[must_use]
-pub fn late_reason(cause: RetryCause) -> NotRunReason {
+pub fn reason_after_retry(cause: RetryCause) -> NotRunReason {
     match cause {
         RetryCause::ConnectionLost => NotRunReason::NoBackEnd,
         RetryCause::NotPrimary | RetryCause::BackEndRefused | RetryCause::ReplicaBehind => {
@@ -27,11 +27,15 @@
 /// Returns the reason to refuse a request whose wait for a slot timed out. A request without an earlier
 /// attempt that waited for a primary while the group has none gets `NoBackEnd`, not `QueueTimeout`.
 #[must_use]
-pub fn reason_when_late(
-    known: NotRunReason,
+pub fn slot_timeout_reason(
+    earlier_reason: NotRunReason,
     lane: Lane,
     primary_is_available: impl FnOnce() -> bool,
 ) -> NotRunReason {
-    let stuck = lane == Lane::Primary && !primary_is_available();
-    if stuck && known == NotRunReason::QueueTimeout { NotRunReason::NoBackEnd } else { known }
+    let lacks_primary = lane == Lane::Primary && !primary_is_available();
+    if lacks_primary && earlier_reason == NotRunReason::QueueTimeout {
+        NotRunReason::NoBackEnd
+    } else {
+        earlier_reason
+    }
 }
--- a/crates/owner/src/exchange/ending.rs
+++ b/crates/owner/src/exchange/ending.rs
@@ -45,10 +45,11 @@
     /// Removes old outcomes of keyed writes after the caller's answer, once per a number of keyed commits.
     /// Returns false when the connection must not be reused.
     async fn sweep_outcomes(&mut self) -> bool {
-        if self.keyed.is_none() || !self.group.with_state(GroupState::sweep_is_due) {
+        if self.keyed.is_none() || !self.group.with_state(GroupState::record_commit_and_check_sweep)
+        {
             return true;
         }
-        let before = claim::now_ms().saturating_sub(self.group.outcome_retention_ms());
+        let before = claim::unix_time_ms().saturating_sub(self.group.outcome_retention_ms());
         let Ok(connection) = self.lease.connection() else {
             return false;
         };
@@ -70,16 +71,16 @@
 
     /// Returns the result of an exchange that must be retried. A keyed write is safe to repeat even after its
     /// commit was sent: the key shows whether the write ran.
-    pub(super) fn retried(&self, cause: RetryCause) -> Exit {
-        let unresolved = self.keyed.as_ref().is_some_and(|keyed| keyed.commit_sent);
-        if unresolved { Exit::Unresolved(cause) } else { Exit::Retry(cause) }
+    pub(super) fn retry_exit(&self, cause: RetryCause) -> Exit {
+        let is_unresolved = self.keyed.as_ref().is_some_and(|keyed| keyed.commit_sent);
+        if is_unresolved { Exit::Unresolved(cause) } else { Exit::Retry(cause) }
     }
 
     /// Returns the result of an exchange whose connection is lost.
-    pub(super) fn lost(mut self, error: &ConnectionError) -> Exit {
+    pub(super) fn finish_lost(mut self, error: &ConnectionError) -> Exit {
         log::debug!(group:% = self.group.name, error:? = error; "server connection lost");
         match after_loss(&self.in_flight(), is_too_large(error)) {
-            AfterLoss::RepeatUnderKey => self.retried(RetryCause::ConnectionLost),
+            AfterLoss::RepeatUnderKey => self.retry_exit(RetryCause::ConnectionLost),
             AfterLoss::Repeat => Exit::Retry(RetryCause::ConnectionLost),
             AfterLoss::RefuseAnswer => self.refuse_answer(),
             AfterLoss::Final(failure) => Exit::Failed(failure),
@@ -92,7 +93,7 @@
         let Ok(message) = wire::error_response(LIMIT_EXCEEDED, ANSWER_REFUSED) else {
             return Exit::Failed(Failure::TransactionLost);
         };
-        self.held.extend_from_slice(&message);
+        self.buffered.extend_from_slice(&message);
         self.answer_ready(TransactionStatus::Idle);
         Exit::Ended
     }
@@ -110,8 +111,8 @@
             forwarded: self.forwarded,
             keyed: self.keyed.is_some(),
             sent_bytes,
-            may_commit: self.facts.may_commit,
-            only_begins: self.facts.only_begins,
+            may_commit: self.properties.may_commit,
+            only_begins: self.properties.only_begins,
             unfinished_may_be_committed: self.unfinished.may_have_committed(sent_bytes),
         }
     }
--- a/crates/owner/src/exchange/keyed.rs
+++ b/crates/owner/src/exchange/keyed.rs
@@ -5,11 +5,11 @@
 //! before COMMIT. In both cases key, write and answer are committed together.
 
 use super::claim::{Claim, ROLLBACK};
-use super::own::OwnAnswer;
-use super::state::{Exchange, Step};
+use super::own::OwnStatementAnswer;
+use super::state::{BatchOutcome, Exchange};
 use crate::batch;
 use crate::decisions::RetryCause;
-use crate::transcript::{self, Turn};
+use crate::transcript::{self, TranscriptEntry};
 use crate::wire;
 use corktack_core::backend::NOT_PRIMARY;
 use corktack_core::pool::outcomes::KEY_LIMIT;
@@ -21,174 +21,186 @@
 /// Number of attempts to claim a key before the request goes back to the router. The first may find the table
 /// missing, the second may conflict with the table's creation by another owner, and the others are a margin;
 /// more attempts occupy the slot for longer.
-const CLAIM_ATTEMPTS: usize = 4;
+const MAX_CLAIM_ATTEMPTS: usize = 4;
 
 /// Error with which the owner answers a keyed write that did not take effect.
-struct Refused {
+struct KeyedRefusal {
     sqlstate: &'static str,
     text: &'static str,
 }
 
-const KEY_TOO_LONG: Refused =
-    Refused { sqlstate: "22023", text: "the idempotency key is longer than 255 bytes" };
-const KEY_REUSED: Refused =
-    Refused { sqlstate: "22023", text: "the idempotency key belongs to another request" };
-const TRANSACTION_CONTROL: Refused = Refused {
+const KEY_TOO_LONG: KeyedRefusal =
+    KeyedRefusal { sqlstate: "22023", text: "the idempotency key is longer than 255 bytes" };
+const KEY_REUSED: KeyedRefusal =
+    KeyedRefusal { sqlstate: "22023", text: "the idempotency key belongs to another request" };
+const TRANSACTION_CONTROL: KeyedRefusal = KeyedRefusal {
     sqlstate: "0A000",
     text: "under an idempotency key, BEGIN and COMMIT must be sent apart from other statements",
 };
-const ANSWER_TOO_LARGE: Refused = Refused {
+const ANSWER_TOO_LARGE: KeyedRefusal = KeyedRefusal {
     sqlstate: "54000",
     text: "the answer to a write under an idempotency key is over 64 KiB, it was rolled back",
 };
 
 impl Exchange<'_> {
     /// Runs the first batch of a keyed write.
-    pub(super) async fn open_keyed(&mut self, batch: &Batch) -> Step {
+    pub(super) async fn open_keyed(&mut self, batch: &Batch) -> BatchOutcome {
         match self.try_open_keyed(batch).await {
-            Ok(step) | Err(step) => step,
+            Ok(outcome) | Err(outcome) => outcome,
         }
     }
 
     /// Runs a later batch of a keyed transaction.
-    pub(super) async fn continue_keyed(&mut self, batch: &Batch) -> Step {
-        let step = match self.keyed.as_ref().and_then(|keyed| keyed.replayed) {
-            Some(_) => self.replay_turn(batch).await,
-            None => self.run_keyed_turn(batch).await,
+    pub(super) async fn continue_keyed(&mut self, batch: &Batch) -> BatchOutcome {
+        let outcome = match self.keyed.as_ref().and_then(|keyed| keyed.replayed) {
+            Some(_) => self.replay_batch(batch).await,
+            None => self.run_keyed_batch(batch).await,
         };
-        match step {
-            Ok(step) | Err(step) => step,
+        match outcome {
+            Ok(outcome) | Err(outcome) => outcome,
         }
     }
 
-    async fn try_open_keyed(&mut self, batch: &Batch) -> Result<Step, Step> {
-        let facts = self.facts;
-        let alone = !facts.only_begins;
+    async fn try_open_keyed(&mut self, batch: &Batch) -> Result<BatchOutcome, BatchOutcome> {
+        let properties = self.properties;
+        let is_standalone = !properties.only_begins;
         if self.key().len() > KEY_LIMIT {
             return self.refuse_keyed(&KEY_TOO_LONG).await;
         }
-        if alone && facts.controls_transaction {
+        if is_standalone && properties.controls_transaction {
             return self.refuse_keyed(&TRANSACTION_CONTROL).await;
         }
-        for _ in 0..CLAIM_ATTEMPTS {
-            if !alone {
-                let status = ready(self.run_batch(batch).await)?;
+        for _ in 0..MAX_CLAIM_ATTEMPTS {
+            if !is_standalone {
+                let status = ready_status(self.run_batch(batch).await)?;
                 if status != TransactionStatus::Open {
-                    return Ok(Step::Ready(status));
+                    return Ok(BatchOutcome::Ready(status));
                 }
             }
-            match self.claim(alone).await? {
-                Claim::Won if alone => return self.run_alone(batch).await,
-                Claim::Won => return self.note_turn(batch, TransactionStatus::Open).await,
+            match self.claim(is_standalone).await? {
+                Claim::Won if is_standalone => return self.run_standalone(batch).await,
+                Claim::Won => return self.record_batch(batch, TransactionStatus::Open).await,
                 Claim::Taken => {
-                    self.held.clear();
-                    if self.look_up().await? {
-                        return self.replay_turn(batch).await;
+                    self.buffered.clear();
+                    if self.load_transcript().await? {
+                        return self.replay_batch(batch).await;
                     }
                 }
-                Claim::Again => self.held.clear(),
-                Claim::Ended(step) => return Ok(step),
+                Claim::Repeat => self.buffered.clear(),
+                Claim::Failed(outcome) => return Ok(outcome),
             }
         }
-        Ok(Step::Retry(RetryCause::BackEndRefused))
+        Ok(BatchOutcome::Retry(RetryCause::BackEndRefused))
     }
 
     /// Runs a write alone in the transaction that claimed its key.
-    async fn run_alone(&mut self, batch: &Batch) -> Result<Step, Step> {
-        match ready(self.run_batch(batch).await)? {
+    async fn run_standalone(&mut self, batch: &Batch) -> Result<BatchOutcome, BatchOutcome> {
+        match ready_status(self.run_batch(batch).await)? {
             TransactionStatus::Failed => {
                 // The error is the answer. Nothing is stored, so a repeat of the request runs again.
-                self.own(ROLLBACK).await?;
-                Ok(Step::Ready(TransactionStatus::Idle))
+                self.run_own_statement(ROLLBACK).await?;
+                Ok(BatchOutcome::Ready(TransactionStatus::Idle))
             }
             TransactionStatus::Open if self.is_oversized() => {
                 self.refuse_keyed(&ANSWER_TOO_LARGE).await
             }
             TransactionStatus::Open => {
-                self.push_turn(batch, self.kept_answer()?, TransactionStatus::Idle)?;
+                self.push_entry(batch, self.answer_to_store()?, TransactionStatus::Idle)?;
                 let text = format!("{}; {COMMIT}", self.store_statement()?);
                 self.set_commit_sent(true);
-                let answer = self.own(&text).await?;
-                self.end_alone(answer).await
+                let answer = self.run_own_statement(&text).await?;
+                self.finish_standalone(answer).await
             }
             // The batch ended the transaction itself, so the key may be committed without an answer.
-            TransactionStatus::Idle => Ok(Step::Failed(Failure::Unknown)),
+            TransactionStatus::Idle => Ok(BatchOutcome::Failed(Failure::Unknown)),
         }
     }
 
-    async fn end_alone(&mut self, answer: OwnAnswer) -> Result<Step, Step> {
+    async fn finish_standalone(
+        &mut self,
+        answer: OwnStatementAnswer,
+    ) -> Result<BatchOutcome, BatchOutcome> {
         let Some(error) = answer.error else {
             self.set_commit_sent(false);
-            self.note_position(answer.position);
-            return Ok(Step::Ready(TransactionStatus::Idle));
+            self.record_position(answer.position);
+            return Ok(BatchOutcome::Ready(TransactionStatus::Idle));
         };
         if leaves_outcome_open(&error.sqlstate) {
-            return Ok(Step::Retry(RetryCause::ConnectionLost));
+            return Ok(BatchOutcome::Retry(RetryCause::ConnectionLost));
         }
         self.set_commit_sent(false);
         if error.sqlstate == NOT_PRIMARY {
-            return Ok(self.refused(RetryCause::NotPrimary));
+            return Ok(self.outcome_of_refusal(RetryCause::NotPrimary));
         }
-        self.fail_with(&error).await
+        self.roll_back_with_error(&error).await
     }
 
     /// Runs a later batch of the caller's transaction.
-    async fn run_keyed_turn(&mut self, batch: &Batch) -> Result<Step, Step> {
-        let end = batch::only_ends(batch);
-        if end.is_none() && self.facts.controls_transaction {
+    async fn run_keyed_batch(&mut self, batch: &Batch) -> Result<BatchOutcome, BatchOutcome> {
+        let end = batch::transaction_end(batch);
+        if end.is_none() && self.properties.controls_transaction {
             return self.refuse_keyed(&TRANSACTION_CONTROL).await;
         }
         let commits = end == Some(TransactionEnd::Commit);
         if commits && self.status == TransactionStatus::Open {
-            return self.commit_turns(batch).await;
+            return self.commit_with_transcript(batch).await;
         }
-        let status = ready(self.run_batch(batch).await)?;
+        let status = ready_status(self.run_batch(batch).await)?;
         if status == TransactionStatus::Idle {
-            return Ok(Step::Ready(status));
+            return Ok(BatchOutcome::Ready(status));
         }
-        self.note_turn(batch, status).await
+        self.record_batch(batch, status).await
     }
 
-    async fn commit_turns(&mut self, batch: &Batch) -> Result<Step, Step> {
-        let messages = transcript::commit_messages(batch).map_err(|_| Step::Violation)?;
-        self.push_turn(batch, messages, TransactionStatus::Idle)?;
+    async fn commit_with_transcript(
+        &mut self,
+        batch: &Batch,
+    ) -> Result<BatchOutcome, BatchOutcome> {
+        let messages =
+            transcript::commit_answer_messages(batch).map_err(|_| BatchOutcome::Violation)?;
+        self.push_entry(batch, messages, TransactionStatus::Idle)?;
         let text = self.store_statement()?;
-        let stored = self.own(&text).await?;
+        let stored = self.run_own_statement(&text).await?;
         if let Some(error) = stored.error {
-            return self.fail_with(&error).await;
+            return self.roll_back_with_error(&error).await;
         }
         Ok(self.run_batch(batch).await)
     }
 
     /// Adds a batch of the caller's transaction and its answer to the transcript.
-    async fn note_turn(&mut self, batch: &Batch, status: TransactionStatus) -> Result<Step, Step> {
+    async fn record_batch(
+        &mut self,
+        batch: &Batch,
+        status: TransactionStatus,
+    ) -> Result<BatchOutcome, BatchOutcome> {
         if self.is_oversized() {
             return self.refuse_keyed(&ANSWER_TOO_LARGE).await;
         }
-        self.push_turn(batch, self.kept_answer()?, status)?;
-        Ok(Step::Ready(status))
+        self.push_entry(batch, self.answer_to_store()?, status)?;
+        Ok(BatchOutcome::Ready(status))
     }
 
     /// Answers a batch of a repeat from the transcript.
-    async fn replay_turn(&mut self, batch: &Batch) -> Result<Step, Step> {
-        let fingerprint = transcript::fingerprint(batch).map_err(|_| Step::Violation)?;
-        let place = self.keyed.as_ref().and_then(|keyed| keyed.replayed).unwrap_or_default();
-        let turn = self.keyed.as_ref().and_then(|keyed| keyed.turns.get(place)).cloned();
-        let Some(turn) = turn.filter(|turn| turn.fingerprint == fingerprint) else {
+    async fn replay_batch(&mut self, batch: &Batch) -> Result<BatchOutcome, BatchOutcome> {
+        let fingerprint = transcript::fingerprint(batch).map_err(|_| BatchOutcome::Violation)?;
+        let index = self.keyed.as_ref().and_then(|keyed| keyed.replayed).unwrap_or_default();
+        let entry = self.keyed.as_ref().and_then(|keyed| keyed.entries.get(index)).cloned();
+        let Some(entry) = entry.filter(|entry| entry.fingerprint == fingerprint) else {
             return self.refuse_keyed(&KEY_REUSED).await;
         };
-        self.held = transcript::replayed(batch, &turn.messages).map_err(|_| Step::Violation)?;
+        self.buffered = transcript::replay_answer(batch, &entry.messages)
+            .map_err(|_| BatchOutcome::Violation)?;
         if let Some(keyed) = &mut self.keyed {
-            keyed.replayed = Some(place + 1);
+            keyed.replayed = Some(index + 1);
         }
-        Ok(Step::Ready(turn.status))
+        Ok(BatchOutcome::Ready(entry.status))
     }
 
-    async fn refuse_keyed(&mut self, refused: &Refused) -> Result<Step, Step> {
-        self.own(ROLLBACK).await?;
-        let message = wire::error_response(refused.sqlstate, refused.text);
-        self.held = message.map_err(|error| Step::Lost(error.into()))?;
-        Ok(Step::Ready(TransactionStatus::Idle))
+    async fn refuse_keyed(&mut self, refusal: &KeyedRefusal) -> Result<BatchOutcome, BatchOutcome> {
+        self.run_own_statement(ROLLBACK).await?;
+        let message = wire::error_response(refusal.sqlstate, refusal.text);
+        self.buffered = message.map_err(|error| BatchOutcome::Lost(error.into()))?;
+        Ok(BatchOutcome::Ready(TransactionStatus::Idle))
     }
 
     fn is_oversized(&self) -> bool {
@@ -201,28 +213,29 @@
         }
     }
 
-    fn kept_answer(&self) -> Result<Vec<u8>, Step> {
-        transcript::kept_messages(&self.held).map_err(|error| Step::Lost(error.into()))
+    fn answer_to_store(&self) -> Result<Vec<u8>, BatchOutcome> {
+        transcript::messages_to_store(&self.buffered)
+            .map_err(|error| BatchOutcome::Lost(error.into()))
     }
 
-    fn push_turn(
+    fn push_entry(
         &mut self,
         batch: &Batch,
         messages: Vec<u8>,
         status: TransactionStatus,
-    ) -> Result<(), Step> {
-        let fingerprint = transcript::fingerprint(batch).map_err(|_| Step::Violation)?;
+    ) -> Result<(), BatchOutcome> {
+        let fingerprint = transcript::fingerprint(batch).map_err(|_| BatchOutcome::Violation)?;
         if let Some(keyed) = &mut self.keyed {
-            keyed.turns.push(Turn { fingerprint, messages, status });
+            keyed.entries.push(TranscriptEntry { fingerprint, messages, status });
         }
         Ok(())
     }
 }
 
 /// Returns the status after a batch, or the outcome of a batch that is not answered.
-fn ready(step: Step) -> Result<TransactionStatus, Step> {
-    match step {
-        Step::Ready(status) => Ok(status),
+fn ready_status(outcome: BatchOutcome) -> Result<TransactionStatus, BatchOutcome> {
+    match outcome {
+        BatchOutcome::Ready(status) => Ok(status),
         other => Err(other),
     }
 }
--- a/crates/owner/src/exchange/keyed_write.rs
+++ b/crates/owner/src/exchange/keyed_write.rs
@@ -1,7 +1,7 @@
 //! State of a write under an idempotency key.
 
 use crate::batch;
-use crate::transcript::Turn;
+use crate::transcript::TranscriptEntry;
 use corktack_core::pool::outcomes::ANSWER_LIMIT;
 use corktack_protocol::peer::{Access, OpenRequest};
 
@@ -10,7 +10,7 @@
 pub(super) struct KeyedWrite {
     pub key: String,
     /// Batches and answers so far; those of the first request if this request is a repeat.
-    pub turns: Vec<Turn>,
+    pub entries: Vec<TranscriptEntry>,
     /// Number of entries replayed; `None` if this request runs the write itself.
     pub replayed: Option<usize>,
     /// Whether the commit was sent and is not yet answered.
@@ -23,22 +23,23 @@
     /// Returns the keyed write of a request, if the request is one and runs a statement.
     pub fn of(request: &OpenRequest) -> Option<Self> {
         let key = request.idempotency_key.clone()?;
-        let runs = request.access == Access::Write && batch::runs_something(&request.batch);
-        runs.then(|| Self {
+        let is_keyed_write =
+            request.access == Access::Write && batch::runs_statement(&request.batch);
+        is_keyed_write.then(|| Self {
             key,
-            turns: Vec::new(),
+            entries: Vec::new(),
             replayed: None,
             commit_sent: false,
             oversized: false,
         })
     }
 
-    fn kept_bytes(&self) -> usize {
-        self.turns.iter().map(|turn| turn.messages.len()).sum()
+    fn stored_bytes(&self) -> usize {
+        self.entries.iter().map(|entry| entry.messages.len()).sum()
     }
 
     /// Reports whether an answer of this size in bytes would exceed the limit of a transcript.
-    pub fn is_over_limit(&self, held: usize) -> bool {
-        self.kept_bytes() + held > ANSWER_LIMIT
+    pub fn is_over_limit(&self, answer_bytes: usize) -> bool {
+        self.stored_bytes() + answer_bytes > ANSWER_LIMIT
     }
 }
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -17,10 +17,10 @@
 /// Size in bytes up to which an answer is buffered, so that the request can be retried if it turns out not to
 /// have run or to have read from a stale replica. A smaller buffer makes large reads of a stale replica fail
 /// where they could be repeated; a larger one costs memory and delays the first row.
-const HOLD_BYTES: usize = 64 * 1024;
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// Size in bytes of one frame of answers once a first part was forwarded. Smaller frames cost more headers
 /// and wake-ups; larger ones delay the other streams of the link.
-const FRAME_BYTES: usize = 32 * 1024;
+const TARGET_FRAME_BYTES: usize = 32 * 1024;
 /// SQLSTATE `cannot_connect_now`: the back end accepts no work at present.
 pub(super) const CANNOT_CONNECT_NOW: &str = "57P03";
 /// Error text sent to a back end that asks for copy data, which no caller can send.
@@ -31,9 +31,9 @@
     pub(super) fn read_replies(&mut self) -> Result<Option<TransactionStatus>, ConnectionError> {
         while let Some((message, reply)) = self.lease.connection()?.next_reply()? {
             for _ in 0..reply.synthesized {
-                wire::encode(&ParseComplete::new(), &mut self.held)?;
+                wire::encode(&ParseComplete::new(), &mut self.buffered)?;
             }
-            if let Some(status) = self.take_reply(message, reply)? {
+            if let Some(status) = self.process_reply(message, reply)? {
                 return Ok(Some(status));
             }
             self.forward_if_large();
@@ -50,25 +50,25 @@
             return Ok(None);
         };
         for _ in 0..skipped {
-            wire::encode(&ParseComplete::new(), &mut self.held)?;
+            wire::encode(&ParseComplete::new(), &mut self.buffered)?;
         }
         Ok(Some(TransactionStatus::Open))
     }
 
-    fn take_reply(
+    fn process_reply(
         &mut self,
         message: RawMessage,
         reply: Reply,
     ) -> Result<Option<TransactionStatus>, ConnectionError> {
         match message.tag {
-            back::PARAMETER_STATUS => return self.take_parameter(message).map(|()| None),
-            back::ERROR => self.take_error(&message)?,
+            back::PARAMETER_STATUS => return self.process_parameter(message).map(|()| None),
+            back::ERROR => self.process_error(&message)?,
             back::COMMAND_COMPLETE | back::DATA_ROW => self.completed = true,
             back::COPY_IN => return self.refuse_copy().map(|()| None),
             _ => {}
         }
         match reply.disposition {
-            Disposition::Forward => self.hold(&message),
+            Disposition::Forward => self.buffer(&message),
             Disposition::Swallow => {}
             Disposition::Ready => {
                 let answered = self.lease.connection()?.tracker.is_idle();
@@ -80,27 +80,27 @@
     }
 
     /// Records a reported position for the edge, and buffers any other parameter for the caller.
-    fn take_parameter(&mut self, message: RawMessage) -> Result<(), ConnectionError> {
+    fn process_parameter(&mut self, message: RawMessage) -> Result<(), ConnectionError> {
         let (name, value) = wire::parameter(&message)?;
         if name != POSITION_PARAMETER {
-            self.held.extend_from_slice(&message.bytes);
+            self.buffered.extend_from_slice(&message.bytes);
             return Ok(());
         }
         let Ok(position) = value.parse::<Position>() else {
             return Ok(());
         };
-        self.observed = Some(position);
-        self.note_position(Some(position));
+        self.reported_position = Some(position);
+        self.record_position(Some(position));
         Ok(())
     }
 
     /// Records a position that the back end reported, and reports it to the edge unless it is behind the
     /// session.
-    pub(super) fn note_position(&mut self, position: Option<Position>) {
+    pub(super) fn record_position(&mut self, position: Option<Position>) {
         let Some(position) = position else {
             return;
         };
-        self.group.learn_position(&self.lease.destination().member, position);
+        self.group.record_position(&self.lease.destination().member, position);
         if !self.is_behind(position) {
             self.outbound.position(position);
         }
@@ -108,18 +108,18 @@
 
     /// Buffers a message until it is forwarded. Drops the answer of a keyed write if it is too large to
     /// store, since the write is rolled back then.
-    fn hold(&mut self, message: &RawMessage) {
-        self.held.extend_from_slice(&message.bytes);
+    fn buffer(&mut self, message: &RawMessage) {
+        self.buffered.extend_from_slice(&message.bytes);
         if let Some(keyed) = &mut self.keyed
-            && keyed.is_over_limit(self.held.len())
+            && keyed.is_over_limit(self.buffered.len())
         {
             keyed.oversized = true;
-            self.held.clear();
+            self.buffered.clear();
         }
     }
 
     /// Records an error answer. An error before any statement ran may be a refusal of the request.
-    fn take_error(&mut self, message: &RawMessage) -> Result<(), ConnectionError> {
+    fn process_error(&mut self, message: &RawMessage) -> Result<(), ConnectionError> {
         self.failed = true;
         let nothing_ran = self.status == TransactionStatus::Idle && !self.completed;
         if nothing_ran && !self.forwarded {
@@ -148,19 +148,19 @@
             // The answer of a keyed write is valid only once it is stored.
             return;
         }
-        let limit = if self.forwarded { FRAME_BYTES } else { HOLD_BYTES };
-        if self.held.len() >= limit {
+        let limit = if self.forwarded { TARGET_FRAME_BYTES } else { MAX_BUFFERED_BYTES };
+        if self.buffered.len() >= limit {
             self.forward();
         }
     }
 
     /// Sends the buffered answer to the edge. The request cannot be retried afterwards.
     pub(super) fn forward(&mut self) {
-        if self.held.is_empty() {
+        if self.buffered.is_empty() {
             return;
         }
         self.forwarded = true;
-        let messages = self.held.split();
+        let messages = self.buffered.split();
         self.input.window -= messages.len() as i64;
         self.outbound.data(messages.to_vec());
     }
--- a/crates/owner/src/exchange/run.rs
+++ b/crates/owner/src/exchange/run.rs
@@ -1,7 +1,7 @@
 //! Main loop of a transaction, from its first batch to its end. Between two batches the loop watches for
 //! input of the caller, loss of the connection, an unresponsive member and a change of primary.
 
-use super::state::{Exchange, Exit, Step};
+use super::state::{BatchOutcome, Exchange, Exit};
 use super::unfinished;
 use crate::batch;
 use crate::connection::ConnectionError;
@@ -11,30 +11,30 @@
 impl Exchange<'_> {
     /// Runs the transaction to its end and returns its result.
     pub async fn run(mut self) -> Exit {
-        let mut step = self.run_first_batch().await;
+        let mut outcome = self.run_first_batch().await;
         loop {
-            match step {
-                Step::Ready(TransactionStatus::Idle) => return self.finish().await,
-                Step::Ready(status) => {
+            match outcome {
+                BatchOutcome::Ready(TransactionStatus::Idle) => return self.finish().await,
+                BatchOutcome::Ready(status) => {
                     self.answer_ready(status);
-                    step = self.next_batch().await;
+                    outcome = self.next_batch().await;
                 }
-                Step::Lost(error) => return self.lost(&error),
-                Step::Gone => {
+                BatchOutcome::Lost(error) => return self.finish_lost(&error),
+                BatchOutcome::CallerGone => {
                     self.abandon().await;
                     return Exit::Ended;
                 }
-                Step::Retry(cause) => return self.retried(cause),
-                Step::Failed(failure) => return Exit::Failed(failure),
-                Step::Violation => return Exit::Failed(self.failure_of_violation()),
+                BatchOutcome::Retry(cause) => return self.retry_exit(cause),
+                BatchOutcome::Failed(failure) => return Exit::Failed(failure),
+                BatchOutcome::Violation => return Exit::Failed(self.failure_of_violation()),
             }
         }
     }
 
-    async fn run_first_batch(&mut self) -> Step {
+    async fn run_first_batch(&mut self) -> BatchOutcome {
         let batch = &self.request.batch;
         if self.breaks_flush_rules() {
-            return Step::Violation;
+            return BatchOutcome::Violation;
         }
         match self.keyed {
             Some(_) => self.open_keyed(batch).await,
@@ -42,45 +42,46 @@
         }
     }
 
-    async fn next_batch(&mut self) -> Step {
+    async fn next_batch(&mut self) -> BatchOutcome {
         loop {
             if let Some(batch) = self.input.take_batch() {
-                let Ok(facts) = batch::facts(&batch) else {
-                    return Step::Violation;
+                let Ok(properties) = batch::analyze(&batch) else {
+                    return BatchOutcome::Violation;
                 };
-                self.facts = facts;
+                self.properties = properties;
                 if self.breaks_flush_rules() {
-                    return Step::Violation;
+                    return BatchOutcome::Violation;
                 }
                 return match self.keyed {
                     Some(_) => self.continue_keyed(&batch).await,
                     None => self.run_batch(&batch).await,
                 };
             }
-            let (replaced, silent) = (self.lease.replaced(), self.lease.silent());
+            let (replaced, unresponsive) =
+                (self.lease.wait_until_replaced(), self.lease.wait_until_silent());
             let Ok(connection) = self.lease.connection() else {
-                return Step::Lost(ConnectionError::Closed);
+                return BatchOutcome::Lost(ConnectionError::Closed);
             };
             connection.sent_bytes = 0;
             // No request is pending: a message that arrives now is read below and found unexpected.
-            let lost = connection.progress(true);
+            let progress = connection.progress(true);
             tokio::select! {
-                () = replaced => return Step::Lost(ConnectionError::Closed),
-                () = silent => return Step::Lost(ConnectionError::TimedOut),
-                event = self.input.next() => if event == InputEvent::Gone {
-                    return Step::Gone;
+                () = replaced => return BatchOutcome::Lost(ConnectionError::Closed),
+                () = unresponsive => return BatchOutcome::Lost(ConnectionError::TimedOut),
+                event = self.input.next_event() => if event == InputEvent::CallerGone {
+                    return BatchOutcome::CallerGone;
                 },
-                result = lost => if let Err(error) = result {
-                    return Step::Lost(error);
+                result = progress => if let Err(error) = result {
+                    return BatchOutcome::Lost(error);
                 },
             }
             if let Err(error) = self.read_replies() {
-                return Step::Lost(error);
+                return BatchOutcome::Lost(error);
             }
         }
     }
 
     fn breaks_flush_rules(&self) -> bool {
-        self.facts.flushes && !unfinished::may_flush(self.request)
+        self.properties.flushes && !unfinished::may_flush(self.request)
     }
 }
--- a/crates/owner/src/exchange/state.rs
+++ b/crates/owner/src/exchange/state.rs
@@ -2,7 +2,7 @@
 
 use super::keyed_write::KeyedWrite;
 use super::unfinished::Unfinished;
-use crate::batch::BatchFacts;
+use crate::batch::BatchProperties;
 use crate::connection::ConnectionError;
 use crate::decisions::RetryCause;
 use crate::group::Group;
@@ -28,13 +28,13 @@
 }
 
 /// Outcome of the batch in flight.
-pub(super) enum Step {
+pub(super) enum BatchOutcome {
     /// The answer is complete and leaves the transaction in this status.
     Ready(TransactionStatus),
     /// The connection is lost, or must be closed.
     Lost(ConnectionError),
     /// The caller is gone.
-    Gone,
+    CallerGone,
     /// The batch must be retried, at this or another member.
     Retry(RetryCause),
     /// The edge violated the protocol.
@@ -52,11 +52,11 @@
     pub(super) input: &'stream mut Input,
     pub(super) outbound: &'stream Outbound,
     /// Properties of the batch in flight.
-    pub(super) facts: BatchFacts,
+    pub(super) properties: BatchProperties,
     /// Transaction status before the batch in flight.
     pub(super) status: TransactionStatus,
     /// Messages of the answer that are not forwarded yet.
-    pub(super) held: BytesMut,
+    pub(super) buffered: BytesMut,
     /// Whether a part of the answers was forwarded.
     pub(super) forwarded: bool,
     /// Whether a statement of the stream returned a row or completed.
@@ -64,7 +64,7 @@
     /// Reason why the member refused the request before any statement ran.
     pub(super) refusal: Option<RetryCause>,
     /// Position that the member reported with the batch in flight.
-    pub(super) observed: Option<Position>,
+    pub(super) reported_position: Option<Position>,
     /// Whether the answer to the batch in flight contains an error.
     pub(super) failed: bool,
     /// Whether a cancel was sent. The cancel may take effect late, so the connection is not reused.
@@ -82,7 +82,7 @@
         lease: Lease,
         request: &'stream OpenRequest,
         minimum: Option<Position>,
-        facts: BatchFacts,
+        properties: BatchProperties,
         input: &'stream mut Input,
         outbound: &'stream Outbound,
     ) -> Self {
@@ -93,13 +93,13 @@
             minimum,
             input,
             outbound,
-            facts,
+            properties,
             status: TransactionStatus::Idle,
-            held: BytesMut::new(),
+            buffered: BytesMut::new(),
             forwarded: false,
             completed: false,
             refusal: None,
-            observed: None,
+            reported_position: None,
             failed: false,
             cancelled: false,
             keyed: KeyedWrite::of(request),
--- a/crates/owner/src/exchange/unfinished.rs
+++ b/crates/owner/src/exchange/unfinished.rs
@@ -1,10 +1,10 @@
 //! A batch of the extended protocol between its first Flush and its Sync.
 //!
 //! The Sync commits the statements of the batch. But some statements (`CREATE DATABASE`, `VACUUM`) commit as
-//! they run, and some back ends commit every statement as it runs, so each statement that ran counts as
+//! they run, and some back ends commit every statement as it part_executes, so each statement that ran counts as
 //! possibly committed when the connection is lost.
 
-use crate::batch::{self, BatchFacts};
+use crate::batch::{self, BatchProperties};
 use corktack_protocol::peer::{Access, OpenRequest};
 
 /// State of an unfinished batch. Each message sequence up to a Flush or the Sync is one part of the batch.
@@ -13,22 +13,22 @@
     /// Whether a Flush was sent, and no Sync answered since.
     open: bool,
     /// Whether a part that ran a statement was answered.
-    ran: bool,
+    has_executed: bool,
     /// Whether the part in flight runs a statement.
-    runs: bool,
+    part_executes: bool,
 }
 
 impl Unfinished {
     /// Records a part that is about to be sent.
-    pub fn sent(&mut self, facts: &BatchFacts) {
-        self.open |= facts.flushes;
-        self.runs = facts.executes;
+    pub fn record_sent(&mut self, properties: &BatchProperties) {
+        self.open |= properties.flushes;
+        self.part_executes = properties.executes;
     }
 
     /// Records that the part in flight is answered; a part without a Flush ends the batch.
-    pub fn answered(&mut self, facts: &BatchFacts) {
-        if facts.flushes {
-            self.ran |= facts.executes;
+    pub fn record_answered(&mut self, properties: &BatchProperties) {
+        if properties.flushes {
+            self.has_executed |= properties.executes;
         } else {
             *self = Self::default();
         }
@@ -41,8 +41,8 @@
 
     /// Reports whether a statement of the batch may be committed, given the number of bytes of the part in
     /// flight that were sent.
-    pub fn may_have_committed(&self, sent: usize) -> bool {
-        self.open && (self.ran || (self.runs && sent > 0))
+    pub fn may_have_committed(&self, sent_bytes: usize) -> bool {
+        self.open && (self.has_executed || (self.part_executes && sent_bytes > 0))
     }
 }
 
@@ -50,6 +50,6 @@
 /// write, so a replica cannot serve them. A keyed write may not: its answer is stored with the commit, so no
 /// part of the answer can be given before.
 pub(super) fn may_flush(request: &OpenRequest) -> bool {
-    let keyed = request.idempotency_key.is_some() && batch::runs_something(&request.batch);
+    let keyed = request.idempotency_key.is_some() && batch::runs_statement(&request.batch);
     request.access == Access::Write && !keyed
 }
--- a/crates/owner/src/group/connections.rs
+++ b/crates/owner/src/group/connections.rs
@@ -18,47 +18,50 @@
 #[derive(Debug)]
 pub(crate) struct PooledConnection {
     pub connection: ServerConnection,
-    _open: OpenConnection,
+    _reservation: ConnectionReservation,
 }
 
 /// A reservation of one of the connections that the group's limit allows.
 #[derive(Debug)]
-pub(crate) struct OpenConnection {
-    open: Arc<AtomicU32>,
-    room: Arc<Notify>,
+pub(crate) struct ConnectionReservation {
+    open_count: Arc<AtomicU32>,
+    connection_freed: Arc<Notify>,
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionReservation {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, Ordering::Relaxed);
-        self.room.notify_one();
+        self.open_count.fetch_sub(1, Ordering::Relaxed);
+        self.connection_freed.notify_one();
     }
 }
 
 impl Group {
     /// Reserves a connection under the group's limit, if one is left.
-    pub fn reserve_connection(&self) -> Option<OpenConnection> {
+    pub fn reserve_connection(&self) -> Option<ConnectionReservation> {
         let limit = self.view().spec.connections;
-        let one_more = |open| (open < limit).then_some(open + 1);
-        self.open.fetch_update(Ordering::Relaxed, Ordering::Relaxed, one_more).ok()?;
-        Some(OpenConnection { open: Arc::clone(&self.open), room: Arc::clone(&self.room) })
+        let incremented = |open| (open < limit).then_some(open + 1);
+        self.open_count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, incremented).ok()?;
+        Some(ConnectionReservation {
+            open_count: Arc::clone(&self.open_count),
+            connection_freed: Arc::clone(&self.connection_freed),
+        })
     }
 
     /// Opens a new server connection to a member under a reservation.
     pub async fn connect(
         &self,
         member: &MemberName,
-        open: OpenConnection,
+        reservation: ConnectionReservation,
     ) -> Result<PooledConnection, ConnectionError> {
         let (address, login) = self.login(member, APPLICATION_NAME);
         let address = address.ok_or(ConnectionError::Closed)?;
         let connection = ServerConnection::connect(address, &login).await?;
-        Ok(PooledConnection { connection, _open: open })
+        Ok(PooledConnection { connection, _reservation: reservation })
     }
 
     /// Returns the number of server connections that are open or being opened.
     pub fn open_connections(&self) -> u32 {
-        self.open.load(Ordering::Relaxed)
+        self.open_count.load(Ordering::Relaxed)
     }
 
     /// Returns a member's address, if the view has the member, and the parameters to log in with.
--- a/crates/owner/src/group/mod.rs
+++ b/crates/owner/src/group/mod.rs
@@ -11,7 +11,7 @@
 mod state;
 
 pub(crate) use connections::{CONTROL_APPLICATION_NAME, PooledConnection};
-pub(crate) use slots::{GivenUp, Slot};
+pub(crate) use slots::{Slot, SlotWaitError};
 pub(crate) use state::GroupState;
 
 use crate::barrier_queue::BarrierQueue;
@@ -40,17 +40,17 @@
     pub metrics: Metrics,
     pub barriers: BarrierQueue,
     /// Wakes the task that keeps connections warm.
-    pub warm: Notify,
+    pub warm_wakeup: Notify,
     /// Wakes a request that waits for a connection when one was closed or returned to the pool.
-    pub room: Arc<Notify>,
+    pub connection_freed: Arc<Notify>,
     state: Mutex<GroupState>,
     view: watch::Sender<Arc<GroupView>>,
-    /// Wakes waiting requests when the group is retired. This is separate from `knowledge`, which changes
+    /// Wakes waiting requests when the group is retired. This is separate from `member_changes`, which changes
     /// with each commit, so that commits do not wake every request in a long queue.
     pub retirement: watch::Sender<bool>,
     /// Counter that increases when a position or the reachability of a member changes.
-    knowledge: watch::Sender<u64>,
-    open: Arc<AtomicU32>,
+    member_changes: watch::Sender<u64>,
+    open_count: Arc<AtomicU32>,
     origin: Timestamp,
     started: Instant,
 }
@@ -72,13 +72,13 @@
             settings,
             metrics,
             barriers: BarrierQueue::default(),
-            warm: Notify::new(),
-            room: Arc::default(),
+            warm_wakeup: Notify::new(),
+            connection_freed: Arc::default(),
             state: Mutex::new(state),
             view: watch::Sender::new(Arc::clone(&view)),
             retirement: watch::Sender::new(false),
-            knowledge: watch::Sender::new(0),
-            open: Arc::default(),
+            member_changes: watch::Sender::new(0),
+            open_count: Arc::default(),
             origin,
             started: Instant::now(),
         };
@@ -90,8 +90,8 @@
     }
 
     /// Runs a short operation under the group's lock.
-    pub fn with_state<T>(&self, step: impl FnOnce(&mut GroupState) -> T) -> T {
-        step(&mut lock(&self.state))
+    pub fn with_state<T>(&self, operation: impl FnOnce(&mut GroupState) -> T) -> T {
+        operation(&mut lock(&self.state))
     }
 
     /// Returns the current time on the owner's clock.
@@ -105,18 +105,18 @@
     }
 
     /// Returns a receiver for changes of the group in the configuration.
-    pub fn follow_view(&self) -> watch::Receiver<Arc<GroupView>> {
+    pub fn subscribe_view(&self) -> watch::Receiver<Arc<GroupView>> {
         self.view.subscribe()
     }
 
     /// Returns a receiver that is notified when the state of a member changes.
-    pub fn follow_knowledge(&self) -> watch::Receiver<u64> {
-        self.knowledge.subscribe()
+    pub fn subscribe_member_changes(&self) -> watch::Receiver<u64> {
+        self.member_changes.subscribe()
     }
 
     /// Wakes the tasks that wait for a change in the state of a member.
-    pub fn knowledge_changed(&self) {
-        self.knowledge.send_modify(|count| *count += 1);
+    pub fn notify_member_changed(&self) {
+        self.member_changes.send_modify(|count| *count += 1);
     }
 
     /// Returns the label of the group's metrics.
@@ -141,32 +141,32 @@
                 state.epoch += 1;
             }
             let old_primary = before.primary.as_ref().filter(|_| replaced);
-            state.take_unusable(view, old_primary)
+            state.remove_unusable(view, old_primary)
         });
         drop(closed);
         self.view.send_replace(Arc::clone(view));
-        self.warm.notify_one();
-        self.knowledge_changed();
+        self.warm_wakeup.notify_one();
+        self.notify_member_changed();
         self.grant_slots();
     }
 
     /// Reports whether there is a primary that accepts work: one that is neither suspect nor draining.
-    pub fn primary_available(&self, state: &GroupState) -> bool {
+    pub fn accepts_writes(&self, state: &GroupState) -> bool {
         let view = self.view.borrow();
-        let usable = |primary: &MemberName| !is_draining(&view, primary);
-        !state.primary_suspect && view.primary.as_ref().is_some_and(usable)
+        let accepts_work = |primary: &MemberName| !is_draining(&view, primary);
+        !state.primary_suspect && view.primary.as_ref().is_some_and(accepts_work)
     }
 
     /// Returns the primary and its term, if the primary accepts work.
     pub fn available_primary(&self) -> Option<(MemberName, Term)> {
-        let available = self.with_state(|state| self.primary_available(state));
+        let accepts_work = self.with_state(|state| self.accepts_writes(state));
         let view = self.view();
-        view.primary.clone().filter(|_| available).map(|primary| (primary, view.term))
+        view.primary.clone().filter(|_| accepts_work).map(|primary| (primary, view.term))
     }
 
     /// Records that the primary failed or refused work, so that it gets no more work before a probe finds it
     /// leading. Has no effect if the member is no longer the primary of that term.
-    pub fn suspect_primary(&self, member: &MemberName, term: Term) {
+    pub fn mark_primary_suspect(&self, member: &MemberName, term: Term) {
         let view = self.view();
         if view.primary.as_ref() == Some(member) && view.term == term {
             self.with_state(|state| state.primary_suspect = true);
@@ -174,9 +174,9 @@
     }
 
     /// Records a position that a member reported with an answer, and wakes waiting tasks if it is new.
-    pub fn learn_position(&self, member: &MemberName, position: Position) {
+    pub fn record_position(&self, member: &MemberName, position: Position) {
         if self.with_state(|state| state.routing.learn_position(member, position)) {
-            self.knowledge_changed();
+            self.notify_member_changed();
         }
     }
 
--- a/crates/owner/src/group/slots.rs
+++ b/crates/owner/src/group/slots.rs
@@ -22,8 +22,8 @@
         let ticket = self.with_state(|state| {
             let admitted = state.admission.enqueue(class, lane, now, deadline)?;
             // Dropping the sender ends the wait of a displaced request at once.
-            admitted.displaced.map(|displaced| state.grants.remove(&displaced));
-            state.grants.insert(admitted.ticket, sender);
+            admitted.displaced.map(|displaced| state.grant_senders.remove(&displaced));
+            state.grant_senders.insert(admitted.ticket, sender);
             Ok(admitted.ticket)
         })?;
         self.grant_slots();
@@ -34,11 +34,11 @@
     pub fn grant_slots(self: &Arc<Self>) {
         let now = self.now();
         let granted = self.with_state(|state| {
-            let available = self.primary_available(state);
-            let tickets = state.admission.grant(now, available);
-            let take = |ticket| state.grants.remove(&ticket);
-            let senders: Vec<_> = tickets.into_iter().map(take).collect();
-            self.measure(state);
+            let accepts_writes = self.accepts_writes(state);
+            let tickets = state.admission.grant(now, accepts_writes);
+            let take_sender = |ticket| state.grant_senders.remove(&ticket);
+            let senders: Vec<_> = tickets.into_iter().map(take_sender).collect();
+            self.update_gauges(state);
             senders
         });
         for sender in granted {
@@ -48,7 +48,7 @@
         }
     }
 
-    fn measure(&self, state: &GroupState) {
+    fn update_gauges(&self, state: &GroupState) {
         let label = self.label();
         let length = i64::from(state.admission.length());
         self.metrics.queue_length.get_or_create(&label).set(length);
@@ -64,7 +64,7 @@
     fn remove_ticket(&self, ticket: Ticket) {
         self.with_state(|state| {
             state.admission.remove(ticket);
-            drop(state.grants.remove(&ticket));
+            drop(state.grant_senders.remove(&ticket));
         });
     }
 }
@@ -84,9 +84,9 @@
 
 /// Reasons why a wait for a slot ended without one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum GivenUp {
+pub(crate) enum SlotWaitError {
     /// The deadline passed first.
-    Late,
+    DeadlinePassed,
     /// A request of another class took the place in the full queue.
     Displaced,
 }
@@ -101,10 +101,10 @@
 
 impl PendingSlot {
     /// Waits for the slot until the deadline.
-    pub async fn wait(mut self, deadline: Timestamp) -> Result<Slot, GivenUp> {
-        let left = deadline.saturating_since(self.group.now());
-        let granted = tokio::time::timeout(left, &mut self.receiver).await;
-        granted.map_err(|_| GivenUp::Late)?.map_err(|_| GivenUp::Displaced)
+    pub async fn wait(mut self, deadline: Timestamp) -> Result<Slot, SlotWaitError> {
+        let remaining = deadline.saturating_since(self.group.now());
+        let granted = tokio::time::timeout(remaining, &mut self.receiver).await;
+        granted.map_err(|_| SlotWaitError::DeadlinePassed)?.map_err(|_| SlotWaitError::Displaced)
     }
 }
 
--- a/crates/owner/src/group/standing.rs
+++ b/crates/owner/src/group/standing.rs
@@ -31,24 +31,24 @@
 
     /// Records whether a probe of a member was answered. Closes the idle connections to a member that has
     /// been unresponsive for `silence_timeout`.
-    pub fn note_probe(&self, member: &MemberName, answered: bool) {
-        let bound = self.settings.silence_timeout;
+    pub fn record_probe(&self, member: &MemberName, answered: bool) {
+        let timeout = self.settings.silence_timeout;
         let (changed, closed) = self.with_state(|state| {
-            let known = state.silent_since.contains_key(member);
+            let was_silent = state.silent_since.contains_key(member);
             if answered {
                 state.silent_since.remove(member);
-                return (known, None);
+                return (was_silent, None);
             }
             let since = *state.silent_since.entry(member.clone()).or_insert_with(Instant::now);
-            if since.elapsed() < bound {
-                return (!known, None);
+            if since.elapsed() < timeout {
+                return (!was_silent, None);
             }
             // The member may never answer on these connections, so they must not be reused.
-            (!known, state.idle.remove(member))
+            (!was_silent, state.idle.remove(member))
         });
         drop(closed);
         if changed {
-            self.knowledge_changed();
+            self.notify_member_changed();
         }
     }
 }
--- a/crates/owner/src/group/state.rs
+++ b/crates/owner/src/group/state.rs
@@ -36,9 +36,9 @@
     /// Whether another proxy owns the group now: open streams finish, and no connection returns to the pool.
     pub retired: bool,
     /// Number of keyed commits until old outcomes are removed again.
-    commits_to_sweep: u32,
+    commits_until_sweep: u32,
     /// Channels to the requests that wait for a slot, by ticket.
-    pub grants: HashMap<Ticket, oneshot::Sender<Slot>>,
+    pub grant_senders: HashMap<Ticket, oneshot::Sender<Slot>>,
 }
 
 impl GroupState {
@@ -54,16 +54,16 @@
             epoch: 0,
             silent_since: BTreeMap::new(),
             retired: false,
-            commits_to_sweep: 0,
-            grants: HashMap::new(),
+            commits_until_sweep: 0,
+            grant_senders: HashMap::new(),
         }
     }
 
     /// Counts a keyed commit; returns true when old outcomes must be removed.
-    pub fn sweep_is_due(&mut self) -> bool {
-        let due = self.commits_to_sweep == 0;
-        self.commits_to_sweep =
-            if due { COMMITS_BETWEEN_SWEEPS } else { self.commits_to_sweep } - 1;
+    pub fn record_commit_and_check_sweep(&mut self) -> bool {
+        let due = self.commits_until_sweep == 0;
+        self.commits_until_sweep =
+            if due { COMMITS_BETWEEN_SWEEPS } else { self.commits_until_sweep } - 1;
         due
     }
 
@@ -84,17 +84,17 @@
 
     /// Removes and returns idle connections to members that are gone or draining, and to the replaced
     /// primary.
-    pub fn take_unusable(
+    pub fn remove_unusable(
         &mut self,
         view: &GroupView,
         old_primary: Option<&MemberName>,
     ) -> Vec<PooledConnection> {
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         for (name, connections) in &mut self.idle {
             if is_draining(view, name) || old_primary == Some(name) {
-                taken.append(connections);
+                removed.append(connections);
             }
         }
-        taken
+        removed
     }
 }
--- a/crates/owner/src/groups.rs
+++ b/crates/owner/src/groups.rs
@@ -8,7 +8,7 @@
 use crate::connection::Login;
 use crate::context::Context;
 use crate::group::{CONTROL_APPLICATION_NAME, Group};
-use crate::probe::{self, Learner, ProbeTarget};
+use crate::probe::{self, ProbeRecipient, ProbeTarget};
 use crate::warm;
 use corktack_core::identity::{GroupName, ProxyName};
 use corktack_core::resources::MemberSpec;
@@ -31,7 +31,7 @@
 }
 
 /// The tasks that run for a group; dropping the value stops them.
-struct Duty {
+struct GroupTasks {
     role: Role,
     members: Vec<MemberSpec>,
     database: String,
@@ -39,7 +39,7 @@
     tasks: CancellationToken,
 }
 
-impl Drop for Duty {
+impl Drop for GroupTasks {
     fn drop(&mut self) {
         self.tasks.cancel();
         self.probes.cancel();
@@ -55,12 +55,12 @@
 
 impl RetiredGroup {
     /// Applies a view to the group; returns false when no stream is open any more.
-    fn follow(&self, view: &View) -> bool {
+    fn apply_view(&self, view: &View) -> bool {
         let Some(group) = self.group.upgrade() else {
             return false;
         };
-        if let Some(now) = view.groups.get(&self.name) {
-            group.apply_view(now, &view.classes);
+        if let Some(group_view) = view.groups.get(&self.name) {
+            group.apply_view(group_view, &view.classes);
         }
         true
     }
@@ -68,20 +68,24 @@
 
 /// Stops owning a group that another proxy owns now. The group's probes continue detached until no stream
 /// holds the group.
-fn retire(context: &Context, name: &GroupName, duty: &mut Duty) -> Option<RetiredGroup> {
+fn retire(
+    context: &Context,
+    name: &GroupName,
+    group_tasks: &mut GroupTasks,
+) -> Option<RetiredGroup> {
     let group = context.remove_group(name)?;
     group.retire();
-    duty.probes = CancellationToken::new();
+    group_tasks.probes = CancellationToken::new();
     Some(RetiredGroup { name: name.clone(), group: Arc::downgrade(&group) })
 }
 
 /// Applies each new view until the owner stops.
-pub(crate) async fn follow_view(context: Arc<Context>) {
+pub(crate) async fn apply_views(context: Arc<Context>) {
     let mut views = context.view.clone();
-    let mut duties = Duties::default();
+    let mut tasks_by_group = GroupManager::default();
     loop {
         let view = Arc::clone(&views.borrow_and_update());
-        duties.apply(&context, &view);
+        tasks_by_group.apply(&context, &view);
         if views.changed().await.is_err() {
             // The sender is gone: the last view stays in force.
             return std::future::pending().await;
@@ -91,43 +95,44 @@
 
 /// The groups that this proxy owns, observes or has retired under the last view.
 #[derive(Default)]
-struct Duties {
-    duties: BTreeMap<GroupName, Duty>,
+struct GroupManager {
+    tasks_by_group: BTreeMap<GroupName, GroupTasks>,
     retired: Vec<RetiredGroup>,
     observers: SecondObservers,
 }
 
-impl Duties {
+impl GroupManager {
     fn apply(&mut self, context: &Arc<Context>, view: &View) {
         self.observers.follow(view);
-        self.end_lost(context, view);
-        self.retired.retain(|lost| lost.follow(view));
+        self.stop_lost(context, view);
+        self.retired.retain(|retired| retired.apply_view(view));
         for (name, group) in &view.groups {
-            let Some(role) = role(&context.settings.proxy, &self.observers, name, group) else {
+            let Some(role) = role_of(&context.settings.proxy, &self.observers, name, group) else {
                 continue;
             };
             if role == Role::Owner {
-                self.own(context, view, name, group);
+                self.start_or_update_owned(context, view, name, group);
             }
-            let duty = self.duties.entry(name.clone()).or_insert_with(|| Duty::new(role));
-            duty.probe_members(context, name, group);
+            let group_tasks =
+                self.tasks_by_group.entry(name.clone()).or_insert_with(|| GroupTasks::new(role));
+            group_tasks.probe_members(context, name, group);
         }
     }
 
-    fn end_lost(&mut self, context: &Context, view: &View) {
-        let Self { duties, retired, observers } = self;
-        duties.retain(|name, duty| {
-            let keeps = view.groups.get(name).is_some_and(|group| {
-                role(&context.settings.proxy, observers, name, group) == Some(duty.role)
+    fn stop_lost(&mut self, context: &Context, view: &View) {
+        let Self { tasks_by_group, retired, observers } = self;
+        tasks_by_group.retain(|name, group_tasks| {
+            let keeps_role = view.groups.get(name).is_some_and(|group| {
+                role_of(&context.settings.proxy, observers, name, group) == Some(group_tasks.role)
             });
-            if !keeps {
-                retired.extend(retire(context, name, duty));
+            if !keeps_role {
+                retired.extend(retire(context, name, group_tasks));
             }
-            keeps
+            keeps_role
         });
     }
 
-    fn own(
+    fn start_or_update_owned(
         &mut self,
         context: &Arc<Context>,
         view: &View,
@@ -138,9 +143,10 @@
             owned.apply_view(group, &view.classes);
             return;
         }
-        let known = self.retired.iter().position(|lost| &lost.name == name);
-        let known = known.and_then(|place| self.retired.swap_remove(place).group.upgrade());
-        let owned = known.unwrap_or_else(|| {
+        let retired_group = self.retired.iter().position(|retired| &retired.name == name);
+        let retired_group =
+            retired_group.and_then(|index| self.retired.swap_remove(index).group.upgrade());
+        let owned = retired_group.unwrap_or_else(|| {
             Arc::new(Group::new(
                 name.clone(),
                 Arc::clone(group),
@@ -152,16 +158,16 @@
         });
         // Streams still open from an earlier ownership count towards the same slots.
         owned.resume();
-        let duty = Duty::new(Role::Owner);
-        duty.spawn(context, warm::keep_warm(Arc::clone(&owned)));
-        duty.spawn(context, barrier::run(Arc::clone(&owned)));
-        self.duties.insert(name.clone(), duty);
+        let group_tasks = GroupTasks::new(Role::Owner);
+        group_tasks.spawn(context, warm::keep_warm(Arc::clone(&owned)));
+        group_tasks.spawn(context, barrier::run(Arc::clone(&owned)));
+        self.tasks_by_group.insert(name.clone(), group_tasks);
         context.insert_group(name.clone(), owned);
     }
 }
 
 /// Returns the role of a proxy for a group, if it has one.
-fn role(
+fn role_of(
     proxy: &ProxyName,
     observers: &SecondObservers,
     name: &GroupName,
@@ -174,7 +180,7 @@
     (observers.of(name, owner) == Some(proxy)).then_some(Role::Observer)
 }
 
-impl Duty {
+impl GroupTasks {
     fn new(role: Role) -> Self {
         let tasks = CancellationToken::new();
         let probes = CancellationToken::new();
@@ -220,9 +226,9 @@
             },
             interval: settings.probe_interval * slowdown,
             timeout: settings.probe_timeout,
-            learner: match context.group(name).filter(|_| self.role == Role::Owner) {
-                Some(group) => Learner::Group(Arc::downgrade(&group)),
-                None => Learner::Nobody,
+            recipient: match context.group(name).filter(|_| self.role == Role::Owner) {
+                Some(group) => ProbeRecipient::Group(Arc::downgrade(&group)),
+                None => ProbeRecipient::ControlOnly,
             },
         }
     }
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -6,7 +6,7 @@
 
 use crate::connection::{ConnectionError, ServerConnection};
 use crate::group::{Group, PooledConnection, Slot};
-use crate::idle::obtain_connection;
+use crate::idle::acquire_connection;
 use corktack_core::identity::MemberName;
 use corktack_core::position::Term;
 use corktack_core::routing::is_draining;
@@ -22,7 +22,7 @@
 /// Longest time to reset a connection before it is closed instead. The slot stays occupied meanwhile. A
 /// shorter timeout closes connections whose last statement is a little slow; a longer one delays the next
 /// request for the slot.
-const CLEAN_TIMEOUT: Duration = Duration::from_millis(1_000);
+const RESET_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// The member chosen for a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -52,14 +52,14 @@
 
 impl Lease {
     /// Acquires an idle connection to the member, or opens a new one.
-    pub async fn take(
+    pub async fn acquire(
         group: &Arc<Group>,
         slot: Slot,
         destination: &Destination,
     ) -> Result<Self, ConnectionError> {
         let member = &destination.member;
         let epoch = group.with_state(|state| state.epoch);
-        let pooled = obtain_connection(group, member).await?;
+        let pooled = acquire_connection(group, member).await?;
         group.with_state(|state| state.routing.started(member));
         let group = Arc::clone(group);
         let destination = destination.clone();
@@ -79,8 +79,8 @@
     }
 
     /// Waits until the primary that serves the transaction is replaced; never returns for a replica.
-    pub fn replaced(&self) -> impl Future<Output = ()> + use<> {
-        let mut views = self.group.follow_view();
+    pub fn wait_until_replaced(&self) -> impl Future<Output = ()> + use<> {
+        let mut views = self.group.subscribe_view();
         let destination = self.destination.clone();
         async move {
             if destination.served_by == ServedBy::Replica {
@@ -94,8 +94,8 @@
 
     /// Waits until probes of the replica go unanswered. Never returns for the primary, whose replacement the
     /// view announces.
-    pub fn unreachable(&self) -> impl Future<Output = ()> + use<> {
-        let mut knowledge = self.group.follow_knowledge();
+    pub fn wait_until_unreachable(&self) -> impl Future<Output = ()> + use<> {
+        let mut member_changes = self.group.subscribe_member_changes();
         let group = Arc::clone(&self.group);
         let Destination { member, served_by, .. } = self.destination.clone();
         async move {
@@ -103,7 +103,7 @@
                 return std::future::pending().await;
             }
             while group.with_state(|state| state.routing.is_reachable(&member)) {
-                if knowledge.changed().await.is_err() {
+                if member_changes.changed().await.is_err() {
                     return;
                 }
             }
@@ -111,22 +111,22 @@
     }
 
     /// Waits until the member has left probes unanswered for longer than `silence_timeout`.
-    pub fn silent(&self) -> impl Future<Output = ()> + use<> {
-        let mut knowledge = self.group.follow_knowledge();
+    pub fn wait_until_silent(&self) -> impl Future<Output = ()> + use<> {
+        let mut member_changes = self.group.subscribe_member_changes();
         let group = Arc::clone(&self.group);
         let member = self.destination.member.clone();
         async move {
             loop {
                 let since = group.with_state(|state| state.silent_since.get(&member).copied());
-                let changed = knowledge.changed();
+                let changed = member_changes.changed();
                 let Some(since) = since else {
                     if changed.await.is_err() {
                         return;
                     }
                     continue;
                 };
-                let left = group.settings.silence_timeout.saturating_sub(since.elapsed());
-                if left.is_zero() || tokio::time::timeout(left, changed).await.is_err() {
+                let remaining = group.settings.silence_timeout.saturating_sub(since.elapsed());
+                if remaining.is_zero() || tokio::time::timeout(remaining, changed).await.is_err() {
                     return;
                 }
             }
@@ -137,9 +137,9 @@
     /// may have changed, and returns it to the pool.
     pub async fn recycle(mut self) {
         if let Ok(connection) = self.connection() {
-            let clean = clean_session(connection).await;
-            if clean {
-                self.give_back();
+            let is_reset = reset_session(connection).await;
+            if is_reset {
+                self.return_to_pool();
             }
         }
     }
@@ -148,27 +148,27 @@
     /// transaction, both within a time limit.
     pub async fn roll_back(mut self) {
         if let Ok(connection) = self.connection() {
-            let settled = tokio::time::timeout(CLEAN_TIMEOUT, roll_back(connection)).await;
-            if matches!(settled, Ok(Ok(true))) && clean_session(connection).await {
-                self.give_back();
+            let rolled_back = tokio::time::timeout(RESET_TIMEOUT, roll_back(connection)).await;
+            if matches!(rolled_back, Ok(Ok(true))) && reset_session(connection).await {
+                self.return_to_pool();
             }
         }
     }
 
-    fn give_back(&mut self) {
+    fn return_to_pool(&mut self) {
         let view = self.group.view();
         let member = &self.destination.member;
-        let leaves = is_draining(&view, member);
+        let is_leaving = is_draining(&view, member);
         let epoch = self.epoch;
         let Some(pooled) = self.pooled.take() else {
             return;
         };
-        let refused = self.group.with_state(|state| match leaves {
+        let refused = self.group.with_state(|state| match is_leaving {
             true => Some(pooled),
             false => state.keep_idle(member, epoch, pooled),
         });
         drop(refused);
-        self.group.room.notify_one();
+        self.group.connection_freed.notify_one();
     }
 }
 
@@ -178,23 +178,23 @@
         self.group.with_state(|state| state.routing.ended(member));
         if self.pooled.take().is_some() {
             self.group.metrics.discarded.get_or_create(&self.group.label()).inc();
-            self.group.warm.notify_one();
+            self.group.warm_wakeup.notify_one();
         }
     }
 }
 
 /// Waits for the running statements, then rolls back; returns whether the session is outside a transaction.
 async fn roll_back(connection: &mut ServerConnection) -> Result<bool, ConnectionError> {
-    connection.settle().await?;
+    connection.drain_replies().await?;
     connection.queue_query(ROLLBACK)?;
-    connection.settle().await
+    connection.drain_replies().await
 }
 
-async fn clean_session(connection: &mut ServerConnection) -> bool {
+async fn reset_session(connection: &mut ServerConnection) -> bool {
     if !connection.session_changed {
         return true;
     }
-    let reset = connection.query(RESET_SESSION, CLEAN_TIMEOUT).await;
+    let reset = connection.query(RESET_SESSION, RESET_TIMEOUT).await;
     connection.tracker.forget_statements();
     connection.session_changed = false;
     reset.is_ok()
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -92,7 +92,7 @@
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let context = Arc::new(Context::new(settings, view, observations, registry));
-        context.spawn(groups::follow_view(Arc::clone(&context)));
+        context.spawn(groups::apply_views(Arc::clone(&context)));
         context.spawn(link::accept(Arc::clone(&context), listener));
         Ok(OwnerHandle { context, address })
     }
--- a/crates/owner/src/link.rs
+++ b/crates/owner/src/link.rs
@@ -75,16 +75,16 @@
     let frames: Frames = Framed::new(socket, FrameCodec::default());
     let (sink, source) = frames.split();
     let (outbound, queue) = backlog::queue();
-    let (ended, ends) = mpsc::unbounded_channel();
+    let (ended_sender, ended_receiver) = mpsc::unbounded_channel();
     let hello = OwnerMessage::Hello {
         proxy: context.settings.proxy.clone(),
         incarnation: context.settings.incarnation,
     };
     outbound.send(hello);
     let phase = context.phase();
-    let link = Link { context, outbound, ended, streams: HashMap::new(), last: None };
+    let link = Link { context, outbound, ended_sender, streams: HashMap::new(), last_stream: None };
     let result = tokio::select! {
-        result = link.read(source, ends) => result,
+        result = link.read(source, ended_receiver) => result,
         result = write(sink, queue, phase) => result,
     };
     match result {
@@ -100,18 +100,18 @@
     mut queue: LinkQueue,
     mut phase: watch::Receiver<Phase>,
 ) -> Result<(), LinkError> {
-    let mut announced = false;
+    let mut is_stop_announced = false;
     loop {
-        let now = *phase.borrow_and_update();
-        if now >= Phase::Draining && !announced {
-            announced = true;
+        let current_phase = *phase.borrow_and_update();
+        if current_phase >= Phase::Draining && !is_stop_announced {
+            is_stop_announced = true;
             sink.feed(OwnerMessage::Stopping).await?;
         }
         while let Some(message) = queue.try_recv() {
             sink.feed(message).await?;
         }
         sink.flush().await?;
-        if now == Phase::Closing {
+        if current_phase == Phase::Closing {
             sink.close().await?;
             return Ok(());
         }
@@ -127,16 +127,16 @@
 }
 
 /// Guard that counts a link as paused until the guard is dropped.
-struct HeldLink<'a>(&'a Gauge);
+struct PausedLink<'a>(&'a Gauge);
 
-impl<'a> HeldLink<'a> {
+impl<'a> PausedLink<'a> {
     fn new(gauge: &'a Gauge) -> Self {
         gauge.inc();
         Self(gauge)
     }
 }
 
-impl Drop for HeldLink<'_> {
+impl Drop for PausedLink<'_> {
     fn drop(&mut self) {
         self.0.dec();
     }
@@ -145,17 +145,17 @@
 struct Link {
     context: Arc<Context>,
     outbound: LinkSender,
-    ended: mpsc::UnboundedSender<StreamId>,
+    ended_sender: mpsc::UnboundedSender<StreamId>,
     /// Open streams. Dropping the map signals to all of them that their caller is gone.
     streams: HashMap<StreamId, StreamSender>,
-    last: Option<StreamId>,
+    last_stream: Option<StreamId>,
 }
 
 impl Link {
     async fn read(
         mut self,
         mut source: SplitStream<Frames>,
-        mut ends: mpsc::UnboundedReceiver<StreamId>,
+        mut ended_receiver: mpsc::UnboundedReceiver<StreamId>,
     ) -> Result<(), LinkError> {
         match source.next().await.ok_or(LinkError::Closed)?? {
             EdgeMessage::Hello { .. } => {}
@@ -163,12 +163,12 @@
         }
         loop {
             if self.outbound.is_full() {
-                let _held = HeldLink::new(&self.context.metrics.links_held);
-                self.outbound.has_room().await;
+                let _paused = PausedLink::new(&self.context.metrics.links_held);
+                self.outbound.wait_for_space().await;
             }
             tokio::select! {
                 message = source.next() => self.dispatch(message.ok_or(LinkError::Closed)??)?,
-                Some(stream) = ends.recv() => drop(self.streams.remove(&stream)),
+                Some(stream) = ended_receiver.recv() => drop(self.streams.remove(&stream)),
             }
         }
     }
@@ -177,33 +177,36 @@
         match message {
             EdgeMessage::Hello { .. } => return Err(LinkError::Hello),
             EdgeMessage::Open { stream, request } => {
-                self.check_id(stream)?;
+                self.check_stream_id(stream)?;
                 let (sender, input) = stream_input::channel();
                 self.streams.insert(stream, sender);
-                let outbound = Outbound::new(stream, self.outbound.clone(), self.ended.clone());
+                let outbound =
+                    Outbound::new(stream, self.outbound.clone(), self.ended_sender.clone());
                 let context = Arc::clone(&self.context);
                 let open = context.count_stream();
                 actix_rt::spawn(stream::run(context, *request, input, outbound, open));
             }
-            EdgeMessage::Batch { stream, batch } => self.pass_batch(stream, batch)?,
-            EdgeMessage::Cancel { stream } => self.pass(stream, StreamInput::Cancel),
+            EdgeMessage::Batch { stream, batch } => self.forward_batch(stream, batch)?,
+            EdgeMessage::Cancel { stream } => self.forward_input(stream, StreamInput::Cancel),
             EdgeMessage::Close { stream } => drop(self.streams.remove(&stream)),
-            EdgeMessage::Window { stream, bytes } => self.pass(stream, StreamInput::Window(bytes)),
+            EdgeMessage::Window { stream, bytes } => {
+                self.forward_input(stream, StreamInput::Window(bytes))
+            }
         }
         Ok(())
     }
 
-    fn check_id(&mut self, offered: StreamId) -> Result<(), LinkError> {
-        match self.last {
+    fn check_stream_id(&mut self, offered: StreamId) -> Result<(), LinkError> {
+        match self.last_stream {
             Some(last) if offered <= last => Err(LinkError::StreamId { offered, last }),
             _ => {
-                self.last = Some(offered);
+                self.last_stream = Some(offered);
                 Ok(())
             }
         }
     }
 
-    fn pass_batch(&self, stream: StreamId, batch: Batch) -> Result<(), LinkError> {
+    fn forward_batch(&self, stream: StreamId, batch: Batch) -> Result<(), LinkError> {
         match self.streams.get(&stream) {
             Some(sender) if sender.is_over_limit(&batch) => Err(LinkError::Flood { stream }),
             Some(sender) => {
@@ -216,7 +219,7 @@
 
     /// Passes input to a stream. Input for a stream that has ended is dropped: the edge sent it before it
     /// received the stream's end.
-    fn pass(&self, stream: StreamId, input: StreamInput) {
+    fn forward_input(&self, stream: StreamId, input: StreamInput) {
         if let Some(sender) = self.streams.get(&stream) {
             sender.send(input);
         }
--- a/crates/owner/src/outbound.rs
+++ b/crates/owner/src/outbound.rs
@@ -10,13 +10,17 @@
 pub(crate) struct Outbound {
     stream: StreamId,
     link: LinkSender,
-    ended: mpsc::UnboundedSender<StreamId>,
+    ended_sender: mpsc::UnboundedSender<StreamId>,
 }
 
 impl Outbound {
-    /// Connects a stream to its link; `ended` receives the stream's id when the stream ends.
-    pub fn new(stream: StreamId, link: LinkSender, ended: mpsc::UnboundedSender<StreamId>) -> Self {
-        Self { stream, link, ended }
+    /// Connects a stream to its link; `ended_sender` receives the stream's id when the stream ends.
+    pub fn new(
+        stream: StreamId,
+        link: LinkSender,
+        ended_sender: mpsc::UnboundedSender<StreamId>,
+    ) -> Self {
+        Self { stream, link, ended_sender }
     }
 
     /// Sends encoded PostgreSQL messages for the caller.
@@ -46,6 +50,6 @@
 
 impl Drop for Outbound {
     fn drop(&mut self) {
-        let _ = self.ended.send(self.stream);
+        let _ = self.ended_sender.send(self.stream);
     }
 }
--- a/crates/owner/src/probe.rs
+++ b/crates/owner/src/probe.rs
@@ -4,7 +4,7 @@
 //! second observer runs the same probes but reports to the control service only.
 
 use crate::connection::{CONNECT_TIMEOUT, ConnectionError, Login, ServerConnection};
-use crate::decisions::{Probed, primary_is_suspect};
+use crate::decisions::{ProbeResult, primary_is_suspect};
 use crate::group::Group;
 use corktack_core::backend::{MemberRole, MemberStatus, SHOW_STATUS};
 use corktack_core::identity::{GroupName, MemberName};
@@ -17,14 +17,14 @@
 
 /// Recipient of a probe's results in addition to the control service.
 #[derive(Clone, Debug)]
-pub(crate) enum Learner {
+pub(crate) enum ProbeRecipient {
     /// No further recipient: this proxy is a second observer.
-    Nobody,
+    ControlOnly,
     /// The owned group, as long as it is owned or has open streams.
     Group(Weak<Group>),
 }
 
-impl Learner {
+impl ProbeRecipient {
     fn is_retired(&self) -> bool {
         let Self::Group(group) = self else {
             return false;
@@ -45,32 +45,32 @@
     /// Longest wait for an answer.
     pub timeout: Duration,
     /// Recipient of the results in addition to the control service.
-    pub learner: Learner,
+    pub recipient: ProbeRecipient,
 }
 
 /// Probes one member until the task is stopped.
 pub(crate) async fn run(target: ProbeTarget, observations: mpsc::UnboundedSender<Observation>) {
     let mut connection = None;
-    let mut last = None;
+    let mut last_health = None;
     let mut ticks = interval(target.interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let status = probe(&target, &mut connection).await.ok();
-        match &target.learner {
-            Learner::Nobody => {}
-            Learner::Group(group) => match group.upgrade() {
-                Some(group) => learn(&group, &target.member, status.as_ref()),
+        match &target.recipient {
+            ProbeRecipient::ControlOnly => {}
+            ProbeRecipient::Group(group) => match group.upgrade() {
+                Some(group) => apply_probe(&group, &target.member, status.as_ref()),
                 None => return,
             },
         }
-        if target.learner.is_retired() {
+        if target.recipient.is_retired() {
             // The new owner reports the member's health to the control service.
             continue;
         }
         let health = health(status.as_ref());
-        if last != Some(health) {
-            last = Some(health);
+        if last_health != Some(health) {
+            last_health = Some(health);
             let group = target.group.clone();
             let member = target.member.clone();
             // The receiver is gone only while the proxy stops.
@@ -82,28 +82,28 @@
 /// Probes the member once; replaces a connection that broke since the last probe without waiting.
 async fn probe(
     target: &ProbeTarget,
-    held: &mut Option<ServerConnection>,
+    cached: &mut Option<ServerConnection>,
 ) -> Result<MemberStatus, ConnectionError> {
-    if let Some(mut connection) = held.take() {
-        match ask(&mut connection, target.timeout).await {
+    if let Some(mut connection) = cached.take() {
+        match query_status(&mut connection, target.timeout).await {
             Ok(status) => {
-                *held = Some(connection);
+                *cached = Some(connection);
                 return Ok(status);
             }
             Err(ConnectionError::TimedOut) => return Err(ConnectionError::TimedOut),
             Err(_) => {}
         }
     }
-    let bound = target.timeout.min(CONNECT_TIMEOUT);
+    let connect_timeout = target.timeout.min(CONNECT_TIMEOUT);
     let connect = ServerConnection::connect(target.address, &target.login);
-    let connected = tokio::time::timeout(bound, connect).await;
+    let connected = tokio::time::timeout(connect_timeout, connect).await;
     let mut connection = connected.unwrap_or(Err(ConnectionError::TimedOut))?;
-    let status = ask(&mut connection, target.timeout).await?;
-    *held = Some(connection);
+    let status = query_status(&mut connection, target.timeout).await?;
+    *cached = Some(connection);
     Ok(status)
 }
 
-async fn ask(
+async fn query_status(
     connection: &mut ServerConnection,
     timeout: Duration,
 ) -> Result<MemberStatus, ConnectionError> {
@@ -126,29 +126,29 @@
 
 /// Updates the group's state of a member with the result of a probe, and wakes the tasks that wait for a
 /// change.
-fn learn(group: &Arc<Group>, member: &MemberName, status: Option<&MemberStatus>) {
-    group.note_probe(member, status.is_some());
+fn apply_probe(group: &Arc<Group>, member: &MemberName, status: Option<&MemberStatus>) {
+    group.record_probe(member, status.is_some());
     let view = group.view();
     let is_primary = view.primary.as_ref() == Some(member);
-    let leads = status.filter(|status| status.role == MemberRole::Primary);
-    let leads = leads.map(|status| status.promised_term);
-    let probed = Probed { is_primary, answered: status.is_some(), leads };
+    let led_term = status.filter(|status| status.role == MemberRole::Primary);
+    let led_term = led_term.map(|status| status.promised_term);
+    let probe = ProbeResult { is_primary, answered: status.is_some(), led_term };
     let changed = group.with_state(|state| {
         let before = state.routing.member(member).cloned().unwrap_or_default();
         let position = status.map(|status| status.applied_position);
         state.routing.set_reachable(member, status.is_some());
-        state.routing.set_primary_term(member, leads);
+        state.routing.set_primary_term(member, led_term);
         if position.is_some() {
             // A restarted member may be behind the position that it reported earlier.
             state.routing.reset_position(member, position);
         }
-        if let Some(suspect) = primary_is_suspect(probed, view.term) {
+        if let Some(suspect) = primary_is_suspect(probe, view.term) {
             state.primary_suspect = suspect;
         }
         before.reachable != status.is_some() || (position.is_some() && before.position != position)
     });
     if changed {
-        group.knowledge_changed();
+        group.notify_member_changed();
     }
     group.grant_slots();
 }
--- a/crates/owner/src/router.rs
+++ b/crates/owner/src/router.rs
@@ -4,8 +4,8 @@
 //! `decisions` and the routing table of `corktack_core`, slots from `group` and connections from `lease`.
 
 use crate::connection::ConnectionError;
-use crate::decisions::{Refusal, RetryCause, late_reason, longest_wait, reason_when_late};
-use crate::group::{GivenUp, Group, Slot};
+use crate::decisions::{Refusal, RetryCause, max_wait, reason_after_retry, slot_timeout_reason};
+use crate::group::{Group, Slot, SlotWaitError};
 use crate::lease::{Destination, Lease};
 use crate::metrics::ClassLabel;
 use corktack_core::admission::Lane;
@@ -19,7 +19,7 @@
 
 /// Pause before a barrier is requested again when the primary gave none. A shorter pause sends more requests
 /// in a group without a primary; a longer one delays reads that wait for a change of primary by as much.
-const BARRIER_PAUSE: Duration = Duration::from_millis(20);
+const BARRIER_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// Obtains a server connection for one request, anew for each attempt.
 pub(crate) struct Router {
@@ -35,13 +35,13 @@
     deadline: Timestamp,
     attempt: u32,
     /// Reason of the refusal if the deadline passes.
-    late_reason: NotRunReason,
+    timeout_reason: NotRunReason,
 }
 
 impl Router {
     /// Creates the router of a request that has just arrived.
     pub fn new(group: Arc<Group>, request: &OpenRequest) -> Self {
-        let wait = longest_wait(request.timeout_ms, group.view().spec.queue_timeout_ms);
+        let wait = max_wait(request.timeout_ms, group.view().spec.queue_timeout_ms);
         let deadline = group.now() + wait;
         Self {
             group,
@@ -52,7 +52,7 @@
             primary_only: false,
             deadline,
             attempt: 0,
-            late_reason: NotRunReason::QueueTimeout,
+            timeout_reason: NotRunReason::QueueTimeout,
         }
     }
 
@@ -71,11 +71,11 @@
         loop {
             let lane = self.choose_lane().await?;
             let slot = self.wait_for_slot(lane).await?;
-            let Some(destination) = self.destination(lane) else {
+            let Some(destination) = self.choose_destination(lane) else {
                 // The primary or the replicas changed while the request waited.
                 continue;
             };
-            match self.lease(slot, &destination).await {
+            match self.acquire_lease(slot, &destination).await {
                 Some(lease) => return Ok(lease),
                 None => self.prepare_retry(RetryCause::ConnectionLost).await?,
             }
@@ -85,7 +85,7 @@
     /// Takes a retry from the budget and waits for the back-off delay; fails when the budget is used up.
     pub async fn prepare_retry(&mut self, cause: RetryCause) -> Result<(), Refusal> {
         self.primary_only |= cause == RetryCause::ReplicaBehind;
-        self.late_reason = late_reason(cause);
+        self.timeout_reason = reason_after_retry(cause);
         let attempt = self.attempt;
         self.attempt += 1;
         let delay = self
@@ -103,13 +103,13 @@
         }
         let minimum = match self.minimum {
             Some(minimum) => minimum,
-            None => self.barrier().await?,
+            None => self.await_barrier().await?,
         };
-        if !self.primary_only && self.replica_catches_up(minimum).await {
+        if !self.primary_only && self.wait_for_replica(minimum).await {
             return Ok(Lane::Replica);
         }
         if !self.confirmed && !self.primary_covers(minimum) {
-            self.barrier().await?;
+            self.await_barrier().await?;
         }
         Ok(Lane::Primary)
     }
@@ -123,44 +123,44 @@
     }
 
     /// Obtains a position that was confirmed after the request arrived, retrying until the deadline.
-    async fn barrier(&mut self) -> Result<Position, Refusal> {
+    async fn await_barrier(&mut self) -> Result<Position, Refusal> {
         loop {
-            let left = self.deadline.saturating_since(self.group.now());
-            let asked = self.group.barriers.confirmed_position();
-            let answer = tokio::time::timeout(left, asked).await;
+            let remaining = self.deadline.saturating_since(self.group.now());
+            let confirmation = self.group.barriers.confirmed_position();
+            let answer = tokio::time::timeout(remaining, confirmation).await;
             let Ok(answer) = answer else {
                 return Err(Refusal::from(NotRunReason::NoBackEnd));
             };
             if let Some(position) = answer {
                 self.confirmed = true;
-                let minimum = self.minimum.map_or(position, |known| known.merge(position));
+                let minimum = self.minimum.map_or(position, |minimum| minimum.merge(position));
                 self.minimum = Some(minimum);
                 return Ok(minimum);
             }
-            tokio::time::sleep(BARRIER_PAUSE.min(left)).await;
+            tokio::time::sleep(BARRIER_RETRY_PAUSE.min(remaining)).await;
         }
     }
 
     /// Waits until a replica has applied the minimum, for at most the group's `replica_wait_ms`. Returns
     /// whether one has.
-    async fn replica_catches_up(&self, minimum: Position) -> bool {
+    async fn wait_for_replica(&self, minimum: Position) -> bool {
         let wait = Duration::from_millis(u64::from(self.group.view().spec.replica_wait_ms));
         let end = tokio::time::Instant::now() + wait;
-        let mut knowledge = self.group.follow_knowledge();
+        let mut member_changes = self.group.subscribe_member_changes();
         loop {
-            match self.route(minimum) {
+            match self.route_read(minimum) {
                 ReadRoute::Replica(_) => return true,
                 ReadRoute::Unavailable => return false,
                 ReadRoute::Behind => {}
             }
-            let changed = tokio::time::timeout_at(end, knowledge.changed()).await;
+            let changed = tokio::time::timeout_at(end, member_changes.changed()).await;
             if !matches!(changed, Ok(Ok(()))) {
                 return false;
             }
         }
     }
 
-    fn route(&self, minimum: Position) -> ReadRoute {
+    fn route_read(&self, minimum: Position) -> ReadRoute {
         let view = self.group.view();
         let zone = &self.group.settings.zone;
         self.group.with_state(|state| state.routing.route_read(&view, zone, minimum))
@@ -175,21 +175,21 @@
             ClassLabel { group: self.group.name.to_string(), class: self.class.to_string() };
         let waited = started.elapsed().as_secs_f64();
         self.group.metrics.queue_wait.get_or_create(&label).observe(waited);
-        slot.map_err(|given_up| match given_up {
-            GivenUp::Late => self.late(lane),
-            GivenUp::Displaced => Refusal::from(NotRunReason::QueueFull),
+        slot.map_err(|wait_error| match wait_error {
+            SlotWaitError::DeadlinePassed => self.timeout_refusal(lane),
+            SlotWaitError::Displaced => Refusal::from(NotRunReason::QueueFull),
         })
     }
 
-    fn late(&self, lane: Lane) -> Refusal {
-        let available = || self.group.available_primary().is_some();
-        Refusal::from(reason_when_late(self.late_reason, lane, available))
+    fn timeout_refusal(&self, lane: Lane) -> Refusal {
+        let has_primary = || self.group.available_primary().is_some();
+        Refusal::from(slot_timeout_reason(self.timeout_reason, lane, has_primary))
     }
 
-    fn destination(&self, lane: Lane) -> Option<Destination> {
+    fn choose_destination(&self, lane: Lane) -> Option<Destination> {
         let term = self.group.view().term;
         if lane == Lane::Replica {
-            let ReadRoute::Replica(member) = self.route(self.minimum?) else {
+            let ReadRoute::Replica(member) = self.route_read(self.minimum?) else {
                 return None;
             };
             return Some(Destination { member, served_by: ServedBy::Replica, term });
@@ -198,29 +198,29 @@
         Some(Destination { member, served_by: ServedBy::Primary, term })
     }
 
-    async fn lease(&self, slot: Slot, destination: &Destination) -> Option<Lease> {
-        let mut view = self.group.follow_view();
+    async fn acquire_lease(&self, slot: Slot, destination: &Destination) -> Option<Lease> {
+        let mut view = self.group.subscribe_view();
         let replaced = view.wait_for(|view| {
             view.term != destination.term && destination.served_by == ServedBy::Primary
         });
         let leased = tokio::select! {
             _ = replaced => return None,
-            leased = Lease::take(&self.group, slot, destination) => leased,
+            leased = Lease::acquire(&self.group, slot, destination) => leased,
         };
         // A full connection pool says nothing about the member.
         if leased.as_ref().is_err_and(|error| !matches!(error, ConnectionError::NoRoom)) {
-            self.note_unreachable(destination);
+            self.record_unreachable(destination);
         }
         leased.ok()
     }
 
-    fn note_unreachable(&self, destination: &Destination) {
+    fn record_unreachable(&self, destination: &Destination) {
         let member = &destination.member;
         match destination.served_by {
-            ServedBy::Primary => self.group.suspect_primary(member, destination.term),
+            ServedBy::Primary => self.group.mark_primary_suspect(member, destination.term),
             ServedBy::Replica => {
                 self.group.with_state(|state| state.routing.set_reachable(member, false));
-                self.group.knowledge_changed();
+                self.group.notify_member_changed();
             }
         }
     }
--- a/crates/owner/src/stream.rs
+++ b/crates/owner/src/stream.rs
@@ -3,7 +3,7 @@
 //! Each attempt obtains a lease from `router` and runs an `exchange` on it, whose result says whether another
 //! attempt follows. Every stream ends with exactly one final answer, unless its caller is gone.
 
-use crate::batch::{self, BatchFacts};
+use crate::batch::{self, BatchProperties};
 use crate::context::{Context, OpenCount};
 use crate::decisions::Refusal;
 use crate::exchange::{Exchange, Exit};
@@ -20,14 +20,14 @@
 const QUERY_CANCELED: &str = "57014";
 /// Retry hint of a refusal that does not depend on the queue, in milliseconds. A lower value brings requests
 /// back before the next configuration is in force; a higher one delays them after it is.
-const RETRY_AFTER_MS: u32 = 100;
+const DEFAULT_RETRY_AFTER_MS: u32 = 100;
 
 /// How the wait for a server connection ended.
-enum Obtained {
+enum LeaseOutcome {
     Lease(Box<Lease>),
     Refused(Refusal),
     Cancelled,
-    Gone,
+    CallerGone,
 }
 
 /// Serves one stream from its request to its final answer.
@@ -43,13 +43,14 @@
         Ok(group) => group,
         Err(reason) => {
             context.metrics.refused(request.group.as_str(), reason);
-            return outbound.failed(Failure::NotRun { reason, retry_after_ms: RETRY_AFTER_MS });
+            return outbound
+                .failed(Failure::NotRun { reason, retry_after_ms: DEFAULT_RETRY_AFTER_MS });
         }
     };
-    let Ok(facts) = batch::facts(&request.batch) else {
+    let Ok(properties) = batch::analyze(&request.batch) else {
         return refuse(&group, &outbound, Refusal::from(NotRunReason::BackEndRefused));
     };
-    serve(&group, request, facts, &mut input, &outbound).await;
+    serve(&group, request, properties, &mut input, &outbound).await;
 }
 
 fn find_group(context: &Context, request: &OpenRequest) -> Result<Arc<Group>, NotRunReason> {
@@ -59,65 +60,76 @@
     if let Some(group) = context.group(&request.group) {
         return Ok(group);
     }
-    let known = context.view.borrow().groups.contains_key(&request.group);
-    Err(if known { NotRunReason::NotOwner } else { NotRunReason::UnknownGroup })
+    let is_declared = context.view.borrow().groups.contains_key(&request.group);
+    Err(if is_declared { NotRunReason::NotOwner } else { NotRunReason::UnknownGroup })
 }
 
 async fn serve(
     group: &Arc<Group>,
     request: OpenRequest,
-    facts: BatchFacts,
+    properties: BatchProperties,
     input: &mut Input,
     outbound: &Outbound,
 ) {
     group.with_state(|state| state.retry.request());
     let mut router = Router::new(Arc::clone(group), &request);
-    let mut reported = request.minimum;
+    let mut reported_position = request.minimum;
     // Set when an earlier attempt sent the commit of a keyed write.
-    let mut unresolved = false;
+    let mut commit_unresolved = false;
     loop {
-        let lease = match obtain(&mut router, input).await {
-            Obtained::Lease(lease) => *lease,
-            Obtained::Refused(refusal) => return end(group, outbound, refusal, unresolved),
-            Obtained::Cancelled if unresolved => return outbound.failed(Failure::Unknown),
-            Obtained::Cancelled => return cancelled(outbound),
-            Obtained::Gone => return,
+        let lease = match obtain_lease(&mut router, input).await {
+            LeaseOutcome::Lease(lease) => *lease,
+            LeaseOutcome::Refused(refusal) => {
+                return end_without_retry(group, outbound, refusal, commit_unresolved);
+            }
+            LeaseOutcome::Cancelled if commit_unresolved => {
+                return outbound.failed(Failure::Unknown);
+            }
+            LeaseOutcome::Cancelled => return answer_cancelled(outbound),
+            LeaseOutcome::CallerGone => return,
         };
-        if let Some(minimum) = router.minimum.filter(|_| reported.is_none()) {
+        if let Some(minimum) = router.minimum.filter(|_| reported_position.is_none()) {
             outbound.position(minimum);
-            reported = Some(minimum);
+            reported_position = Some(minimum);
         }
-        let exchange =
-            Exchange::new(group, lease, &request, router.minimum, facts, &mut *input, outbound);
+        let exchange = Exchange::new(
+            group,
+            lease,
+            &request,
+            router.minimum,
+            properties,
+            &mut *input,
+            outbound,
+        );
         let cause = match exchange.run().await {
             Exit::Ended => return,
             Exit::Failed(failure) => return outbound.failed(failure),
             Exit::Retry(cause) => cause,
             Exit::Unresolved(cause) => {
-                unresolved = true;
+                commit_unresolved = true;
                 cause
             }
         };
         if let Err(refusal) = router.prepare_retry(cause).await {
-            return end(group, outbound, refusal, unresolved);
+            return end_without_retry(group, outbound, refusal, commit_unresolved);
         }
     }
 }
 
-async fn obtain(router: &mut Router, input: &mut Input) -> Obtained {
+async fn obtain_lease(router: &mut Router, input: &mut Input) -> LeaseOutcome {
     let lease = router.obtain();
     tokio::pin!(lease);
     loop {
         tokio::select! {
             lease = &mut lease => {
                 return match lease {
-                    Ok(lease) => Obtained::Lease(Box::new(lease)),
-                    Err(refusal) => Obtained::Refused(refusal),
+                    Ok(lease) => LeaseOutcome::Lease(Box::new(lease)),
+                    Err(refusal) => LeaseOutcome::Refused(refusal),
                 };
             }
-            event = input.next() => match event {
-                InputEvent::Cancel => return Obtained::Cancelled,
-                InputEvent::Gone => return Obtained::Gone,
+            event = input.next_event() => match event {
+                InputEvent::Cancel => return LeaseOutcome::Cancelled,
+                InputEvent::CallerGone => return LeaseOutcome::CallerGone,
                 InputEvent::Batch | InputEvent::Window => {}
             },
         }
@@ -125,8 +137,13 @@
 }
 
 /// Ends a stream that is not retried. The outcome is unknown for a keyed write whose commit was sent.
-fn end(group: &Group, outbound: &Outbound, refusal: Refusal, unresolved: bool) {
-    if unresolved {
+fn end_without_retry(
+    group: &Group,
+    outbound: &Outbound,
+    refusal: Refusal,
+    commit_unresolved: bool,
+) {
+    if commit_unresolved {
         return outbound.failed(Failure::Unknown);
     }
     refuse(group, outbound, refusal);
@@ -141,7 +158,7 @@
 }
 
 /// Answers a request that was cancelled before it was sent as PostgreSQL answers a cancelled statement.
-fn cancelled(outbound: &Outbound) {
+fn answer_cancelled(outbound: &Outbound) {
     let text = "canceling statement due to user request";
     match wire::error_response(QUERY_CANCELED, text) {
         Ok(message) => {
--- a/crates/owner/src/stream_input.rs
+++ b/crates/owner/src/stream_input.rs
@@ -10,7 +10,7 @@
 /// Bytes of batches that may wait on a stream in addition to the running batch: as many as fit one frame. A
 /// lower limit closes links of edges that send batches ahead of an answer; a higher one lets a stream fill
 /// memory.
-const PENDING_BYTES: usize = 8 * 1024 * 1024;
+const MAX_PENDING_BYTES: usize = 8 * 1024 * 1024;
 
 /// Messages of the edge on an open stream. The end of the channel means that the caller is gone.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
     /// Reports whether a batch would exceed the limit of waiting bytes.
     pub fn is_over_limit(&self, batch: &Batch) -> bool {
         let waiting = self.pending.load(Ordering::Relaxed);
-        waiting > 0 && waiting + batch.messages.len() > PENDING_BYTES
+        waiting > 0 && waiting + batch.messages.len() > MAX_PENDING_BYTES
     }
 
     /// Passes input to the stream.
@@ -70,7 +70,7 @@
     /// The window grew.
     Window,
     /// The caller is gone.
-    Gone,
+    CallerGone,
 }
 
 /// The input side of a stream.
@@ -98,7 +98,7 @@
     }
 
     /// Waits for the next event. Safe to cancel.
-    pub async fn next(&mut self) -> InputEvent {
+    pub async fn next_event(&mut self) -> InputEvent {
         match self.receiver.inputs.recv().await {
             Some(StreamInput::Batch(batch)) => {
                 self.batches.push_back(batch);
@@ -111,7 +111,7 @@
                 self.window = window.min(i64::from(INITIAL_WINDOW_BYTES));
                 InputEvent::Window
             }
-            None => InputEvent::Gone,
+            None => InputEvent::CallerGone,
         }
     }
 }
--- a/crates/owner/src/transcript.rs
+++ b/crates/owner/src/transcript.rs
@@ -24,7 +24,7 @@
 
 /// One batch and its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Turn {
+pub(crate) struct TranscriptEntry {
     /// Fingerprint of the batch.
     pub fingerprint: u64,
     /// Messages of the answer, without those that a repeat regenerates or omits.
@@ -42,7 +42,7 @@
     while let Some(message) = wire::split_message(&mut rest)? {
         match message.tag {
             front::QUERY => {
-                add(&mut fingerprint, message.tag, &wire::decode::<Query>(&message)?.query);
+                add_text(&mut fingerprint, message.tag, &wire::decode::<Query>(&message)?.query);
             }
             front::PARSE => {
                 let parse: Parse = wire::decode(&message)?;
@@ -51,7 +51,7 @@
             front::BIND => {
                 let bind: Bind = wire::decode(&message)?;
                 let name = bind.statement_name.unwrap_or_default();
-                add(&mut fingerprint, message.tag, texts.get(&name).unwrap_or(&name));
+                add_text(&mut fingerprint, message.tag, texts.get(&name).unwrap_or(&name));
                 add_values(&mut fingerprint, &bind.parameters);
                 let formats = (bind.parameter_format_codes, bind.result_column_format_codes);
                 fingerprint.part(format!("{formats:?}").as_bytes());
@@ -62,7 +62,7 @@
             }
             front::EXECUTE => {
                 let execute: Execute = wire::decode(&message)?;
-                add(&mut fingerprint, message.tag, &execute.max_rows.to_string());
+                add_text(&mut fingerprint, message.tag, &execute.max_rows.to_string());
             }
             _ => {}
         }
@@ -70,7 +70,7 @@
     Ok(fingerprint.finish())
 }
 
-fn add(fingerprint: &mut Fingerprint, tag: u8, text: &str) {
+fn add_text(fingerprint: &mut Fingerprint, tag: u8, text: &str) {
     fingerprint.part(&[tag]);
     fingerprint.part(text.as_bytes());
 }
@@ -83,19 +83,19 @@
 }
 
 /// Returns the messages of an answer that a transcript stores.
-pub(crate) fn kept_messages(answer: &[u8]) -> Result<Vec<u8>, WireError> {
+pub(crate) fn messages_to_store(answer: &[u8]) -> Result<Vec<u8>, WireError> {
     let mut rest = BytesMut::from(answer);
-    let mut kept = Vec::new();
+    let mut stored = Vec::new();
     while let Some(message) = wire::split_message(&mut rest)? {
-        if !is_made_up(message.tag) {
-            kept.extend_from_slice(&message.bytes);
+        if !is_regenerated_or_omitted(message.tag) {
+            stored.extend_from_slice(&message.bytes);
         }
     }
-    Ok(kept)
+    Ok(stored)
 }
 
 /// Reports whether a message is generated for a repeat, or omitted from its answer, rather than stored.
-fn is_made_up(tag: u8) -> bool {
+fn is_regenerated_or_omitted(tag: u8) -> bool {
     matches!(
         tag,
         back::PARSE_COMPLETE
@@ -107,12 +107,12 @@
 }
 
 /// Builds the answer to a repeated batch from the stored messages of the first answer.
-pub(crate) fn replayed(batch: &Batch, kept: &[u8]) -> Result<BytesMut, BatchError> {
+pub(crate) fn replay_answer(batch: &Batch, stored: &[u8]) -> Result<BytesMut, BatchError> {
     let mut rest = BytesMut::from(batch.messages.as_slice());
-    let mut kept = BytesMut::from(kept);
+    let mut stored = BytesMut::from(stored);
     let mut answer = BytesMut::new();
     while let Some(message) = wire::split_message(&mut rest)? {
-        let whole = match message.tag {
+        let is_complete = match message.tag {
             front::PARSE => {
                 wire::encode(&ParseComplete::new(), &mut answer)?;
                 true
@@ -122,12 +122,12 @@
                 true
             }
             front::QUERY => {
-                answer.extend_from_slice(&kept.split());
+                answer.extend_from_slice(&stored.split());
                 true
             }
-            tag => take_until(ends_of(tag), &mut kept, &mut answer)?,
+            tag => take_until(end_tags(tag), &mut stored, &mut answer)?,
         };
-        if !whole {
+        if !is_complete {
             // The first request failed at this message, and the back end skipped the rest.
             break;
         }
@@ -136,7 +136,7 @@
 }
 
 /// Returns the tags that end the answer to a message of the extended protocol.
-fn ends_of(tag: u8) -> &'static [u8] {
+fn end_tags(tag: u8) -> &'static [u8] {
     match tag {
         front::BIND => &[back::BIND_COMPLETE],
         front::DESCRIBE => &[back::ROW_DESCRIPTION, back::NO_DATA],
@@ -147,13 +147,17 @@
 
 /// Moves messages up to and including one of the end tags; returns false when an error comes first or the
 /// messages run out.
-fn take_until(ends: &[u8], kept: &mut BytesMut, answer: &mut BytesMut) -> Result<bool, WireError> {
-    if ends.is_empty() {
+fn take_until(
+    end_tags: &[u8],
+    stored: &mut BytesMut,
+    answer: &mut BytesMut,
+) -> Result<bool, WireError> {
+    if end_tags.is_empty() {
         return Ok(true);
     }
-    while let Some(RawMessage { tag, bytes }) = wire::split_message(kept)? {
+    while let Some(RawMessage { tag, bytes }) = wire::split_message(stored)? {
         answer.extend_from_slice(&bytes);
-        if ends.contains(&tag) {
+        if end_tags.contains(&tag) {
             return Ok(true);
         }
         if tag == back::ERROR {
@@ -164,7 +168,7 @@
 }
 
 /// Builds the messages to store for a batch that commits and does nothing else, before its answer is known.
-pub(crate) fn commit_messages(batch: &Batch) -> Result<Vec<u8>, BatchError> {
+pub(crate) fn commit_answer_messages(batch: &Batch) -> Result<Vec<u8>, BatchError> {
     let mut rest = BytesMut::from(batch.messages.as_slice());
     let mut answer = BytesMut::new();
     while let Some(message) = wire::split_message(&mut rest)? {
--- a/crates/owner/src/warm.rs
+++ b/crates/owner/src/warm.rs
@@ -20,9 +20,9 @@
     loop {
         sweep_idle(&group);
         let missing = missing_connections(&group);
-        join_all(missing.iter().map(|member| warm_one(&group, member))).await;
+        join_all(missing.iter().map(|member| open_warm_connection(&group, member))).await;
         tokio::select! {
-            () = group.warm.notified() => {}
+            () = group.warm_wakeup.notified() => {}
             () = tokio::time::sleep(WARM_INTERVAL) => {}
         }
     }
@@ -34,23 +34,23 @@
     for (member, target) in warm_targets(&view) {
         let present = group.with_state(|state| {
             let idle = state.idle.get(&member).map_or(0, Vec::len) as u32;
-            let busy = state.routing.member(&member).map_or(0, |known| known.busy);
+            let busy = state.routing.member(&member).map_or(0, |state| state.busy);
             idle + busy
         });
         let count = target.saturating_sub(present) as usize;
         missing.extend(std::iter::repeat_n(member, count));
     }
-    let room = view.spec.connections.saturating_sub(group.open_connections());
-    missing.truncate(room as usize);
+    let available = view.spec.connections.saturating_sub(group.open_connections());
+    missing.truncate(available as usize);
     missing
 }
 
-async fn warm_one(group: &Group, member: &MemberName) {
+async fn open_warm_connection(group: &Group, member: &MemberName) {
     let epoch = group.with_state(|state| state.epoch);
-    let Some(open) = group.reserve_connection() else {
+    let Some(reservation) = group.reserve_connection() else {
         return;
     };
-    let Ok(pooled) = group.connect(member, open).await else {
+    let Ok(pooled) = group.connect(member, reservation).await else {
         return;
     };
     let refused = group.with_state(|state| state.keep_idle(member, epoch, pooled));
--- a/crates/owner/tests/decisions.rs
+++ b/crates/owner/tests/decisions.rs
@@ -3,9 +3,9 @@
 use corktack_core::admission::{AdmissionError, Lane};
 use corktack_core::position::{Position, Term};
 use corktack_owner::decisions::{
-    AfterLoss, Answer, InFlight, Probed, Refusal, RetryCause, after_loss, failure_of_loss,
-    is_behind, is_unverified, late_reason, longest_wait, primary_is_suspect, reason_when_late,
-    retry_after_refusal,
+    AfterLoss, Answer, InFlight, ProbeResult, Refusal, RetryCause, after_loss, failure_of_loss,
+    is_behind, is_unverified, max_wait, primary_is_suspect, reason_after_retry,
+    retry_after_refusal, slot_timeout_reason,
 };
 use corktack_protocol::peer::{Access, Failure, NotRunReason, ServedBy, TransactionStatus};
 use rstest::rstest;
@@ -35,7 +35,7 @@
     #[case] group_limit_ms: u32,
     #[case] expected_ms: u64,
 ) {
-    assert_eq!(longest_wait(asked_ms, group_limit_ms), Duration::from_millis(expected_ms));
+    assert_eq!(max_wait(asked_ms, group_limit_ms), Duration::from_millis(expected_ms));
 }
 
 #[rstest]
@@ -47,9 +47,9 @@
     #[case] cause: RetryCause,
     #[case] expected: NotRunReason,
 ) {
-    assert_eq!(late_reason(cause), expected);
+    assert_eq!(reason_after_retry(cause), expected);
     // It is told also where there is no primary any more.
-    assert_eq!(reason_when_late(expected, Lane::Primary, || false), expected);
+    assert_eq!(slot_timeout_reason(expected, Lane::Primary, || false), expected);
 }
 
 #[rstest]
@@ -62,7 +62,7 @@
     #[case] available: bool,
     #[case] expected: NotRunReason,
 ) {
-    assert_eq!(reason_when_late(NotRunReason::QueueTimeout, lane, || available), expected);
+    assert_eq!(slot_timeout_reason(NotRunReason::QueueTimeout, lane, || available), expected);
 }
 
 #[rstest]
@@ -156,7 +156,8 @@
 }
 
 /// The primary in force answers as that of term 3.
-const PRIMARY: Probed = Probed { is_primary: true, answered: true, leads: Some(Term(3)) };
+const PRIMARY: ProbeResult =
+    ProbeResult { is_primary: true, answered: true, led_term: Some(Term(3)) };
 
 fn at(index: u64) -> Position {
     Position { term: Term(1), index }
@@ -204,15 +205,15 @@
 }
 
 #[rstest]
-#[case::silent(Probed { answered: false, leads: None, ..PRIMARY }, Some(true))]
-#[case::leads(PRIMARY, Some(false))]
-#[case::leads_later_term(Probed { leads: Some(Term(4)), ..PRIMARY }, Some(false))]
-#[case::leads_earlier_term(Probed { leads: Some(Term(2)), ..PRIMARY }, None)]
-#[case::follows(Probed { leads: None, ..PRIMARY }, None)]
-#[case::other_member(Probed { is_primary: false, ..PRIMARY }, None)]
-#[case::other_silent(Probed { is_primary: false, answered: false, leads: None }, None)]
+#[case::silent(ProbeResult { answered: false, led_term: None, ..PRIMARY }, Some(true))]
+#[case::led_term(PRIMARY, Some(false))]
+#[case::leads_later_term(ProbeResult { led_term: Some(Term(4)), ..PRIMARY }, Some(false))]
+#[case::leads_earlier_term(ProbeResult { led_term: Some(Term(2)), ..PRIMARY }, None)]
+#[case::follows(ProbeResult { led_term: None, ..PRIMARY }, None)]
+#[case::other_member(ProbeResult { is_primary: false, ..PRIMARY }, None)]
+#[case::other_silent(ProbeResult { is_primary: false, answered: false, led_term: None }, None)]
 fn a_primary_is_suspect_until_it_answers_for_the_term(
-    #[case] probed: Probed,
+    #[case] probed: ProbeResult,
     #[case] expected: Option<bool>,
 ) {
     assert_eq!(primary_is_suspect(probed, Term(3)), expected);
