--- a/crates/owner/src/barrier.rs
+++ b/crates/owner/src/barrier.rs
@@ -46,8 +46,9 @@
 ) -> Option<Position> {
     let view = group.view();
     let primary = (view.primary.clone()?, view.term);
-    let mut reuse = cached.take().filter(|held| held.primary == primary);
-    if reuse.as_mut().is_some_and(|held| !held.connection.is_reusable()) {
+    let mut reuse = cached.take().filter(|connection| connection.primary == primary);
+    if reuse.as_mut().is_some_and(|barrier_connection| !barrier_connection.connection.is_reusable())
+    {
         reuse = None;
     }
     group.metrics.barriers.get_or_create(&group.label()).inc();
@@ -70,14 +71,14 @@
     reuse: Option<BarrierConnection>,
     primary: (MemberName, Term),
 ) -> Result<(Position, BarrierConnection), ConnectionError> {
-    let mut held = match reuse {
-        Some(held) => held,
+    let mut barrier_connection = match reuse {
+        Some(barrier_connection) => barrier_connection,
         None => open_connection(group, primary).await?,
     };
-    let rows = held.connection.query(SHOW_READ_INDEX, BARRIER_TIMEOUT).await?;
+    let rows = barrier_connection.connection.query(SHOW_READ_INDEX, BARRIER_TIMEOUT).await?;
     let text = rows.into_iter().next().and_then(|row| row.into_iter().next()).flatten();
     let position = text.and_then(|text| text.parse().ok());
-    Ok((position.ok_or(ConnectionError::Closed)?, held))
+    Ok((position.ok_or(ConnectionError::Closed)?, barrier_connection))
 }
 
 async fn open_connection(
--- a/crates/owner/src/exchange/ending.rs
+++ b/crates/owner/src/exchange/ending.rs
@@ -42,8 +42,8 @@
         Exit::Ended
     }
 
-    /// Removes old outcomes of keyed writes after the caller's answer, once per a number of keyed commits.
-    /// Returns false when the connection must not be reused.
+    /// Removes old outcomes of keyed writes after the caller's answer, once per `COMMITS_BETWEEN_SWEEPS` keyed
+    /// commits. Returns false when the connection must not be reused.
     async fn sweep_outcomes(&mut self) -> bool {
         if self.keyed.is_none() || !self.group.with_state(GroupState::record_commit_and_check_sweep)
         {
--- a/crates/owner/src/exchange/keyed.rs
+++ b/crates/owner/src/exchange/keyed.rs
@@ -93,7 +93,7 @@
         Ok(BatchOutcome::Retry(RetryCause::BackEndRefused))
     }
 
-    /// Runs a write alone in the transaction that claimed its key.
+    /// Runs a standalone write in the transaction that claimed its key.
     async fn run_standalone(&mut self, batch: &Batch) -> Result<BatchOutcome, BatchOutcome> {
         match ready_status(self.run_batch(batch).await)? {
             TransactionStatus::Failed => {
--- a/crates/owner/src/exchange/send.rs
+++ b/crates/owner/src/exchange/send.rs
@@ -73,8 +73,8 @@
 
     /// Decides whether the complete answer to the batch is valid.
     fn end_of_batch(&mut self, status: TransactionStatus) -> BatchOutcome {
-        let can_retry_whole = status == TransactionStatus::Idle || self.is_first_flush();
-        if let Some(cause) = self.refusal.filter(|_| can_retry_whole) {
+        let is_only_batch = status == TransactionStatus::Idle || self.is_first_flush();
+        if let Some(cause) = self.refusal.filter(|_| is_only_batch) {
             return self.outcome_of_refusal(cause);
         }
         self.unfinished.record_answered(&self.properties);
@@ -87,7 +87,7 @@
         BatchOutcome::Ready(status)
     }
 
-    /// Returns the outcome of a request that the member outcome_of_refusal before any statement ran.
+    /// Returns the outcome of a request that the member refused before any statement ran.
     pub(super) fn outcome_of_refusal(&self, cause: RetryCause) -> BatchOutcome {
         let destination = self.lease.destination();
         if (cause, destination.served_by) == (RetryCause::NotPrimary, ServedBy::Primary) {
--- a/crates/owner/src/exchange/unfinished.rs
+++ b/crates/owner/src/exchange/unfinished.rs
@@ -1,7 +1,7 @@
 //! A batch of the extended protocol between its first Flush and its Sync.
 //!
 //! The Sync commits the statements of the batch. But some statements (`CREATE DATABASE`, `VACUUM`) commit as
-//! they run, and some back ends commit every statement as it part_executes, so each statement that ran counts as
+//! they run, and some back ends commit every statement as it runs, so each statement that ran counts as
 //! possibly committed when the connection is lost.
 
 use crate::batch::{self, BatchProperties};
--- a/crates/owner/src/groups.rs
+++ b/crates/owner/src/groups.rs
@@ -82,10 +82,10 @@
 /// Applies each new view until the owner stops.
 pub(crate) async fn apply_views(context: Arc<Context>) {
     let mut views = context.view.clone();
-    let mut tasks_by_group = GroupManager::default();
+    let mut manager = GroupManager::default();
     loop {
         let view = Arc::clone(&views.borrow_and_update());
-        tasks_by_group.apply(&context, &view);
+        manager.apply(&context, &view);
         if views.changed().await.is_err() {
             // The sender is gone: the last view stays in force.
             return std::future::pending().await;
--- a/crates/owner/src/probe.rs
+++ b/crates/owner/src/probe.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// Probes the member once; replaces a connection that broke since the last probe without waiting.
+/// Probes the member once. If the connection broke since the last probe, opens a new one immediately.
 async fn probe(
     target: &ProbeTarget,
     cached: &mut Option<ServerConnection>,
--- a/crates/owner/tests/decisions.rs
+++ b/crates/owner/tests/decisions.rs
@@ -206,7 +206,7 @@
 
 #[rstest]
 #[case::silent(ProbeResult { answered: false, led_term: None, ..PRIMARY }, Some(true))]
-#[case::led_term(PRIMARY, Some(false))]
+#[case::leads(PRIMARY, Some(false))]
 #[case::leads_later_term(ProbeResult { led_term: Some(Term(4)), ..PRIMARY }, Some(false))]
 #[case::leads_earlier_term(ProbeResult { led_term: Some(Term(2)), ..PRIMARY }, None)]
 #[case::follows(ProbeResult { led_term: None, ..PRIMARY }, None)]
