--- a/crates/owner/tests/decisions.rs
+++ b/crates/owner/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! What the owner decides about a request, without I/O.
+//! Decisions of the owner about a request or a probe.
 
 use corktack_core::admission::{AdmissionError, Lane};
 use corktack_core::position::{Position, Term};
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// The first batch of a write, of which something was sent.
+/// The first batch of a write, partly sent.
 const WRITE: InFlight = InFlight {
     access: Access::Write,
     status: TransactionStatus::Idle,
@@ -27,10 +27,10 @@
 const LATER: InFlight = InFlight { status: TransactionStatus::Open, forwarded: true, ..WRITE };
 
 #[rstest]
-#[case::zero_leaves_it_to_the_group(0, 5_000, 5_000)]
+#[case::zero_selects_the_group_limit(0, 5_000, 5_000)]
 #[case::shorter(200, 5_000, 200)]
 #[case::longer(9_000, 5_000, 5_000)]
-fn a_request_waits_as_long_as_it_asks_and_the_group_allows(
+fn the_wait_is_the_lower_of_request_timeout_and_group_limit(
     #[case] asked_ms: u32,
     #[case] group_limit_ms: u32,
     #[case] expected_ms: u64,
@@ -43,12 +43,12 @@
 #[case(RetryCause::NotPrimary, NotRunReason::BackEndRefused)]
 #[case(RetryCause::BackEndRefused, NotRunReason::BackEndRefused)]
 #[case(RetryCause::ReplicaBehind, NotRunReason::BackEndRefused)]
-fn a_late_request_tells_why_it_was_tried_again(
+fn a_request_late_after_a_retry_is_refused_with_the_reason_of_the_retry(
     #[case] cause: RetryCause,
     #[case] expected: NotRunReason,
 ) {
     assert_eq!(reason_after_retry(cause), expected);
-    // It is told also where there is no primary any more.
+    // The reason stays the same if the group has no primary any more.
     assert_eq!(slot_timeout_reason(expected, Lane::Primary, || false), expected);
 }
 
@@ -57,7 +57,7 @@
 #[case(Lane::Primary, true, NotRunReason::QueueTimeout)]
 #[case(Lane::Replica, false, NotRunReason::QueueTimeout)]
 #[case(Lane::Replica, true, NotRunReason::QueueTimeout)]
-fn a_request_that_waited_for_a_primary_in_vain_says_so(
+fn a_request_late_without_an_available_primary_is_refused_for_no_back_end(
     #[case] lane: Lane,
     #[case] available: bool,
     #[case] expected: NotRunReason,
@@ -68,7 +68,7 @@
 #[rstest]
 #[case(AdmissionError::QueueFull { retry_after_ms: 7 }, NotRunReason::QueueFull)]
 #[case(AdmissionError::TooLate { retry_after_ms: 7 }, NotRunReason::QueueTimeout)]
-fn a_refusal_of_the_queue_tells_when_to_come_back(
+fn a_refusal_of_the_queue_carries_a_retry_hint(
     #[case] error: AdmissionError,
     #[case] reason: NotRunReason,
 ) {
@@ -95,7 +95,7 @@
     InFlight { keyed: true, forwarded: false, ..LATER },
     AfterLoss::Final(Failure::TransactionLost)
 )]
-fn a_lost_request_is_repeated_where_it_harms_nobody(
+fn a_lost_request_is_repeated_only_if_repeating_is_safe(
     #[case] batch: InFlight,
     #[case] expected: AfterLoss,
 ) {
@@ -110,7 +110,7 @@
     AfterLoss::Final(Failure::TransactionLost)
 )]
 #[case::write(WRITE, AfterLoss::Final(Failure::Unknown))]
-fn an_answer_that_is_too_large_is_refused_to_a_read_alone(
+fn a_too_large_answer_is_refused_only_to_a_read_outside_a_transaction(
     #[case] batch: InFlight,
     #[case] expected: AfterLoss,
 ) {
@@ -147,7 +147,7 @@
 #[case(RetryCause::NotPrimary, ServedBy::Primary, RetryCause::NotPrimary)]
 #[case(RetryCause::BackEndRefused, ServedBy::Replica, RetryCause::BackEndRefused)]
 #[case(RetryCause::BackEndRefused, ServedBy::Primary, RetryCause::BackEndRefused)]
-fn what_a_replica_does_not_run_goes_to_the_primary(
+fn a_statement_that_a_replica_refuses_goes_to_the_primary(
     #[case] cause: RetryCause,
     #[case] served_by: ServedBy,
     #[case] expected: RetryCause,
@@ -155,7 +155,7 @@
     assert_eq!(retry_after_refusal(cause, served_by), expected);
 }
 
-/// The primary in force answers as that of term 3.
+/// A probe that the primary answers as the primary of term 3, which is the term in force.
 const PRIMARY: ProbeResult =
     ProbeResult { is_primary: true, answered: true, led_term: Some(Term(3)) };
 
@@ -180,7 +180,7 @@
 #[case::behind(Some(at(4)), true)]
 #[case::level(Some(at(5)), false)]
 #[case::ahead(Some(at(6)), false)]
-fn a_replica_proves_its_answer_by_its_position(
+fn a_replica_answer_needs_a_position_that_covers_the_minimum(
     #[case] position: Option<Position>,
     #[case] unverified: bool,
 ) {
--- a/crates/owner/tests/failover.rs
+++ b/crates/owner/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Changes of primary, ownership and of the proxy itself.
+//! Changes of primary, changes of owner, and the drain of the proxy.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -25,7 +25,7 @@
     for number in 0..6 {
         streams.push(edge.write(&format!("write w{number}")).await);
     }
-    // Those that were sent are refused and wait again, with all others.
+    // The writes that were sent are refused and wait again, together with all others.
     fleet.wait_for_metric("corktack_owner_queue_length{group=\"calls\"} 6").await;
     fleet.promote(1, 2);
     for stream in streams {
@@ -38,7 +38,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn writes_wait_while_no_primary_is_decided() {
+async fn writes_wait_while_the_group_has_no_primary() {
     let fleet = Fleet::start(2, 20).await;
     let mut edge = fleet.edge().await;
     fleet.change_group(|group| group.primary = None);
@@ -87,7 +87,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_draining_primary_finishes_what_is_open_and_gets_nothing_new() {
+async fn a_draining_primary_finishes_open_transactions_and_gets_no_new_ones() {
     let fleet = Fleet::start(2, 20).await;
     let mut edge = fleet.edge().await;
     let open = edge.write("BEGIN").await;
--- a/crates/owner/tests/flush.rs
+++ b/crates/owner/tests/flush.rs
@@ -10,7 +10,7 @@
     Answer, TestEdge, bind, execute, flushed, parse, parse_and_execute, request, sync,
 };
 
-/// Opens a stream with a part that ends with a Flush, and has it answered.
+/// Opens a stream with a part that ends with a Flush, and receives its answer.
 async fn open(edge: &mut TestEdge, part: Batch) -> (StreamId, Answer) {
     let stream = edge.open(request(Access::Write, flushed(part))).await;
     let answer = edge.answer(stream).await;
@@ -20,7 +20,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_flushed_part_is_answered_and_the_stream_goes_on_to_its_sync() {
+async fn a_flushed_part_is_answered_and_the_stream_continues_until_its_sync() {
     let fleet = Fleet::start(1, 10).await;
     let mut edge = fleet.edge().await;
     let (stream, answer) = open(&mut edge, parse_and_execute("s", "write a")).await;
@@ -36,7 +36,10 @@
     let script = fleet.members[0].script();
     assert_eq!(script.written, ["a", "a", "b"]);
     let first = script.statements[0].0;
-    assert!(script.statements.iter().all(|(connection, _)| *connection == first), "it is reused");
+    assert!(
+        script.statements.iter().all(|(connection, _)| *connection == first),
+        "the connection is reused"
+    );
 }
 
 #[rstest]
@@ -110,21 +113,28 @@
 #[case::a_write_ran(true, Failure::Unknown)]
 #[case::nothing_ran(false, Failure::TransactionLost)]
 #[actix_rt::test]
-async fn a_back_end_lost_before_sync_is_told(#[case] runs: bool, #[case] expected: Failure) {
+async fn a_back_end_lost_before_sync_fails_the_stream(
+    #[case] runs: bool,
+    #[case] expected: Failure,
+) {
     let fleet = Fleet::start(1, 10).await;
     let mut edge = fleet.edge().await;
     let part = if runs { execute("s", "write a") } else { bind("s", "write a") };
     let (stream, _) = open(&mut edge, part).await;
     fleet.members[0].cut_connections().await;
     assert_eq!(edge.answer(stream).await.failure, Some(expected));
-    assert_eq!(fleet.members[0].script().written.len(), usize::from(runs), "it ran once at most");
+    assert_eq!(
+        fleet.members[0].script().written.len(),
+        usize::from(runs),
+        "the write runs at most once"
+    );
 }
 
 #[rstest]
 #[case::read(Access::Read, None)]
 #[case::keyed(Access::Write, Some("order-7"))]
 #[actix_rt::test]
-async fn a_stream_that_may_not_flush_runs_nothing(
+async fn a_flush_in_a_read_or_keyed_write_is_refused_before_it_runs(
     #[case] access: Access,
     #[case] key: Option<&str>,
 ) {
--- a/crates/owner/tests/keyed.rs
+++ b/crates/owner/tests/keyed.rs
@@ -1,5 +1,5 @@
-//! Writes under an idempotency key, against real stand-in groups: at most once,
-//! and the first answer for each repeat.
+//! Writes under an idempotency key, against real stand-in groups: each runs at most once, and each repeat
+//! gets the first answer.
 
 mod support;
 
@@ -30,8 +30,8 @@
     edge.answer(stream).await
 }
 
-async fn charges(fleet: &GroupFleet, place: usize) -> Vec<String> {
-    fleet.sql(place, "SELECT count(*) FROM charge").await
+async fn charges(fleet: &GroupFleet, index: usize) -> Vec<String> {
+    fleet.sql(index, "SELECT count(*) FROM charge").await
 }
 
 #[rstest]
@@ -73,12 +73,12 @@
     let mut edges = [fleet.edge(0).await, fleet.edge(1).await];
     let mut streams = Vec::new();
     for _ in 0..6 {
-        for (place, edge) in edges.iter_mut().enumerate() {
-            streams.push((place, open(edge, "order-7", INSERT).await));
+        for (index, edge) in edges.iter_mut().enumerate() {
+            streams.push((index, open(edge, "order-7", INSERT).await));
         }
     }
-    for (place, stream) in streams {
-        let answer = edges[place].answer(stream).await;
+    for (index, stream) in streams {
+        let answer = edges[index].answer(stream).await;
         assert_eq!(answer.rows, ["1"], "{answer:?}");
     }
     assert_eq!(charges(&fleet, 0).await, ["1"]);
@@ -86,7 +86,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn different_keys_run_each() {
+async fn requests_with_different_keys_each_run() {
     let fleet = fleet(1, 2).await;
     let mut edge = fleet.edge(0).await;
     for (key, id) in [("a", "1"), ("b", "2"), ("a", "1")] {
@@ -100,7 +100,7 @@
 #[case::before_it_ran("INSERT INTO charge")]
 #[case::after_its_commit("; COMMIT")]
 #[actix_rt::test]
-async fn an_answer_lost_on_the_way_is_resolved_by_the_key(#[case] lost: &str) {
+async fn a_write_whose_answer_was_lost_is_resolved_by_its_key(#[case] lost: &str) {
     let fleet = fleet(1, 2).await;
     fleet.relays[0].lose_answer_to(lost);
     let mut edge = fleet.edge(0).await;
@@ -112,9 +112,9 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_commit_whose_answer_is_lost_and_not_found_again_is_unknown() {
+async fn a_commit_whose_answer_is_lost_is_unknown_if_no_repeat_succeeds() {
     let fleet = fleet(1, 2).await;
-    fleet.relays[0].lose_answer_and_turn("; COMMIT", Mode::Down);
+    fleet.relays[0].lose_answer_and_switch("; COMMIT", Mode::Down);
     let mut edge = fleet.edge(0).await;
     let mut request = request(Access::Write, query(INSERT));
     request.idempotency_key = Some("order-7".to_owned());
@@ -140,7 +140,7 @@
 #[case::other_text("INSERT INTO charge (note) VALUES ('y') RETURNING id", "22023")]
 #[case::with_control("BEGIN; INSERT INTO charge (note) VALUES ('y')", "0A000")]
 #[actix_rt::test]
-async fn a_request_that_does_not_fit_its_key_is_refused(#[case] text: &str, #[case] state: &str) {
+async fn a_request_that_does_not_match_its_key_is_refused(#[case] text: &str, #[case] state: &str) {
     let fleet = fleet(1, 1).await;
     let mut edge = fleet.edge(0).await;
     send(&mut edge, "order-7", INSERT).await;
@@ -252,7 +252,7 @@
     let insert = |note: &str| format!("INSERT INTO charge (note) VALUES ('{note}')");
     send(&mut edge, "first", &insert("first")).await;
     fleet.sql(0, "UPDATE corktack_outcome SET claimed_at_ms = 1").await;
-    // More than the commits between two removals; the one slot orders them.
+    // 70 commits are more than the number between two removals. The single slot serialises the writes.
     for number in 0..70 {
         send(&mut edge, &format!("key-{number}"), &insert(&number.to_string())).await;
     }
--- a/crates/owner/tests/links.rs
+++ b/crates/owner/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links from edges that break the rules or do not listen.
+//! Links from edges that violate the protocol or do not receive answers.
 
 mod support;
 
@@ -21,7 +21,7 @@
     bytes
 }
 
-/// A frame in order whose message is none that an edge sends.
+/// Encodes a valid frame whose message only an owner may send.
 fn foreign_message() -> Vec<u8> {
     let mut codec = FrameCodec::<OwnerMessage, EdgeMessage>::default();
     let mut bytes = BytesMut::new();
@@ -35,7 +35,7 @@
 #[case::wrong_checksum([header(1, 1), vec![0]].concat())]
 #[case::foreign(foreign_message())]
 #[actix_rt::test]
-async fn a_broken_frame_closes_its_link_and_no_other(#[case] bytes: Vec<u8>) {
+async fn a_broken_frame_closes_only_its_own_link(#[case] bytes: Vec<u8>) {
     let fleet = Fleet::start(2, 20).await;
     let (mut broken, mut other) = (fleet.edge().await, fleet.edge().await);
     let stream = broken.write("BEGIN").await;
@@ -73,7 +73,7 @@
         let Batch { prepared, messages } = query(&text);
         let batch = Batch { prepared, messages };
         if edge.try_send(EdgeMessage::Batch { stream, batch }).await.is_err() {
-            // Closed while the rest was on the way.
+            // The owner closed the link before it received the rest.
             return;
         }
     }
@@ -82,23 +82,23 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_grant_beyond_the_window_lets_no_more_answers_pile_up() {
+async fn a_window_grant_above_the_initial_window_is_capped() {
     let fleet = Fleet::start(2, 10).await;
     let mut edge = fleet.edge().await;
     let stream = edge.write("big 4000").await;
     for _ in 0..2 {
         let mut taken = 0;
         while taken < INITIAL_WINDOW_BYTES {
-            if let OwnerMessage::Data { messages, .. } = edge.next_of(stream).await {
+            if let OwnerMessage::Data { messages, .. } = edge.next_message_of(stream).await {
                 taken += messages.len() as u32;
             }
         }
         edge.send(EdgeMessage::Window { stream, bytes: u32::MAX }).await;
     }
-    // The third window comes, and nothing after it while others go on.
+    // The third window of answers arrives, and nothing more while other streams continue.
     let mut taken = 0;
     while taken < INITIAL_WINDOW_BYTES {
-        if let OwnerMessage::Data { messages, .. } = edge.next_of(stream).await {
+        if let OwnerMessage::Data { messages, .. } = edge.next_message_of(stream).await {
             taken += messages.len() as u32;
         }
     }
@@ -113,7 +113,7 @@
 #[case::read(Access::Read, None, Some("54000"))]
 #[case::write(Access::Write, Some(Failure::Unknown), None)]
 #[actix_rt::test]
-async fn a_row_that_fits_no_frame_costs_its_stream_only(
+async fn a_row_too_large_for_a_frame_fails_only_its_stream(
     #[case] access: Access,
     #[case] failure: Option<Failure>,
     #[case] state: Option<&str>,
@@ -130,7 +130,7 @@
     assert_eq!(edge.answer(open).await.tags, ["COMMIT"]);
 }
 
-/// More than the sockets of both sides hold.
+/// Number of requests whose answers exceed the socket buffers of both sides.
 const REQUESTS: u64 = 400_000;
 
 fn unknown_group(stream: u64) -> EdgeMessage {
@@ -141,9 +141,9 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn an_edge_that_asks_and_does_not_listen_is_not_read() {
+async fn a_link_whose_edge_receives_no_answers_is_not_read() {
     let fleet = Fleet::start(2, 10).await;
-    let edge = TestEdge::connect_narrow(fleet.owner.address()).await;
+    let edge = TestEdge::connect_with_small_buffer(fleet.owner.address()).await;
     let (mut sink, mut source) = edge.into_frames().split();
     let mut sent = 0;
     let flood = async {
@@ -155,10 +155,10 @@
     };
     tokio::pin!(flood);
     tokio::select! {
-        () = &mut flood => panic!("all was read though no answer was taken"),
+        () = &mut flood => panic!("the owner read all requests though the edge received no answer"),
         () = fleet.wait_for_metric("corktack_owner_links_held 1") => {}
     }
-    // Once it listens, it gets all answers.
+    // Once the edge receives again, it gets all answers.
     let listen = async {
         let mut answered = 0;
         while answered < REQUESTS {
--- a/crates/owner/tests/observers.rs
+++ b/crates/owner/tests/observers.rs
@@ -1,4 +1,4 @@
-//! A second observer's probes follow the proxies of the view.
+//! Choice of a group's second observer as the proxies in the view change.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -21,7 +21,7 @@
     view.proxies.insert(name, proxy);
 }
 
-/// The owner under test alone can be second observer: the other proxy owns the group.
+/// Makes the proxy under test the only possible second observer: the other proxy owns the group.
 fn observe(view: &mut View) {
     view.proxies.clear();
     set_proxy(view, proxy_name(1), ProxyState::Live);
@@ -61,7 +61,7 @@
     });
 }
 
-/// Members of the group of which the next three reports are.
+/// Returns the members that the next three reports of the group are about.
 async fn next_reports(fleet: &mut Fleet) -> BTreeSet<String> {
     let mut members = BTreeSet::new();
     for _ in 0..3 {
@@ -75,12 +75,12 @@
 }
 
 #[rstest]
-#[case::it_drains(drain)]
-#[case::it_is_down(take_down)]
-#[case::it_is_forgotten(forget)]
-#[case::a_heavier_one_came(add_heavier)]
+#[case::proxy_draining(drain)]
+#[case::proxy_down(take_down)]
+#[case::proxy_removed(forget)]
+#[case::heavier_proxy_added(add_heavier)]
 #[actix_rt::test]
-async fn a_proxy_observes_while_it_is_second_observer(#[case] end: fn(&mut View)) {
+async fn a_proxy_probes_a_group_only_while_it_is_its_second_observer(#[case] end: fn(&mut View)) {
     let all = BTreeSet::from(["m1", "m2", "m3"].map(str::to_owned));
     let mut fleet = Fleet::start(1, 20).await;
     let mut edge = fleet.edge().await;
@@ -89,7 +89,7 @@
     assert_eq!(next_reports(&mut fleet).await, all);
     change(&fleet, end);
     fleet.wait_for_view(&mut edge).await;
-    // Health is reported on change only, so these are probes that started anew.
+    // Health is reported on change only, so these reports come from restarted probes.
     change(&fleet, observe);
     assert_eq!(next_reports(&mut fleet).await, all);
 }
--- a/crates/owner/tests/pool.rs
+++ b/crates/owner/tests/pool.rs
@@ -1,4 +1,5 @@
-//! Server connections: whose answers they carry, when they are reused, how many there are.
+//! Server connections: no stream gets another's answers, connections are reused only if sound, and limits
+//! hold.
 
 mod support;
 
@@ -10,7 +11,7 @@
 use support::back_end::FakeMember;
 use support::edge::TestEdge;
 
-/// Connections that statements ran on, in order.
+/// Returns the connections that the statements ran on, in order.
 fn connections(member: &FakeMember) -> Vec<i32> {
     member.script().statements.iter().map(|(number, _)| *number).collect()
 }
@@ -25,7 +26,7 @@
 #[case::second(2)]
 #[case::third(3)]
 #[actix_rt::test]
-async fn late_answers_reach_nobody_else(#[case] seed: u64) {
+async fn late_answers_never_reach_another_stream(#[case] seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let fleet = Fleet::start(3, 200).await;
     let mut edge = fleet.edge().await;
@@ -106,7 +107,7 @@
     let fleet = Fleet::start(2, 10).await;
     fleet.members[0].wait_until(|script| script.serving_connections >= 2).await;
     fleet.members[0].cut_connections().await;
-    // Nobody asks for any, and they are opened again.
+    // The connections are opened again without a request.
     fleet.members[0].wait_until(|script| script.serving_connections >= 4).await;
 }
 
--- a/crates/owner/tests/reads.rs
+++ b/crates/owner/tests/reads.rs
@@ -1,4 +1,4 @@
-//! Reads: replicas, session positions, barriers.
+//! Routing of reads: replicas, session positions, barriers.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -36,7 +36,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn replicas_that_are_behind_leave_the_read_to_the_primary() {
+async fn a_read_goes_to_the_primary_when_all_replicas_are_behind() {
     let fleet = fleet_at(5, 4).await;
     let mut edge = fleet.edge().await;
     let stream = edge.read("read", at(5)).await;
@@ -47,7 +47,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_session_without_position_gets_a_barrier_first() {
+async fn a_read_of_a_session_without_position_waits_for_a_barrier() {
     let fleet = fleet_at(7, 7).await;
     let mut edge = fleet.edge().await;
     let stream = edge.read("read", None).await;
@@ -74,10 +74,10 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_read_on_the_primary_is_confirmed_unless_its_position_is_known_there() {
+async fn a_read_on_a_primary_not_known_to_cover_its_position_waits_for_a_barrier() {
     let fleet = fleet_at(5, 5).await;
     let mut edge = fleet.edge().await;
-    // The primary is not known to hold position 9, so it must confirm first.
+    // The primary is not known to cover position 9, so a barrier must confirm a position first.
     let stream = edge.read("read", at(9)).await;
     edge.answer(stream).await;
     assert_eq!(fleet.members[0].script().barriers, 1);
@@ -85,7 +85,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn reads_that_come_while_a_barrier_is_in_flight_share_the_next() {
+async fn reads_that_arrive_while_a_barrier_is_in_flight_share_the_next_one() {
     let fleet = fleet_at(3, 3).await;
     fleet.members[0].freeze(true);
     let mut edge = fleet.edge().await;
@@ -94,7 +94,7 @@
     for _ in 0..5 {
         streams.push(edge.read("read", None).await);
     }
-    // The write's refusal shows that the owner has taken in what came before it.
+    // This stream's refusal shows that the owner has received the earlier messages of the link.
     let marker = edge.open_unknown_group().await;
     edge.answer(marker).await;
     fleet.members[0].freeze(false);
@@ -106,7 +106,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_read_whose_connection_breaks_is_served_elsewhere() {
+async fn a_read_whose_connection_breaks_is_retried_at_another_member() {
     let fleet = fleet_at(5, 5).await;
     for replica in &fleet.members[1..] {
         replica.script().die_once = true;
@@ -137,7 +137,7 @@
 #[actix_rt::test]
 async fn a_read_waits_for_a_replica_to_catch_up() {
     let fleet = fleet_at(5, 4).await;
-    // No bound of the wait comes during the test.
+    // Long enough that the wait does not time out during the test.
     fleet.change_group(|group| group.spec.replica_wait_ms = 60_000);
     let mut edge = fleet.edge().await;
     fleet.wait_for_view(&mut edge).await;
@@ -168,7 +168,7 @@
     let answer = edge.answer(stream).await;
     assert_eq!(answer.tags, ["SELECT 1"]);
     assert_eq!(answer.ready.unwrap().1, ServedBy::Replica);
-    // Its connection is not kept.
+    // The connection to the draining replica is not returned to the pool.
     fleet.members[1]
         .wait_until(|script| script.closed_connections == script.serving_connections)
         .await;
--- a/crates/owner/tests/sessions.rs
+++ b/crates/owner/tests/sessions.rs
@@ -1,4 +1,5 @@
-//! Session consistency against real stand-in groups: lag, failover, a lost tail.
+//! Session consistency against real stand-in groups: replica lag, failover, uncommitted entries of an old
+//! primary.
 
 mod support;
 
@@ -13,7 +14,7 @@
 async fn fleet(slots: u32) -> GroupFleet {
     let mut fleet = GroupFleet::start(1, slots).await;
     fleet.sql(0, "CREATE TABLE charge (id INTEGER PRIMARY KEY, note TEXT)").await;
-    // All members are known once their health was reported.
+    // The owner has probed all members once it has reported their health.
     for _ in 0..3 {
         fleet.owners[0].observations.recv().await.expect("the owner runs");
     }
@@ -35,10 +36,10 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_session_reads_its_own_writes_though_all_replicas_lag() {
+async fn a_session_reads_its_own_writes_while_all_replicas_lag() {
     let fleet = fleet(2).await;
-    for place in [1, 2] {
-        fleet.sql(place, "ALTER SYSTEM SET REPLICATION LAG 600000").await;
+    for index in [1, 2] {
+        fleet.sql(index, "ALTER SYSTEM SET REPLICATION LAG 600000").await;
     }
     let mut edge = fleet.edge(0).await;
     for number in 1..=5 {
@@ -54,7 +55,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn replicas_that_keep_up_serve_reads_that_see_all_before_them() {
+async fn replicas_that_keep_up_serve_reads_that_see_all_earlier_writes() {
     let fleet = fleet(2).await;
     fleet.owners[0].change_group(|group| group.spec.replica_wait_ms = 20_000);
     let mut edge = fleet.edge(0).await;
@@ -74,10 +75,10 @@
     let fleet = fleet(4).await;
     let mut edge = fleet.edge(0).await;
     write(&mut edge, "kept").await;
-    for place in [1, 2] {
-        fleet.sql(place, "ALTER SYSTEM FENCE TERM 2").await;
+    for index in [1, 2] {
+        fleet.sql(index, "ALTER SYSTEM FENCE TERM 2").await;
     }
-    // The old primary logs them, and no majority takes them.
+    // The old primary logs these writes, but no majority accepts them.
     let mut streams = Vec::new();
     for _ in 0..3 {
         streams.push(edge.write("INSERT INTO charge (note) VALUES ('tail')").await);
--- a/crates/owner/tests/silence.rs
+++ b/crates/owner/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Back ends that fall silent with their connections open, and owners that lose a group.
+//! Back ends that stop answering while their connections stay open, and owners that lose a group.
 
 mod support;
 
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use support::Fleet;
 
-/// Short bounds, so that what must end in them ends soon.
-fn impatient(settings: &mut OwnerSettings) {
+/// Sets short timeouts, so that the tests of timeouts end soon.
+fn with_short_timeouts(settings: &mut OwnerSettings) {
     settings.probe_timeout = Duration::from_millis(100);
     settings.silence_timeout = Duration::from_millis(200);
 }
@@ -30,7 +30,7 @@
     #[case] text: &str,
     #[case] expected: Failure,
 ) {
-    let fleet = Fleet::start_with(1, 20, impatient).await;
+    let fleet = Fleet::start_with(1, 20, with_short_timeouts).await;
     let mut edge = fleet.edge().await;
     let stream = edge.write(first.unwrap_or(text)).await;
     if first.is_some() {
@@ -39,14 +39,14 @@
     }
     fleet.members[0].wait_for_statement(text, 1).await;
     fleet.members[0].freeze(true);
-    // No view says that the primary is replaced.
+    // No view announces a replaced primary.
     assert_eq!(edge.answer(stream).await.failure, Some(expected));
 }
 
 #[rstest]
 #[actix_rt::test]
 async fn an_open_transaction_on_a_silent_primary_is_lost_without_a_further_batch() {
-    let fleet = Fleet::start_with(1, 20, impatient).await;
+    let fleet = Fleet::start_with(1, 20, with_short_timeouts).await;
     let mut edge = fleet.edge().await;
     let stream = edge.write("BEGIN").await;
     edge.answer(stream).await;
@@ -57,13 +57,13 @@
 #[rstest]
 #[actix_rt::test]
 async fn the_pool_recovers_when_a_silent_primary_answers_again() {
-    let fleet = Fleet::start_with(2, 20, impatient).await;
+    let fleet = Fleet::start_with(2, 20, with_short_timeouts).await;
     let mut edge = fleet.edge().await;
     let stream = edge.write("hold").await;
     fleet.members[0].wait_for_statement("hold", 1).await;
     fleet.members[0].freeze(true);
     assert_eq!(edge.answer(stream).await.failure, Some(Failure::Unknown));
-    // It waits, since the primary is known to be silent, and so surely runs once.
+    // The write is not sent while the primary is suspect, so it cannot run twice.
     let next = edge.write("write next").await;
     let marker = edge.open_unknown_group().await;
     edge.answer(marker).await;
@@ -79,7 +79,7 @@
 #[rstest]
 #[actix_rt::test]
 async fn idle_connections_to_a_silent_member_are_closed() {
-    let fleet = Fleet::start_with(2, 20, impatient).await;
+    let fleet = Fleet::start_with(2, 20, with_short_timeouts).await;
     fleet.members[0].wait_until(|script| script.serving_connections >= 2).await;
     fleet.members[0].freeze(true);
     fleet.members[0].wait_until(|script| script.closed_connections >= 2).await;
@@ -87,8 +87,8 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_read_on_a_silent_replica_is_served_elsewhere() {
-    let mut fleet = Fleet::start_with(2, 20, impatient).await;
+async fn a_read_on_a_silent_replica_is_retried_at_another_member() {
+    let mut fleet = Fleet::start_with(2, 20, with_short_timeouts).await;
     for member in &fleet.members {
         member.script().index = 5;
     }
@@ -96,7 +96,7 @@
     let mut edge = fleet.edge().await;
     let position = Position { term: Term(1), index: 5 };
     let stream = edge.read("hold", Some(position)).await;
-    // The first of equal replicas by name.
+    // Among equal replicas, the owner chooses the first by name.
     fleet.members[1].wait_for_statement("hold", 1).await;
     for member in [0, 2] {
         fleet.members[member].open_gate();
@@ -107,7 +107,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn an_owner_that_lost_a_group_still_hears_of_a_replaced_primary() {
+async fn an_owner_that_lost_a_group_still_reacts_to_a_replaced_primary() {
     let fleet = Fleet::start(1, 20).await;
     let mut edge = fleet.edge().await;
     let stream = edge.write("BEGIN").await;
@@ -120,8 +120,8 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn an_owner_that_lost_a_group_still_gives_up_on_a_silent_primary() {
-    let fleet = Fleet::start_with(1, 20, impatient).await;
+async fn an_owner_that_lost_a_group_still_times_out_on_a_silent_primary() {
+    let fleet = Fleet::start_with(1, 20, with_short_timeouts).await;
     let mut edge = fleet.edge().await;
     let stream = edge.write("BEGIN").await;
     edge.answer(stream).await;
@@ -133,7 +133,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn what_waits_when_the_group_is_lost_is_left_to_the_new_owner() {
+async fn requests_waiting_for_a_slot_are_refused_when_the_owner_loses_the_group() {
     let fleet = Fleet::start(1, 20).await;
     let mut edge = fleet.edge().await;
     let open = edge.write("BEGIN").await;
@@ -151,7 +151,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_barrier_waited_for_when_the_group_is_lost_is_left_to_the_new_owner() {
+async fn reads_waiting_for_a_barrier_are_refused_when_the_owner_loses_the_group() {
     let fleet = Fleet::start(1, 20).await;
     fleet.members[0].freeze(true);
     let mut edge = fleet.edge().await;
@@ -164,7 +164,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn streams_open_from_before_count_when_the_group_comes_back() {
+async fn open_streams_still_count_when_the_owner_regains_the_group() {
     let fleet = Fleet::start(1, 20).await;
     let mut edge = fleet.edge().await;
     let open = edge.write("BEGIN").await;
--- a/crates/owner/tests/streams.rs
+++ b/crates/owner/tests/streams.rs
@@ -171,7 +171,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_request_given_up_for_a_higher_class_is_refused_at_once_and_did_not_run() {
+async fn a_request_displaced_by_a_higher_class_is_refused_at_once_and_did_not_run() {
     let fleet = Fleet::start(1, 1).await;
     let mut edge = fleet.edge().await;
     let first = edge.write("hold").await;
@@ -179,12 +179,12 @@
     let basic = |text| {
         let mut basic = request(Access::Write, query(text));
         basic.class = ClassName::new("basic").expect("a valid name");
-        // No deadline comes during the test.
+        // The group's limit applies, and does not pass during the test.
         basic.timeout_ms = 0;
         basic
     };
     let reserved = edge.open(basic("write reserved")).await;
-    // The one place is kept for the lowest class; a second gold must not take it.
+    // The only place in the queue is guaranteed to the lowest class, so a gold request must not take it.
     let gold = edge.write("write gold").await;
     let refused = edge.answer(gold).await.failure;
     assert!(matches!(refused, Some(Failure::NotRun { reason: NotRunReason::QueueFull, .. })));
@@ -193,7 +193,7 @@
     fleet.wait_for_view(&mut edge).await;
     let displaced = edge.open(basic("write displaced")).await;
     let gold = edge.write("write gold").await;
-    // Its answer comes while the slot is held, so before any deadline.
+    // The displaced request is answered while the slot is still held, before any deadline.
     let Some(Failure::NotRun { reason, retry_after_ms }) = edge.answer(displaced).await.failure
     else {
         panic!("not refused");
@@ -207,7 +207,7 @@
 }
 
 #[actix_rt::test]
-async fn nobody_waits_longer_than_the_group_declares() {
+async fn no_request_waits_longer_than_the_group_allows() {
     let fleet = Fleet::start(1, 10).await;
     let mut edge = fleet.edge().await;
     let first = edge.write("hold").await;
@@ -224,7 +224,7 @@
     late.timeout_ms = 60_000;
     let late = edge.open(late).await;
     let refused = timeout(Duration::from_secs(20), edge.answer(late)).await;
-    let refused = refused.expect("refused long before the caller's own time is up");
+    let refused = refused.expect("refused long before the caller's own timeout");
     let reason = NotRunReason::QueueTimeout;
     assert!(
         matches!(refused.failure, Some(Failure::NotRun { reason: told, .. }) if told == reason)
@@ -236,7 +236,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_request_whose_time_is_up_is_refused_and_did_not_run() {
+async fn a_request_past_its_deadline_is_refused_and_did_not_run() {
     let fleet = Fleet::start(1, 10).await;
     let mut edge = fleet.edge().await;
     let first = edge.write("hold").await;
@@ -253,7 +253,7 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn a_statement_is_prepared_once_a_connection() {
+async fn a_statement_is_prepared_once_per_connection() {
     let fleet = Fleet::start(1, 10).await;
     let mut edge = fleet.edge().await;
     for _ in 0..3 {
@@ -282,18 +282,18 @@
 
 #[rstest]
 #[actix_rt::test]
-async fn answers_over_the_window_wait_for_the_caller() {
+async fn answers_beyond_the_window_wait_for_a_grant() {
     let fleet = Fleet::start(2, 10).await;
     let mut edge = fleet.edge().await;
     let stream = edge.write("big 2000").await;
     let mut taken = 0;
     while taken < INITIAL_WINDOW_BYTES {
-        let OwnerMessage::Data { messages, .. } = edge.next_of(stream).await else {
+        let OwnerMessage::Data { messages, .. } = edge.next_message_of(stream).await else {
             continue;
         };
         taken += messages.len() as u32;
     }
-    // Others go on meanwhile, and nothing more comes on the stream.
+    // Other streams continue meanwhile, and nothing more arrives on this stream.
     for _ in 0..20 {
         let other = edge.write("write x").await;
         edge.answer(other).await;
--- a/crates/owner/tests/support/back_end.rs
+++ b/crates/owner/tests/support/back_end.rs
@@ -1,11 +1,10 @@
-//! A member that answers by script, with a record of all that ran on each connection.
+//! A scripted member that records every statement that ran on each connection.
 //!
-//! `write X` records X at the next position; `read` answers the member's name;
-//! `big N` answers N rows; `hold` waits for [`FakeMember::open_gate`] or a cancel;
-//! `huge` answers a row of nine MiB;
-//! `echo X` answers X after a while that depends on X, whatever is cancelled;
-//! `stray` answers once more than it was asked; `garble` answers no message;
-//! `die` cuts the connection once after [`Script::die_once`] was set; `fail` is an error.
+//! Its statements: `write X` records X at the next position; `read` answers with the member's name; `big N`
+//! answers with N rows of 1 kB; `hold` waits for [`FakeMember::open_gate`] or a cancel; `huge` answers with a
+//! row of 9 MiB; `echo X` answers with X after a delay that depends on X, and ignores cancels; `stray` sends
+//! one more message after its answer; `garble` sends bytes that are not a valid message; `die` cuts the
+//! connection once after [`Script::die_once`] was set; `fail` answers with an error.
 
 mod statements;
 
@@ -21,15 +20,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What the member does and what it has done.
+/// State that controls the member, and the record of its work.
 #[derive(Default)]
 pub struct Script {
     pub primary: bool,
     pub term: u64,
     pub index: u64,
-    /// Position reported with reads, if it is to differ from `index`.
+    /// Index of the position reported with reads, if different from `index`.
     pub read_index: Option<u64>,
-    /// The next `die` cuts the connection once after [`Script::die_once`] was set; later ones complete.
+    /// Whether the next `die` cuts its connection; later ones complete.
     pub die_once: bool,
     pub barriers: usize,
     /// Values written and committed.
@@ -37,15 +36,15 @@
     /// Statements by connection, in order.
     pub statements: Vec<(i32, String)>,
     pub connections: i32,
-    /// Connections of callers that were opened.
+    /// Number of connections for callers that were opened.
     pub serving_connections: usize,
-    /// Connections of callers that were closed.
+    /// Number of connections for callers that were closed.
     pub closed_connections: usize,
-    /// Connections of callers allowed at once, if limited.
+    /// Limit of simultaneous connections for callers, if any.
     pub connection_limit: Option<usize>,
-    /// Connections of callers that were refused over the limit.
+    /// Number of connections for callers refused over the limit.
     pub refused_connections: usize,
-    /// Names prepared, in order.
+    /// Names of the prepared statements, in order.
     pub prepared: Vec<String>,
 }
 
@@ -53,13 +52,13 @@
     name: String,
     script: Mutex<Script>,
     gate: watch::Sender<bool>,
-    /// Probes and barriers wait while set.
+    /// Whether answers to probes and barriers are held back.
     frozen: watch::Sender<bool>,
     cancelled: watch::Sender<i32>,
-    /// Rises to cut the connections of callers that are open.
+    /// Counter whose increase cuts the open connections.
     cuts: watch::Sender<usize>,
-    /// Rises with each statement.
-    seen: watch::Sender<usize>,
+    /// Counter that increases with each recorded event.
+    events: watch::Sender<usize>,
 }
 
 #[derive(Clone)]
@@ -79,13 +78,13 @@
             frozen: watch::Sender::new(false),
             cancelled: watch::Sender::new(0),
             cuts: watch::Sender::new(0),
-            seen: watch::Sender::new(0),
+            events: watch::Sender::new(0),
         });
         shared.script.lock().unwrap().term = 1;
-        let serving = Arc::clone(&shared);
+        let accepting = Arc::clone(&shared);
         actix_rt::spawn(async move {
             while let Ok((socket, _)) = listener.accept().await {
-                let shared = Arc::clone(&serving);
+                let shared = Arc::clone(&accepting);
                 actix_rt::spawn(async move { drop(Session::serve(shared, socket).await) });
             }
         });
@@ -120,15 +119,15 @@
         self.shared.frozen.send_replace(frozen);
     }
 
-    /// Waits until this many barriers were asked for.
+    /// Waits until this many barriers were requested.
     pub async fn wait_for_barriers(&self, count: usize) {
-        let mut seen = self.shared.seen.subscribe();
+        let mut events = self.shared.events.subscribe();
         while self.script().barriers < count {
-            seen.changed().await.unwrap();
+            events.changed().await.unwrap();
         }
     }
 
-    /// Cuts the connections of callers that are open now.
+    /// Cuts all open connections, and waits until those for callers are closed.
     pub async fn cut_connections(&self) {
         let open = self.script().serving_connections;
         self.shared.cuts.send_modify(|cuts| *cuts += 1);
@@ -139,23 +138,24 @@
         self.shared.gate.send_replace(true);
     }
 
-    /// Waits until something of the script holds; looked at after each event.
-    pub async fn wait_until(&self, holds: impl Fn(&Script) -> bool) {
-        let mut seen = self.shared.seen.subscribe();
-        while !holds(&self.script()) {
-            seen.changed().await.unwrap();
+    /// Waits until a condition on the script holds, checking it after each event.
+    pub async fn wait_until(&self, condition: impl Fn(&Script) -> bool) {
+        let mut events = self.shared.events.subscribe();
+        while !condition(&self.script()) {
+            events.changed().await.unwrap();
         }
     }
 
-    /// Waits until a statement was received this often.
+    /// Waits until a statement was received `count` times.
     pub async fn wait_for_statement(&self, text: &str, count: usize) {
-        let mut seen = self.shared.seen.subscribe();
+        let mut events = self.shared.events.subscribe();
         loop {
-            let so_far = self.script().statements.iter().filter(|(_, s)| s == text).count();
-            if so_far >= count {
+            let received =
+                self.script().statements.iter().filter(|(_, statement)| statement == text).count();
+            if received >= count {
                 return;
             }
-            seen.changed().await.unwrap();
+            events.changed().await.unwrap();
         }
     }
 }
@@ -165,7 +165,7 @@
     socket: TcpStream,
     number: i32,
     control: bool,
-    /// Counted among the connections of callers.
+    /// Whether the connection counts as one for callers.
     serving: bool,
     in_transaction: bool,
     failed: bool,
@@ -205,7 +205,7 @@
         drop(session.socket);
         if session.serving {
             session.shared.script.lock().unwrap().closed_connections += 1;
-            session.shared.seen.send_modify(|count| *count += 1);
+            session.shared.events.send_modify(|count| *count += 1);
         }
         result.unwrap_or(Ok(()))
     }
@@ -251,13 +251,13 @@
         }
     }
 
-    /// False when the connection is refused.
+    /// Answers the startup message; returns false when the connection is refused.
     fn start(&mut self, application_name: &str) -> bool {
         self.control = application_name == "corktack-control";
         self.serving = !self.control;
         if self.serving {
             self.script().serving_connections += 1;
-            self.shared.seen.send_modify(|count| *count += 1);
+            self.shared.events.send_modify(|count| *count += 1);
         }
         if self.is_over_limit() {
             self.error("53300", "too many connections");
@@ -273,9 +273,9 @@
     fn is_over_limit(&self) -> bool {
         let mut script = self.script();
         let open = script.serving_connections - script.closed_connections;
-        let over = !self.control && script.connection_limit.is_some_and(|limit| open > limit);
-        script.refused_connections += usize::from(over);
-        over
+        let is_over = !self.control && script.connection_limit.is_some_and(|limit| open > limit);
+        script.refused_connections += usize::from(is_over);
+        is_over
     }
 
     fn ready(&mut self) {
--- a/crates/owner/tests/support/back_end/statements.rs
+++ b/crates/owner/tests/support/back_end/statements.rs
@@ -11,7 +11,7 @@
     pub(super) async fn statement(&mut self, text: &str) -> Io<()> {
         if !text.starts_with("SHOW") {
             self.script().statements.push((self.number, text.to_owned()));
-            self.shared.seen.send_modify(|count| *count += 1);
+            self.shared.events.send_modify(|count| *count += 1);
         }
         let (word, argument) = text.split_once(' ').unwrap_or((text, ""));
         if self.failed && !matches!(word, "ROLLBACK" | "COMMIT") {
@@ -84,10 +84,10 @@
         self.put(PgWireBackendMessage::ParameterStatus(ParameterStatus::new(name, text)));
     }
 
-    async fn show(&mut self, what: &str) {
-        if what == "replication.read_index" {
+    async fn show(&mut self, parameter: &str) {
+        if parameter == "replication.read_index" {
             self.script().barriers += 1;
-            self.shared.seen.send_modify(|count| *count += 1);
+            self.shared.events.send_modify(|count| *count += 1);
         }
         let mut frozen = self.shared.frozen.subscribe();
         drop(frozen.wait_for(|frozen| !*frozen).await);
@@ -96,7 +96,7 @@
             (script.primary, script.term.to_string(), script.index)
         };
         let position = format!("{term}/{index}");
-        if what == "replication.status" {
+        if parameter == "replication.status" {
             let role = if primary { "primary" } else { "replica" };
             let name = self.shared.name.clone();
             self.row(&[&name, role, &term, &position, &position, ""]);
@@ -184,11 +184,11 @@
         let mut gate = self.shared.gate.subscribe();
         let mut cancelled = self.shared.cancelled.subscribe();
         let number = self.number;
-        let stopped = tokio::select! {
+        let was_cancelled = tokio::select! {
             _ = gate.wait_for(|open| *open) => false,
             _ = cancelled.wait_for(|pid| *pid == number) => true,
         };
-        if stopped {
+        if was_cancelled {
             return self.error("57014", "cancelled");
         }
         self.finish_read();
--- a/crates/owner/tests/support/edge.rs
+++ b/crates/owner/tests/support/edge.rs
@@ -1,4 +1,4 @@
-//! The edge's side of a link.
+//! The edge's side of a link, and helpers that build requests and batches.
 
 use super::GROUP;
 use bytes::BytesMut;
@@ -19,19 +19,19 @@
 
 pub struct TestEdge {
     frames: Framed<TcpStream, FrameCodec<EdgeMessage, OwnerMessage>>,
-    next: u64,
-    /// Messages of other streams, met while one was awaited.
+    last_stream: u64,
+    /// Messages of other streams that arrived while one stream was awaited.
     waiting: Vec<OwnerMessage>,
 }
 
-/// The whole answer to one batch.
+/// The complete answer to one batch.
 #[derive(Debug, Default)]
 pub struct Answer {
     pub rows: Vec<String>,
     pub tags: Vec<String>,
     /// SQLSTATE and text of errors.
     pub errors: Vec<(String, String)>,
-    /// One letter for each message, `P` for a position.
+    /// The tag of each message in order, with `P` for a position.
     pub order: String,
     pub positions: Vec<Position>,
     pub ready: Option<(TransactionStatus, ServedBy)>,
@@ -44,7 +44,7 @@
     Batch { prepared: Vec::new(), messages: messages.to_vec() }
 }
 
-/// Bind, Execute and Sync of a prepared statement.
+/// Builds a batch of Bind, Execute and Sync of a prepared statement.
 pub fn execute(name: &str, text: &str) -> Batch {
     let mut messages = BytesMut::new();
     let portal = || Some(String::new());
@@ -61,7 +61,7 @@
     Batch { prepared: vec![statement], messages: messages.to_vec() }
 }
 
-/// The batch with a Flush in place of its Sync.
+/// Replaces the Sync at the end of a batch by a Flush.
 pub fn flushed(mut batch: Batch) -> Batch {
     let mut messages = BytesMut::new();
     Sync::new().encode(&mut messages).unwrap();
@@ -73,14 +73,14 @@
     batch
 }
 
-/// Sync alone.
+/// Builds a batch that contains only a Sync.
 pub fn sync() -> Batch {
     let mut messages = BytesMut::new();
     Sync::new().encode(&mut messages).unwrap();
     Batch { prepared: Vec::new(), messages: messages.to_vec() }
 }
 
-/// Parse and Sync of a statement.
+/// Builds a batch of Parse and Sync of a statement.
 pub fn parse(name: &str, text: &str) -> Batch {
     let mut messages = BytesMut::new();
     let parse = Parse::new(Some(name.to_owned()), text.to_owned(), Vec::new());
@@ -89,7 +89,7 @@
     Batch { prepared: Vec::new(), messages: messages.to_vec() }
 }
 
-/// Bind and Sync of a prepared statement.
+/// Builds a batch of Bind and Sync of a prepared statement.
 pub fn bind(name: &str, text: &str) -> Batch {
     let mut messages = BytesMut::new();
     let portal = Some(String::new());
@@ -98,7 +98,7 @@
     Batch { prepared: execute(name, text).prepared, messages: messages.to_vec() }
 }
 
-/// Parse, Bind, Execute and Sync of a statement.
+/// Builds a batch of Parse, Bind, Execute and Sync of a statement.
 pub fn parse_and_execute(name: &str, text: &str) -> Batch {
     let mut messages = BytesMut::new();
     let parse = Parse::new(Some(name.to_owned()), text.to_owned(), Vec::new());
@@ -131,19 +131,19 @@
 
 impl TestEdge {
     pub async fn connect(address: SocketAddr) -> Self {
-        Self::over(TcpStream::connect(address).await.unwrap()).await
+        Self::from_socket(TcpStream::connect(address).await.unwrap()).await
     }
 
-    /// Connects with a small buffer for what comes.
-    pub async fn connect_narrow(address: SocketAddr) -> Self {
+    /// Connects with a receive buffer of 4096 bytes, so that the owner's answers back up soon.
+    pub async fn connect_with_small_buffer(address: SocketAddr) -> Self {
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
-        Self::over(socket.connect(address).await.unwrap()).await
+        Self::from_socket(socket.connect(address).await.unwrap()).await
     }
 
-    async fn over(socket: TcpStream) -> Self {
+    async fn from_socket(socket: TcpStream) -> Self {
         let frames = Framed::new(socket, FrameCodec::default());
-        let mut edge = Self { frames, next: 0, waiting: Vec::new() };
+        let mut edge = Self { frames, last_stream: 0, waiting: Vec::new() };
         edge.hello().await;
         assert!(matches!(edge.receive().await, Some(OwnerMessage::Hello { .. })));
         edge
@@ -172,14 +172,14 @@
         self.frames.get_mut().write_all(bytes).await.unwrap();
     }
 
-    /// The next message, none when the owner closed the link.
+    /// Receives the next message; returns `None` when the owner closed the link.
     pub async fn receive(&mut self) -> Option<OwnerMessage> {
         self.frames.next().await.and_then(Result::ok)
     }
 
     pub async fn open(&mut self, request: OpenRequest) -> StreamId {
-        self.next += 1;
-        let stream = StreamId(self.next);
+        self.last_stream += 1;
+        let stream = StreamId(self.last_stream);
         self.send(EdgeMessage::Open { stream, request: Box::new(request) }).await;
         stream
     }
@@ -194,7 +194,7 @@
         self.open(request).await
     }
 
-    /// Opens a stream that is refused at once.
+    /// Opens a stream to an unknown group, which the owner refuses at once.
     pub async fn open_unknown_group(&mut self) -> StreamId {
         let mut request = request(Access::Write, query("write never"));
         request.group = GroupName::new("unknown").unwrap();
@@ -209,14 +209,14 @@
         self.send(EdgeMessage::Batch { stream, batch }).await;
     }
 
-    /// Waits for the end of the answer to a batch of a stream.
+    /// Receives the complete answer to a batch of a stream, and grants a window for each part.
     pub async fn answer(&mut self, stream: StreamId) -> Answer {
         let mut answer = Answer::default();
         while answer.ready.is_none() && answer.failure.is_none() {
-            match self.next_of(stream).await {
+            match self.next_message_of(stream).await {
                 OwnerMessage::Data { messages, .. } => {
                     let bytes = messages.len() as u32;
-                    answer.take_messages(messages);
+                    answer.add_messages(messages);
                     self.send(EdgeMessage::Window { stream, bytes }).await;
                 }
                 OwnerMessage::Position { position, .. } => {
@@ -233,15 +233,15 @@
         answer
     }
 
-    /// Whether messages of a stream came while others were awaited.
+    /// Reports whether messages of a stream arrived while other streams were awaited.
     pub fn has_waiting(&self, stream: StreamId) -> bool {
         self.waiting.iter().any(|message| stream_of(message) == Some(stream))
     }
 
-    pub async fn next_of(&mut self, stream: StreamId) -> OwnerMessage {
-        let place = self.waiting.iter().position(|message| stream_of(message) == Some(stream));
-        if let Some(place) = place {
-            return self.waiting.remove(place);
+    pub async fn next_message_of(&mut self, stream: StreamId) -> OwnerMessage {
+        let index = self.waiting.iter().position(|message| stream_of(message) == Some(stream));
+        if let Some(index) = index {
+            return self.waiting.remove(index);
         }
         loop {
             let message = self.receive().await.expect("the link is open");
@@ -254,7 +254,7 @@
 }
 
 impl Answer {
-    fn take_messages(&mut self, messages: Vec<u8>) {
+    fn add_messages(&mut self, messages: Vec<u8>) {
         let mut buffer = BytesMut::from(messages.as_slice());
         let context = DecodeContext::default();
         while !buffer.is_empty() {
@@ -264,7 +264,7 @@
                     let text = String::from_utf8_lossy(&row.data[4..]).into_owned();
                     self.rows.push(text);
                 }
-                PgWireBackendMessage::CommandComplete(done) => self.tags.push(done.tag),
+                PgWireBackendMessage::CommandComplete(complete) => self.tags.push(complete.tag),
                 PgWireBackendMessage::ErrorResponse(error) => {
                     let field = |code| {
                         let found = error.fields.iter().find(|(field, _)| *field == code);
--- a/crates/owner/tests/support/group.rs
+++ b/crates/owner/tests/support/group.rs
@@ -1,4 +1,4 @@
-//! A real stand-in group behind a relay, and owners that each believe to own it.
+//! A real stand-in group behind relays, and owners whose views each name themselves as the group's owner.
 
 use super::edge::TestEdge;
 use super::owner::TestOwner;
@@ -19,7 +19,7 @@
 /// A stand-in group and its owners.
 pub struct GroupFleet {
     pub owners: Vec<TestOwner>,
-    /// What the owners reach the members through.
+    /// Relays through which the owners reach the members.
     pub relays: Vec<Relay>,
     pub group: Group,
     _folder: TempDir,
@@ -66,9 +66,9 @@
     }
 
     fn view(&self, proxy: &ProxyName, slots: u32) -> GroupView {
-        let members = (0..GROUP_SIZE).map(|place| MemberSpec {
-            name: self.member(place),
-            address: self.relays[place].address(),
+        let members = (0..GROUP_SIZE).map(|index| MemberSpec {
+            name: self.member(index),
+            address: self.relays[index].address(),
             zone: zone("amba.a"),
             draining: false,
         });
@@ -89,50 +89,50 @@
         }
     }
 
-    fn member(&self, place: usize) -> MemberName {
-        self.group.peers()[place].name.clone()
+    fn member(&self, index: usize) -> MemberName {
+        self.group.peers()[index].name.clone()
     }
 
     pub async fn edge(&self, owner: usize) -> TestEdge {
         TestEdge::connect(self.owners[owner].owner.address()).await
     }
 
-    /// Fences two members at a term, promotes the most advanced of them, the first
-    /// of equal ones, and tells the owners. Returns its place.
+    /// Fences two members at a term, promotes the one with the higher position (`first` if both are equal),
+    /// and updates the owners' views. Returns the index of the new primary.
     pub async fn fail_over(&self, first: usize, term: u64) -> usize {
         let second = (first + 1) % GROUP_SIZE;
-        for place in [first, second] {
-            self.sql(place, &format!("ALTER SYSTEM FENCE TERM {term}")).await;
+        for index in [first, second] {
+            self.sql(index, &format!("ALTER SYSTEM FENCE TERM {term}")).await;
         }
-        let last =
-            |place| self.group.member(place).expect("the member runs").status().last_position;
-        let to = if last(second) > last(first) { second } else { first };
-        self.sql(to, &format!("ALTER SYSTEM PROMOTE TERM {term}")).await;
-        let primary = self.member(to);
+        let last_position =
+            |index| self.group.member(index).expect("the member runs").status().last_position;
+        let promoted = if last_position(second) > last_position(first) { second } else { first };
+        self.sql(promoted, &format!("ALTER SYSTEM PROMOTE TERM {term}")).await;
+        let primary = self.member(promoted);
         for owner in &self.owners {
             owner.change_group(|group| {
                 group.primary = Some(primary.clone());
                 group.term = Term(term);
             });
         }
-        to
+        promoted
     }
 
-    /// Runs a statement on a member, past owners and relay; first column of its rows.
-    pub async fn sql(&self, place: usize, text: &str) -> Vec<String> {
-        let address = self.group.postgres_addresses()[place];
+    /// Runs a statement directly on a member, without owner or relay; returns the first column of the rows.
+    pub async fn sql(&self, index: usize, text: &str) -> Vec<String> {
+        let address = self.group.postgres_addresses()[index];
         let mut config = tokio_postgres::Config::new();
         config.host(address.ip().to_string()).port(address.port()).user("clerk").dbname(GROUP);
         let (client, connection) = config.connect(NoTls).await.expect("the member is reached");
-        let driver = actix_rt::spawn(connection);
+        let connection_task = actix_rt::spawn(connection);
         let messages = client.simple_query(text).await.expect("the statement runs");
         drop(client);
-        driver.abort();
-        let first = |message: SimpleQueryMessage| match message {
+        connection_task.abort();
+        let first_column = |message: SimpleQueryMessage| match message {
             SimpleQueryMessage::Row(row) => Some(row.get(0).unwrap_or_default().to_owned()),
             _ => None,
         };
-        messages.into_iter().filter_map(first).collect()
+        messages.into_iter().filter_map(first_column).collect()
     }
 }
 
--- a/crates/owner/tests/support/mod.rs
+++ b/crates/owner/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted back end, an edge and a fleet of one owner for the tests.
+//! Test support: scripted back ends, an edge, and a fleet of one owner over scripted members.
 #![allow(dead_code, clippy::unwrap_used)]
 
 pub mod back_end;
@@ -68,7 +68,7 @@
 }
 
 impl Fleet {
-    /// Three members, the first being primary of term 1.
+    /// Starts three members, of which the first is the primary of term 1, and their owner.
     pub async fn start(slots: u32, queue_limit: u32) -> Self {
         Self::start_with(slots, queue_limit, |_| {}).await
     }
@@ -120,19 +120,19 @@
     }
 
     /// Makes another member primary of a term, in the back ends and in the view.
-    pub fn promote(&self, number: usize, term: u64) {
+    pub fn promote(&self, index: usize, term: u64) {
         for member in &self.members {
             member.set_replica(term);
         }
-        self.members[number].set_primary(term);
-        let primary = MemberName::new(self.members[number].name()).unwrap();
+        self.members[index].set_primary(term);
+        let primary = MemberName::new(self.members[index].name()).unwrap();
         self.change_group(|group| {
             group.primary = Some(primary);
             group.term = Term(term);
         });
     }
 
-    /// Waits until the metrics hold a text.
+    /// Waits until the encoded metrics contain a line.
     pub async fn wait_for_metric(&self, line: &str) {
         loop {
             let mut text = String::new();
@@ -144,15 +144,15 @@
         }
     }
 
-    /// Waits until the owner reported the health of all members, and so knows them.
+    /// Waits until the owner has reported the health of all members, and so has probed each of them.
     pub async fn wait_for_replicas(&mut self) {
         for _ in &self.members {
             self.observations.recv().await.unwrap();
         }
     }
 
-    /// Waits until the owner has the view in force: it first has a group added
-    /// after it, whose streams it refuses for another reason than before.
+    /// Waits until the owner has applied the current view: adds a group without a primary in a later view,
+    /// and opens streams to the group until the refusals show that the owner has the group.
     pub async fn wait_for_view(&self, edge: &mut TestEdge) {
         let revision = self.views.borrow().revision.0;
         let marker = GroupName::new(format!("marker-{revision}")).unwrap();
--- a/crates/owner/tests/support/owner.rs
+++ b/crates/owner/tests/support/owner.rs
@@ -1,4 +1,4 @@
-//! An owner for the tests, with a view that they change.
+//! An owner whose view the tests can change.
 
 use super::zone;
 use corktack_core::identity::{Incarnation, ProxyName};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// An owner with a view of its own.
+/// An owner with its own view.
 pub struct TestOwner {
     pub owner: OwnerHandle,
     pub observations: mpsc::UnboundedReceiver<Observation>,
@@ -19,7 +19,7 @@
 }
 
 impl TestOwner {
-    /// Starts an owner that probes often.
+    /// Starts an owner that probes every 5 ms.
     pub fn start(
         proxy: ProxyName,
         incarnation: Incarnation,
--- a/crates/owner/tests/support/relay.rs
+++ b/crates/owner/tests/support/relay.rs
@@ -1,4 +1,5 @@
-//! A relay before a member: it can lose the answer to one statement, fall silent, or go down.
+//! A relay in front of a member, which can lose the answer to one statement, hold back all traffic, or go
+//! down.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,21 +7,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What the relay does with bytes.
+/// How the relay handles traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Passes them on.
+    /// Forwards bytes.
     Open,
-    /// Holds them back; connections stay open.
+    /// Holds bytes back; connections stay open.
     Silent,
     /// Closes all connections and refuses new ones.
     Down,
 }
 
-/// The statement whose answer is lost next, and the mode after it.
+/// Text of the next statement whose answer is lost, and the mode after that.
 type Marker = Option<(String, Mode)>;
 
-/// Passes bytes between owners and one member.
+/// Forwards bytes between owners and one member.
 #[derive(Clone)]
 pub struct Relay {
     address: SocketAddr,
@@ -57,70 +58,70 @@
         self.state.mode.send_replace(mode);
     }
 
-    /// The answer to the next statement that holds the text is lost with its connection.
+    /// Loses the answer to the next statement that contains the text, and closes its connection.
     pub fn lose_answer_to(&self, text: &str) {
-        self.lose_answer_and_turn(text, Mode::Open);
+        self.lose_answer_and_switch(text, Mode::Open);
     }
 
-    /// As [`Relay::lose_answer_to`], with another mode from then on.
-    pub fn lose_answer_and_turn(&self, text: &str, mode: Mode) {
+    /// Acts as [`Relay::lose_answer_to`] and then switches to another mode.
+    pub fn lose_answer_and_switch(&self, text: &str, mode: Mode) {
         self.state.marker.send_replace(Some((text.to_owned(), mode)));
     }
 
-    /// Whether the marked statement came by.
+    /// Reports whether the answer to the marked statement was lost.
     pub fn has_lost(&self) -> bool {
         self.state.marker.borrow().is_none()
     }
 }
 
-async fn serve(near: TcpStream, state: &State) {
+async fn serve(owner: TcpStream, state: &State) {
     let mut mode = state.mode.subscribe();
     tokio::select! {
         _ = mode.wait_for(|mode| *mode == Mode::Down) => {}
-        // Either side's failure ends both.
-        _ = pass(near, state) => {}
+        // A failure on either side closes both connections.
+        _ = forward(owner, state) => {}
     }
 }
 
-async fn pass(near: TcpStream, state: &State) -> std::io::Result<()> {
-    let far = TcpStream::connect(state.target).await?;
-    let (mut near_in, mut near_out) = near.into_split();
-    let (mut far_in, mut far_out) = far.into_split();
-    let mut question = vec![0; 64 * 1024];
+async fn forward(owner: TcpStream, state: &State) -> std::io::Result<()> {
+    let member = TcpStream::connect(state.target).await?;
+    let (mut owner_in, mut owner_out) = owner.into_split();
+    let (mut member_in, mut member_out) = member.into_split();
+    let mut request = vec![0; 64 * 1024];
     let mut answer = vec![0; 64 * 1024];
     let mut mode = state.mode.subscribe();
     loop {
         tokio::select! {
-            count = near_in.read(&mut question) => {
+            count = owner_in.read(&mut request) => {
                 let count = count?;
                 if count == 0 {
                     return Ok(());
                 }
                 let _ = mode.wait_for(|mode| *mode != Mode::Silent).await;
-                far_out.write_all(&question[..count]).await?;
-                if let Some(next) = marked(state, &question[..count]) {
-                    // The member has run it once it answers.
-                    if far_in.read(&mut answer).await? == 0 {
+                member_out.write_all(&request[..count]).await?;
+                if let Some(next_mode) = marked_mode(state, &request[..count]) {
+                    // The member's answer shows that the statement ran.
+                    if member_in.read(&mut answer).await? == 0 {
                         return Ok(());
                     }
-                    state.mode.send_replace(next);
+                    state.mode.send_replace(next_mode);
                     state.marker.send_replace(None);
                     return Ok(());
                 }
             }
-            count = far_in.read(&mut answer) => {
+            count = member_in.read(&mut answer) => {
                 let count = count?;
                 if count == 0 {
                     return Ok(());
                 }
                 let _ = mode.wait_for(|mode| *mode != Mode::Silent).await;
-                near_out.write_all(&answer[..count]).await?;
+                owner_out.write_all(&answer[..count]).await?;
             }
         }
     }
 }
 
-fn marked(state: &State, bytes: &[u8]) -> Option<Mode> {
+fn marked_mode(state: &State, bytes: &[u8]) -> Option<Mode> {
     let text = String::from_utf8_lossy(bytes);
     let marker = state.marker.borrow();
     marker.as_ref().filter(|(wanted, _)| text.contains(wanted.as_str())).map(|(_, mode)| *mode)
