--- a/crates/owner/src/context.rs
+++ b/crates/owner/src/context.rs
@@ -82,13 +82,13 @@
 
     /// Spawns a task on the next arbiter in round-robin order.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let turn = self.next_arbiter.fetch_add(1, Ordering::Relaxed);
-        // A stopped arbiter drops the task, as a stop is meant to.
-        self.arbiters[turn % self.arbiters.len()].spawn(task);
+        let index = self.next_arbiter.fetch_add(1, Ordering::Relaxed);
+        // After a stop, the arbiter drops the task.
+        self.arbiters[index % self.arbiters.len()].spawn(task);
     }
 
     /// Returns a receiver for the progress of a shutdown.
-    pub fn phase(&self) -> watch::Receiver<Phase> {
+    pub fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Waits until no stream is open.
-    pub async fn streams_finished(&self) {
+    pub async fn wait_for_streams(&self) {
         wait_for_zero(&self.open_streams).await;
     }
 
--- a/crates/owner/src/exchange/ending.rs
+++ b/crates/owner/src/exchange/ending.rs
@@ -26,7 +26,7 @@
     pub(super) fn answer_ready(&mut self, status: TransactionStatus) {
         self.forward();
         self.status = status;
-        self.outbound.ready(status, self.lease.destination().served_by);
+        self.outbound.send_ready(status, self.lease.destination().served_by);
     }
 
     /// Answers the transaction's last batch, and returns the connection to the pool if it may be reused.
@@ -34,7 +34,7 @@
         self.answer_ready(TransactionStatus::Idle);
         if self.request.access == Access::Read {
             let served_by = self.lease.destination().served_by;
-            self.group.metrics.read_served(self.group.name.as_str(), served_by);
+            self.group.metrics.count_read(self.group.name.as_str(), served_by);
         }
         if !self.cancelled && self.sweep_outcomes().await {
             self.lease.recycle().await;
@@ -42,8 +42,8 @@
         Exit::Ended
     }
 
-    /// Removes old outcomes of keyed writes after the caller's answer, once per `COMMITS_BETWEEN_SWEEPS` keyed
-    /// commits. Returns false when the connection must not be reused.
+    /// Removes old outcomes of keyed writes after the caller's answer, once per `COMMITS_BETWEEN_SWEEPS`
+    /// keyed commits. Returns false when the connection must not be reused.
     async fn sweep_outcomes(&mut self) -> bool {
         if self.keyed.is_none() || !self.group.with_state(GroupState::record_commit_and_check_sweep)
         {
--- a/crates/owner/src/exchange/keyed_write.rs
+++ b/crates/owner/src/exchange/keyed_write.rs
@@ -21,7 +21,7 @@
 
 impl KeyedWrite {
     /// Returns the keyed write of a request, if the request is one and runs a statement.
-    pub fn of(request: &OpenRequest) -> Option<Self> {
+    pub fn from_request(request: &OpenRequest) -> Option<Self> {
         let key = request.idempotency_key.clone()?;
         let is_keyed_write =
             request.access == Access::Write && batch::runs_statement(&request.batch);
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -102,7 +102,7 @@
         };
         self.group.record_position(&self.lease.destination().member, position);
         if !self.is_behind(position) {
-            self.outbound.position(position);
+            self.outbound.send_position(position);
         }
     }
 
@@ -162,7 +162,7 @@
         self.forwarded = true;
         let messages = self.buffered.split();
         self.input.window -= messages.len() as i64;
-        self.outbound.data(messages.to_vec());
+        self.outbound.send_data(messages.to_vec());
     }
 }
 
--- a/crates/owner/src/exchange/state.rs
+++ b/crates/owner/src/exchange/state.rs
@@ -102,7 +102,7 @@
             reported_position: None,
             failed: false,
             cancelled: false,
-            keyed: KeyedWrite::of(request),
+            keyed: KeyedWrite::from_request(request),
             unfinished: Unfinished::default(),
         }
     }
--- a/crates/owner/src/group/mod.rs
+++ b/crates/owner/src/group/mod.rs
@@ -45,8 +45,8 @@
     pub connection_freed: Arc<Notify>,
     state: Mutex<GroupState>,
     view: watch::Sender<Arc<GroupView>>,
-    /// Wakes waiting requests when the group is retired. This is separate from `member_changes`, which changes
-    /// with each commit, so that commits do not wake every request in a long queue.
+    /// Wakes waiting requests when the group is retired. This is separate from `member_changes`, which
+    /// changes with each commit, so that commits do not wake every request in a long queue.
     pub retirement: watch::Sender<bool>,
     /// Counter that increases when a position or the reachability of a member changes.
     member_changes: watch::Sender<u64>,
@@ -151,17 +151,17 @@
     }
 
     /// Reports whether there is a primary that accepts work: one that is neither suspect nor draining.
-    pub fn accepts_writes(&self, state: &GroupState) -> bool {
+    pub fn is_primary_available(&self, state: &GroupState) -> bool {
         let view = self.view.borrow();
-        let accepts_work = |primary: &MemberName| !is_draining(&view, primary);
-        !state.primary_suspect && view.primary.as_ref().is_some_and(accepts_work)
+        let is_available = |primary: &MemberName| !is_draining(&view, primary);
+        !state.primary_suspect && view.primary.as_ref().is_some_and(is_available)
     }
 
     /// Returns the primary and its term, if the primary accepts work.
     pub fn available_primary(&self) -> Option<(MemberName, Term)> {
-        let accepts_work = self.with_state(|state| self.accepts_writes(state));
+        let is_available = self.with_state(|state| self.is_primary_available(state));
         let view = self.view();
-        view.primary.clone().filter(|_| accepts_work).map(|primary| (primary, view.term))
+        view.primary.clone().filter(|_| is_available).map(|primary| (primary, view.term))
     }
 
     /// Records that the primary failed or refused work, so that it gets no more work before a probe finds it
--- a/crates/owner/src/group/slots.rs
+++ b/crates/owner/src/group/slots.rs
@@ -34,8 +34,8 @@
     pub fn grant_slots(self: &Arc<Self>) {
         let now = self.now();
         let granted = self.with_state(|state| {
-            let accepts_writes = self.accepts_writes(state);
-            let tickets = state.admission.grant(now, accepts_writes);
+            let primary_available = self.is_primary_available(state);
+            let tickets = state.admission.grant(now, primary_available);
             let take_sender = |ticket| state.grant_senders.remove(&ticket);
             let senders: Vec<_> = tickets.into_iter().map(take_sender).collect();
             self.update_gauges(state);
--- a/crates/owner/src/groups.rs
+++ b/crates/owner/src/groups.rs
@@ -115,7 +115,7 @@
             }
             let group_tasks =
                 self.tasks_by_group.entry(name.clone()).or_insert_with(|| GroupTasks::new(role));
-            group_tasks.probe_members(context, name, group);
+            group_tasks.update_probes(context, name, group);
         }
     }
 
@@ -191,7 +191,7 @@
         spawn_until(context, self.tasks.clone(), task);
     }
 
-    fn probe_members(&mut self, context: &Context, name: &GroupName, group: &GroupView) {
+    fn update_probes(&mut self, context: &Context, name: &GroupName, group: &GroupView) {
         let spec = &group.spec;
         if self.members == spec.members && self.database == spec.database {
             return;
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -78,7 +78,8 @@
         Ok(&mut pooled.connection)
     }
 
-    /// Waits until the primary that serves the transaction is replaced; never returns for a replica.
+    /// Waits until the primary that serves the transaction is replaced, or its term changes. Never returns
+    /// for a replica.
     pub fn wait_until_replaced(&self) -> impl Future<Output = ()> + use<> {
         let mut views = self.group.subscribe_view();
         let destination = self.destination.clone();
@@ -163,11 +164,11 @@
         let Some(pooled) = self.pooled.take() else {
             return;
         };
-        let refused = self.group.with_state(|state| match is_leaving {
+        let not_pooled = self.group.with_state(|state| match is_leaving {
             true => Some(pooled),
             false => state.keep_idle(member, epoch, pooled),
         });
-        drop(refused);
+        drop(not_pooled);
         self.group.connection_freed.notify_one();
     }
 }
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -117,7 +117,7 @@
     pub async fn drain(self) {
         self.context.begin_drain();
         tokio::time::sleep(DRAIN_LINGER).await;
-        self.context.streams_finished().await;
+        self.context.wait_for_streams().await;
         self.context.close_links().await;
     }
 }
--- a/crates/owner/src/link.rs
+++ b/crates/owner/src/link.rs
@@ -81,7 +81,7 @@
         incarnation: context.settings.incarnation,
     };
     outbound.send(hello);
-    let phase = context.phase();
+    let phase = context.subscribe_phase();
     let link = Link { context, outbound, ended_sender, streams: HashMap::new(), last_stream: None };
     let result = tokio::select! {
         result = link.read(source, ended_receiver) => result,
--- a/crates/owner/src/metrics.rs
+++ b/crates/owner/src/metrics.rs
@@ -95,13 +95,13 @@
         registry.register("retries", "Attempts after the first", all.retries);
         registry.register("refusals", "Requests refused as not run, by reason", all.refusals);
         registry.register("discarded_connections", "Connections not reused", all.discarded);
-        let held = "Links not read since their edge does not take answers";
-        registry.register("links_held", held, all.links_held);
+        let help = "Links not read since their edge does not take answers";
+        registry.register("links_held", help, all.links_held);
         metrics
     }
 
     /// Counts an answered read transaction.
-    pub fn read_served(&self, group: &str, served_by: ServedBy) {
+    pub fn count_read(&self, group: &str, served_by: ServedBy) {
         let server = match served_by {
             ServedBy::Primary => "primary",
             ServedBy::Replica => "replica",
@@ -111,7 +111,7 @@
     }
 
     /// Counts a request refused as not run.
-    pub fn refused(&self, group: &str, reason: NotRunReason) {
+    pub fn count_refusal(&self, group: &str, reason: NotRunReason) {
         let label = ReasonLabel { group: group.to_owned(), reason: format!("{reason:?}") };
         self.refusals.get_or_create(&label).inc();
     }
--- a/crates/owner/src/outbound.rs
+++ b/crates/owner/src/outbound.rs
@@ -24,22 +24,22 @@
     }
 
     /// Sends encoded PostgreSQL messages for the caller.
-    pub fn data(&self, messages: Vec<u8>) {
+    pub fn send_data(&self, messages: Vec<u8>) {
         self.send(OwnerMessage::Data { stream: self.stream, messages });
     }
 
     /// Sends the session's new position.
-    pub fn position(&self, position: Position) {
+    pub fn send_position(&self, position: Position) {
         self.send(OwnerMessage::Position { stream: self.stream, position });
     }
 
     /// Reports that a batch is answered.
-    pub fn ready(&self, status: TransactionStatus, served_by: ServedBy) {
+    pub fn send_ready(&self, status: TransactionStatus, served_by: ServedBy) {
         self.send(OwnerMessage::Ready { stream: self.stream, status, served_by });
     }
 
     /// Sends a failure as the final answer of the stream.
-    pub fn failed(&self, failure: Failure) {
+    pub fn send_failure(&self, failure: Failure) {
         self.send(OwnerMessage::Failed { stream: self.stream, failure });
     }
 
--- a/crates/owner/src/probe.rs
+++ b/crates/owner/src/probe.rs
@@ -48,7 +48,8 @@
     pub recipient: ProbeRecipient,
 }
 
-/// Probes one member until the task is stopped.
+/// Probes one member until the task is stopped or its group is no longer in use. Reports changes of health to
+/// the control service.
 pub(crate) async fn run(target: ProbeTarget, observations: mpsc::UnboundedSender<Observation>) {
     let mut connection = None;
     let mut last_health = None;
@@ -68,7 +69,7 @@
             // The new owner reports the member's health to the control service.
             continue;
         }
-        let health = health(status.as_ref());
+        let health = health_of(status.as_ref());
         if last_health != Some(health) {
             last_health = Some(health);
             let group = target.group.clone();
@@ -113,7 +114,7 @@
     Ok(MemberStatus::from_columns(&columns)?)
 }
 
-fn health(status: Option<&MemberStatus>) -> MemberHealth {
+fn health_of(status: Option<&MemberStatus>) -> MemberHealth {
     let Some(status) = status else {
         return MemberHealth::Unreachable;
     };
--- a/crates/owner/src/router.rs
+++ b/crates/owner/src/router.rs
@@ -58,7 +58,7 @@
 
     /// Waits for a slot and a server connection. Safe to cancel. Refuses the request as `NotOwner` if another
     /// proxy becomes the owner before it has started.
-    pub async fn obtain(&mut self) -> Result<Lease, Refusal> {
+    pub async fn obtain_lease(&mut self) -> Result<Lease, Refusal> {
         let group = Arc::clone(&self.group);
         tokio::select! {
             biased;
--- a/crates/owner/src/stream.rs
+++ b/crates/owner/src/stream.rs
@@ -42,9 +42,9 @@
     let group = match find_group(&context, &request) {
         Ok(group) => group,
         Err(reason) => {
-            context.metrics.refused(request.group.as_str(), reason);
+            context.metrics.count_refusal(request.group.as_str(), reason);
             return outbound
-                .failed(Failure::NotRun { reason, retry_after_ms: DEFAULT_RETRY_AFTER_MS });
+                .send_failure(Failure::NotRun { reason, retry_after_ms: DEFAULT_RETRY_AFTER_MS });
         }
     };
     let Ok(properties) = batch::analyze(&request.batch) else {
@@ -83,13 +83,13 @@
                 return end_without_retry(group, outbound, refusal, commit_unresolved);
             }
             LeaseOutcome::Cancelled if commit_unresolved => {
-                return outbound.failed(Failure::Unknown);
+                return outbound.send_failure(Failure::Unknown);
             }
             LeaseOutcome::Cancelled => return answer_cancelled(outbound),
             LeaseOutcome::CallerGone => return,
         };
         if let Some(minimum) = router.minimum.filter(|_| reported_position.is_none()) {
-            outbound.position(minimum);
+            outbound.send_position(minimum);
             reported_position = Some(minimum);
         }
         let exchange = Exchange::new(
@@ -103,7 +103,7 @@
         );
         let cause = match exchange.run().await {
             Exit::Ended => return,
-            Exit::Failed(failure) => return outbound.failed(failure),
+            Exit::Failed(failure) => return outbound.send_failure(failure),
             Exit::Retry(cause) => cause,
             Exit::Unresolved(cause) => {
                 commit_unresolved = true;
@@ -117,7 +117,7 @@
 }
 
 async fn obtain_lease(router: &mut Router, input: &mut Input) -> LeaseOutcome {
-    let lease = router.obtain();
+    let lease = router.obtain_lease();
     tokio::pin!(lease);
     loop {
         tokio::select! {
@@ -144,17 +144,17 @@
     commit_unresolved: bool,
 ) {
     if commit_unresolved {
-        return outbound.failed(Failure::Unknown);
+        return outbound.send_failure(Failure::Unknown);
     }
     refuse(group, outbound, refusal);
 }
 
 fn refuse(group: &Group, outbound: &Outbound, refusal: Refusal) {
-    group.metrics.refused(group.name.as_str(), refusal.reason);
+    group.metrics.count_refusal(group.name.as_str(), refusal.reason);
     let retry_after_ms = refusal
         .retry_after_ms
         .unwrap_or_else(|| group.with_state(|state| state.admission.retry_after_ms()));
-    outbound.failed(Failure::NotRun { reason: refusal.reason, retry_after_ms });
+    outbound.send_failure(Failure::NotRun { reason: refusal.reason, retry_after_ms });
 }
 
 /// Answers a request that was cancelled before it was sent as PostgreSQL answers a cancelled statement.
@@ -162,12 +162,12 @@
     let text = "canceling statement due to user request";
     match wire::error_response(QUERY_CANCELED, text) {
         Ok(message) => {
-            outbound.data(message.to_vec());
-            outbound.ready(TransactionStatus::Idle, ServedBy::Primary);
+            outbound.send_data(message.to_vec());
+            outbound.send_ready(TransactionStatus::Idle, ServedBy::Primary);
         }
         Err(error) => {
             log::warn!(error:? = error; "cancellation cannot be encoded");
-            outbound.failed(Failure::TransactionLost);
+            outbound.send_failure(Failure::TransactionLost);
         }
     }
 }
--- a/crates/owner/src/warm.rs
+++ b/crates/owner/src/warm.rs
@@ -34,7 +34,7 @@
     for (member, target) in warm_targets(&view) {
         let present = group.with_state(|state| {
             let idle = state.idle.get(&member).map_or(0, Vec::len) as u32;
-            let busy = state.routing.member(&member).map_or(0, |state| state.busy);
+            let busy = state.routing.member(&member).map_or(0, |member| member.busy);
             idle + busy
         });
         let count = target.saturating_sub(present) as usize;
@@ -53,6 +53,6 @@
     let Ok(pooled) = group.connect(member, reservation).await else {
         return;
     };
-    let refused = group.with_state(|state| state.keep_idle(member, epoch, pooled));
-    drop(refused);
+    let not_pooled = group.with_state(|state| state.keep_idle(member, epoch, pooled));
+    drop(not_pooled);
 }
