--- a/crates/owner/src/barrier.rs
+++ b/crates/owner/src/barrier.rs
@@ -1,10 +1,8 @@
 //! Barriers: committed positions that a majority confirmed after a request arrived.
 //!
-//! One barrier is in flight at a time. A request that arrives after it was sent
-//! waits for the next one, since only that is confirmed after its arrival.
-//!
-//! The module owns the connection to the primary for barriers; it relies on `barrier_queue` for who waits and
-//! on the configuration in force for who is the primary.
+//! One barrier is in flight at a time. A request that arrives after a barrier was sent waits for the next
+//! barrier, since only that one is confirmed after the request's arrival. Barriers have a connection of their
+//! own to the primary; `barrier_queue` holds the requests that wait.
 
 use crate::connection::{ConnectionError, ServerConnection};
 use crate::group::{CONTROL_APPLICATION_NAME, Group};
@@ -14,11 +12,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for the primary's answer. Chosen, not measured: a shorter one fails reads behind a slow link, a
-/// longer one holds all reads that wait behind a primary that says nothing.
+/// Longest wait for the primary's answer. A shorter timeout fails reads behind a slow link; a longer one
+/// delays all reads that wait for an unresponsive primary.
 const BARRIER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connection to the primary for barriers.
+/// Connection for barriers, with the primary and term that it was opened for.
 struct BarrierConnection {
     connection: ServerConnection,
     primary: (MemberName, Term),
@@ -28,57 +26,62 @@
 pub(crate) async fn run(group: Arc<Group>) {
     let mut connection = None;
     loop {
-        group.barriers.arrived().await;
-        // All that wait now arrived before the question below is sent.
-        let waiting = group.barriers.take();
-        if waiting.is_empty() {
+        group.barriers.wait_for_request().await;
+        // These requests arrived before the query below is sent.
+        let waiters = group.barriers.take_waiting();
+        if waiters.is_empty() {
             continue;
         }
-        let position = confirm(&group, &mut connection).await;
-        for sender in waiting {
-            // A waiter that is gone needs no answer.
+        let position = confirm_position(&group, &mut connection).await;
+        for sender in waiters {
+            // The send fails only when the request is gone.
             let _ = sender.send(position);
         }
     }
 }
 
-async fn confirm(group: &Group, held: &mut Option<BarrierConnection>) -> Option<Position> {
+async fn confirm_position(
+    group: &Group,
+    cached: &mut Option<BarrierConnection>,
+) -> Option<Position> {
     let view = group.view();
     let primary = (view.primary.clone()?, view.term);
-    let mut reuse = held.take().filter(|held| held.primary == primary);
-    if reuse.as_mut().is_some_and(|held| !held.connection.is_reusable()) {
+    let mut reuse = cached.take().filter(|connection| connection.primary == primary);
+    if reuse.as_mut().is_some_and(|barrier_connection| !barrier_connection.connection.is_reusable())
+    {
         reuse = None;
     }
     group.metrics.barriers.get_or_create(&group.label()).inc();
-    let mut changes = group.follow_view();
-    let replaced = changes.wait_for(|now| now.primary != view.primary || now.term != view.term);
+    let mut view_changes = group.subscribe_view();
+    let replaced = view_changes
+        .wait_for(|current| current.primary != view.primary || current.term != view.term);
     tokio::select! {
         _ = replaced => None,
-        answer = ask(group, reuse, primary) => {
+        answer = query_read_index(group, reuse, primary) => {
             let (position, connection) = answer.ok()?;
-            group.learn_position(&connection.primary.0, position);
-            *held = Some(connection);
+            group.record_position(&connection.primary.0, position);
+            *cached = Some(connection);
             Some(position)
         }
     }
 }
 
-async fn ask(
+async fn query_read_index(
     group: &Group,
     reuse: Option<BarrierConnection>,
     primary: (MemberName, Term),
 ) -> Result<(Position, BarrierConnection), ConnectionError> {
-    let mut held = match reuse {
-        Some(held) => held,
-        None => open(group, primary).await?,
+    let mut barrier_connection = match reuse {
+        Some(barrier_connection) => barrier_connection,
+        None => open_connection(group, primary).await?,
     };
-    let rows = held.connection.query(SHOW_READ_INDEX, BARRIER_TIMEOUT).await?;
+    let rows = barrier_connection.connection.query(SHOW_READ_INDEX, BARRIER_TIMEOUT).await?;
     let text = rows.into_iter().next().and_then(|row| row.into_iter().next()).flatten();
     let position = text.and_then(|text| text.parse().ok());
-    Ok((position.ok_or(ConnectionError::Closed)?, held))
+    Ok((position.ok_or(ConnectionError::Closed)?, barrier_connection))
 }
 
-async fn open(
+async fn open_connection(
     group: &Group,
     primary: (MemberName, Term),
 ) -> Result<BarrierConnection, ConnectionError> {
--- a/crates/owner/src/barrier_queue.rs
+++ b/crates/owner/src/barrier_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a barrier, and how they get its answer.
+//! Queue of the requests that wait for a barrier.
 
 use crate::lock::lock;
 use corktack_core::position::Position;
@@ -9,25 +9,25 @@
 #[derive(Debug, Default)]
 pub(crate) struct BarrierQueue {
     waiting: Mutex<Vec<oneshot::Sender<Option<Position>>>>,
-    arrived: Notify,
+    request_added: Notify,
 }
 
 impl BarrierQueue {
-    /// A position confirmed after this call; none when the primary gave none.
+    /// Waits for a position that is confirmed after this call; returns `None` when the primary gave none.
     pub async fn confirmed_position(&self) -> Option<Position> {
         let (sender, receiver) = oneshot::channel();
         lock(&self.waiting).push(sender);
-        self.arrived.notify_one();
+        self.request_added.notify_one();
         receiver.await.ok().flatten()
     }
 
-    /// Waits until a request has come.
-    pub async fn arrived(&self) {
-        self.arrived.notified().await;
+    /// Waits until a request was added.
+    pub async fn wait_for_request(&self) {
+        self.request_added.notified().await;
     }
 
-    /// The requests that wait now.
-    pub fn take(&self) -> Vec<oneshot::Sender<Option<Position>>> {
+    /// Removes and returns all waiting requests.
+    pub fn take_waiting(&self) -> Vec<oneshot::Sender<Option<Position>>> {
         std::mem::take(&mut *lock(&self.waiting))
     }
 }
--- a/crates/owner/src/batch.rs
+++ b/crates/owner/src/batch.rs
@@ -1,7 +1,7 @@
-//! Turns a batch of the caller into what is sent on one server connection, and says what its texts may do.
+//! Analysis of a caller's batch, and its translation into the messages sent on one server connection.
 //!
-//! The module owns no state and does no I/O; it relies on `corktack_core` for what a text means and for the
-//! books of a connection's prepared statements.
+//! The module keeps no state and does no I/O. `corktack_core` classifies statement texts and tracks the
+//! prepared statements of a connection.
 
 use crate::wire::{self, WireError};
 use bytes::BytesMut;
@@ -12,56 +12,56 @@
 use pgwire::messages::simplequery::Query;
 use std::collections::{BTreeSet, HashMap};
 
-/// Prepared statements kept on one connection. Chosen, not measured: with fewer, callers' statements are
-/// prepared again and again, with more, each connection costs the back end more memory.
+/// Number of prepared statements kept on one connection. With fewer, callers' statements are prepared
+/// repeatedly; with more, each connection costs the back end more memory.
 pub(crate) const STATEMENT_LIMIT: usize = 256;
-/// Kind of a Close that names a statement.
+/// Target type of a Close message that names a prepared statement.
 const CLOSE_STATEMENT: u8 = b'S';
 
-/// A batch that breaks the rules between edge and owner.
+/// Violations of the protocol between edge and owner in a batch.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BatchError {
     /// A message is malformed.
     #[error("batch with a malformed message")]
     Wire(#[from] WireError),
-    /// A message that a batch may not hold.
+    /// A batch must not contain a message with this tag.
     #[error("batch with a message of tag {0}")]
     Tag(u8),
     /// The batch does not end with a Sync, a simple query or a Flush.
     #[error("batch without an end")]
     Incomplete,
-    /// A Flush stands elsewhere than at the end of the batch.
+    /// A Flush is not the last message of the batch.
     #[error("batch that goes on after a Flush")]
     AfterFlush,
 }
 
-/// What the texts of a batch say about it.
+/// Properties of a batch, derived from its statement texts and messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct BatchFacts {
-    /// It may leave session state behind.
+pub(crate) struct BatchProperties {
+    /// The batch may leave session state behind.
     pub may_change_session: bool,
-    /// It may commit an open transaction.
+    /// The batch may commit an open transaction.
     pub may_commit: bool,
-    /// It opens a transaction and does nothing else.
+    /// The batch opens a transaction and does nothing else.
     pub only_begins: bool,
-    /// It may open or end a transaction.
+    /// The batch may open or end a transaction.
     pub controls_transaction: bool,
-    /// It runs a statement, and does not only prepare or describe.
+    /// The batch runs a statement, rather than only preparing or describing one.
     pub executes: bool,
-    /// It ends with a Flush: what it runs is committed by a later Sync.
+    /// The batch ends with a Flush: a later Sync commits the statements that it runs.
     pub flushes: bool,
 }
 
-/// Finds out what a batch may do, without regard to a connection.
-pub(crate) fn facts(batch: &Batch) -> Result<BatchFacts, BatchError> {
+/// Determines the properties of a batch, independently of any connection.
+pub(crate) fn analyze(batch: &Batch) -> Result<BatchProperties, BatchError> {
     let mut texts: Vec<String> = Vec::new();
     texts.extend(batch.prepared.iter().map(|statement| statement.query.clone()));
     let mut executes = false;
     let mut binds = false;
-    let mut last = 0;
+    let mut last_tag = 0;
     let mut rest = BytesMut::from(batch.messages.as_slice());
     while let Some(message) = wire::split_message(&mut rest)? {
-        if last == front::FLUSH {
+        if last_tag == front::FLUSH {
             return Err(BatchError::AfterFlush);
         }
         match message.tag {
@@ -71,34 +71,34 @@
             front::EXECUTE => executes = true,
             _ => {}
         }
-        last = message.tag;
+        last_tag = message.tag;
     }
-    if !rest.is_empty() || !matches!(last, front::QUERY | front::SYNC | front::FLUSH) {
+    if !rest.is_empty() || !matches!(last_tag, front::QUERY | front::SYNC | front::FLUSH) {
         return Err(BatchError::Incomplete);
     }
-    // The text behind a portal of an earlier batch is not at hand.
-    let unseen = executes && (!binds || texts.is_empty());
-    Ok(BatchFacts {
+    // The text of a portal that an earlier batch bound is not available.
+    let has_unseen_text = executes && (!binds || texts.is_empty());
+    Ok(BatchProperties {
         may_change_session: texts.iter().any(|text| statements::may_change_session(text)),
-        may_commit: unseen || texts.iter().any(|text| statements::may_commit(text)),
-        only_begins: !unseen
+        may_commit: has_unseen_text || texts.iter().any(|text| statements::may_commit(text)),
+        only_begins: !has_unseen_text
             && !texts.is_empty()
             && texts.iter().all(|t| statements::only_begins(t)),
-        controls_transaction: unseen
+        controls_transaction: has_unseen_text
             || texts.iter().any(|text| statements::may_control_transaction(text)),
-        executes: executes || last == front::QUERY,
-        flushes: last == front::FLUSH,
+        executes: executes || last_tag == front::QUERY,
+        flushes: last_tag == front::FLUSH,
     })
 }
 
-/// Texts of the statements that a batch relies on, by their names.
+/// Returns the texts of the prepared statements that a batch relies on, by statement name.
 pub(crate) fn statement_texts(batch: &Batch) -> HashMap<String, String> {
-    let named = batch.prepared.iter();
-    named.map(|statement| (statement.name.clone(), statement.query.clone())).collect()
+    let prepared = batch.prepared.iter();
+    prepared.map(|statement| (statement.name.clone(), statement.query.clone())).collect()
 }
 
-/// Whether a batch runs a statement, and does not only prepare or describe.
-pub(crate) fn runs_something(batch: &Batch) -> bool {
+/// Reports whether a batch runs a statement, rather than only preparing or describing one.
+pub(crate) fn runs_statement(batch: &Batch) -> bool {
     let mut rest = BytesMut::from(batch.messages.as_slice());
     while let Ok(Some(message)) = wire::split_message(&mut rest) {
         if matches!(message.tag, front::QUERY | front::EXECUTE) {
@@ -108,8 +108,8 @@
     false
 }
 
-/// How a batch ends a transaction, if its one statement does nothing else.
-pub(crate) fn only_ends(batch: &Batch) -> Option<TransactionEnd> {
+/// Returns how a batch ends a transaction, if the batch has a single statement that does nothing else.
+pub(crate) fn transaction_end(batch: &Batch) -> Option<TransactionEnd> {
     let mut texts: Vec<String> = statement_texts(batch).into_values().collect();
     let mut rest = BytesMut::from(batch.messages.as_slice());
     while let Ok(Some(message)) = wire::split_message(&mut rest) {
@@ -125,8 +125,8 @@
     statements::only_ends(text)
 }
 
-/// Appends a batch to a connection's output: statements that are missing there
-/// are prepared first, and ones that exist are not prepared again.
+/// Appends a batch to a connection's output. Statements that the connection lacks are prepared first; those
+/// that it has are not prepared again.
 pub(crate) fn queue(
     batch: &Batch,
     tracker: &mut ReplyTracker,
--- a/crates/owner/src/connection.rs
+++ b/crates/owner/src/connection.rs
@@ -1,7 +1,8 @@
-//! One server connection: its socket, what is sent and not answered, and what is known of its session.
+//! One server connection: its socket, its buffers, the requests without an answer, and the state of its
+//! session.
 //!
-//! The module owns the socket and its buffers; it relies on `wire` to cut messages and on the reply tracker of
-//! `corktack_core` to tell which answer belongs to what. Who uses the connection is the lease's concern.
+//! `wire` splits messages, and the reply tracker of `corktack_core` matches answers to requests. Leases
+//! decide which transaction uses the connection.
 
 use crate::wire::{self, RawMessage, WireError};
 use bytes::{Buf, BytesMut};
@@ -15,30 +16,30 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::TcpStream;
 
-/// Longest wait for a new connection to be ready, and for room under the group's limit. Chosen, not measured:
-/// a shorter one finds members behind slow links unreachable, a longer one holds requests at a member that is
+/// Longest wait for a new connection to be ready, and for a free place under the group's limit. A shorter
+/// timeout treats members behind slow links as unreachable; a longer one delays requests to a member that is
 /// gone.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Bytes of room made for each read. Chosen, not measured: fewer mean more system calls, more mean memory a
+/// Free buffer space reserved for each read, in bytes. Less means more system calls; more costs memory per
 /// connection.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Why a server connection cannot be used any more.
+/// Reasons why a server connection cannot be used any more, or could not be obtained.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectionError {
     /// The socket failed.
     #[error("server connection failed")]
     Io(#[from] std::io::Error),
-    /// The back end closed it.
+    /// The back end closed the connection.
     #[error("server connection closed by the back end")]
     Closed,
-    /// The back end sent bytes that are no message.
+    /// The back end sent bytes that are not a valid message.
     #[error("server connection broke the protocol")]
     Wire(#[from] WireError),
-    /// The back end sent an answer to nothing.
+    /// The back end sent an answer that no request is waiting for.
     #[error("server connection broke the order of answers")]
     Unexpected(#[from] UnexpectedReply),
-    /// The back end answered with an error where none is expected.
+    /// The back end answered with an error.
     #[error("back end answered SQLSTATE {sqlstate}")]
     Refused {
         /// The SQLSTATE.
@@ -47,15 +48,15 @@
     /// The back end's status row is malformed.
     #[error("back end with a malformed status")]
     Status(#[from] corktack_core::backend::StatusError),
-    /// The group's limit left no connection in time.
+    /// No connection became free under the group's limit in time.
     #[error("no server connection within the group's limit")]
     NoRoom,
-    /// No answer in time.
+    /// The back end did not answer in time.
     #[error("no answer from the back end in time")]
     TimedOut,
 }
 
-/// One server connection with what is known of its session.
+/// One server connection and the state of its session.
 #[derive(Debug)]
 pub(crate) struct ServerConnection {
     socket: TcpStream,
@@ -63,16 +64,16 @@
     input: BytesMut,
     /// Bytes that wait to be sent.
     pub output: BytesMut,
-    /// Answers that are due, and prepared statements.
+    /// Tracks the expected answers and the prepared statements.
     pub tracker: ReplyTracker,
     /// Bytes sent since the count was last reset.
     pub sent_bytes: usize,
     /// Whether session state may differ from that of a new connection.
     pub session_changed: bool,
-    key: Option<BackendKeyData>,
+    cancel_key: Option<BackendKeyData>,
 }
 
-/// Who connects to which database.
+/// Startup parameters of a server connection.
 #[derive(Clone, Debug)]
 pub(crate) struct Login {
     pub user: String,
@@ -81,14 +82,14 @@
 }
 
 impl ServerConnection {
-    /// Connects and waits until the back end is ready.
+    /// Connects and waits until the back end is ready, for at most [`CONNECT_TIMEOUT`].
     pub async fn connect(address: SocketAddr, login: &Login) -> Result<Self, ConnectionError> {
-        let attempt = Self::connect_unbounded(address, login);
-        let done = tokio::time::timeout(CONNECT_TIMEOUT, attempt).await;
-        done.unwrap_or(Err(ConnectionError::TimedOut))
+        let attempt = Self::connect_without_timeout(address, login);
+        let result = tokio::time::timeout(CONNECT_TIMEOUT, attempt).await;
+        result.unwrap_or(Err(ConnectionError::TimedOut))
     }
 
-    async fn connect_unbounded(
+    async fn connect_without_timeout(
         address: SocketAddr,
         login: &Login,
     ) -> Result<Self, ConnectionError> {
@@ -102,7 +103,7 @@
             tracker: ReplyTracker::default(),
             sent_bytes: 0,
             session_changed: false,
-            key: None,
+            cancel_key: None,
         };
         connection.queue_startup(login)?;
         connection.await_startup().await?;
@@ -128,7 +129,7 @@
             while let Some(message) = wire::split_message(&mut self.input)? {
                 match message.tag {
                     back::READY => return Ok(()),
-                    back::KEY_DATA => self.key = Some(wire::key_data(&message)?),
+                    back::KEY_DATA => self.cancel_key = Some(wire::key_data(&message)?),
                     back::ERROR => {
                         return Err(ConnectionError::Refused {
                             sqlstate: wire::sqlstate(&message)?,
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Sends and receives what is possible, at least one of both. Waits for ever
-    /// when there is nothing to send and nothing may be read. Safe to cancel.
+    /// Waits until the socket can send or receive, and does whichever is possible. Never returns when there
+    /// is nothing to send and `may_read` is false. Safe to cancel.
     pub async fn progress(&mut self, may_read: bool) -> Result<(), ConnectionError> {
         let interest = match (may_read, !self.output.is_empty()) {
             (true, true) => Interest::READABLE | Interest::WRITABLE,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// The next whole message received, placed among the answers due.
+    /// Returns the next complete message received, matched to the request that it answers.
     pub fn next_reply(&mut self) -> Result<Option<(RawMessage, Reply)>, ConnectionError> {
         let Some(message) = wire::split_message(&mut self.input)? else {
             return Ok(None);
@@ -191,10 +192,11 @@
         Ok(Some((message, reply)))
     }
 
-    /// Whether the connection, idle until now, is alive and quiet.
+    /// Reports whether an idle connection is still open and has neither pending answers nor unexpected input.
     pub fn is_reusable(&mut self) -> bool {
-        let quiet = self.input.is_empty() && self.output.is_empty() && self.tracker.is_idle();
-        quiet && self.receive_some().is_ok() && self.input.is_empty()
+        let has_no_pending =
+            self.input.is_empty() && self.output.is_empty() && self.tracker.is_idle();
+        has_no_pending && self.receive_some().is_ok() && self.input.is_empty()
     }
 
     /// Queues a simple query.
@@ -204,29 +206,29 @@
         Ok(())
     }
 
-    /// Runs a simple query of the owner's own and returns its rows as text.
+    /// Runs a simple query of the owner itself and returns its rows as text.
     pub async fn query(
         &mut self,
         text: &str,
         timeout: Duration,
     ) -> Result<Vec<Vec<Option<String>>>, ConnectionError> {
         self.queue_query(text)?;
-        let done = tokio::time::timeout(timeout, self.query_answer()).await;
-        done.unwrap_or(Err(ConnectionError::TimedOut))
+        let result = tokio::time::timeout(timeout, self.query_answer()).await;
+        result.unwrap_or(Err(ConnectionError::TimedOut))
     }
 
     async fn query_answer(&mut self) -> Result<Vec<Vec<Option<String>>>, ConnectionError> {
         let mut rows = Vec::new();
-        let mut refused = None;
+        let mut error_sqlstate = None;
         loop {
             while let Some((message, reply)) = self.next_reply()? {
                 match message.tag {
                     back::DATA_ROW => rows.push(wire::row_columns(&message)?),
-                    back::ERROR => refused = Some(wire::sqlstate(&message)?),
+                    back::ERROR => error_sqlstate = Some(wire::sqlstate(&message)?),
                     _ => {}
                 }
                 if reply.disposition == Disposition::Ready {
-                    return refused
+                    return error_sqlstate
                         .map_or(Ok(rows), |sqlstate| Err(ConnectionError::Refused { sqlstate }));
                 }
             }
@@ -234,36 +236,37 @@
         }
     }
 
-    /// Waits until all that was sent is answered, and drops the answers. The
-    /// result tells whether the session is outside a transaction.
-    pub async fn settle(&mut self) -> Result<bool, ConnectionError> {
-        let mut idle = false;
+    /// Waits until every request sent is answered, and drops the answers. Returns whether the session is
+    /// outside a transaction.
+    pub async fn drain_replies(&mut self) -> Result<bool, ConnectionError> {
+        let mut is_idle = false;
         loop {
             while let Some((message, reply)) = self.next_reply()? {
                 if reply.disposition == Disposition::Ready {
                     let status = wire::ready_status(&message)?;
-                    idle = status == pgwire::messages::response::TransactionStatus::Idle;
+                    is_idle = status == pgwire::messages::response::TransactionStatus::Idle;
                     if self.tracker.is_idle() {
-                        return Ok(idle);
+                        return Ok(is_idle);
                     }
                 }
             }
             if self.tracker.is_idle() {
-                return Ok(idle);
+                return Ok(is_idle);
             }
             self.progress(true).await?;
         }
     }
 
-    /// What it takes to cancel the statement that runs here.
+    /// Returns the address and key for cancelling the statement that runs on this connection, if the back end
+    /// gave a key.
     pub fn cancel_target(&self) -> Option<CancelTarget> {
-        let key = self.key.as_ref()?;
+        let key = self.cancel_key.as_ref()?;
         let request = CancelRequest::new(key.pid, key.secret_key.clone());
         Some(CancelTarget { address: self.address, request })
     }
 }
 
-/// What it takes to cancel a statement.
+/// Address and key for cancelling a statement.
 #[derive(Debug)]
 pub(crate) struct CancelTarget {
     address: SocketAddr,
@@ -271,18 +274,19 @@
 }
 
 impl CancelTarget {
-    /// Sends the request and waits until the back end has taken it.
+    /// Sends the cancel request and waits until the back end closes the connection or [`CONNECT_TIMEOUT`]
+    /// passes.
     pub async fn send(self) -> Result<(), ConnectionError> {
         let mut buffer = BytesMut::new();
         self.request.encode(&mut buffer).map_err(WireError::from)?;
         let exchange = async {
             let mut socket = TcpStream::connect(self.address).await?;
             socket.write_all(&buffer).await?;
-            // The back end closes without an answer.
+            // The back end closes the connection without an answer.
             socket.read_u8().await.ok();
             Ok(())
         };
-        let done = tokio::time::timeout(CONNECT_TIMEOUT, exchange).await;
-        done.unwrap_or(Err(ConnectionError::TimedOut))
+        let result = tokio::time::timeout(CONNECT_TIMEOUT, exchange).await;
+        result.unwrap_or(Err(ConnectionError::TimedOut))
     }
 }
--- a/crates/owner/src/exchange/claim.rs
+++ b/crates/owner/src/exchange/claim.rs
@@ -1,12 +1,12 @@
-//! The claim of an idempotency key, and the look-up of what a taken key holds.
+//! Claims an idempotency key, and loads the transcript stored under a key that is taken.
 //!
-//! The statements are those of `corktack_core::pool::outcomes`; their answers do not reach the caller.
+//! `corktack_core::pool::outcomes` defines the statements; their answers are not forwarded to the caller.
 
-use super::own::OwnError;
+use super::own::OwnStatementError;
 use super::replies::CANNOT_CONNECT_NOW;
-use super::state::{Exchange, Step};
+use super::state::{BatchOutcome, Exchange};
 use crate::decisions::RetryCause;
-use crate::transcript::Turn;
+use crate::transcript::TranscriptEntry;
 use corktack_core::backend::{NOT_PRIMARY, TOO_MANY_CONNECTIONS};
 use corktack_core::pool::outcomes::{
     CREATE_STATEMENTS, UNDEFINED_TABLE, claim_statement, decode_answer, lookup_statement,
@@ -16,104 +16,111 @@
 use corktack_protocol::peer::{Failure, TransactionStatus};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Statements of the owner's own.
+/// Statement that opens the owner's transaction around a standalone write.
 const BEGIN: &str = "BEGIN";
 pub(super) const ROLLBACK: &str = "ROLLBACK";
-/// Tag of a claim that found the key free.
+/// Command tag of a claim that inserted the key.
 const CLAIMED_TAG: &str = "INSERT 0 1";
 
 /// Outcome of a claim.
 pub(super) enum Claim {
     Won,
     Taken,
-    /// The table is missing, or the claim collided with another.
-    Again,
-    /// This is the answer.
-    Ended(Step),
+    /// The table of outcomes was missing and has been created; the claim must be repeated.
+    Repeat,
+    /// The claim failed, and the batch ends with this outcome.
+    Failed(BatchOutcome),
 }
 
 impl Exchange<'_> {
-    /// Claims the key, in a transaction that is open or opened with it.
-    pub(super) async fn claim(&mut self, opens: bool) -> Result<Claim, Step> {
-        let statement = claim_statement(self.key(), now_ms());
-        let text = if opens { format!("{BEGIN}; {statement}") } else { statement };
-        let answer = self.own(&text).await?;
+    /// Claims the key in the open transaction, or in a new one if `opens_transaction` is set.
+    pub(super) async fn claim(&mut self, opens_transaction: bool) -> Result<Claim, BatchOutcome> {
+        let statement = claim_statement(self.key(), unix_time_ms());
+        let text = if opens_transaction { format!("{BEGIN}; {statement}") } else { statement };
+        let answer = self.run_own_statement(&text).await?;
         let Some(error) = answer.error else {
             if answer.tag == CLAIMED_TAG {
                 return Ok(Claim::Won);
             }
-            self.own(ROLLBACK).await?;
+            self.run_own_statement(ROLLBACK).await?;
             return Ok(Claim::Taken);
         };
         if error.sqlstate == UNDEFINED_TABLE {
-            self.own(ROLLBACK).await?;
+            self.run_own_statement(ROLLBACK).await?;
             for statement in CREATE_STATEMENTS {
-                // Another owner may create it now; the next claim tells.
-                self.own(statement).await?;
+                // Errors are ignored: another owner may be creating the table, and the next claim shows
+                // whether it exists.
+                self.run_own_statement(statement).await?;
             }
-            return Ok(Claim::Again);
+            return Ok(Claim::Repeat);
         }
-        self.claim_failed(error).await.map(Claim::Ended)
+        self.outcome_of_failed_claim(error).await.map(Claim::Failed)
     }
 
-    /// Nothing of the write has run.
-    async fn claim_failed(&mut self, error: OwnError) -> Result<Step, Step> {
+    /// Returns the outcome of a batch whose claim failed with an error; no statement of the write has run.
+    async fn outcome_of_failed_claim(
+        &mut self,
+        error: OwnStatementError,
+    ) -> Result<BatchOutcome, BatchOutcome> {
         match error.sqlstate.as_str() {
-            NOT_PRIMARY => Ok(self.refused(RetryCause::NotPrimary)),
+            NOT_PRIMARY => Ok(self.outcome_of_refusal(RetryCause::NotPrimary)),
             CANNOT_CONNECT_NOW | TOO_MANY_CONNECTIONS => {
-                Ok(Step::Retry(RetryCause::BackEndRefused))
+                Ok(BatchOutcome::Retry(RetryCause::BackEndRefused))
             }
-            // Class 40: it collided with another transaction.
-            state if state.starts_with("40") => Ok(Step::Retry(RetryCause::BackEndRefused)),
-            _ => self.fail_with(&error).await,
+            // Class 40, transaction rollback: the claim conflicted with another transaction.
+            state if state.starts_with("40") => Ok(BatchOutcome::Retry(RetryCause::BackEndRefused)),
+            _ => self.roll_back_with_error(&error).await,
         }
     }
 
-    /// Reads the transcript of the first request; false when it is gone meanwhile.
-    pub(super) async fn look_up(&mut self) -> Result<bool, Step> {
+    /// Loads the transcript of the first request; returns false when its row was removed in the meantime.
+    pub(super) async fn load_transcript(&mut self) -> Result<bool, BatchOutcome> {
         let text = lookup_statement(self.key());
-        let answer = self.own(&text).await?;
+        let answer = self.run_own_statement(&text).await?;
         if answer.error.is_some() {
-            return Err(Step::Retry(RetryCause::BackEndRefused));
+            return Err(BatchOutcome::Retry(RetryCause::BackEndRefused));
         }
         let Some(row) = answer.rows.into_iter().next() else {
             return Ok(false);
         };
         let stored = row.into_iter().next().flatten();
         let bytes = stored.and_then(|text| decode_answer(&text).ok());
-        let turns = bytes.and_then(|bytes| frame::decode::<Vec<Turn>>(&bytes).ok());
-        let turns = turns.ok_or(Step::Failed(Failure::Unknown))?;
+        let entries = bytes.and_then(|bytes| frame::decode::<Vec<TranscriptEntry>>(&bytes).ok());
+        let entries = entries.ok_or(BatchOutcome::Failed(Failure::Unknown))?;
         if let Some(keyed) = &mut self.keyed {
-            keyed.turns = turns;
+            keyed.entries = entries;
             keyed.replayed = Some(0);
         }
-        self.note_position(answer.position);
+        self.record_position(answer.position);
         Ok(true)
     }
 
-    /// Ends the transaction without effect; this error is the answer.
-    pub(super) async fn fail_with(&mut self, error: &OwnError) -> Result<Step, Step> {
-        self.own(ROLLBACK).await?;
-        self.held.clear();
-        self.held.extend_from_slice(&error.message.bytes);
-        Ok(Step::Ready(TransactionStatus::Idle))
+    /// Rolls the transaction back and answers the caller with the error.
+    pub(super) async fn roll_back_with_error(
+        &mut self,
+        error: &OwnStatementError,
+    ) -> Result<BatchOutcome, BatchOutcome> {
+        self.run_own_statement(ROLLBACK).await?;
+        self.buffered.clear();
+        self.buffered.extend_from_slice(&error.message.bytes);
+        Ok(BatchOutcome::Ready(TransactionStatus::Idle))
     }
 
-    /// The key of the write.
+    /// Returns the idempotency key of the write, or an empty string if it has none.
     pub(super) fn key(&self) -> &str {
         self.keyed.as_ref().map(|keyed| keyed.key.as_str()).unwrap_or_default()
     }
 
-    /// The statement that stores the transcript under the key.
-    pub(super) fn store_statement(&self) -> Result<String, Step> {
-        let turns = self.keyed.as_ref().map(|keyed| keyed.turns.as_slice()).unwrap_or_default();
-        let bytes = frame::encode(&turns).map_err(|_| Step::Violation)?;
+    /// Returns the statement that stores the transcript under the key.
+    pub(super) fn store_statement(&self) -> Result<String, BatchOutcome> {
+        let entries = self.keyed.as_ref().map(|keyed| keyed.entries.as_slice()).unwrap_or_default();
+        let bytes = frame::encode(&entries).map_err(|_| BatchOutcome::Violation)?;
         Ok(store_statement(self.key(), &bytes))
     }
 }
 
-/// The time of day, in milliseconds since 1970.
-pub(super) fn now_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+/// Returns the system time in milliseconds since the Unix epoch.
+pub(super) fn unix_time_ms() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -1,7 +1,6 @@
-//! Takes in what the back end answers and passes it on.
+//! Reads the back end's answers, buffers them and forwards them to the edge.
 //!
-//! The module owns what is held of an answer before any of it is forwarded; it relies on the connection's
-//! tracker for which messages are the caller's.
+//! The connection's reply tracker says which messages are for the caller.
 
 use super::state::Exchange;
 use crate::connection::ConnectionError;
@@ -15,26 +14,26 @@
 use pgwire::messages::extendedquery::ParseComplete;
 use pgwire::messages::response::TransactionStatus as ReadyStatus;
 
-/// Answers are held up to this many bytes, so that a request that turns out not to
-/// have run, or to have been read from a replica that is behind, can be retried. Chosen, not measured: fewer make
-/// large reads of a stale replica fail where they could be repeated, more cost memory and a later first row.
-const HOLD_BYTES: usize = 64 * 1024;
-/// Bytes of one frame of answers once nothing is held any more. Chosen, not measured: smaller frames cost a header
-/// and a wake-up more often, larger ones delay the other streams of the link.
-const FRAME_BYTES: usize = 32 * 1024;
-/// SQLSTATE of a back end that takes no work now.
+/// Size in bytes up to which an answer is buffered, so that the request can be retried if it turns out not to
+/// have run or to have read from a stale replica. A smaller buffer makes large reads of a stale replica fail
+/// where they could be repeated; a larger one costs memory and delays the first row.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Size in bytes of one frame of answers once a first part was forwarded. Smaller frames cost more headers
+/// and wake-ups; larger ones delay the other streams of the link.
+const TARGET_FRAME_BYTES: usize = 32 * 1024;
+/// SQLSTATE `cannot_connect_now`: the back end accepts no work at present.
 pub(super) const CANNOT_CONNECT_NOW: &str = "57P03";
-/// Answer to a back end that asks for data that no caller can send.
+/// Error text sent to a back end that asks for copy data, which no caller can send.
 const COPY_REFUSED: &str = "COPY FROM STDIN is not supported";
 
 impl Exchange<'_> {
-    /// Takes in the messages received; the status when the batch is answered.
+    /// Reads the messages received; returns the status when the batch is answered.
     pub(super) fn read_replies(&mut self) -> Result<Option<TransactionStatus>, ConnectionError> {
         while let Some((message, reply)) = self.lease.connection()?.next_reply()? {
             for _ in 0..reply.synthesized {
-                wire::encode(&ParseComplete::new(), &mut self.held)?;
+                wire::encode(&ParseComplete::new(), &mut self.buffered)?;
             }
-            if let Some(status) = self.take_reply(message, reply)? {
+            if let Some(status) = self.process_reply(message, reply)? {
                 return Ok(Some(status));
             }
             self.forward_if_large();
@@ -45,31 +44,31 @@
         self.read_flush()
     }
 
-    /// The status when everything up to a Flush is answered: the transaction goes on.
+    /// Returns an open status when everything up to a Flush is answered: the transaction continues.
     fn read_flush(&mut self) -> Result<Option<TransactionStatus>, ConnectionError> {
         let Some(skipped) = self.lease.connection()?.tracker.flushed() else {
             return Ok(None);
         };
         for _ in 0..skipped {
-            wire::encode(&ParseComplete::new(), &mut self.held)?;
+            wire::encode(&ParseComplete::new(), &mut self.buffered)?;
         }
         Ok(Some(TransactionStatus::Open))
     }
 
-    fn take_reply(
+    fn process_reply(
         &mut self,
         message: RawMessage,
         reply: Reply,
     ) -> Result<Option<TransactionStatus>, ConnectionError> {
         match message.tag {
-            back::PARAMETER_STATUS => return self.take_parameter(message).map(|()| None),
-            back::ERROR => self.take_error(&message)?,
+            back::PARAMETER_STATUS => return self.process_parameter(message).map(|()| None),
+            back::ERROR => self.process_error(&message)?,
             back::COMMAND_COMPLETE | back::DATA_ROW => self.completed = true,
             back::COPY_IN => return self.refuse_copy().map(|()| None),
             _ => {}
         }
         match reply.disposition {
-            Disposition::Forward => self.hold(&message),
+            Disposition::Forward => self.buffer(&message),
             Disposition::Swallow => {}
             Disposition::Ready => {
                 let answered = self.lease.connection()?.tracker.is_idle();
@@ -80,46 +79,47 @@
         Ok(None)
     }
 
-    /// Takes a parameter in: a position is for the edge, others for the caller.
-    fn take_parameter(&mut self, message: RawMessage) -> Result<(), ConnectionError> {
+    /// Records a reported position for the edge, and buffers any other parameter for the caller.
+    fn process_parameter(&mut self, message: RawMessage) -> Result<(), ConnectionError> {
         let (name, value) = wire::parameter(&message)?;
         if name != POSITION_PARAMETER {
-            self.held.extend_from_slice(&message.bytes);
+            self.buffered.extend_from_slice(&message.bytes);
             return Ok(());
         }
         let Ok(position) = value.parse::<Position>() else {
             return Ok(());
         };
-        self.observed = Some(position);
-        self.note_position(Some(position));
+        self.reported_position = Some(position);
+        self.record_position(Some(position));
         Ok(())
     }
 
-    /// Learns a position that the back end reported, and tells the edge.
-    pub(super) fn note_position(&mut self, position: Option<Position>) {
+    /// Records a position that the back end reported, and reports it to the edge unless it is behind the
+    /// session.
+    pub(super) fn record_position(&mut self, position: Option<Position>) {
         let Some(position) = position else {
             return;
         };
-        self.group.learn_position(&self.lease.destination().member, position);
+        self.group.record_position(&self.lease.destination().member, position);
         if !self.is_behind(position) {
-            self.outbound.position(position);
+            self.outbound.send_position(position);
         }
     }
 
-    /// Keeps a message until it is forwarded. What a keyed write cannot store is
-    /// dropped, since the write is rolled back.
-    fn hold(&mut self, message: &RawMessage) {
-        self.held.extend_from_slice(&message.bytes);
+    /// Buffers a message until it is forwarded. Drops the answer of a keyed write if it is too large to
+    /// store, since the write is rolled back then.
+    fn buffer(&mut self, message: &RawMessage) {
+        self.buffered.extend_from_slice(&message.bytes);
         if let Some(keyed) = &mut self.keyed
-            && keyed.is_over_limit(self.held.len())
+            && keyed.is_over_limit(self.buffered.len())
         {
             keyed.oversized = true;
-            self.held.clear();
+            self.buffered.clear();
         }
     }
 
-    /// Notes an error; one that came before anything ran may be a refusal.
-    fn take_error(&mut self, message: &RawMessage) -> Result<(), ConnectionError> {
+    /// Records an error answer. An error before any statement ran may be a refusal of the request.
+    fn process_error(&mut self, message: &RawMessage) -> Result<(), ConnectionError> {
         self.failed = true;
         let nothing_ran = self.status == TransactionStatus::Idle && !self.completed;
         if nothing_ran && !self.forwarded {
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// The protocol between edge and owner has no way to send copy data.
+    /// Refuses `COPY FROM STDIN`: the protocol between edge and owner cannot carry copy data.
     fn refuse_copy(&mut self) -> Result<(), ConnectionError> {
         let connection = self.lease.connection()?;
         wire::encode(&CopyFail::new(COPY_REFUSED.to_owned()), &mut connection.output)?;
@@ -145,28 +145,28 @@
 
     fn forward_if_large(&mut self) {
         if self.keyed.is_some() {
-            // Its answer counts only once it is stored.
+            // The answer of a keyed write is valid only once it is stored.
             return;
         }
-        let limit = if self.forwarded { FRAME_BYTES } else { HOLD_BYTES };
-        if self.held.len() >= limit {
+        let limit = if self.forwarded { TARGET_FRAME_BYTES } else { MAX_BUFFERED_BYTES };
+        if self.buffered.len() >= limit {
             self.forward();
         }
     }
 
-    /// Sends what is held to the edge; from then on the request cannot be tried again.
+    /// Sends the buffered answer to the edge. The request cannot be retried afterwards.
     pub(super) fn forward(&mut self) {
-        if self.held.is_empty() {
+        if self.buffered.is_empty() {
             return;
         }
         self.forwarded = true;
-        let messages = self.held.split();
+        let messages = self.buffered.split();
         self.input.window -= messages.len() as i64;
-        self.outbound.data(messages.to_vec());
+        self.outbound.send_data(messages.to_vec());
     }
 }
 
-/// The status of `ReadyForQuery` in the words of the protocol between edge and owner.
+/// Converts the status of `ReadyForQuery` to that of the protocol between edge and owner.
 pub(super) fn status_of(status: ReadyStatus) -> TransactionStatus {
     match status {
         ReadyStatus::Idle => TransactionStatus::Idle,
--- a/crates/owner/src/group/connections.rs
+++ b/crates/owner/src/group/connections.rs
@@ -1,6 +1,5 @@
-//! The server connections of a group, within the limit that they have together.
-//!
-//! The module owns the count; a connection counts from before it is opened until it is dropped.
+//! The server connections of a group, within the group's limit. A connection counts towards the limit from
+//! before it is opened until it is dropped.
 
 use super::Group;
 use crate::connection::{ConnectionError, Login, ServerConnection};
@@ -10,59 +9,62 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::sync::Notify;
 
-/// `application_name` of connections that serve callers.
+/// `application_name` of connections that serve callers' transactions.
 const APPLICATION_NAME: &str = "corktack";
-/// `application_name` of probes and barriers; it is exempt from slots.
+/// `application_name` of the connections for probes and barriers, which need no slot.
 pub(crate) const CONTROL_APPLICATION_NAME: &str = "corktack-control";
 
-/// A server connection that counts towards the group's limit.
+/// A server connection that counts towards the group's limit until it is dropped.
 #[derive(Debug)]
 pub(crate) struct PooledConnection {
     pub connection: ServerConnection,
-    _open: OpenConnection,
+    _reservation: ConnectionReservation,
 }
 
-/// One of the connections that the group's limit allows, open or being opened.
+/// A reservation of one of the connections that the group's limit allows.
 #[derive(Debug)]
-pub(crate) struct OpenConnection {
-    open: Arc<AtomicU32>,
-    room: Arc<Notify>,
+pub(crate) struct ConnectionReservation {
+    open_count: Arc<AtomicU32>,
+    connection_freed: Arc<Notify>,
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionReservation {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, Ordering::Relaxed);
-        self.room.notify_one();
+        self.open_count.fetch_sub(1, Ordering::Relaxed);
+        self.connection_freed.notify_one();
     }
 }
 
 impl Group {
-    /// Takes one of the connections that the limit allows, if any is left.
-    pub fn reserve_connection(&self) -> Option<OpenConnection> {
+    /// Reserves a connection under the group's limit, if one is left.
+    pub fn reserve_connection(&self) -> Option<ConnectionReservation> {
         let limit = self.view().spec.connections;
-        let one_more = |open| (open < limit).then_some(open + 1);
-        self.open.fetch_update(Ordering::Relaxed, Ordering::Relaxed, one_more).ok()?;
-        Some(OpenConnection { open: Arc::clone(&self.open), room: Arc::clone(&self.room) })
+        let incremented = |open| (open < limit).then_some(open + 1);
+        self.open_count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, incremented).ok()?;
+        Some(ConnectionReservation {
+            open_count: Arc::clone(&self.open_count),
+            connection_freed: Arc::clone(&self.connection_freed),
+        })
     }
 
-    /// Opens a new server connection.
+    /// Opens a new server connection to a member under a reservation.
     pub async fn connect(
         &self,
         member: &MemberName,
-        open: OpenConnection,
+        reservation: ConnectionReservation,
     ) -> Result<PooledConnection, ConnectionError> {
         let (address, login) = self.login(member, APPLICATION_NAME);
         let address = address.ok_or(ConnectionError::Closed)?;
         let connection = ServerConnection::connect(address, &login).await?;
-        Ok(PooledConnection { connection, _open: open })
+        Ok(PooledConnection { connection, _reservation: reservation })
     }
 
-    /// Server connections that are open or being opened.
+    /// Returns the number of server connections that are open or being opened.
     pub fn open_connections(&self) -> u32 {
-        self.open.load(Ordering::Relaxed)
+        self.open_count.load(Ordering::Relaxed)
     }
 
-    /// Address of a member, and how to log in there.
+    /// Returns a member's address, if the view has the member, and the parameters to log in with.
     pub fn login(
         &self,
         member: &MemberName,
--- a/crates/owner/src/group/slots.rs
+++ b/crates/owner/src/group/slots.rs
@@ -1,6 +1,5 @@
-//! Slots of a group: the right to run one transaction, and the wait for it.
-//!
-//! The module owns the grants; it relies on the admission queue of `corktack_core` for whose turn it is.
+//! Slots of a group: the right to run one transaction, and the wait for it. The admission queue of
+//! `corktack_core` decides the order of the grants.
 
 use super::{Group, GroupState};
 use corktack_core::admission::{AdmissionError, Lane, Ticket};
@@ -11,7 +10,7 @@
 use tokio::sync::oneshot;
 
 impl Group {
-    /// Asks for a slot.
+    /// Adds a request for a slot to the queue; fails when the queue is full or the deadline cannot be met.
     pub fn enqueue(
         self: &Arc<Self>,
         class: &ClassName,
@@ -22,34 +21,34 @@
         let now = self.now();
         let ticket = self.with_state(|state| {
             let admitted = state.admission.enqueue(class, lane, now, deadline)?;
-            // Without its sender, a request given up hears of it at once.
-            admitted.displaced.map(|displaced| state.grants.remove(&displaced));
-            state.grants.insert(admitted.ticket, sender);
+            // Dropping the sender ends the wait of a displaced request at once.
+            admitted.displaced.map(|displaced| state.grant_senders.remove(&displaced));
+            state.grant_senders.insert(admitted.ticket, sender);
             Ok(admitted.ticket)
         })?;
         self.grant_slots();
         Ok(PendingSlot { group: Arc::clone(self), ticket, receiver })
     }
 
-    /// Hands free slots to waiting requests.
+    /// Grants free slots to waiting requests.
     pub fn grant_slots(self: &Arc<Self>) {
         let now = self.now();
         let granted = self.with_state(|state| {
-            let available = self.primary_available(state);
-            let tickets = state.admission.grant(now, available);
-            let take = |ticket| state.grants.remove(&ticket);
-            let senders: Vec<_> = tickets.into_iter().map(take).collect();
-            self.measure(state);
+            let primary_available = self.is_primary_available(state);
+            let tickets = state.admission.grant(now, primary_available);
+            let take_sender = |ticket| state.grant_senders.remove(&ticket);
+            let senders: Vec<_> = tickets.into_iter().map(take_sender).collect();
+            self.update_gauges(state);
             senders
         });
         for sender in granted {
             let slot = Slot { group: Arc::clone(self), granted: Instant::now() };
-            // A slot that nobody takes any more is released when it is dropped.
+            // If the request is gone, dropping the slot releases it.
             drop(sender.map(|sender| sender.send(slot)));
         }
     }
 
-    fn measure(&self, state: &GroupState) {
+    fn update_gauges(&self, state: &GroupState) {
         let label = self.label();
         let length = i64::from(state.admission.length());
         self.metrics.queue_length.get_or_create(&label).set(length);
@@ -65,12 +64,12 @@
     fn remove_ticket(&self, ticket: Ticket) {
         self.with_state(|state| {
             state.admission.remove(ticket);
-            drop(state.grants.remove(&ticket));
+            drop(state.grant_senders.remove(&ticket));
         });
     }
 }
 
-/// The right to run one transaction; given back when dropped.
+/// The right to run one transaction; dropping it releases the slot.
 #[derive(Debug)]
 pub(crate) struct Slot {
     group: Arc<Group>,
@@ -83,16 +82,16 @@
     }
 }
 
-/// Why a wait for a slot ended without one.
+/// Reasons why a wait for a slot ended without one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum GivenUp {
-    /// The deadline came first.
-    Late,
-    /// The place in the full queue went to another class.
+pub(crate) enum SlotWaitError {
+    /// The deadline passed first.
+    DeadlinePassed,
+    /// A request of another class took the place in the full queue.
     Displaced,
 }
 
-/// A place in the queue; given up when dropped.
+/// A place in the queue; dropping it removes the request from the queue.
 #[derive(Debug)]
 pub(crate) struct PendingSlot {
     group: Arc<Group>,
@@ -101,11 +100,11 @@
 }
 
 impl PendingSlot {
-    /// The slot, unless the wait is given up.
-    pub async fn wait(mut self, deadline: Timestamp) -> Result<Slot, GivenUp> {
-        let left = deadline.saturating_since(self.group.now());
-        let granted = tokio::time::timeout(left, &mut self.receiver).await;
-        granted.map_err(|_| GivenUp::Late)?.map_err(|_| GivenUp::Displaced)
+    /// Waits for the slot until the deadline.
+    pub async fn wait(mut self, deadline: Timestamp) -> Result<Slot, SlotWaitError> {
+        let remaining = deadline.saturating_since(self.group.now());
+        let granted = tokio::time::timeout(remaining, &mut self.receiver).await;
+        granted.map_err(|_| SlotWaitError::DeadlinePassed)?.map_err(|_| SlotWaitError::Displaced)
     }
 }
 
--- a/crates/owner/src/groups.rs
+++ b/crates/owner/src/groups.rs
@@ -1,14 +1,14 @@
-//! Follows the configuration in force: which groups this proxy owns, and which it observes.
+//! Applies the configuration in force: starts and stops the tasks (probes, barriers, warm connections) of the
+//! groups that this proxy owns or observes.
 //!
-//! The module owns the tasks of each group (probes, barriers, warm connections) and ends them with what this proxy
-//! does for the group; a group that is lost stays until its streams have finished. It relies on the view for who
-//! owns a group and on `corktack_core` for who is its second observer.
+//! A group that another proxy owns now stays in memory until its streams have finished. The view names the
+//! owner of a group, and `corktack_core` chooses its second observer.
 
 use crate::barrier;
 use crate::connection::Login;
 use crate::context::Context;
 use crate::group::{CONTROL_APPLICATION_NAME, Group};
-use crate::probe::{self, Learner, ProbeTarget};
+use crate::probe::{self, ProbeRecipient, ProbeTarget};
 use crate::warm;
 use corktack_core::identity::{GroupName, ProxyName};
 use corktack_core::resources::MemberSpec;
@@ -18,20 +18,20 @@
 use std::sync::{Arc, Weak};
 use tokio_util::sync::CancellationToken;
 
-/// A second observer probes this many times slower than the owner. Measured with the owner's probes every 200 ms:
-/// a frozen primary, which both observers have to miss, was replaced within 1.0 s at twice and 1.4 s at four times
-/// (middle of three runs), for 6.4 and 5.4 KB/s a group (docs/CAPACITY.md).
+/// Factor between the probe intervals of a second observer and of the owner. A frozen primary is replaced
+/// only after both observers miss probes of it: with probes of the owner every 200 ms, that takes 1.0 s at a
+/// factor of 2, for 6.4 KB/s per group, and 1.4 s at a factor of 4, for 5.4 KB/s (docs/CAPACITY.md).
 const OBSERVER_SLOWDOWN: u32 = 2;
 
-/// What this proxy does for a group.
+/// Role of this proxy for a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Owner,
     Observer,
 }
 
-/// The tasks that run for a group, stopped when dropped.
-struct Duty {
+/// The tasks that run for a group; dropping the value stops them.
+struct GroupTasks {
     role: Role,
     members: Vec<MemberSpec>,
     database: String,
@@ -39,95 +39,100 @@
     tasks: CancellationToken,
 }
 
-impl Drop for Duty {
+impl Drop for GroupTasks {
     fn drop(&mut self) {
         self.tasks.cancel();
         self.probes.cancel();
     }
 }
 
-/// A group that another proxy owns now. Open streams hold it; until they have
-/// finished they must still hear of a change of primary and of silent members.
+/// A group that another proxy owns now. Open streams keep the group alive; until they have finished, they
+/// must still be notified of a change of primary and of unresponsive members.
 struct RetiredGroup {
     name: GroupName,
     group: Weak<Group>,
 }
 
 impl RetiredGroup {
-    /// Passes a view on; false when no stream is open any more.
-    fn follow(&self, view: &View) -> bool {
+    /// Applies a view to the group; returns false when no stream is open any more.
+    fn apply_view(&self, view: &View) -> bool {
         let Some(group) = self.group.upgrade() else {
             return false;
         };
-        if let Some(now) = view.groups.get(&self.name) {
-            group.apply_view(now, &view.classes);
+        if let Some(group_view) = view.groups.get(&self.name) {
+            group.apply_view(group_view, &view.classes);
         }
         true
     }
 }
 
-/// Ends what this proxy does for a group that it lost. Its probes go on by
-/// themselves for as long as streams hold the group.
-fn retire(context: &Context, name: &GroupName, duty: &mut Duty) -> Option<RetiredGroup> {
+/// Stops owning a group that another proxy owns now. The group's probes continue detached until no stream
+/// holds the group.
+fn retire(
+    context: &Context,
+    name: &GroupName,
+    group_tasks: &mut GroupTasks,
+) -> Option<RetiredGroup> {
     let group = context.remove_group(name)?;
     group.retire();
-    duty.probes = CancellationToken::new();
+    group_tasks.probes = CancellationToken::new();
     Some(RetiredGroup { name: name.clone(), group: Arc::downgrade(&group) })
 }
 
-/// Applies each view as it comes, until the owner stops.
-pub(crate) async fn follow_view(context: Arc<Context>) {
+/// Applies each new view until the owner stops.
+pub(crate) async fn apply_views(context: Arc<Context>) {
     let mut views = context.view.clone();
-    let mut duties = Duties::default();
+    let mut manager = GroupManager::default();
     loop {
         let view = Arc::clone(&views.borrow_and_update());
-        duties.apply(&context, &view);
+        manager.apply(&context, &view);
         if views.changed().await.is_err() {
-            // No further view can come; what is in force stays in force.
+            // The sender is gone: the last view stays in force.
             return std::future::pending().await;
         }
     }
 }
 
-/// What this proxy does for all groups under the view applied last.
+/// The groups that this proxy owns, observes or has retired under the last view.
 #[derive(Default)]
-struct Duties {
-    duties: BTreeMap<GroupName, Duty>,
+struct GroupManager {
+    tasks_by_group: BTreeMap<GroupName, GroupTasks>,
     retired: Vec<RetiredGroup>,
     observers: SecondObservers,
 }
 
-impl Duties {
+impl GroupManager {
     fn apply(&mut self, context: &Arc<Context>, view: &View) {
         self.observers.follow(view);
-        self.end_lost(context, view);
-        self.retired.retain(|lost| lost.follow(view));
+        self.stop_lost(context, view);
+        self.retired.retain(|retired| retired.apply_view(view));
         for (name, group) in &view.groups {
-            let Some(role) = role(&context.settings.proxy, &self.observers, name, group) else {
+            let Some(role) = role_of(&context.settings.proxy, &self.observers, name, group) else {
                 continue;
             };
             if role == Role::Owner {
-                self.own(context, view, name, group);
+                self.start_or_update_owned(context, view, name, group);
             }
-            let duty = self.duties.entry(name.clone()).or_insert_with(|| Duty::new(role));
-            duty.probe_members(context, name, group);
+            let group_tasks =
+                self.tasks_by_group.entry(name.clone()).or_insert_with(|| GroupTasks::new(role));
+            group_tasks.update_probes(context, name, group);
         }
     }
 
-    fn end_lost(&mut self, context: &Context, view: &View) {
-        let Self { duties, retired, observers } = self;
-        duties.retain(|name, duty| {
-            let keeps = view.groups.get(name).is_some_and(|group| {
-                role(&context.settings.proxy, observers, name, group) == Some(duty.role)
+    fn stop_lost(&mut self, context: &Context, view: &View) {
+        let Self { tasks_by_group, retired, observers } = self;
+        tasks_by_group.retain(|name, group_tasks| {
+            let keeps_role = view.groups.get(name).is_some_and(|group| {
+                role_of(&context.settings.proxy, observers, name, group) == Some(group_tasks.role)
             });
-            if !keeps {
-                retired.extend(retire(context, name, duty));
+            if !keeps_role {
+                retired.extend(retire(context, name, group_tasks));
             }
-            keeps
+            keeps_role
         });
     }
 
-    fn own(
+    fn start_or_update_owned(
         &mut self,
         context: &Arc<Context>,
         view: &View,
@@ -138,9 +143,10 @@
             owned.apply_view(group, &view.classes);
             return;
         }
-        let known = self.retired.iter().position(|lost| &lost.name == name);
-        let known = known.and_then(|place| self.retired.swap_remove(place).group.upgrade());
-        let owned = known.unwrap_or_else(|| {
+        let retired_group = self.retired.iter().position(|retired| &retired.name == name);
+        let retired_group =
+            retired_group.and_then(|index| self.retired.swap_remove(index).group.upgrade());
+        let owned = retired_group.unwrap_or_else(|| {
             Arc::new(Group::new(
                 name.clone(),
                 Arc::clone(group),
@@ -150,18 +156,18 @@
                 context.now(),
             ))
         });
-        // Streams that are still open from before count towards the same slots.
+        // Streams still open from an earlier ownership count towards the same slots.
         owned.resume();
-        let duty = Duty::new(Role::Owner);
-        duty.spawn(context, warm::keep_warm(Arc::clone(&owned)));
-        duty.spawn(context, barrier::run(Arc::clone(&owned)));
-        self.duties.insert(name.clone(), duty);
+        let group_tasks = GroupTasks::new(Role::Owner);
+        group_tasks.spawn(context, warm::keep_warm(Arc::clone(&owned)));
+        group_tasks.spawn(context, barrier::run(Arc::clone(&owned)));
+        self.tasks_by_group.insert(name.clone(), group_tasks);
         context.insert_group(name.clone(), owned);
     }
 }
 
-/// What a proxy does for a group under a view.
-fn role(
+/// Returns the role of a proxy for a group, if it has one.
+fn role_of(
     proxy: &ProxyName,
     observers: &SecondObservers,
     name: &GroupName,
@@ -174,7 +180,7 @@
     (observers.of(name, owner) == Some(proxy)).then_some(Role::Observer)
 }
 
-impl Duty {
+impl GroupTasks {
     fn new(role: Role) -> Self {
         let tasks = CancellationToken::new();
         let probes = CancellationToken::new();
@@ -185,7 +191,7 @@
         spawn_until(context, self.tasks.clone(), task);
     }
 
-    fn probe_members(&mut self, context: &Context, name: &GroupName, group: &GroupView) {
+    fn update_probes(&mut self, context: &Context, name: &GroupName, group: &GroupView) {
         let spec = &group.spec;
         if self.members == spec.members && self.database == spec.database {
             return;
@@ -220,9 +226,9 @@
             },
             interval: settings.probe_interval * slowdown,
             timeout: settings.probe_timeout,
-            learner: match context.group(name).filter(|_| self.role == Role::Owner) {
-                Some(group) => Learner::Group(Arc::downgrade(&group)),
-                None => Learner::Nobody,
+            recipient: match context.group(name).filter(|_| self.role == Role::Owner) {
+                Some(group) => ProbeRecipient::Group(Arc::downgrade(&group)),
+                None => ProbeRecipient::ControlOnly,
             },
         }
     }
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -1,13 +1,12 @@
 //! Leases of server connections: one transaction, one slot, one connection.
 //!
-//! A [`Lease`] owns its connection: no other transaction can reach it before
-//! the lease gives it back, clean, with [`Lease::recycle`]. A lease that is
-//! dropped closes the connection. The module relies on `idle` for a connection and on the group's
-//! state for when the work must not go on at its member.
+//! A [`Lease`] owns its connection exclusively until [`Lease::recycle`] resets the connection and returns it
+//! to the pool. Dropping a lease closes the connection. Connections come from `idle`; the group's state says
+//! when a transaction must not continue at its member.
 
 use crate::connection::{ConnectionError, ServerConnection};
 use crate::group::{Group, PooledConnection, Slot};
-use crate::idle::obtain_connection;
+use crate::idle::acquire_connection;
 use corktack_core::identity::MemberName;
 use corktack_core::position::Term;
 use corktack_core::routing::is_draining;
@@ -16,32 +15,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Statement that brings a session back to its first state.
+/// Statement that resets a session to its initial state.
 const RESET_SESSION: &str = "DISCARD ALL";
-/// Statement that ends a transaction that its caller left.
+/// Statement that ends a transaction whose caller is gone.
 const ROLLBACK: &str = "ROLLBACK";
-/// Longest time for a connection to become clean again before it is closed. The slot is held meanwhile. Chosen,
-/// not measured: a shorter one closes connections whose last statement is a little slow, a longer one keeps the
-/// slot from the next request.
-const CLEAN_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Longest time to reset a connection before it is closed instead. The slot stays occupied meanwhile. A
+/// shorter timeout closes connections whose last statement is a little slow; a longer one delays the next
+/// request for the slot.
+const RESET_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A member chosen for a transaction.
+/// The member chosen for a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Destination {
     pub member: MemberName,
     pub served_by: ServedBy,
-    /// Term of the view that the choice was made from.
+    /// Term of the view in which the member was chosen.
     pub term: Term,
 }
 
 impl Destination {
-    /// Whether the member is still the primary of the same term.
+    /// Reports whether the member is still the primary of the same term.
     pub fn is_primary_of(&self, view: &GroupView) -> bool {
         view.primary.as_ref() == Some(&self.member) && view.term == self.term
     }
 }
 
-/// A server connection in the hands of one transaction.
+/// Exclusive use of a server connection and a slot by one transaction.
 #[derive(Debug)]
 pub(crate) struct Lease {
     pooled: Option<PooledConnection>,
@@ -52,49 +51,52 @@
 }
 
 impl Lease {
-    /// Takes an idle connection to the member, or opens one.
-    pub async fn take(
+    /// Acquires an idle connection to the member, or opens a new one.
+    pub async fn acquire(
         group: &Arc<Group>,
         slot: Slot,
         destination: &Destination,
     ) -> Result<Self, ConnectionError> {
         let member = &destination.member;
         let epoch = group.with_state(|state| state.epoch);
-        let pooled = obtain_connection(group, member).await?;
+        let pooled = acquire_connection(group, member).await?;
         group.with_state(|state| state.routing.started(member));
         let group = Arc::clone(group);
         let destination = destination.clone();
         Ok(Self { pooled: Some(pooled), group, destination, epoch, _slot: slot })
     }
 
-    /// The member that the transaction runs at.
+    /// Returns the member that the transaction runs at.
     pub fn destination(&self) -> &Destination {
         &self.destination
     }
 
-    /// The connection. Absent only after the lease has ended, which consumes it.
+    /// Returns the connection. The connection is absent only after the lease has ended, which consumes the
+    /// lease.
     pub fn connection(&mut self) -> Result<&mut ServerConnection, ConnectionError> {
         let pooled = self.pooled.as_mut().ok_or(ConnectionError::Closed)?;
         Ok(&mut pooled.connection)
     }
 
-    /// Waits until the work must not go on here: the primary was replaced.
-    pub fn replaced(&self) -> impl Future<Output = ()> + use<> {
-        let mut views = self.group.follow_view();
+    /// Waits until the primary that serves the transaction is replaced, or its term changes. Never returns
+    /// for a replica.
+    pub fn wait_until_replaced(&self) -> impl Future<Output = ()> + use<> {
+        let mut views = self.group.subscribe_view();
         let destination = self.destination.clone();
         async move {
             if destination.served_by == ServedBy::Replica {
                 return std::future::pending().await;
             }
             let replaced = |view: &Arc<GroupView>| !destination.is_primary_of(view);
-            // The sender lives in the group, which the lease holds.
+            // The wait cannot fail: the lease holds the group, which holds the sender.
             let _ = views.wait_for(replaced).await;
         }
     }
 
-    /// Waits until probes of the replica go unanswered; for the primary the view decides.
-    pub fn unreachable(&self) -> impl Future<Output = ()> + use<> {
-        let mut knowledge = self.group.follow_knowledge();
+    /// Waits until probes of the replica go unanswered. Never returns for the primary, whose replacement the
+    /// view announces.
+    pub fn wait_until_unreachable(&self) -> impl Future<Output = ()> + use<> {
+        let mut member_changes = self.group.subscribe_member_changes();
         let group = Arc::clone(&self.group);
         let Destination { member, served_by, .. } = self.destination.clone();
         async move {
@@ -102,72 +104,72 @@
                 return std::future::pending().await;
             }
             while group.with_state(|state| state.routing.is_reachable(&member)) {
-                if knowledge.changed().await.is_err() {
+                if member_changes.changed().await.is_err() {
                     return;
                 }
             }
         }
     }
 
-    /// Waits until the member was silent for longer than the bound.
-    pub fn silent(&self) -> impl Future<Output = ()> + use<> {
-        let mut knowledge = self.group.follow_knowledge();
+    /// Waits until the member has left probes unanswered for longer than `silence_timeout`.
+    pub fn wait_until_silent(&self) -> impl Future<Output = ()> + use<> {
+        let mut member_changes = self.group.subscribe_member_changes();
         let group = Arc::clone(&self.group);
         let member = self.destination.member.clone();
         async move {
             loop {
                 let since = group.with_state(|state| state.silent_since.get(&member).copied());
-                let changed = knowledge.changed();
+                let changed = member_changes.changed();
                 let Some(since) = since else {
                     if changed.await.is_err() {
                         return;
                     }
                     continue;
                 };
-                let left = group.settings.silence_timeout.saturating_sub(since.elapsed());
-                if left.is_zero() || tokio::time::timeout(left, changed).await.is_err() {
+                let remaining = group.settings.silence_timeout.saturating_sub(since.elapsed());
+                if remaining.is_zero() || tokio::time::timeout(remaining, changed).await.is_err() {
                     return;
                 }
             }
         }
     }
 
-    /// Ends the lease after a whole answer, outside a transaction. The connection
-    /// is reset where its session may have changed, and given back.
+    /// Ends the lease after a complete answer, outside a transaction. Resets the connection if its session
+    /// may have changed, and returns it to the pool.
     pub async fn recycle(mut self) {
         if let Ok(connection) = self.connection() {
-            let clean = clean_session(connection).await;
-            if clean {
-                self.give_back();
+            let is_reset = reset_session(connection).await;
+            if is_reset {
+                self.return_to_pool();
             }
         }
     }
 
-    /// Ends the lease of a caller that is gone: what runs is awaited, and the
-    /// open transaction rolled back, both within a bound.
+    /// Ends the lease of a caller that is gone: waits for the running statement and rolls back the open
+    /// transaction, both within a time limit.
     pub async fn roll_back(mut self) {
         if let Ok(connection) = self.connection() {
-            let settled = tokio::time::timeout(CLEAN_TIMEOUT, roll_back(connection)).await;
-            if matches!(settled, Ok(Ok(true))) && clean_session(connection).await {
-                self.give_back();
+            let rolled_back = tokio::time::timeout(RESET_TIMEOUT, roll_back(connection)).await;
+            if matches!(rolled_back, Ok(Ok(true))) && reset_session(connection).await {
+                self.return_to_pool();
             }
         }
     }
 
-    fn give_back(&mut self) {
+    fn return_to_pool(&mut self) {
         let view = self.group.view();
         let member = &self.destination.member;
-        let leaves = is_draining(&view, member);
+        let is_leaving = is_draining(&view, member);
         let epoch = self.epoch;
         let Some(pooled) = self.pooled.take() else {
             return;
         };
-        let refused = self.group.with_state(|state| match leaves {
+        let not_pooled = self.group.with_state(|state| match is_leaving {
             true => Some(pooled),
             false => state.keep_idle(member, epoch, pooled),
         });
-        drop(refused);
-        self.group.room.notify_one();
+        drop(not_pooled);
+        self.group.connection_freed.notify_one();
     }
 }
 
@@ -177,23 +179,23 @@
         self.group.with_state(|state| state.routing.ended(member));
         if self.pooled.take().is_some() {
             self.group.metrics.discarded.get_or_create(&self.group.label()).inc();
-            self.group.warm.notify_one();
+            self.group.warm_wakeup.notify_one();
         }
     }
 }
 
-/// Settles what runs, then rolls back; whether the session is outside a transaction.
+/// Waits for the running statements, then rolls back; returns whether the session is outside a transaction.
 async fn roll_back(connection: &mut ServerConnection) -> Result<bool, ConnectionError> {
-    connection.settle().await?;
+    connection.drain_replies().await?;
     connection.queue_query(ROLLBACK)?;
-    connection.settle().await
+    connection.drain_replies().await
 }
 
-async fn clean_session(connection: &mut ServerConnection) -> bool {
+async fn reset_session(connection: &mut ServerConnection) -> bool {
     if !connection.session_changed {
         return true;
     }
-    let reset = connection.query(RESET_SESSION, CLEAN_TIMEOUT).await;
+    let reset = connection.query(RESET_SESSION, RESET_TIMEOUT).await;
     connection.tracker.forget_statements();
     connection.session_changed = false;
     reset.is_ok()
--- a/crates/owner/src/link.rs
+++ b/crates/owner/src/link.rs
@@ -1,7 +1,7 @@
-//! Links from edges: frames in, frames out, streams told apart by their id.
+//! Links from edges: connections that multiplex streams, each identified by its id, over frames.
 //!
-//! The module owns the sockets and the open streams of each link; it relies on `stream` to serve a stream, and on
-//! `backlog` to hold a link up whose edge does not take what is said to it.
+//! Each link holds its socket and its open streams, which `stream` serves. `backlog` pauses reading from a
+//! link whose edge does not receive its answers.
 
 use crate::backlog::{self, LinkQueue, LinkSender};
 use crate::context::{Context, Phase};
@@ -22,26 +22,26 @@
 
 type Frames = Framed<TcpStream, FrameCodec<OwnerMessage, EdgeMessage>>;
 
-/// Pause after a failed accept, so that a lack of file descriptors is not a busy loop. Chosen, not measured:
-/// a longer one delays edges after the lack is over.
+/// Pause after a failed accept, which prevents a busy loop when file descriptors run out. A longer pause
+/// delays edges after descriptors are available again.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Why a link was closed. All its streams are rolled back.
+/// Reasons why a link was closed. The open transactions of all its streams are rolled back.
 #[derive(Debug, thiserror::Error)]
 enum LinkError {
     /// A frame could not be read or written.
     #[error("link failed")]
     Frame(#[from] FrameError),
-    /// The edge closed it.
+    /// The edge closed the link.
     #[error("link closed by the edge")]
     Closed,
-    /// The first message is not a hello, or a later one is.
+    /// The first message is not a hello, or a later message is one.
     #[error("link without a proper hello")]
     Hello,
-    /// More batches than a stream may have ahead of their answers.
+    /// A stream has more unanswered batches than the limit allows.
     #[error("stream {stream:?} sent batches ahead of their answers")]
     Flood { stream: StreamId },
-    /// A stream id that does not rise.
+    /// The id of a new stream is not above that of the last one.
     #[error("stream {offered:?} does not rise above {last:?}")]
     StreamId { offered: StreamId, last: StreamId },
 }
@@ -75,16 +75,16 @@
     let frames: Frames = Framed::new(socket, FrameCodec::default());
     let (sink, source) = frames.split();
     let (outbound, queue) = backlog::queue();
-    let (ended, ends) = mpsc::unbounded_channel();
+    let (ended_sender, ended_receiver) = mpsc::unbounded_channel();
     let hello = OwnerMessage::Hello {
         proxy: context.settings.proxy.clone(),
         incarnation: context.settings.incarnation,
     };
     outbound.send(hello);
-    let phase = context.phase();
-    let link = Link { context, outbound, ended, streams: HashMap::new(), last: None };
+    let phase = context.subscribe_phase();
+    let link = Link { context, outbound, ended_sender, streams: HashMap::new(), last_stream: None };
     let result = tokio::select! {
-        result = link.read(source, ends) => result,
+        result = link.read(source, ended_receiver) => result,
         result = write(sink, queue, phase) => result,
     };
     match result {
@@ -93,25 +93,25 @@
     }
 }
 
-/// Sends what streams queue, and the word that the owner stops. Ends when the
-/// links are to close and nothing is left to send.
+/// Writes queued messages to the edge, and announces that the owner stops. Returns when links are to close
+/// and the queue is empty.
 async fn write(
     mut sink: SplitSink<Frames, OwnerMessage>,
     mut queue: LinkQueue,
     mut phase: watch::Receiver<Phase>,
 ) -> Result<(), LinkError> {
-    let mut announced = false;
+    let mut is_stop_announced = false;
     loop {
-        let now = *phase.borrow_and_update();
-        if now >= Phase::Draining && !announced {
-            announced = true;
+        let current_phase = *phase.borrow_and_update();
+        if current_phase >= Phase::Draining && !is_stop_announced {
+            is_stop_announced = true;
             sink.feed(OwnerMessage::Stopping).await?;
         }
         while let Some(message) = queue.try_recv() {
             sink.feed(message).await?;
         }
         sink.flush().await?;
-        if now == Phase::Closing {
+        if current_phase == Phase::Closing {
             sink.close().await?;
             return Ok(());
         }
@@ -120,23 +120,23 @@
                 Some(message) => sink.feed(message).await?,
                 None => return Ok(()),
             },
-            // The sender lives in the context.
+            // The context keeps the sender alive.
             _ = phase.changed() => {}
         }
     }
 }
 
-/// Counts a link as not read until it is dropped.
-struct HeldLink<'a>(&'a Gauge);
+/// Guard that counts a link as paused until the guard is dropped.
+struct PausedLink<'a>(&'a Gauge);
 
-impl<'a> HeldLink<'a> {
+impl<'a> PausedLink<'a> {
     fn new(gauge: &'a Gauge) -> Self {
         gauge.inc();
         Self(gauge)
     }
 }
 
-impl Drop for HeldLink<'_> {
+impl Drop for PausedLink<'_> {
     fn drop(&mut self) {
         self.0.dec();
     }
@@ -145,17 +145,17 @@
 struct Link {
     context: Arc<Context>,
     outbound: LinkSender,
-    ended: mpsc::UnboundedSender<StreamId>,
-    /// Open streams. Dropping the map tells all of them that the caller is gone.
+    ended_sender: mpsc::UnboundedSender<StreamId>,
+    /// Open streams. Dropping the map signals to all of them that their caller is gone.
     streams: HashMap<StreamId, StreamSender>,
-    last: Option<StreamId>,
+    last_stream: Option<StreamId>,
 }
 
 impl Link {
     async fn read(
         mut self,
         mut source: SplitStream<Frames>,
-        mut ends: mpsc::UnboundedReceiver<StreamId>,
+        mut ended_receiver: mpsc::UnboundedReceiver<StreamId>,
     ) -> Result<(), LinkError> {
         match source.next().await.ok_or(LinkError::Closed)?? {
             EdgeMessage::Hello { .. } => {}
@@ -163,12 +163,12 @@
         }
         loop {
             if self.outbound.is_full() {
-                let _held = HeldLink::new(&self.context.metrics.links_held);
-                self.outbound.has_room().await;
+                let _paused = PausedLink::new(&self.context.metrics.links_held);
+                self.outbound.wait_for_space().await;
             }
             tokio::select! {
                 message = source.next() => self.dispatch(message.ok_or(LinkError::Closed)??)?,
-                Some(stream) = ends.recv() => drop(self.streams.remove(&stream)),
+                Some(stream) = ended_receiver.recv() => drop(self.streams.remove(&stream)),
             }
         }
     }
@@ -177,33 +177,36 @@
         match message {
             EdgeMessage::Hello { .. } => return Err(LinkError::Hello),
             EdgeMessage::Open { stream, request } => {
-                self.check_id(stream)?;
+                self.check_stream_id(stream)?;
                 let (sender, input) = stream_input::channel();
                 self.streams.insert(stream, sender);
-                let outbound = Outbound::new(stream, self.outbound.clone(), self.ended.clone());
+                let outbound =
+                    Outbound::new(stream, self.outbound.clone(), self.ended_sender.clone());
                 let context = Arc::clone(&self.context);
                 let open = context.count_stream();
                 actix_rt::spawn(stream::run(context, *request, input, outbound, open));
             }
-            EdgeMessage::Batch { stream, batch } => self.pass_batch(stream, batch)?,
-            EdgeMessage::Cancel { stream } => self.pass(stream, StreamInput::Cancel),
+            EdgeMessage::Batch { stream, batch } => self.forward_batch(stream, batch)?,
+            EdgeMessage::Cancel { stream } => self.forward_input(stream, StreamInput::Cancel),
             EdgeMessage::Close { stream } => drop(self.streams.remove(&stream)),
-            EdgeMessage::Window { stream, bytes } => self.pass(stream, StreamInput::Window(bytes)),
+            EdgeMessage::Window { stream, bytes } => {
+                self.forward_input(stream, StreamInput::Window(bytes))
+            }
         }
         Ok(())
     }
 
-    fn check_id(&mut self, offered: StreamId) -> Result<(), LinkError> {
-        match self.last {
+    fn check_stream_id(&mut self, offered: StreamId) -> Result<(), LinkError> {
+        match self.last_stream {
             Some(last) if offered <= last => Err(LinkError::StreamId { offered, last }),
             _ => {
-                self.last = Some(offered);
+                self.last_stream = Some(offered);
                 Ok(())
             }
         }
     }
 
-    fn pass_batch(&self, stream: StreamId, batch: Batch) -> Result<(), LinkError> {
+    fn forward_batch(&self, stream: StreamId, batch: Batch) -> Result<(), LinkError> {
         match self.streams.get(&stream) {
             Some(sender) if sender.is_over_limit(&batch) => Err(LinkError::Flood { stream }),
             Some(sender) => {
@@ -214,8 +217,9 @@
         }
     }
 
-    /// A message for a stream that has ended crossed its end, and is dropped.
-    fn pass(&self, stream: StreamId, input: StreamInput) {
+    /// Passes input to a stream. Input for a stream that has ended is dropped: the edge sent it before it
+    /// received the stream's end.
+    fn forward_input(&self, stream: StreamId, input: StreamInput) {
         if let Some(sender) = self.streams.get(&stream) {
             sender.send(input);
         }
--- a/crates/owner/src/probe.rs
+++ b/crates/owner/src/probe.rs
@@ -1,10 +1,10 @@
-//! Probes of members: health for control, positions for routing.
+//! Probes of members, which report health to the control service and positions to the group's routing table.
 //!
-//! The module owns the connections of the probes; it relies on `corktack_core` for the status row of a
-//! member. A second observer runs the same probes and learns nothing for itself.
+//! Each probe keeps its own connection and reads the member's status row, which `corktack_core` parses. A
+//! second observer runs the same probes but reports to the control service only.
 
 use crate::connection::{CONNECT_TIMEOUT, ConnectionError, Login, ServerConnection};
-use crate::decisions::{Probed, primary_is_suspect};
+use crate::decisions::{ProbeResult, primary_is_suspect};
 use crate::group::Group;
 use corktack_core::backend::{MemberRole, MemberStatus, SHOW_STATUS};
 use corktack_core::identity::{GroupName, MemberName};
@@ -15,16 +15,16 @@
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Who learns from a probe beside control.
+/// Recipient of a probe's results in addition to the control service.
 #[derive(Clone, Debug)]
-pub(crate) enum Learner {
-    /// Nobody: this proxy is a second observer.
-    Nobody,
-    /// The owned group, for as long as it is owned or has open streams.
+pub(crate) enum ProbeRecipient {
+    /// No further recipient: this proxy is a second observer.
+    ControlOnly,
+    /// The owned group, as long as it is owned or has open streams.
     Group(Weak<Group>),
 }
 
-impl Learner {
+impl ProbeRecipient {
     fn is_retired(&self) -> bool {
         let Self::Group(group) = self else {
             return false;
@@ -33,7 +33,7 @@
     }
 }
 
-/// One member to probe.
+/// One member to probe, with the times of its probes.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeTarget {
     pub group: GroupName,
@@ -44,66 +44,67 @@
     pub interval: Duration,
     /// Longest wait for an answer.
     pub timeout: Duration,
-    /// Who learns from the probe.
-    pub learner: Learner,
+    /// Recipient of the results in addition to the control service.
+    pub recipient: ProbeRecipient,
 }
 
-/// Probes one member until the task is stopped.
+/// Probes one member until the task is stopped or its group is no longer in use. Reports changes of health to
+/// the control service.
 pub(crate) async fn run(target: ProbeTarget, observations: mpsc::UnboundedSender<Observation>) {
     let mut connection = None;
-    let mut last = None;
+    let mut last_health = None;
     let mut ticks = interval(target.interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let status = probe(&target, &mut connection).await.ok();
-        match &target.learner {
-            Learner::Nobody => {}
-            Learner::Group(group) => match group.upgrade() {
-                Some(group) => learn(&group, &target.member, status.as_ref()),
+        match &target.recipient {
+            ProbeRecipient::ControlOnly => {}
+            ProbeRecipient::Group(group) => match group.upgrade() {
+                Some(group) => apply_probe(&group, &target.member, status.as_ref()),
                 None => return,
             },
         }
-        if target.learner.is_retired() {
-            // The new owner reports to control.
+        if target.recipient.is_retired() {
+            // The new owner reports the member's health to the control service.
             continue;
         }
-        let health = health(status.as_ref());
-        if last != Some(health) {
-            last = Some(health);
+        let health = health_of(status.as_ref());
+        if last_health != Some(health) {
+            last_health = Some(health);
             let group = target.group.clone();
             let member = target.member.clone();
-            // Without a receiver the proxy is stopping.
+            // The receiver is gone only while the proxy stops.
             let _ = observations.send(Observation { group, member, health });
         }
     }
 }
 
-/// Asks once; a connection that broke since the last probe is replaced at once.
+/// Probes the member once. If the connection broke since the last probe, opens a new one immediately.
 async fn probe(
     target: &ProbeTarget,
-    held: &mut Option<ServerConnection>,
+    cached: &mut Option<ServerConnection>,
 ) -> Result<MemberStatus, ConnectionError> {
-    if let Some(mut connection) = held.take() {
-        match ask(&mut connection, target.timeout).await {
+    if let Some(mut connection) = cached.take() {
+        match query_status(&mut connection, target.timeout).await {
             Ok(status) => {
-                *held = Some(connection);
+                *cached = Some(connection);
                 return Ok(status);
             }
             Err(ConnectionError::TimedOut) => return Err(ConnectionError::TimedOut),
             Err(_) => {}
         }
     }
-    let bound = target.timeout.min(CONNECT_TIMEOUT);
+    let connect_timeout = target.timeout.min(CONNECT_TIMEOUT);
     let connect = ServerConnection::connect(target.address, &target.login);
-    let connected = tokio::time::timeout(bound, connect).await;
+    let connected = tokio::time::timeout(connect_timeout, connect).await;
     let mut connection = connected.unwrap_or(Err(ConnectionError::TimedOut))?;
-    let status = ask(&mut connection, target.timeout).await?;
-    *held = Some(connection);
+    let status = query_status(&mut connection, target.timeout).await?;
+    *cached = Some(connection);
     Ok(status)
 }
 
-async fn ask(
+async fn query_status(
     connection: &mut ServerConnection,
     timeout: Duration,
 ) -> Result<MemberStatus, ConnectionError> {
@@ -113,7 +114,7 @@
     Ok(MemberStatus::from_columns(&columns)?)
 }
 
-fn health(status: Option<&MemberStatus>) -> MemberHealth {
+fn health_of(status: Option<&MemberStatus>) -> MemberHealth {
     let Some(status) = status else {
         return MemberHealth::Unreachable;
     };
@@ -124,30 +125,31 @@
     }
 }
 
-/// Brings what the group knows of a member up to date with a probe, and wakes what waits for that.
-fn learn(group: &Arc<Group>, member: &MemberName, status: Option<&MemberStatus>) {
-    group.note_probe(member, status.is_some());
+/// Updates the group's state of a member with the result of a probe, and wakes the tasks that wait for a
+/// change.
+fn apply_probe(group: &Arc<Group>, member: &MemberName, status: Option<&MemberStatus>) {
+    group.record_probe(member, status.is_some());
     let view = group.view();
     let is_primary = view.primary.as_ref() == Some(member);
-    let leads = status.filter(|status| status.role == MemberRole::Primary);
-    let leads = leads.map(|status| status.promised_term);
-    let probed = Probed { is_primary, answered: status.is_some(), leads };
+    let led_term = status.filter(|status| status.role == MemberRole::Primary);
+    let led_term = led_term.map(|status| status.promised_term);
+    let probe = ProbeResult { is_primary, answered: status.is_some(), led_term };
     let changed = group.with_state(|state| {
         let before = state.routing.member(member).cloned().unwrap_or_default();
         let position = status.map(|status| status.applied_position);
         state.routing.set_reachable(member, status.is_some());
-        state.routing.set_primary_term(member, leads);
+        state.routing.set_primary_term(member, led_term);
         if position.is_some() {
-            // A member that restarted may be behind what it once reported.
+            // A restarted member may be behind the position that it reported earlier.
             state.routing.reset_position(member, position);
         }
-        if let Some(suspect) = primary_is_suspect(probed, view.term) {
+        if let Some(suspect) = primary_is_suspect(probe, view.term) {
             state.primary_suspect = suspect;
         }
         before.reachable != status.is_some() || (position.is_some() && before.position != position)
     });
     if changed {
-        group.knowledge_changed();
+        group.notify_member_changed();
     }
     group.grant_slots();
 }
--- a/crates/owner/tests/decisions.rs
+++ b/crates/owner/tests/decisions.rs
@@ -1,17 +1,17 @@
-//! What the owner decides about a request, without I/O.
+//! Decisions of the owner about a request or a probe.
 
 use corktack_core::admission::{AdmissionError, Lane};
 use corktack_core::position::{Position, Term};
 use corktack_owner::decisions::{
-    AfterLoss, Answer, InFlight, Probed, Refusal, RetryCause, after_loss, failure_of_loss,
-    is_behind, is_unverified, late_reason, longest_wait, primary_is_suspect, reason_when_late,
-    retry_after_refusal,
+    AfterLoss, Answer, InFlight, ProbeResult, Refusal, RetryCause, after_loss, failure_of_loss,
+    is_behind, is_unverified, max_wait, primary_is_suspect, reason_after_retry,
+    retry_after_refusal, slot_timeout_reason,
 };
 use corktack_protocol::peer::{Access, Failure, NotRunReason, ServedBy, TransactionStatus};
 use rstest::rstest;
 use std::time::Duration;
 
-/// The first batch of a write, of which something was sent.
+/// The first batch of a write, partly sent.
 const WRITE: InFlight = InFlight {
     access: Access::Write,
     status: TransactionStatus::Idle,
@@ -27,15 +27,15 @@
 const LATER: InFlight = InFlight { status: TransactionStatus::Open, forwarded: true, ..WRITE };
 
 #[rstest]
-#[case::zero_leaves_it_to_the_group(0, 5_000, 5_000)]
+#[case::zero_selects_the_group_limit(0, 5_000, 5_000)]
 #[case::shorter(200, 5_000, 200)]
 #[case::longer(9_000, 5_000, 5_000)]
-fn a_request_waits_as_long_as_it_asks_and_the_group_allows(
+fn the_wait_is_the_lower_of_request_timeout_and_group_limit(
     #[case] asked_ms: u32,
     #[case] group_limit_ms: u32,
     #[case] expected_ms: u64,
 ) {
-    assert_eq!(longest_wait(asked_ms, group_limit_ms), Duration::from_millis(expected_ms));
+    assert_eq!(max_wait(asked_ms, group_limit_ms), Duration::from_millis(expected_ms));
 }
 
 #[rstest]
@@ -43,13 +43,13 @@
 #[case(RetryCause::NotPrimary, NotRunReason::BackEndRefused)]
 #[case(RetryCause::BackEndRefused, NotRunReason::BackEndRefused)]
 #[case(RetryCause::ReplicaBehind, NotRunReason::BackEndRefused)]
-fn a_late_request_tells_why_it_was_tried_again(
+fn a_request_late_after_a_retry_is_refused_with_the_reason_of_the_retry(
     #[case] cause: RetryCause,
     #[case] expected: NotRunReason,
 ) {
-    assert_eq!(late_reason(cause), expected);
-    // It is told also where there is no primary any more.
-    assert_eq!(reason_when_late(expected, Lane::Primary, || false), expected);
+    assert_eq!(reason_after_retry(cause), expected);
+    // The reason stays the same if the group has no primary any more.
+    assert_eq!(slot_timeout_reason(expected, Lane::Primary, || false), expected);
 }
 
 #[rstest]
@@ -57,18 +57,18 @@
 #[case(Lane::Primary, true, NotRunReason::QueueTimeout)]
 #[case(Lane::Replica, false, NotRunReason::QueueTimeout)]
 #[case(Lane::Replica, true, NotRunReason::QueueTimeout)]
-fn a_request_that_waited_for_a_primary_in_vain_says_so(
+fn a_request_late_without_an_available_primary_is_refused_for_no_back_end(
     #[case] lane: Lane,
     #[case] available: bool,
     #[case] expected: NotRunReason,
 ) {
-    assert_eq!(reason_when_late(NotRunReason::QueueTimeout, lane, || available), expected);
+    assert_eq!(slot_timeout_reason(NotRunReason::QueueTimeout, lane, || available), expected);
 }
 
 #[rstest]
 #[case(AdmissionError::QueueFull { retry_after_ms: 7 }, NotRunReason::QueueFull)]
 #[case(AdmissionError::TooLate { retry_after_ms: 7 }, NotRunReason::QueueTimeout)]
-fn a_refusal_of_the_queue_tells_when_to_come_back(
+fn a_refusal_of_the_queue_carries_a_retry_hint(
     #[case] error: AdmissionError,
     #[case] reason: NotRunReason,
 ) {
@@ -95,7 +95,7 @@
     InFlight { keyed: true, forwarded: false, ..LATER },
     AfterLoss::Final(Failure::TransactionLost)
 )]
-fn a_lost_request_is_repeated_where_it_harms_nobody(
+fn a_lost_request_is_repeated_only_if_repeating_is_safe(
     #[case] batch: InFlight,
     #[case] expected: AfterLoss,
 ) {
@@ -110,7 +110,7 @@
     AfterLoss::Final(Failure::TransactionLost)
 )]
 #[case::write(WRITE, AfterLoss::Final(Failure::Unknown))]
-fn an_answer_that_is_too_large_is_refused_to_a_read_alone(
+fn a_too_large_answer_is_refused_only_to_a_read_outside_a_transaction(
     #[case] batch: InFlight,
     #[case] expected: AfterLoss,
 ) {
@@ -147,7 +147,7 @@
 #[case(RetryCause::NotPrimary, ServedBy::Primary, RetryCause::NotPrimary)]
 #[case(RetryCause::BackEndRefused, ServedBy::Replica, RetryCause::BackEndRefused)]
 #[case(RetryCause::BackEndRefused, ServedBy::Primary, RetryCause::BackEndRefused)]
-fn what_a_replica_does_not_run_goes_to_the_primary(
+fn a_statement_that_a_replica_refuses_goes_to_the_primary(
     #[case] cause: RetryCause,
     #[case] served_by: ServedBy,
     #[case] expected: RetryCause,
@@ -155,8 +155,9 @@
     assert_eq!(retry_after_refusal(cause, served_by), expected);
 }
 
-/// The primary in force answers as that of term 3.
-const PRIMARY: Probed = Probed { is_primary: true, answered: true, leads: Some(Term(3)) };
+/// A probe that the primary answers as the primary of term 3, which is the term in force.
+const PRIMARY: ProbeResult =
+    ProbeResult { is_primary: true, answered: true, led_term: Some(Term(3)) };
 
 fn at(index: u64) -> Position {
     Position { term: Term(1), index }
@@ -179,7 +180,7 @@
 #[case::behind(Some(at(4)), true)]
 #[case::level(Some(at(5)), false)]
 #[case::ahead(Some(at(6)), false)]
-fn a_replica_proves_its_answer_by_its_position(
+fn a_replica_answer_needs_a_position_that_covers_the_minimum(
     #[case] position: Option<Position>,
     #[case] unverified: bool,
 ) {
@@ -204,15 +205,15 @@
 }
 
 #[rstest]
-#[case::silent(Probed { answered: false, leads: None, ..PRIMARY }, Some(true))]
+#[case::silent(ProbeResult { answered: false, led_term: None, ..PRIMARY }, Some(true))]
 #[case::leads(PRIMARY, Some(false))]
-#[case::leads_later_term(Probed { leads: Some(Term(4)), ..PRIMARY }, Some(false))]
-#[case::leads_earlier_term(Probed { leads: Some(Term(2)), ..PRIMARY }, None)]
-#[case::follows(Probed { leads: None, ..PRIMARY }, None)]
-#[case::other_member(Probed { is_primary: false, ..PRIMARY }, None)]
-#[case::other_silent(Probed { is_primary: false, answered: false, leads: None }, None)]
+#[case::leads_later_term(ProbeResult { led_term: Some(Term(4)), ..PRIMARY }, Some(false))]
+#[case::leads_earlier_term(ProbeResult { led_term: Some(Term(2)), ..PRIMARY }, None)]
+#[case::follows(ProbeResult { led_term: None, ..PRIMARY }, None)]
+#[case::other_member(ProbeResult { is_primary: false, ..PRIMARY }, None)]
+#[case::other_silent(ProbeResult { is_primary: false, answered: false, led_term: None }, None)]
 fn a_primary_is_suspect_until_it_answers_for_the_term(
-    #[case] probed: Probed,
+    #[case] probed: ProbeResult,
     #[case] expected: Option<bool>,
 ) {
     assert_eq!(primary_is_suspect(probed, Term(3)), expected);
