--- a/crates/server/src/settings/checks.rs
+++ b/crates/server/src/settings/checks.rs
@@ -1,22 +1,22 @@
-//! The checks that both roles' settings share. Each names the file, key and value in its error.
+//! Checks of values that the settings of both roles share. Each error names the file, key and value.
 
 use super::error::{SettingsError, SettingsValueError, ValueProblem};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// Largest time-out, in milliseconds: an hour. Chosen, not measured; it refuses values in another unit.
-const TIMEOUT_MAXIMUM_MS: u64 = 3_600_000;
+/// Longest time-out in milliseconds: 1 hour. Refuses values that were given in another unit.
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
-/// Checks the values of one file, and names it in the errors.
+/// Checks values of one settings file, which its errors name.
 pub(super) struct Check<'a> {
-    /// The file.
+    /// Path of the settings file.
     pub(super) file: &'a Path,
 }
 
 impl Check<'_> {
-    /// The error for one value.
-    pub(super) fn refuse(
+    /// Builds the error for one value.
+    pub(super) fn value_error(
         &self,
         key: &'static str,
         value: impl ToString,
@@ -26,7 +26,7 @@
         SettingsError::Value(Box::new(SettingsValueError { file, key, value, problem }))
     }
 
-    /// Refuses a number outside its range.
+    /// Refuses a number outside the allowed range.
     pub(super) fn range(
         &self,
         key: &'static str,
@@ -37,26 +37,26 @@
         if allowed.contains(&value) {
             return Ok(());
         }
-        Err(self.refuse(key, value, ValueProblem::Range(allowed)))
+        Err(self.value_error(key, value, ValueProblem::OutOfRange(allowed)))
     }
 
-    /// Refuses time-outs in milliseconds that are zero or too long, the first of them first.
+    /// Refuses the first time-out, in milliseconds, that is zero or longer than [`MAX_TIMEOUT_MS`].
     pub(super) fn timeouts(
         &self,
         timeouts: impl IntoIterator<Item = (&'static str, u32)>,
     ) -> Result<(), SettingsError> {
         let mut timeouts = timeouts.into_iter();
-        timeouts.try_for_each(|(key, value)| self.range(key, value, 1..=TIMEOUT_MAXIMUM_MS))
+        timeouts.try_for_each(|(key, value)| self.range(key, value, 1..=MAX_TIMEOUT_MS))
     }
 
-    /// Refuses a value that is above the larger one.
-    pub(super) fn rising(
+    /// Refuses a value that is larger than the value of the limiting key.
+    pub(super) fn at_most(
         &self,
         (key, value): (&'static str, u32),
         (limit_key, limit): (&'static str, u32),
     ) -> Result<(), SettingsError> {
         if value > limit {
-            return Err(self.refuse(key, value, ValueProblem::Above(limit_key)));
+            return Err(self.value_error(key, value, ValueProblem::Above(limit_key)));
         }
         Ok(())
     }
@@ -64,25 +64,25 @@
     /// Refuses an empty text.
     pub(super) fn not_empty(&self, key: &'static str, text: &str) -> Result<(), SettingsError> {
         if text.is_empty() {
-            return Err(self.refuse(key, "\"\"", ValueProblem::EmptyText));
+            return Err(self.value_error(key, "\"\"", ValueProblem::EmptyText));
         }
         Ok(())
     }
 
-    /// Refuses an address without a port, where one is given.
-    pub(super) fn port(
+    /// Refuses an address with port 0; an absent address is allowed.
+    pub(super) fn nonzero_port(
         &self,
         key: &'static str,
         address: Option<SocketAddr>,
     ) -> Result<(), SettingsError> {
         match address.filter(|address| address.port() == 0) {
-            Some(address) => Err(self.refuse(key, address, ValueProblem::NoPort)),
+            Some(address) => Err(self.value_error(key, address, ValueProblem::NoPort)),
             None => Ok(()),
         }
     }
 
-    /// Refuses an address that others can reach, unless callers prove who they are.
-    pub(super) fn authenticated(
+    /// Refuses an address that other machines can reach, unless clients must authenticate.
+    pub(super) fn loopback_or_authenticated(
         &self,
         key: &'static str,
         address: SocketAddr,
@@ -92,38 +92,39 @@
         if authenticated || address.ip().is_loopback() {
             return Ok(());
         }
-        Err(self.refuse(key, address, ValueProblem::Unauthenticated(remedy)))
+        Err(self.value_error(key, address, ValueProblem::Unauthenticated(remedy)))
     }
 
-    /// Refuses two listeners on one address. Port 0 is never the same twice.
-    pub(super) fn distinct(
+    /// Refuses two listeners on one address. Addresses with port 0 are allowed twice, as each gets a free
+    /// port.
+    pub(super) fn distinct_addresses(
         &self,
         listeners: &[(&'static str, SocketAddr)],
     ) -> Result<(), SettingsError> {
-        for (place, (key, address)) in listeners.iter().enumerate() {
-            let earlier = listeners[..place].iter().find(|(_, other)| other == address);
+        for (index, (key, address)) in listeners.iter().enumerate() {
+            let earlier = listeners[..index].iter().find(|(_, other)| other == address);
             if let Some((other, _)) = earlier.filter(|_| address.port() != 0) {
-                return Err(self.refuse(key, address, ValueProblem::SameAddress(other)));
+                return Err(self.value_error(key, address, ValueProblem::SameAddress(other)));
             }
         }
         Ok(())
     }
 
-    /// Refuses an empty list and one with an entry twice.
-    pub(super) fn addresses(
+    /// Refuses an empty list, an address with port 0 and an address that is listed twice.
+    pub(super) fn address_list(
         &self,
         key: &'static str,
         addresses: &[SocketAddr],
     ) -> Result<(), SettingsError> {
         if addresses.is_empty() {
-            return Err(self.refuse(key, "[]", ValueProblem::Empty));
+            return Err(self.value_error(key, "[]", ValueProblem::EmptyList));
         }
-        for (place, address) in addresses.iter().enumerate() {
+        for (index, address) in addresses.iter().enumerate() {
             if address.port() == 0 {
-                return Err(self.refuse(key, address, ValueProblem::NoPort));
+                return Err(self.value_error(key, address, ValueProblem::NoPort));
             }
-            if addresses[..place].contains(address) {
-                return Err(self.refuse(key, address, ValueProblem::Duplicate));
+            if addresses[..index].contains(address) {
+                return Err(self.value_error(key, address, ValueProblem::Duplicate));
             }
         }
         Ok(())
--- a/crates/server/src/settings/control/check.rs
+++ b/crates/server/src/settings/control/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a control replica's settings.
+//! Checks of the values in a control replica's settings.
 
 use super::ControlSettings;
 use crate::settings::checks::Check;
@@ -6,16 +6,16 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Fewest characters of an operator token. Chosen, not measured; a lower value lets tokens be guessed.
-const TOKEN_MINIMUM: usize = 16;
-/// What to do about an address that others can reach.
+/// Shortest operator token, in bytes. A shorter token can be guessed.
+const MIN_TOKEN_LENGTH: usize = 16;
+/// Remedy named in the error for an operators' address that other machines can reach.
 const TOKEN_REMEDY: &str = "set operator_token";
 
 impl ControlSettings {
-    /// Checks every value; `file` is named in the errors.
+    /// Checks every value; the errors name `file`.
     ///
     /// # Errors
-    /// The first value that is not allowed.
+    /// Returns a [`SettingsError`] for the first value that is not allowed.
     pub fn check(&self, file: &Path) -> Result<(), SettingsError> {
         let check = Check { file };
         check.not_empty("cell", &self.cell)?;
@@ -30,7 +30,7 @@
     }
 
     fn check_addresses(&self, check: &Check<'_>) -> Result<(), SettingsError> {
-        check.distinct(&[
+        check.distinct_addresses(&[
             ("addresses.cell", self.addresses.cell),
             ("addresses.proxies", self.addresses.proxies),
             ("addresses.operators", self.addresses.operators),
@@ -38,34 +38,43 @@
     }
 
     fn check_token(&self, check: &Check<'_>) -> Result<(), SettingsError> {
-        if self.operator_token.as_ref().is_some_and(|token| token.len() < TOKEN_MINIMUM) {
-            let problem = ValueProblem::TooShort(TOKEN_MINIMUM);
-            return Err(check.refuse("operator_token", "(hidden)", problem));
+        if self.operator_token.as_ref().is_some_and(|token| token.len() < MIN_TOKEN_LENGTH) {
+            let problem = ValueProblem::TooShort(MIN_TOKEN_LENGTH);
+            return Err(check.value_error("operator_token", "(hidden)", problem));
         }
-        let token = self.operator_token.is_some();
-        check.authenticated("addresses.operators", self.addresses.operators, token, TOKEN_REMEDY)
+        let has_token = self.operator_token.is_some();
+        check.loopback_or_authenticated(
+            "addresses.operators",
+            self.addresses.operators,
+            has_token,
+            TOKEN_REMEDY,
+        )
     }
 
     fn check_members(&self, check: &Check<'_>) -> Result<(), SettingsError> {
-        let addresses: Vec<SocketAddr> = self.members.iter().map(|one| one.address).collect();
-        check.addresses("members.address", &addresses)?;
-        for (place, member) in self.members.iter().enumerate() {
+        let addresses: Vec<SocketAddr> = self.members.iter().map(|member| member.address).collect();
+        check.address_list("members.address", &addresses)?;
+        for (index, member) in self.members.iter().enumerate() {
             check.range("members.id", member.id, 1..=u64::MAX)?;
-            if self.members[..place].iter().any(|other| other.id == member.id) {
-                return Err(check.refuse("members.id", member.id, ValueProblem::Duplicate));
+            if self.members[..index].iter().any(|other| other.id == member.id) {
+                return Err(check.value_error("members.id", member.id, ValueProblem::Duplicate));
             }
         }
         if !self.join && !self.members.iter().any(|member| member.id == self.replica) {
-            return Err(check.refuse("replica", self.replica, ValueProblem::NotMember));
+            return Err(check.value_error("replica", self.replica, ValueProblem::NotMember));
         }
         Ok(())
     }
 
     fn check_platform(&self, check: &Check<'_>) -> Result<(), SettingsError> {
         let Some(platform) = &self.platform else { return Ok(()) };
-        check.port("platform.address", Some(platform.address))?;
+        check.nonzero_port("platform.address", Some(platform.address))?;
         if !platform.path.starts_with('/') {
-            return Err(check.refuse("platform.path", &platform.path, ValueProblem::NoPath));
+            return Err(check.value_error(
+                "platform.path",
+                &platform.path,
+                ValueProblem::InvalidPath,
+            ));
         }
         check.timeouts([("platform.poll_interval_ms", platform.poll_interval_ms)])
     }
@@ -88,11 +97,11 @@
             ("timeouts.request_ms", timeouts.request_ms),
             ("timeouts.back_end_ms", timeouts.back_end_ms),
         ])?;
-        check.rising(
+        check.at_most(
             ("timeouts.heartbeat_ms", timeouts.heartbeat_ms),
             ("timeouts.election_ms", timeouts.election_ms),
         )?;
-        check.rising(
+        check.at_most(
             ("timeouts.proxy_heartbeat_ms", timeouts.proxy_heartbeat_ms),
             ("timeouts.proxy_silence_ms", timeouts.proxy_silence_ms),
         )
--- a/crates/server/src/settings/control/mod.rs
+++ b/crates/server/src/settings/control/mod.rs
@@ -1,17 +1,16 @@
-//! Settings of a control replica.
-//!
-//! Owns the form of the file, its defaults and what the command line may set over it.
+//! Settings of a control replica: the schema of the file, its defaults, and the values that the command
+//! line may override.
 
 mod check;
 
 use super::error::SettingsError;
 use super::failover::FailoverTimes;
-use super::file::{parse_file, replace};
+use super::file::{apply_override, parse_file};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Settings of a control replica, as in its file.
+/// Settings of a control replica, as its settings file has them.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
@@ -19,38 +18,39 @@
     #[serde(default = "default_cell")]
     pub cell: String,
     /// Identity of this replica, a number from 1. A replica that lost its data folder must
-    /// come back under one never used before. No default.
+    /// join again under an identity that was never used before. No default.
     pub replica: u64,
-    /// Folder of the log and snapshots, on a disk that keeps what is synced. No default.
+    /// Folder for the log and snapshots, on a disk that keeps synced data over a power loss. No
+    /// default.
     pub data_folder: PathBuf,
-    /// Waits to be added to the running cell of `members`, instead of founding a cell with
-    /// them. Looked at only while the data folder is empty. Default false.
+    /// Whether the replica waits to be added to the running cell of `members`, instead of
+    /// bootstrapping a cell with them. Used only while the data folder is empty. Default false.
     #[serde(default)]
     pub join: bool,
-    /// Bearer token that operators present; at least 16 characters. Without one the
-    /// operators' address must be a loopback one. Default none.
+    /// Bearer token that operators must send, of at least 16 characters. Without a token,
+    /// `addresses.operators` must be a loopback address. Default none.
     #[serde(default)]
     pub operator_token: Option<String>,
-    /// Addresses it listens on.
+    /// Addresses that the replica listens on.
     pub addresses: ControlAddresses,
-    /// The cell's replicas, this one included unless it joins. No default.
+    /// Replicas of the cell, including this replica unless `join` is set. No default.
     pub members: Vec<ControlMember>,
-    /// The platform's list of machines. Default none.
+    /// Source of the platform's list of machines. Default none.
     #[serde(default)]
     pub platform: Option<PlatformList>,
-    /// Limits.
+    /// Limits on memory and threads.
     #[serde(default)]
     pub limits: ControlLimits,
-    /// Time-outs.
+    /// Time-outs and heartbeat intervals.
     #[serde(default)]
     pub timeouts: ControlTimeouts,
-    /// When and how a primary is replaced.
+    /// Times of the detection and replacement of a lost primary.
     #[serde(default)]
     pub failover: FailoverTimes,
 }
 
 impl std::fmt::Debug for ControlSettings {
-    /// Leaves the operator token out.
+    /// Omits the operator token, so that it does not reach logs.
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter
             .debug_struct("ControlSettings")
@@ -79,21 +79,21 @@
     pub operators: SocketAddr,
 }
 
-/// A replica of the cell.
+/// A member of the cell.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlMember {
-    /// Its identity.
+    /// Identity of the replica, a number from 1.
     pub id: u64,
-    /// IP and port of its interface for other replicas.
+    /// IP and port on which the replica listens for other replicas.
     pub address: SocketAddr,
 }
 
-/// The platform's list of live and leaving machines.
+/// Where and how often the platform's list of live and leaving machines is read.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformList {
-    /// IP and port of the HTTP server that has it. No default.
+    /// IP and port of the HTTP server that serves the list. No default.
     pub address: SocketAddr,
     /// Path of the list, with its leading slash. Default `/`.
     #[serde(default = "default_path")]
@@ -115,14 +115,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ControlLimits {
-    /// Log entries after which a snapshot replaces them. Default 4096.
+    /// Number of log entries after which a snapshot replaces them. Default 4096.
     pub snapshot_entries: u64,
-    /// Changes kept for watchers; a proxy further behind gets a snapshot, an operator's watch
-    /// the answer 410. Default 8192.
+    /// Number of changes kept for watchers. A proxy that is further behind receives a snapshot;
+    /// an operator's watch receives the answer 410. Default 8192.
     pub watch_changes: u32,
-    /// Threads of the operators' interface, and of the proxies'. Default 2.
+    /// Number of threads of the operators' interface, and likewise of the proxies' interface.
+    /// Default 2.
     pub workers: u32,
-    /// Log records kept in memory. Default 4096.
+    /// Number of log records kept in memory. Default 4096.
     pub event_records: u32,
 }
 
@@ -140,15 +141,14 @@
     pub election_ms: u32,
     /// Time between heartbeats of the leader, in milliseconds. Default 50.
     pub heartbeat_ms: u32,
-    /// Time between heartbeats of a proxy, in milliseconds; as in the proxies' settings.
-    /// Default 1000.
+    /// Time between heartbeats of a proxy, in milliseconds; the same as in the proxies' setting
+    /// `control.heartbeat_interval_ms`. Default 1000.
     pub proxy_heartbeat_ms: u32,
-    /// Silence after which a proxy counts as down, in milliseconds. Default 3000.
+    /// Time without a heartbeat after which a proxy counts as down, in milliseconds. Default 3000.
     pub proxy_silence_ms: u32,
-    /// Longest time a request of an operator waits for its outcome, in milliseconds.
-    /// Default 5000.
+    /// Longest wait of an operator's request for its outcome, in milliseconds. Default 5000.
     pub request_ms: u32,
-    /// Longest wait for a fence or a promotion of a back end, its connection included, in
+    /// Timeout of a fence or a promotion of a back end, including the connection set-up, in
     /// milliseconds. Default 1000.
     pub back_end_ms: u32,
 }
@@ -166,16 +166,16 @@
     }
 }
 
-/// What the command line may set over the file.
+/// Values of the command line that override those of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ControlOverrides {
-    /// Over `data_folder`.
+    /// Overrides `data_folder`.
     pub data_folder: Option<PathBuf>,
-    /// Over `addresses.cell`.
+    /// Overrides `addresses.cell`.
     pub cell: Option<SocketAddr>,
-    /// Over `addresses.proxies`.
+    /// Overrides `addresses.proxies`.
     pub proxies: Option<SocketAddr>,
-    /// Over `addresses.operators`.
+    /// Overrides `addresses.operators`.
     pub operators: Option<SocketAddr>,
 }
 
@@ -183,18 +183,18 @@
     /// Reads a file, applies the overrides and checks every value.
     ///
     /// # Errors
-    /// A [`SettingsError`] that names the file, key and value.
+    /// Returns a [`SettingsError`] that names the file, key and value.
     pub fn load(file: &Path, overrides: ControlOverrides) -> Result<Self, SettingsError> {
         let mut settings: Self = parse_file(file)?;
-        settings.override_by(overrides);
+        settings.apply_overrides(overrides);
         settings.check(file)?;
         Ok(settings)
     }
 
-    fn override_by(&mut self, overrides: ControlOverrides) {
-        replace(&mut self.data_folder, overrides.data_folder);
-        replace(&mut self.addresses.cell, overrides.cell);
-        replace(&mut self.addresses.proxies, overrides.proxies);
-        replace(&mut self.addresses.operators, overrides.operators);
+    fn apply_overrides(&mut self, overrides: ControlOverrides) {
+        apply_override(&mut self.data_folder, overrides.data_folder);
+        apply_override(&mut self.addresses.cell, overrides.cell);
+        apply_override(&mut self.addresses.proxies, overrides.proxies);
+        apply_override(&mut self.addresses.operators, overrides.operators);
     }
 }
--- a/crates/server/src/settings/error.rs
+++ b/crates/server/src/settings/error.rs
@@ -1,94 +1,96 @@
-//! Why a settings file is refused.
+//! Errors of reading, parsing and checking a settings file.
 
 use corktack_core::identity::NameError;
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// Why settings were refused. Each variant names the file, and the key and value where one is at fault.
+/// Error of a settings file. Each variant names the file, and the key and value that caused the error if
+/// there is one.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file could not be read.
     #[error("settings file {}: cannot be read", file.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not TOML of the expected form: a bad type, an unknown or a missing key.
+    /// The file is not valid TOML, or a key is unknown, missing or of the wrong type.
     #[error("settings file {}, line {line} ({text:?}): {reason}", file.display())]
     Form {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
         /// Number of the line, from 1.
         line: usize,
-        /// The line, with its key and value.
+        /// Content of the line, with its key and value.
         text: String,
-        /// What the parser says.
+        /// Message of the parser.
         reason: String,
     },
-    /// A value is well formed and not allowed.
+    /// A value has the right type, but is not allowed.
     #[error(transparent)]
     Value(Box<SettingsValueError>),
 }
 
-/// A value that is well formed and not allowed.
+/// Reports a value that has the right type, but is not allowed.
 #[derive(Debug, thiserror::Error)]
 #[error("settings file {}: {key} = {value}: {problem}", file.display())]
 pub struct SettingsValueError {
-    /// The file.
+    /// Path of the file.
     pub file: PathBuf,
-    /// Path of the key.
+    /// Path of the key, for example `limits.callers`.
     pub key: &'static str,
-    /// The value.
+    /// Value as text; a secret is replaced by a placeholder.
     pub value: String,
-    /// What is wrong with it.
+    /// Rule that the value breaks.
     pub problem: ValueProblem,
 }
 
-/// What is wrong with a value.
+/// Rule that a value of a settings file breaks.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ValueProblem {
-    /// A number is out of its range.
+    /// The number is outside its range.
     #[error("must be {} to {}", .0.start(), .0.end())]
-    Range(RangeInclusive<u64>),
-    /// A list must not be empty.
+    OutOfRange(RangeInclusive<u64>),
+    /// The list is empty.
     #[error("must name at least one")]
-    Empty,
-    /// An entry of a list stands twice.
+    EmptyList,
+    /// The entry is in its list twice.
     #[error("stands twice")]
     Duplicate,
-    /// Two values that must rise do not.
+    /// The value is larger than that of the named key.
     #[error("must not be above {0}")]
     Above(&'static str),
-    /// Of two values that must differ, the one that must be larger is not.
+    /// The value is not larger than that of the named key.
     #[error("must be above {0}")]
     NotAbove(&'static str),
-    /// It has no effect without another setting.
+    /// The value has no effect without the named setting.
     #[error("has no effect without {0}")]
-    Needs(&'static str),
-    /// It is empty.
+    RequiresSetting(&'static str),
+    /// The text is empty.
     #[error("must not be empty")]
     EmptyText,
-    /// It is no path of HTTP.
+    /// The text is not an HTTP path, which begins with `/`.
     #[error("must begin with /")]
-    NoPath,
-    /// An address that others can reach takes callers or operators without authentication.
+    InvalidPath,
+    /// The address can be reached from other machines, and its clients do not authenticate; the text names
+    /// the setting that helps.
     #[error("is not a loopback address, which needs authentication: {0}")]
     Unauthenticated(&'static str),
-    /// Two listeners have one address.
+    /// The listener of the named key has the same address.
     #[error("is also the address of {0}")]
     SameAddress(&'static str),
-    /// The port is zero where other processes must know it.
+    /// The port is 0, but other processes need to know it.
     #[error("must name a port")]
     NoPort,
-    /// A name is not valid.
+    /// The name is not valid.
     #[error(transparent)]
     Name(#[from] NameError),
-    /// This replica is not in the list of the cell.
+    /// The replica's identity is not among the cell's members.
     #[error("is not among the cell's members")]
     NotMember,
-    /// The text is too short to be a secret.
+    /// The secret is shorter than the given number of characters.
     #[error("must have at least {0} characters")]
     TooShort(usize),
 }
--- a/crates/server/src/settings/failover.rs
+++ b/crates/server/src/settings/failover.rs
@@ -1,6 +1,6 @@
-//! When and how a control replica replaces a primary.
+//! Settings section `failover`: the times with which a control replica detects and replaces a lost primary.
 //!
-//! Owns the form of the section; the defaults are the core's.
+//! All defaults but that of `probe_ms` come from the core's [`FailoverSettings`].
 
 use super::checks::Check;
 use super::error::{SettingsError, ValueProblem};
@@ -9,88 +9,88 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Times of the failover procedure, as in the file's section `failover`. The defaults are
-/// those of [`FailoverSettings`].
+/// Times of the failover procedure, as in the section `failover` of a control replica's settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FailoverTimes {
-    /// How long several observers must miss a primary before a failover begins, in
+    /// How long several observers must find a primary unreachable before a failover begins, in
     /// milliseconds. Default 500.
     pub suspicion_ms: u32,
-    /// Time between two probes of a member while there is doubt about its group, in
+    /// Time between two probes of a member while the state of its group is in doubt, in
     /// milliseconds. Default 200.
     pub probe_interval_ms: u32,
-    /// Longest wait for one probe, its connection included, in milliseconds. Default 400.
+    /// Timeout of one probe, including its connection set-up, in milliseconds. Default 400.
     pub probe_ms: u32,
     /// Time between two probes of a primary that no owner reports on, in milliseconds.
     /// Default 1000.
     pub unobserved_interval_ms: u32,
-    /// Time between two probes of a primary that its owner reports as well, in
-    /// milliseconds. Default 10000.
+    /// Time between two probes of a primary that its owner reports on, in milliseconds.
+    /// Default 10000.
     pub sweep_interval_ms: u32,
-    /// How long a new leader leaves a failover of an earlier one to show its primary, in
+    /// How long a new leader waits for the primary of a failover that an earlier leader began, in
     /// milliseconds. Default 300.
     pub resume_wait_ms: u32,
-    /// How long a group that moved to a higher term by itself has to show its primary, in
-    /// milliseconds. Default 1000.
+    /// How long the leader waits for the primary of a group that moved to a higher term by
+    /// itself, in milliseconds. Default 1000.
     pub adoption_wait_ms: u32,
-    /// How long a new group has to show its primary before one is chosen, in milliseconds.
-    /// Default 3000.
+    /// How long the leader waits for the primary of a new group before it promotes a member, in
+    /// milliseconds. Default 3000.
     pub bootstrap_wait_ms: u32,
-    /// How long a fenced majority waits for further members when it would otherwise promote
-    /// one that is draining, in milliseconds. Default 200.
+    /// How long the leader waits for further members to be fenced when the fenced majority would
+    /// otherwise promote a draining member, in milliseconds. Default 200.
     pub fence_settle_ms: u32,
-    /// Wait before a call to a back end that failed is made again the first time, in
-    /// milliseconds; doubles with each failure. Default 200.
+    /// Delay before the first retry of a failed call to a back end, in milliseconds; it doubles
+    /// with each failure. Default 200.
     pub retry_minimum_ms: u32,
-    /// Longest such wait, in milliseconds. Default 3000.
+    /// Longest delay before a retry, in milliseconds. Default 3000.
     pub retry_maximum_ms: u32,
-    /// Time after which a step without an answer is given up, in milliseconds; above
+    /// Timeout of a step that gets no answer, in milliseconds; must be above
     /// `failover.probe_ms` and `timeouts.back_end_ms`. Default 3000.
     pub answer_ms: u32,
-    /// Time from a failover of a group to its next one, in milliseconds; doubles with each
-    /// one that follows within `quiet_ms`. Default 2000.
+    /// Shortest time between two failovers of a group, in milliseconds; it doubles with each
+    /// failover that follows within `quiet_ms`. Default 2000.
     pub cooldown_minimum_ms: u32,
-    /// Longest such time, in milliseconds. Default 60000.
+    /// Longest cooldown between two failovers of a group, in milliseconds. Default 60000.
     pub cooldown_maximum_ms: u32,
-    /// Time without a failover of a group after which its cooldown starts from the shortest
-    /// again, in milliseconds. Default 600000.
+    /// Time without a failover of a group after which its cooldown is reset to
+    /// `cooldown_minimum_ms`, in milliseconds. Default 600000.
     pub quiet_ms: u32,
 }
 
-/// Longest wait for one probe, in milliseconds. Chosen, not measured; a lower value misses members that are only
-/// slow, a higher one adds to the time until a failover.
-const PROBE_MS: u32 = 400;
+/// Default timeout of one probe, in milliseconds. A lower value counts members that are only slow as lost;
+/// a higher value adds to the time until a failover.
+const DEFAULT_PROBE_MS: u32 = 400;
 
 impl Default for FailoverTimes {
     fn default() -> Self {
         let times = FailoverSettings::default();
         Self {
-            suspicion_ms: whole_millis(times.suspicion),
-            probe_interval_ms: whole_millis(times.probe_interval),
-            probe_ms: PROBE_MS,
-            unobserved_interval_ms: whole_millis(times.unobserved_interval),
-            sweep_interval_ms: whole_millis(times.sweep_interval),
-            resume_wait_ms: whole_millis(times.resume_wait),
-            adoption_wait_ms: whole_millis(times.adoption_wait),
-            bootstrap_wait_ms: whole_millis(times.bootstrap_wait),
-            fence_settle_ms: whole_millis(times.fence_settle),
-            retry_minimum_ms: whole_millis(times.retry_first),
-            retry_maximum_ms: whole_millis(times.retry_last),
-            answer_ms: whole_millis(times.answer_timeout),
-            cooldown_minimum_ms: whole_millis(times.cooldown_first),
-            cooldown_maximum_ms: whole_millis(times.cooldown_last),
-            quiet_ms: whole_millis(times.quiet_time),
+            suspicion_ms: as_millis_u32(times.suspicion),
+            probe_interval_ms: as_millis_u32(times.probe_interval),
+            probe_ms: DEFAULT_PROBE_MS,
+            unobserved_interval_ms: as_millis_u32(times.unobserved_interval),
+            sweep_interval_ms: as_millis_u32(times.sweep_interval),
+            resume_wait_ms: as_millis_u32(times.resume_wait),
+            adoption_wait_ms: as_millis_u32(times.adoption_wait),
+            bootstrap_wait_ms: as_millis_u32(times.bootstrap_wait),
+            fence_settle_ms: as_millis_u32(times.fence_settle),
+            retry_minimum_ms: as_millis_u32(times.retry_first),
+            retry_maximum_ms: as_millis_u32(times.retry_last),
+            answer_ms: as_millis_u32(times.answer_timeout),
+            cooldown_minimum_ms: as_millis_u32(times.cooldown_first),
+            cooldown_maximum_ms: as_millis_u32(times.cooldown_last),
+            quiet_ms: as_millis_u32(times.quiet_time),
         }
     }
 }
 
-fn whole_millis(duration: Duration) -> u32 {
+fn as_millis_u32(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
 impl FailoverTimes {
-    /// The times as the control replica takes them.
+    /// Converts the times to the control replica's settings, without `probe_ms`, which the replica takes
+    /// separately.
     #[must_use]
     pub fn settings(&self) -> FailoverSettings {
         FailoverSettings {
@@ -111,28 +111,29 @@
         }
     }
 
-    /// Checks every value; `back_end_ms` is the longest wait for one statement.
+    /// Checks every value; `back_end_ms` is the setting `timeouts.back_end_ms`.
     pub(super) fn check(&self, check: &Check<'_>, back_end_ms: u32) -> Result<(), SettingsError> {
-        check.timeouts(self.values())?;
-        check.rising(
+        check.timeouts(self.keyed_times())?;
+        check.at_most(
             ("failover.retry_minimum_ms", self.retry_minimum_ms),
             ("failover.retry_maximum_ms", self.retry_maximum_ms),
         )?;
-        check.rising(
+        check.at_most(
             ("failover.cooldown_minimum_ms", self.cooldown_minimum_ms),
             ("failover.cooldown_maximum_ms", self.cooldown_maximum_ms),
         )?;
-        let waits = [("failover.probe_ms", self.probe_ms), ("timeouts.back_end_ms", back_end_ms)];
-        for (key, wait) in waits {
-            if self.answer_ms <= wait {
+        let step_timeouts =
+            [("failover.probe_ms", self.probe_ms), ("timeouts.back_end_ms", back_end_ms)];
+        for (key, timeout_ms) in step_timeouts {
+            if self.answer_ms <= timeout_ms {
                 let problem = ValueProblem::NotAbove(key);
-                return Err(check.refuse("failover.answer_ms", self.answer_ms, problem));
+                return Err(check.value_error("failover.answer_ms", self.answer_ms, problem));
             }
         }
         Ok(())
     }
 
-    const fn values(&self) -> [(&'static str, u32); 15] {
+    const fn keyed_times(&self) -> [(&'static str, u32); 15] {
         [
             ("failover.suspicion_ms", self.suspicion_ms),
             ("failover.probe_interval_ms", self.probe_interval_ms),
--- a/crates/server/src/settings/mod.rs
+++ b/crates/server/src/settings/mod.rs
@@ -1,6 +1,7 @@
-//! Settings files: TOML, one form a role, unknown keys refused, values checked at start.
+//! Settings files: TOML with one schema for each role. Unknown keys are refused, and values are checked at
+//! start.
 //!
-//! Owns the forms of the files and their defaults. What a value does is decided by the part that takes it.
+//! Defines the schemas and most defaults. The part that receives a value defines its effect.
 
 mod checks;
 pub mod control;
@@ -18,28 +19,28 @@
 use file::parse_file;
 use std::path::Path;
 
-/// Keys that only a control replica's file has.
+/// Top-level keys that only a control replica's file has.
 const CONTROL_KEYS: [&str; 4] = ["replica", "members", "cell", "join"];
-/// The same inside its section `addresses`.
-const CONTROL_ADDRESSES: [&str; 3] = ["cell", "proxies", "operators"];
+/// Keys of the section `addresses` that only a control replica's file has.
+const CONTROL_ADDRESS_KEYS: [&str; 3] = ["cell", "proxies", "operators"];
 
-/// Checks a settings file of either role. Its keys tell the role, and one of them is enough,
-/// so that a mistyped key is reported against the right role.
+/// Checks a settings file of either role. One key that only a control replica's file has decides the role,
+/// so that a mistyped key is still reported for the right role.
 ///
 /// # Errors
-/// A [`SettingsError`] that names the file, key and value.
+/// Returns a [`SettingsError`] that names the file, key and value.
 pub fn check_file(file: &Path) -> Result<(), SettingsError> {
     let keys: toml::Table = parse_file(file)?;
-    if is_control(&keys) {
+    if is_control_file(&keys) {
         return ControlSettings::load(file, ControlOverrides::default()).map(drop);
     }
     ProxySettings::load(file, ProxyOverrides::default()).map(drop)
 }
 
-fn is_control(keys: &toml::Table) -> bool {
+fn is_control_file(keys: &toml::Table) -> bool {
     let addresses = keys.get("addresses").and_then(toml::Value::as_table);
     CONTROL_KEYS.iter().any(|key| keys.contains_key(*key))
         || addresses.is_some_and(|addresses| {
-            CONTROL_ADDRESSES.iter().any(|key| addresses.contains_key(*key))
+            CONTROL_ADDRESS_KEYS.iter().any(|key| addresses.contains_key(*key))
         })
 }
--- a/crates/server/src/settings/proxy/check.rs
+++ b/crates/server/src/settings/proxy/check.rs
@@ -1,29 +1,29 @@
-//! Checks of a proxy's settings.
+//! Checks of the values in a proxy's settings.
 
 use super::{AuthenticationMode, ProxySettings};
 use crate::settings::checks::Check;
 use crate::settings::error::{SettingsError, ValueProblem};
 use std::path::Path;
 
-/// Most event loops a role may have. Chosen, not measured; each is a thread.
-const ARBITERS_MAXIMUM: u64 = 256;
-/// Largest number of callers of one proxy. Chosen, not measured; it refuses values that no machine serves.
-const CALLERS_MAXIMUM: u64 = 1_000_000;
-/// Largest message of a caller, in bytes; it must fit a frame between proxies.
-const MESSAGE_MAXIMUM: u64 = 7 * 1024 * 1024;
-/// What to do about an address that others can reach.
+/// Most event loops that the edge or the owner may have; each event loop is a thread.
+const MAX_ARBITERS: u64 = 256;
+/// Most callers of one proxy. Refuses numbers that no machine can serve.
+const MAX_CALLERS: u64 = 1_000_000;
+/// Largest value of `limits.message_bytes`; a message must fit into a frame between proxies.
+const MAX_MESSAGE_BYTES: u64 = 7 * 1024 * 1024;
+/// Remedy named in the error for a callers' address that other machines can reach.
 const SCRAM_REMEDY: &str = "set authentication.mode = \"scram\" and name users";
-/// Largest message of a caller that has not authenticated, in bytes. Chosen, not measured; it bounds the memory
-/// that strangers can take.
-const STARTUP_MAXIMUM: u64 = 64 * 1024;
-/// What makes users count.
-const SCRAM_MODE: &str = "authentication.mode = \"scram\"";
+/// Largest value of `limits.startup_message_bytes`. Bounds the memory that callers can use before they have
+/// authenticated.
+const MAX_STARTUP_MESSAGE_BYTES: u64 = 64 * 1024;
+/// Setting without which listed users have no effect.
+const SCRAM_MODE_SETTING: &str = "authentication.mode = \"scram\"";
 
 impl ProxySettings {
-    /// Checks every value; `file` is named in the errors.
+    /// Checks every value; the errors name `file`.
     ///
     /// # Errors
-    /// The first value that is not allowed.
+    /// Returns a [`SettingsError`] for the first value that is not allowed.
     pub fn check(&self, file: &Path) -> Result<(), SettingsError> {
         let check = Check { file };
         check.not_empty("back_end_user", &self.back_end_user)?;
@@ -35,37 +35,42 @@
     }
 
     fn check_addresses(&self, check: &Check<'_>) -> Result<(), SettingsError> {
-        check.distinct(&[
+        check.distinct_addresses(&[
             ("addresses.callers", self.addresses.callers),
             ("addresses.peers", self.addresses.peers),
             ("addresses.telemetry", self.addresses.telemetry),
         ])?;
-        check.port("addresses.peers_announced", self.addresses.peers_announced)?;
-        check.port("addresses.peers_own", self.addresses.peers_own)
+        check.nonzero_port("addresses.peers_announced", self.addresses.peers_announced)?;
+        check.nonzero_port("addresses.peers_own", self.addresses.peers_own)
     }
 
     fn check_authentication(&self, check: &Check<'_>) -> Result<(), SettingsError> {
         let scram = self.authentication.mode == AuthenticationMode::Scram;
-        check.authenticated("addresses.callers", self.addresses.callers, scram, SCRAM_REMEDY)?;
+        check.loopback_or_authenticated(
+            "addresses.callers",
+            self.addresses.callers,
+            scram,
+            SCRAM_REMEDY,
+        )?;
         let users = &self.authentication.users;
         if scram && users.is_empty() {
-            return Err(check.refuse("authentication.users", "[]", ValueProblem::Empty));
+            return Err(check.value_error("authentication.users", "[]", ValueProblem::EmptyList));
         }
         if let Some(user) = users.first().filter(|_| !scram) {
-            // Whoever names users expects that others are kept out.
-            let problem = ValueProblem::Needs(SCRAM_MODE);
-            return Err(check.refuse("authentication.users.name", &user.name, problem));
+            // A file that lists users expects all other users to be refused, which `trust` does not do.
+            let problem = ValueProblem::RequiresSetting(SCRAM_MODE_SETTING);
+            return Err(check.value_error("authentication.users.name", &user.name, problem));
         }
-        for (place, user) in users.iter().enumerate() {
-            if users[..place].iter().any(|other| other.name == user.name) {
+        for (index, user) in users.iter().enumerate() {
+            if users[..index].iter().any(|other| other.name == user.name) {
                 let problem = ValueProblem::Duplicate;
-                return Err(check.refuse("authentication.users.name", &user.name, problem));
+                return Err(check.value_error("authentication.users.name", &user.name, problem));
             }
             check.not_empty("authentication.users.name", &user.name)?;
             if user.password.is_empty() {
                 let value = format!("(hidden, of {:?})", user.name);
                 let problem = ValueProblem::TooShort(1);
-                return Err(check.refuse("authentication.users.password", value, problem));
+                return Err(check.value_error("authentication.users.password", value, problem));
             }
         }
         Ok(())
@@ -73,7 +78,7 @@
 
     fn check_control(&self, check: &Check<'_>) -> Result<(), SettingsError> {
         let control = &self.control;
-        check.addresses("control.replicas", &control.replicas)?;
+        check.address_list("control.replicas", &control.replicas)?;
         check.timeouts([
             ("control.heartbeat_interval_ms", control.heartbeat_interval_ms),
             ("control.silence_timeout_ms", control.silence_timeout_ms),
@@ -81,23 +86,27 @@
             ("control.retry_minimum_ms", control.retry_minimum_ms),
             ("control.retry_maximum_ms", control.retry_maximum_ms),
         ])?;
-        check.rising(
+        check.at_most(
             ("control.heartbeat_interval_ms", control.heartbeat_interval_ms),
             ("control.silence_timeout_ms", control.silence_timeout_ms),
         )?;
-        check.rising(
+        check.at_most(
             ("control.retry_minimum_ms", control.retry_minimum_ms),
             ("control.retry_maximum_ms", control.retry_maximum_ms),
         )
     }
 
     fn check_limits(&self, check: &Check<'_>) -> Result<(), SettingsError> {
-        check.range("limits.callers", self.limits.callers, 1..=CALLERS_MAXIMUM)?;
-        check.range("limits.edge_arbiters", self.limits.edge_arbiters, 1..=ARBITERS_MAXIMUM)?;
-        check.range("limits.owner_arbiters", self.limits.owner_arbiters, 1..=ARBITERS_MAXIMUM)?;
-        check.range("limits.message_bytes", self.limits.message_bytes, 1_024..=MESSAGE_MAXIMUM)?;
+        check.range("limits.callers", self.limits.callers, 1..=MAX_CALLERS)?;
+        check.range("limits.edge_arbiters", self.limits.edge_arbiters, 1..=MAX_ARBITERS)?;
+        check.range("limits.owner_arbiters", self.limits.owner_arbiters, 1..=MAX_ARBITERS)?;
+        check.range(
+            "limits.message_bytes",
+            self.limits.message_bytes,
+            1_024..=MAX_MESSAGE_BYTES,
+        )?;
         let startup = self.limits.startup_message_bytes;
-        check.range("limits.startup_message_bytes", startup, 1_024..=STARTUP_MAXIMUM)?;
+        check.range("limits.startup_message_bytes", startup, 1_024..=MAX_STARTUP_MESSAGE_BYTES)?;
         check.range("limits.event_records", self.limits.event_records, 1..=1_000_000)
     }
 
--- a/crates/server/src/settings/proxy/mod.rs
+++ b/crates/server/src/settings/proxy/mod.rs
@@ -1,6 +1,4 @@
-//! Settings of a proxy.
-//!
-//! Owns the form of the file and what the command line may set over it.
+//! Settings of a proxy: the schema of the file, and the values that the command line may override.
 
 mod check;
 mod sections;
@@ -11,48 +9,49 @@
 };
 
 use super::error::SettingsError;
-use super::file::{parse_file, replace};
+use super::file::{apply_override, parse_file};
 use corktack_core::identity::{ClassName, ProxyName, ZoneName};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Settings of a proxy, as in its file.
+/// Settings of a proxy, as its settings file has them.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProxySettings {
     /// Name of the proxy, stable over restarts and unique in the fleet. No default.
     pub name: ProxyName,
-    /// Zone it runs in; zones of one region share the text before the first `.`. No default.
+    /// Zone that the proxy runs in; zones of one region share the text before the first `.`. No
+    /// default.
     pub zone: ZoneName,
-    /// Folder for the last configuration and the written-out event logs. No default.
+    /// Folder for the last configuration and for files of the event log. No default.
     pub data_folder: PathBuf,
-    /// Priority class of callers whom no binding covers. Default `default`.
+    /// Priority class of callers that no binding matches. Default `default`.
     #[serde(default = "default_class")]
     pub default_class: ClassName,
-    /// User name on server connections. Default `corktack`.
+    /// User name for connections to back ends. Default `corktack`.
     #[serde(default = "default_back_end_user")]
     pub back_end_user: String,
-    /// Addresses it listens on.
+    /// Addresses that the proxy listens on.
     pub addresses: ProxyAddresses,
-    /// How it reaches the control replicas.
+    /// Connection to the control replicas.
     pub control: ControlConnection,
-    /// How callers prove who they are.
+    /// Authentication of callers.
     #[serde(default)]
     pub authentication: Authentication,
-    /// Limits.
+    /// Limits on callers, threads and memory.
     #[serde(default)]
     pub limits: ProxyLimits,
-    /// Time-outs.
+    /// Time-outs and the retention of outcomes.
     #[serde(default)]
     pub timeouts: ProxyTimeouts,
 }
 
-/// Class of callers whom no binding covers, unless the file names another.
+/// Default of `default_class`, the class of callers that no binding matches.
 const DEFAULT_CLASS: &str = "default";
 
 fn default_class() -> ClassName {
-    // The constant is a valid name, so the conversion cannot fail; a test holds it so.
+    // The constant is a valid name, so the conversion cannot fail; a test checks this.
     match ClassName::new(DEFAULT_CLASS) {
         Ok(name) => name,
         Err(error) => unreachable!("{DEFAULT_CLASS:?}: {error}"),
@@ -63,20 +62,20 @@
     "corktack".to_owned()
 }
 
-/// What the command line may set over the file.
+/// Values of the command line that override those of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProxyOverrides {
-    /// Over `name`.
+    /// Overrides `name`.
     pub name: Option<ProxyName>,
-    /// Over `zone`.
+    /// Overrides `zone`.
     pub zone: Option<ZoneName>,
-    /// Over `data_folder`.
+    /// Overrides `data_folder`.
     pub data_folder: Option<PathBuf>,
-    /// Over `addresses.callers`.
+    /// Overrides `addresses.callers`.
     pub callers: Option<SocketAddr>,
-    /// Over `addresses.peers`.
+    /// Overrides `addresses.peers`.
     pub peers: Option<SocketAddr>,
-    /// Over `addresses.telemetry`.
+    /// Overrides `addresses.telemetry`.
     pub telemetry: Option<SocketAddr>,
 }
 
@@ -84,20 +83,20 @@
     /// Reads a file, applies the overrides and checks every value.
     ///
     /// # Errors
-    /// A [`SettingsError`] that names the file, key and value.
+    /// Returns a [`SettingsError`] that names the file, key and value.
     pub fn load(file: &Path, overrides: ProxyOverrides) -> Result<Self, SettingsError> {
         let mut settings: Self = parse_file(file)?;
-        settings.override_by(overrides);
+        settings.apply_overrides(overrides);
         settings.check(file)?;
         Ok(settings)
     }
 
-    fn override_by(&mut self, overrides: ProxyOverrides) {
-        replace(&mut self.name, overrides.name);
-        replace(&mut self.zone, overrides.zone);
-        replace(&mut self.data_folder, overrides.data_folder);
-        replace(&mut self.addresses.callers, overrides.callers);
-        replace(&mut self.addresses.peers, overrides.peers);
-        replace(&mut self.addresses.telemetry, overrides.telemetry);
+    fn apply_overrides(&mut self, overrides: ProxyOverrides) {
+        apply_override(&mut self.name, overrides.name);
+        apply_override(&mut self.zone, overrides.zone);
+        apply_override(&mut self.data_folder, overrides.data_folder);
+        apply_override(&mut self.addresses.callers, overrides.callers);
+        apply_override(&mut self.addresses.peers, overrides.peers);
+        apply_override(&mut self.addresses.telemetry, overrides.telemetry);
     }
 }
--- a/crates/server/src/settings/proxy/sections.rs
+++ b/crates/server/src/settings/proxy/sections.rs
@@ -1,6 +1,4 @@
-//! Sections of a proxy's settings file.
-//!
-//! Owns their defaults.
+//! Sections of a proxy's settings file and their defaults.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -13,37 +11,37 @@
     pub callers: SocketAddr,
     /// IP and port for other proxies. No default. Keep it on a private network.
     pub peers: SocketAddr,
-    /// IP and port other proxies connect to, where it is not `peers`. Default: `peers`.
+    /// IP and port that other proxies connect to, if they differ from `peers`. Default: `peers`.
     pub peers_announced: Option<SocketAddr>,
-    /// IP and port at which this proxy reaches its own interface for proxies, so that callers
-    /// of a group it owns itself are served whatever happens to the announced address.
-    /// Default: the address that `peers` listens on, on loopback where that is every address.
+    /// IP and port at which this proxy connects to its own interface for proxies. Callers of a
+    /// group that the proxy owns are served even if the announced address cannot be reached.
+    /// Default: the address that `peers` listens on, or loopback if that is every address.
     pub peers_own: Option<SocketAddr>,
     /// IP and port for metrics, liveness and readiness. No default.
     pub telemetry: SocketAddr,
 }
 
-/// How a proxy reaches the control replicas.
+/// Section `control`: how a proxy connects to the control replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlConnection {
-    /// Addresses of the control replicas' interface for proxies. No default.
+    /// Addresses on which the control replicas listen for proxies. No default.
     pub replicas: Vec<SocketAddr>,
-    /// Time between heartbeats, in milliseconds. Default 1000.
+    /// Time between two heartbeats to control, in milliseconds. Default 1000.
     #[serde(default = "default_heartbeat_interval_ms")]
     pub heartbeat_interval_ms: u32,
-    /// Time without a proof that the replica is current before another one is taken,
-    /// in milliseconds. Default 3000.
+    /// Time without a confirmation that the connected replica is current before the proxy
+    /// connects to another replica, in milliseconds. Default 3000.
     #[serde(default = "default_silence_timeout_ms")]
     pub silence_timeout_ms: u32,
-    /// Longest time to connect, in milliseconds. Default 1000.
+    /// Timeout of a connection attempt, in milliseconds. Default 1000.
     #[serde(default = "default_connect_timeout_ms")]
     pub connect_timeout_ms: u32,
-    /// Shortest wait before another replica is tried, in milliseconds; doubles with each
-    /// failure. Default 50.
+    /// Shortest delay before another replica is tried, in milliseconds; the delay doubles with
+    /// each failure. Default 50.
     #[serde(default = "default_retry_minimum_ms")]
     pub retry_minimum_ms: u32,
-    /// Longest wait before another replica is tried, in milliseconds. Default 2000.
+    /// Longest delay before another replica is tried, in milliseconds. Default 2000.
     #[serde(default = "default_retry_maximum_ms")]
     pub retry_maximum_ms: u32,
 }
@@ -69,7 +67,7 @@
 }
 
 impl ControlConnection {
-    /// The defaults for these replicas.
+    /// Returns the default settings for connections to these replicas.
     #[must_use]
     pub const fn new(replicas: Vec<SocketAddr>) -> Self {
         Self {
@@ -83,26 +81,26 @@
     }
 }
 
-/// How callers prove who they are.
+/// Section `authentication`: how callers authenticate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Authentication {
     /// `trust` (loopback addresses only) or `scram` (SCRAM-SHA-256). Default `trust`.
     #[serde(default)]
     pub mode: AuthenticationMode,
-    /// Users of `scram`; refused in the other mode. Default none.
+    /// Users of the mode `scram`; listed users are an error in the mode `trust`. Default none.
     #[serde(default)]
     pub users: Vec<ScramUser>,
 }
 
-/// Kind of authentication.
+/// Authentication mode of callers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AuthenticationMode {
-    /// Any user name is believed.
+    /// Accepts any user name without a password.
     #[default]
     Trust,
-    /// SCRAM-SHA-256 against the listed users.
+    /// Authenticates callers with SCRAM-SHA-256 against the listed users.
     Scram,
 }
 
@@ -110,9 +108,9 @@
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScramUser {
-    /// Name of the user.
+    /// User name that the caller sends.
     pub name: String,
-    /// The password. Keep the file readable by the proxy's user alone.
+    /// Password in plain text. Only the proxy's operating-system user should be able to read the file.
     pub password: String,
 }
 
@@ -122,21 +120,22 @@
     }
 }
 
-/// Limits of a proxy.
+/// Section `limits` of a proxy's settings.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ProxyLimits {
-    /// Callers connected at once; further ones are refused with SQLSTATE 53300. Default 10000.
+    /// Most callers connected at once; further callers are refused with SQLSTATE 53300. Default
+    /// 10000.
     pub callers: u32,
-    /// Event loops (threads) for callers. Default 2.
+    /// Number of event loops (threads) for callers. Default 2.
     pub edge_arbiters: u32,
-    /// Event loops (threads) for owned groups. Default 2.
+    /// Number of event loops (threads) for owned groups. Default 2.
     pub owner_arbiters: u32,
-    /// Longest message, and longest batch, of a caller, in bytes. Default 4194304.
+    /// Largest message, and largest batch of messages, of a caller, in bytes. Default 4194304.
     pub message_bytes: u32,
-    /// Longest message of a caller before it has authenticated, in bytes. Default 8192.
+    /// Largest message of a caller that has not authenticated yet, in bytes. Default 8192.
     pub startup_message_bytes: u32,
-    /// Log records kept in memory. Default 4096.
+    /// Number of log records kept in memory. Default 4096.
     pub event_records: u32,
 }
 
@@ -153,32 +152,33 @@
     }
 }
 
-/// Time-outs of a proxy.
+/// Section `timeouts` of a proxy's settings.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ProxyTimeouts {
-    /// Longest wait at start for a proof that the configuration is current before the
-    /// stored one is used, in milliseconds. Without a stored one it waits on. Default 5000.
+    /// Longest wait at start for a confirmation that the configuration is current, in
+    /// milliseconds. Afterwards the proxy uses its stored configuration; without a stored
+    /// configuration it keeps waiting. Default 5000.
     pub startup_ms: u32,
-    /// Longest wait of a planned stop until other proxies own the groups, in milliseconds.
-    /// Default 10000.
+    /// Longest wait of a planned stop until other proxies own this proxy's groups, in
+    /// milliseconds. Default 10000.
     pub handover_ms: u32,
     /// Longest wait of a planned stop for requests in flight, in milliseconds. Default 60000.
     pub drain_ms: u32,
-    /// Longest time until a caller has authenticated, in milliseconds. Default 10000.
+    /// Timeout of a caller's authentication, in milliseconds. Default 10000.
     pub authentication_ms: u32,
-    /// Longest wait until a request starts, and for any message of its answer, in
-    /// milliseconds. Default 30000.
+    /// Longest wait until a request starts, and for each message of its answer, in milliseconds.
+    /// Default 30000.
     pub request_ms: u32,
     /// Time between two probes of a member of an owned group, in milliseconds. Default 200.
     pub probe_interval_ms: u32,
     /// Time after which a probe counts as unanswered, in milliseconds. Default 200.
     pub probe_ms: u32,
-    /// How long a member may leave probes unanswered before work in flight there gets its
-    /// final answer and connections to it are closed, in milliseconds. Default 10000.
+    /// How long a member may leave probes unanswered before its requests in flight are completed
+    /// with their final outcome and connections to it are closed, in milliseconds. Default 10000.
     pub member_silence_ms: u32,
-    /// How long the outcome of an idempotency key is kept, in seconds; a repeat after it
-    /// runs again. Default 86400.
+    /// How long the outcome of an idempotency key is kept, in seconds; a request repeated later
+    /// is run again. Default 86400.
     pub outcome_retention_s: u32,
 }
 
