--- a/crates/server/src/client/error.rs
+++ b/crates/server/src/client/error.rs
@@ -1,56 +1,60 @@
-//! Why a request was not answered, or refused.
+//! Errors of the client.
 //!
-//! Decides which answers let another server be tried: those that say "not now".
+//! Decides which failures allow another server to be tried: a lost connection or body, and the answer that
+//! a server is unavailable.
 
 use awc::http::StatusCode;
 use corktack_control::api::{ErrorBody, ErrorCode};
 
-/// Why no answer came from a server.
+/// Failure of one attempt on one server, after which another server may be tried.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LostAnswer {
-    /// It could not be reached, or the connection was lost.
+    /// The server could not be reached, or the connection was lost.
     #[error("{0}")]
     Connection(String),
-    /// The answer's body was cut.
+    /// The body of the answer ended early or could not be read.
     #[error("the answer was cut: {0}")]
     Body(String),
-    /// It says that it can give no answer now.
+    /// The server answered that it is unavailable for now; holds its message.
     #[error("{0}")]
     Unavailable(String),
 }
 
-/// Why a request was not answered, or refused.
+/// Final error of a request.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// A server is not of the form `http://IP:PORT`.
+    /// A server in the settings is not of the form `http://IP:PORT`.
     #[error("server {0:?} is not of the form http://IP:PORT")]
-    Server(String),
-    /// No server answered in time.
-    #[error("no server answered in time; the last one tried, {server}: {lost}{}", resend(.change.as_deref()))]
+    InvalidServer(String),
+    /// No server answered before the request timeout.
+    #[error(
+        "no server answered in time; the last one tried, {server}: {lost}{}",
+        unknown_outcome_text(.change.as_deref())
+    )]
     Unanswered {
-        /// The server tried last.
+        /// Server that was tried last.
         server: String,
-        /// Why it did not answer.
+        /// Failure of the last attempt.
         lost: LostAnswer,
-        /// The change whose outcome is not known.
+        /// Id of the change whose outcome is unknown, if the request is a change.
         change: Option<String>,
     },
-    /// The request was refused.
+    /// The server refused the request.
     #[error("{}", refusal_text(.0))]
     Refused(Box<ErrorBody>),
-    /// The answer is not one of the interface's.
+    /// The body of the answer is not of the form that the interface defines.
     #[error("server {server} answered {status} with a body that is not understood")]
-    Answer {
-        /// The server.
+    InvalidBody {
+        /// Server that answered.
         server: String,
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
-        /// Why.
+        /// Error of the parser.
         source: serde_json::Error,
     },
 }
 
-fn resend(change: Option<&str>) -> String {
+fn unknown_outcome_text(change: Option<&str>) -> String {
     change.map_or_else(String::new, |id| {
         format!("; whether change {id} took effect is not known: look before you repeat it")
     })
@@ -64,7 +68,7 @@
 }
 
 impl ClientError {
-    /// The code of a refusal.
+    /// Returns the error code of a refused request.
     #[must_use]
     pub fn code(&self) -> Option<ErrorCode> {
         match self {
@@ -73,35 +77,38 @@
         }
     }
 
-    /// Whether what is stored stands against the request.
+    /// Reports whether the request was refused because it conflicts with the stored state.
     #[must_use]
     pub fn is_conflict(&self) -> bool {
-        let conflicts = [ErrorCode::Conflict, ErrorCode::InUse, ErrorCode::CellChange];
-        self.code().is_some_and(|code| conflicts.contains(&code))
+        let conflict_codes = [ErrorCode::Conflict, ErrorCode::InUse, ErrorCode::CellChange];
+        self.code().is_some_and(|code| conflict_codes.contains(&code))
     }
 }
 
-/// Sorts an answer that is no success: another server may be tried, or it is final.
-pub(super) fn refusal(
+/// Classifies an answer without a success status: `Ok` means that another server may be tried, `Err` is
+/// final.
+pub(super) fn classify_failure(
     server: &str,
     status: StatusCode,
     bytes: &[u8],
 ) -> Result<LostAnswer, ClientError> {
-    let unavailable = [
+    let retryable_statuses = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::BAD_GATEWAY,
         StatusCode::GATEWAY_TIMEOUT,
     ];
     let body = serde_json::from_slice::<ErrorBody>(bytes);
-    if unavailable.contains(&status) {
+    if retryable_statuses.contains(&status) {
         let message = body.map_or_else(|_| status.to_string(), |body| body.message);
         return Ok(LostAnswer::Unavailable(message));
     }
     match body {
         Ok(body) => Err(ClientError::Refused(Box::new(body))),
-        Err(source) => {
-            Err(ClientError::Answer { server: server.to_owned(), status: status.as_u16(), source })
-        }
+        Err(source) => Err(ClientError::InvalidBody {
+            server: server.to_owned(),
+            status: status.as_u16(),
+            source,
+        }),
     }
 }
--- a/crates/server/src/client/lines.rs
+++ b/crates/server/src/client/lines.rs
@@ -1,15 +1,15 @@
-//! A body that arrives in pieces, as lines.
+//! Splits a response body that arrives in chunks into lines.
 //!
-//! Owns what arrived of the next line.
+//! Buffers the received bytes that have not been returned yet.
 
 use super::error::LostAnswer;
 use futures_util::{Stream, StreamExt};
 use std::pin::Pin;
 
-/// Pieces of a body as they arrive.
+/// Stream of the chunks of a response body.
 pub(super) type Chunks = Pin<Box<dyn Stream<Item = Result<Vec<u8>, LostAnswer>>>>;
 
-/// A stream cut into lines.
+/// Lines of a response body, read as they arrive.
 pub struct Lines {
     chunks: Chunks,
     buffer: Vec<u8>,
@@ -20,15 +20,16 @@
         Self { chunks, buffer: Vec::new() }
     }
 
-    /// The next whole line; none at the end of the stream. A cut last line is dropped.
+    /// Returns the next complete line with its line feed, or `None` at the end of the stream. An
+    /// incomplete last line is dropped.
     ///
     /// # Errors
-    /// [`LostAnswer`] when the connection is lost.
+    /// Returns [`LostAnswer`] if the connection is lost.
     pub async fn next(&mut self) -> Result<Option<Vec<u8>>, LostAnswer> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
-                let rest = self.buffer.split_off(end + 1);
-                return Ok(Some(std::mem::replace(&mut self.buffer, rest)));
+                let remainder = self.buffer.split_off(end + 1);
+                return Ok(Some(std::mem::replace(&mut self.buffer, remainder)));
             }
             match self.chunks.next().await {
                 Some(chunk) => self.buffer.extend(chunk?),
--- a/crates/server/src/client/mod.rs
+++ b/crates/server/src/client/mod.rs
@@ -1,7 +1,7 @@
-//! Client of the operators' interface: several servers, tried in turn.
+//! Client of the operators' interface of the control replicas.
 //!
-//! Owns the order of the servers and the pauses between rounds over them. Relies on the change id that every
-//! resend carries for a change to take effect once.
+//! Tries several servers in turn and backs off between rounds over them. Every retry of a change carries
+//! the same change id, so that the change takes effect only once.
 
 mod error;
 mod lines;
@@ -14,30 +14,30 @@
 use awc::http::{StatusCode, header};
 use awc::{Client, ClientRequest};
 use corktack_control::api::CHANGE_ID_HEADER;
-use error::refusal;
+use error::classify_failure;
 use futures_util::StreamExt;
 use serde::de::DeserializeOwned;
 use std::time::{Duration, Instant};
 
-/// Largest answer accepted, in bytes. Chosen, not measured; it bounds the memory that a wrong server can take,
-/// and a lower value refuses lists of large fleets.
-const BODY_LIMIT: usize = 64 * 1024 * 1024;
-/// Shortest and longest pause before the servers are tried again; it doubles with each round, and is drawn
-/// between half and all of that. Chosen, not measured; lower values ask more often during an election, higher
-/// ones let operators wait after it.
-const RETRY_MINIMUM: Duration = Duration::from_millis(50);
-const RETRY_MAXIMUM: Duration = Duration::from_secs(1);
+/// Largest response body accepted, in bytes. Bounds the memory that a faulty server can use; a lower value
+/// refuses lists of large fleets.
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
+/// Shortest and longest delay before the servers are tried again. The delay doubles with each round; the
+/// actual sleep is drawn at random between half of the delay and the whole. Lower values send more requests
+/// during an election, higher values make operators wait after it.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How the client reaches the control replicas.
+/// Servers, credentials and time-outs of an [`ApiClient`].
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
-    /// `http://IP:PORT` of control replicas.
+    /// Control replicas in the form `http://IP:PORT`, in the order in which they are tried.
     pub servers: Vec<String>,
-    /// Bearer token.
+    /// Bearer token that is sent with each request.
     pub token: Option<String>,
-    /// Longest wait for one answer.
+    /// Timeout of one attempt on one server.
     pub answer_timeout: Duration,
-    /// Longest time over all tries of one request.
+    /// Longest time over all attempts of one request.
     pub request_timeout: Duration,
 }
 
@@ -52,17 +52,17 @@
     }
 }
 
-/// Client of the operators' interface.
+/// Client of the operators' interface, which retries a request on the servers in turn.
 pub struct ApiClient {
     settings: ClientSettings,
     http: Client,
 }
 
 impl ApiClient {
-    /// A client; nothing is connected yet.
+    /// Creates a client without connecting it.
     ///
     /// # Errors
-    /// [`ClientError::Server`] for an address that is not `http://IP:PORT`.
+    /// Returns [`ClientError::InvalidServer`] if a server is not of the form `http://IP:PORT`.
     pub fn new(settings: ClientSettings) -> Result<Self, ClientError> {
         for server in &settings.servers {
             check_server(server)?;
@@ -71,93 +71,98 @@
         Ok(Self { settings, http })
     }
 
-    /// Sends a request to one server after the other until one answers, and reads its body.
-    /// Only answers that say "not now" make it try the next one.
+    /// Sends a request to one server after the other until one answers, and parses the body. The
+    /// client tries the next server only if a server does not answer or is unavailable.
     ///
     /// # Errors
-    /// [`ClientError`].
+    /// Returns [`ClientError`] if the request is refused, if no server answers before the request
+    /// timeout, or if the body cannot be parsed.
     pub async fn request<T: DeserializeOwned>(&self, request: Request) -> Result<T, ClientError> {
-        let (server, status, bytes) = self.answer(&request).await?;
+        let (server, status, bytes) = self.send_with_retries(&request).await?;
         let text: &[u8] = if bytes.is_empty() { b"null" } else { &bytes };
         let status = status.as_u16();
-        serde_json::from_slice(text).map_err(|source| ClientError::Answer {
+        serde_json::from_slice(text).map_err(|source| ClientError::InvalidBody {
             server,
             status,
             source,
         })
     }
 
-    async fn answer(
+    async fn send_with_retries(
         &self,
         request: &Request,
     ) -> Result<(String, StatusCode, Vec<u8>), ClientError> {
         let deadline = Instant::now() + self.settings.request_timeout;
-        let mut wait = RETRY_MINIMUM;
+        let mut retry_delay = MIN_RETRY_DELAY;
         loop {
-            let mut last = None;
+            let mut last_failure = None;
             for server in &self.settings.servers {
                 match self.try_server(server, request).await? {
                     Ok((status, bytes)) => return Ok((server.clone(), status, bytes)),
-                    Err(lost) => last = Some((server.clone(), lost)),
+                    Err(lost) => last_failure = Some((server.clone(), lost)),
                 }
             }
-            if let Some((server, lost)) = last.filter(|_| Instant::now() + wait >= deadline) {
+            if let Some((server, lost)) =
+                last_failure.filter(|_| Instant::now() + retry_delay >= deadline)
+            {
                 let change = request.change.clone();
                 return Err(ClientError::Unanswered { server, lost, change });
             }
-            actix_rt::time::sleep(wait.mul_f64(rand::random_range(0.5..=1.0))).await;
-            wait = (wait * 2).min(RETRY_MAXIMUM);
+            actix_rt::time::sleep(retry_delay.mul_f64(rand::random_range(0.5..=1.0))).await;
+            retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// The inner error means that another server may be tried.
+    /// Sends a request to one server. The inner error means that another server may be tried.
     async fn try_server(
         &self,
         server: &str,
         request: &Request,
     ) -> Result<Result<(StatusCode, Vec<u8>), LostAnswer>, ClientError> {
-        let prepared = self.prepare(server, request);
-        let sent = match &request.body {
-            Some(body) => prepared.send_json(body).await,
-            None => prepared.send().await,
+        let http_request = self.prepare(server, request);
+        let send_result = match &request.body {
+            Some(body) => http_request.send_json(body).await,
+            None => http_request.send().await,
         };
-        let mut response = match sent {
+        let mut response = match send_result {
             Ok(response) => response,
             Err(error) => return Ok(Err(LostAnswer::Connection(error.to_string()))),
         };
         let status = response.status();
-        let bytes = match response.body().limit(BODY_LIMIT).await {
+        let bytes = match response.body().limit(MAX_BODY_BYTES).await {
             Ok(bytes) => bytes.to_vec(),
             Err(error) => return Ok(Err(LostAnswer::Body(error.to_string()))),
         };
         if status.is_success() {
             return Ok(Ok((status, bytes)));
         }
-        refusal(server, status, &bytes).map(Err)
+        classify_failure(server, status, &bytes).map(Err)
     }
 
     fn prepare(&self, server: &str, request: &Request) -> ClientRequest {
         let url = format!("{}{}", server.trim_end_matches('/'), request.path);
-        let mut prepared = self.http.request(request.method.clone(), url);
+        let mut http_request = self.http.request(request.method.clone(), url);
         if let Some(token) = &self.settings.token {
-            prepared = prepared.bearer_auth(token);
+            http_request = http_request.bearer_auth(token);
         }
         if let Some(change) = &request.change {
-            prepared = prepared.insert_header((CHANGE_ID_HEADER, change.as_str()));
+            http_request = http_request.insert_header((CHANGE_ID_HEADER, change.as_str()));
         }
-        prepared.insert_header((header::ACCEPT, "application/json"))
+        http_request.insert_header((header::ACCEPT, "application/json"))
     }
 
-    /// Opens a stream of lines on the server at a place in the list, counted on past its end.
+    /// Opens a stream of lines on the server at an index of the list; an index past the end wraps
+    /// around.
     ///
     /// # Errors
-    /// The inner error means that another server may be tried.
+    /// Returns [`ClientError`] if the request is refused; the inner error means that another server
+    /// may be tried.
     pub async fn lines(
         &self,
-        place: usize,
+        server_index: usize,
         request: &Request,
     ) -> Result<Result<Lines, LostAnswer>, ClientError> {
-        let server = &self.settings.servers[place % self.settings.servers.len()];
+        let server = &self.settings.servers[server_index % self.settings.servers.len()];
         let mut response = match self.prepare(server, request).send().await {
             Ok(response) => response,
             Err(error) => return Ok(Err(LostAnswer::Connection(error.to_string()))),
@@ -170,11 +175,11 @@
             return Ok(Ok(Lines::new(Box::pin(chunks))));
         }
         let status = response.status();
-        let bytes = match response.body().limit(BODY_LIMIT).await {
+        let bytes = match response.body().limit(MAX_BODY_BYTES).await {
             Ok(bytes) => bytes,
             Err(error) => return Ok(Err(LostAnswer::Body(error.to_string()))),
         };
-        refusal(server, status, &bytes).map(Err)
+        classify_failure(server, status, &bytes).map(Err)
     }
 }
 
@@ -182,6 +187,6 @@
     let address = server.strip_prefix("http://").map(|rest| rest.trim_end_matches('/'));
     match address.and_then(|address| address.parse::<std::net::SocketAddr>().ok()) {
         Some(_) => Ok(()),
-        None => Err(ClientError::Server(server.to_owned())),
+        None => Err(ClientError::InvalidServer(server.to_owned())),
     }
 }
--- a/crates/server/src/client/request.rs
+++ b/crates/server/src/client/request.rs
@@ -1,35 +1,36 @@
-//! Requests of the operators' interface: method, path, body and the id of the change.
+//! Requests of the operators' interface: method, path, body and change id.
 //!
-//! Draws the id of a change once, so that every resend of it carries the same.
+//! The change id is drawn when a request is built, so that every retry of the request carries the same id.
 
 use awc::http::Method;
 use corktack_control::api::{key_parts, kind_segment};
 use corktack_core::resources::{ResourceKey, ResourceSpec, ResourceVersion};
 use serde_json::{Value, json};
 
-/// Draws the id of one change. Every resend of the change carries the same one.
+/// Draws a random change id of 128 bits.
 fn draw_change_id() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
 
-/// One request; the same for every server that is tried.
+/// Request that is sent unchanged to every server that is tried.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the URL.
     pub path: String,
-    /// Body.
+    /// JSON body, if the request has one.
     pub body: Option<Value>,
-    /// Id of the change, the same on every try.
+    /// Change id, by which the server recognises a retry; absent for a read.
     pub change: Option<String>,
 }
 
 impl Request {
-    /// A write of one resource under a new change id.
+    /// Builds a write of one resource with a new change id. If `expected` is given, the server
+    /// refuses the write unless that version is stored.
     ///
     /// # Errors
-    /// The declared part has no JSON form.
+    /// Returns an error if the spec cannot be serialized to JSON.
     pub fn put(
         key: &ResourceKey,
         spec: &ResourceSpec,
@@ -49,7 +50,8 @@
         Ok(Self { method: Method::PUT, path, body: Some(body), change })
     }
 
-    /// A delete of one resource under a new change id.
+    /// Builds a delete of one resource with a new change id. If `expected` is given, the server
+    /// refuses the delete unless that version is stored.
     #[must_use]
     pub fn delete(key: &ResourceKey, expected: Option<ResourceVersion>) -> Self {
         let mut path = resource_path(key);
@@ -59,14 +61,14 @@
         Self { method: Method::DELETE, path, body: None, change: Some(draw_change_id()) }
     }
 
-    /// A read.
+    /// Builds a read of a path.
     #[must_use]
     pub fn get(path: impl Into<String>) -> Self {
         Self { method: Method::GET, path: path.into(), body: None, change: None }
     }
 }
 
-/// Path of one resource.
+/// Returns the URL path of one resource.
 #[must_use]
 pub fn resource_path(key: &ResourceKey) -> String {
     let (kind, name) = key_parts(key);
--- a/crates/server/src/manifest/error.rs
+++ b/crates/server/src/manifest/error.rs
@@ -1,132 +1,136 @@
-//! Why a manifest is refused.
+//! Errors of reading, parsing and checking manifests.
 
 use corktack_core::identity::NameError;
 use corktack_core::resources::{API_VERSION, Kind, SpecError};
 use std::path::{Path, PathBuf};
 
-/// Why a manifest was refused.
+/// Error of a manifest. Each variant names the file and, if one caused the error, the document.
 #[derive(Debug, thiserror::Error)]
 pub enum ManifestError {
     /// The file or folder could not be read.
     #[error("manifest {}: cannot be read", path.display())]
     Read {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A document is not YAML of the expected form; the parser names the key.
+    /// A document is not valid YAML, or a key is unknown, missing or of the wrong type; the
+    /// parser's message names the key.
     #[error("manifest {}, document {document}: {source} ({text:?})", file.display())]
-    Form {
-        /// The file.
+    Parse {
+        /// Path of the file.
         file: PathBuf,
-        /// The document's place in it.
+        /// Number of the document in the file, from 1.
         document: usize,
-        /// The line the parser points at, with its value.
+        /// Content of the line that the parser reports, with its key and value.
         text: String,
-        /// What the parser says.
+        /// Error of the parser.
         source: serde_yaml_ng::Error,
     },
-    /// The format's version is not known.
+    /// The version of the manifest format is not supported.
     #[error(
         "manifest {}, document {document}: apiVersion = {value:?}: must be {API_VERSION:?}",
         file.display()
     )]
     ApiVersion {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The document's place in it.
+        /// Number of the document in the file, from 1.
         document: usize,
-        /// The version found.
+        /// Version that the document names.
         value: String,
     },
-    /// The name is not valid.
+    /// The name of the resource is not valid.
     #[error("manifest {}, document {document}: metadata.name = {value:?}", file.display())]
     Name {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The document's place in it.
+        /// Number of the document in the file, from 1.
         document: usize,
-        /// The name found.
+        /// Name in the document.
         value: String,
-        /// What is wrong with it.
+        /// Rule that the name breaks.
         source: NameError,
     },
-    /// A value is well formed and not allowed, alone or beside the other documents.
+    /// A value has the right type, but is not allowed, by itself or together with other documents.
     #[error(transparent)]
     Value(Box<ManifestValueError>),
 }
 
-/// A value of a manifest that is well formed and not allowed.
+/// Reports a value of a manifest that has the right type, but is not allowed.
 #[derive(Debug, thiserror::Error)]
 #[error("manifest {}, document {document}: {key} = {value}: {problem}", file.display())]
 pub struct ManifestValueError {
-    /// The file.
+    /// Path of the file.
     pub file: PathBuf,
-    /// The document's place in it.
+    /// Number of the document in the file, from 1.
     pub document: usize,
-    /// Path of the key.
+    /// Path of the key, for example `spec.members[1].name`.
     pub key: String,
-    /// The value.
+    /// Value as text.
     pub value: String,
-    /// What is wrong with it.
+    /// Rule that the value breaks.
     pub problem: ReferenceProblem,
 }
 
-/// What is wrong with a value of a manifest.
+/// Rule that a value of a manifest breaks, by itself or together with other documents.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReferenceProblem {
-    /// The same resource is declared twice.
+    /// An earlier document declares the same resource.
     #[error("is also declared in document {document} of {}", file.display())]
     DeclaredTwice {
         /// File of the first declaration.
         file: PathBuf,
-        /// Its place there.
+        /// Number of its document in the file, from 1.
         document: usize,
     },
-    /// The named resource is in none of the files.
+    /// None of the files declares the named resource of this kind.
     #[error("no {0:?} of this name is declared in the given files")]
     Unresolved(Kind),
-    /// No group serves the database.
+    /// No group of the files serves the database.
     #[error("no DatabaseGroup of the given files serves this database")]
-    NoSuchDatabase,
-    /// Another group serves the database.
+    UnknownDatabase,
+    /// The named group serves the same database.
     #[error("is also served by DatabaseGroup {0}")]
     SameDatabase(String),
-    /// The value is not allowed by itself.
+    /// The core refuses the value.
     #[error(transparent)]
     Spec(#[from] SpecError),
-    /// The guaranteed shares add up to more than all.
+    /// The guaranteed shares of all classes add up to this percentage, which is above 100.
     #[error("the guaranteed shares of all classes add up to {0} percent, at most 100 are allowed")]
-    SharesOverWhole(u32),
+    SharesAboveTotal(u32),
 }
 
-/// Where a document stands.
-pub(super) struct Place<'a> {
+/// Location of a document, for errors.
+pub(super) struct DocumentLocation<'a> {
     pub(super) file: &'a Path,
+    /// Text of the whole file.
     pub(super) text: &'a str,
+    /// Number of the document in the file, from 1.
     pub(super) document: usize,
 }
 
-impl Place<'_> {
-    pub(super) fn form<T>(
+impl DocumentLocation<'_> {
+    /// Converts a parser's error to a [`ManifestError`] with this location.
+    pub(super) fn locate_error<T>(
         &self,
         result: Result<T, serde_yaml_ng::Error>,
     ) -> Result<T, ManifestError> {
-        result.map_err(|source| ManifestError::Form {
+        result.map_err(|source| ManifestError::Parse {
             file: self.file.to_owned(),
             document: self.document,
-            text: self.line(&source),
+            text: self.line_content(&source),
             source,
         })
     }
 
-    fn line(&self, error: &serde_yaml_ng::Error) -> String {
-        let number = error.location().map_or(1, |location| location.line());
-        self.text.lines().nth(number.saturating_sub(1)).unwrap_or_default().trim().to_owned()
+    fn line_content(&self, error: &serde_yaml_ng::Error) -> String {
+        let line_number = error.location().map_or(1, |location| location.line());
+        self.text.lines().nth(line_number.saturating_sub(1)).unwrap_or_default().trim().to_owned()
     }
 
-    pub(super) fn api_version(&self, value: &str) -> ManifestError {
+    pub(super) fn api_version_error(&self, value: &str) -> ManifestError {
         ManifestError::ApiVersion {
             file: self.file.to_owned(),
             document: self.document,
@@ -134,7 +138,7 @@
         }
     }
 
-    pub(super) fn name(&self, value: &str, source: NameError) -> ManifestError {
+    pub(super) fn name_error(&self, value: &str, source: NameError) -> ManifestError {
         ManifestError::Name {
             file: self.file.to_owned(),
             document: self.document,
--- a/crates/server/src/manifest/mod.rs
+++ b/crates/server/src/manifest/mod.rs
@@ -1,10 +1,10 @@
-//! Manifests: resources as YAML documents, as operators keep them under version control.
+//! Manifests: resources as YAML documents, which operators can keep under version control.
 //!
 //! A file holds any number of documents of the form `{apiVersion, kind, metadata, spec}`.
-//! Unknown keys are refused; `status` and `metadata.generation`, which `get` shows, are not
-//! used. Errors name the file, the document's place in it, and the key and value.
+//! Unknown keys are refused; `status` and `metadata.generation`, which `get` prints, are
+//! ignored. Errors name the file, the number of the document, and the key and value.
 //!
-//! Relies on the core for what a declared part may hold; [`check`] adds what documents say together.
+//! The core validates each spec by itself; [`check`] adds the checks across documents.
 
 mod check;
 mod error;
