--- a/crates/server/src/control.rs
+++ b/crates/server/src/control.rs
@@ -1,10 +1,10 @@
-//! Runs a control replica.
+//! Starts and stops a control replica.
 //!
-//! Owns the running replica. Decides whether an empty data folder may found a cell; relies on
-//! `corktack_control` for everything that a replica does, and on the settings for every timer.
+//! Decides whether a replica with an empty data folder may bootstrap a cell, and converts the settings of the
+//! process into those of `corktack_control`, which implements the replica.
 
 use crate::listeners::{ListenError, bind, bound_address};
-use crate::proxy::draw_incarnation;
+use crate::proxy::new_incarnation;
 use crate::settings::{ControlSettings, millis};
 use crate::signals::{StopSignals, write_events_on_signal};
 use crate::telemetry::{TelemetryError, install};
@@ -19,101 +19,102 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Folder of the log and snapshots inside the data folder.
+/// Folder inside the data folder that holds the log and the snapshots.
 const LOG_FOLDER: &str = "log";
 
-/// The only file that a replica which has promised nothing leaves in it.
+/// The only file in the log folder of a replica that has not stored a vote or a log entry.
 const LOCK_FILE: &str = "LOCK";
 
-/// Why a control replica could not start.
+/// Error at the start of a control replica.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlProcessError {
-    /// The data folder holds no log, and nobody said that the cell is new.
+    /// The data folder holds no log, and neither `--bootstrap` nor the setting `join` was given.
     #[error(
         "data_folder = {}: holds no log. A new cell is founded with --bootstrap, once; a replica \
          that lost its folder must join under a new identity (join = true), because its old \
          promises are lost",
         folder.display()
     )]
-    Empty {
-        /// The folder.
+    EmptyDataFolder {
+        /// Data folder of the replica.
         folder: PathBuf,
     },
-    /// An address cannot be listened on.
+    /// A listener cannot be bound.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The log cannot be installed.
+    /// The event log cannot be installed.
     #[error(transparent)]
     Telemetry(#[from] TelemetryError),
-    /// The replica cannot start.
+    /// The replica reported an error at its start.
     #[error(transparent)]
     Control(#[from] ControlError),
-    /// Signals cannot be listened for.
+    /// A signal handler cannot be installed.
     #[error("signals cannot be listened for")]
     Signals(#[source] std::io::Error),
 }
 
-/// Whether a replica with an empty data folder may found a new cell.
+/// Whether a replica with an empty data folder may bootstrap a new cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bootstrap {
-    /// An empty folder is an error, unless the replica joins.
+    /// An empty data folder is an error, unless the replica joins a running cell.
     Refuse,
-    /// An empty folder is the first start of a new cell.
+    /// An empty data folder means the first start of a new cell.
     Allow,
 }
 
-/// Addresses a control replica got, where the settings left ports open.
+/// Addresses that the listeners of a control replica are bound to; a port that is 0 in the settings is the
+/// assigned one here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ControlBound {
-    /// For other replicas.
+pub struct BoundControlAddresses {
+    /// Address for other control replicas.
     pub cell: SocketAddr,
-    /// For proxies.
+    /// Address for proxies.
     pub proxies: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub operators: SocketAddr,
 }
 
 /// A running control replica.
 pub struct ControlProcess {
     handle: ControlHandle,
-    addresses: ControlBound,
+    addresses: BoundControlAddresses,
 }
 
 impl ControlProcess {
-    /// The addresses it listens on.
+    /// Returns the addresses that the replica listens on.
     #[must_use]
-    pub const fn addresses(&self) -> ControlBound {
+    pub const fn addresses(&self) -> BoundControlAddresses {
         self.addresses
     }
 
-    /// The replica.
+    /// Returns the handle of the replica.
     #[must_use]
     pub const fn replica(&self) -> &ControlHandle {
         &self.handle
     }
 
-    /// A planned stop: hands leadership over first.
+    /// Stops the replica as planned; a leader transfers its leadership first.
     pub async fn stop(self) {
         self.handle.stop().await;
     }
 }
 
-/// Starts a control replica inside an actix system.
+/// Binds the listeners and starts a control replica; must be called inside an actix system.
 ///
 /// # Errors
-/// [`ControlProcessError`]; nothing runs then.
+/// Returns [`ControlProcessError`] if a listener or the replica cannot start; nothing runs then.
 pub fn start(
     settings: ControlSettings,
     bootstrap: Bootstrap,
 ) -> Result<ControlProcess, ControlProcessError> {
     let listeners = bind_listeners(&settings)?;
-    start_on(settings, listeners, bootstrap)
+    start_with_listeners(settings, listeners, bootstrap)
 }
 
-/// Binds the listeners that the settings name.
+/// Binds the listeners of a control replica to the addresses of the settings.
 ///
 /// # Errors
-/// [`ListenError`] names the setting.
+/// Returns [`ListenError`], which names the setting, for the first address that cannot be bound.
 pub fn bind_listeners(settings: &ControlSettings) -> Result<ControlListeners, ListenError> {
     let addresses = &settings.addresses;
     Ok(ControlListeners {
@@ -123,34 +124,38 @@
     })
 }
 
-/// Starts a control replica on bound listeners.
+/// Starts a control replica on bound listeners; must be called inside an actix system.
 ///
 /// # Errors
-/// [`ControlProcessError`]; nothing runs then.
-pub fn start_on(
+/// Returns [`ControlProcessError`] if the replica cannot start; nothing runs then.
+pub fn start_with_listeners(
     settings: ControlSettings,
     listeners: ControlListeners,
     bootstrap: Bootstrap,
 ) -> Result<ControlProcess, ControlProcessError> {
     let log_folder = settings.data_folder.join(LOG_FOLDER);
-    if bootstrap == Bootstrap::Refuse && !settings.join && is_empty(&log_folder) {
-        return Err(ControlProcessError::Empty { folder: settings.data_folder });
+    if bootstrap == Bootstrap::Refuse && !settings.join && holds_no_log(&log_folder) {
+        return Err(ControlProcessError::EmptyDataFolder { folder: settings.data_folder });
     }
-    let wanted = &settings.addresses;
-    let addresses = ControlBound {
-        cell: bound_address("addresses.cell", wanted.cell, &listeners.cell)?,
-        proxies: bound_address("addresses.proxies", wanted.proxies, &listeners.proxies)?,
-        operators: bound_address("addresses.operators", wanted.operators, &listeners.operators)?,
+    let configured = &settings.addresses;
+    let addresses = BoundControlAddresses {
+        cell: bound_address("addresses.cell", configured.cell, &listeners.cell)?,
+        proxies: bound_address("addresses.proxies", configured.proxies, &listeners.proxies)?,
+        operators: bound_address(
+            "addresses.operators",
+            configured.operators,
+            &listeners.operators,
+        )?,
     };
     let replica = replica_settings(settings, log_folder);
-    // The replica serves its metrics itself, on the operators' address.
+    // The replica serves its metrics itself on the operators' address, so this registry is not served.
     let handle = ControlReplica::start(replica, listeners, &mut Registry::default())?;
     Ok(ControlProcess { handle, addresses })
 }
 
-/// Whether the folder is absent or holds no more than its lock. What cannot be read is not
-/// taken for empty.
-fn is_empty(folder: &Path) -> bool {
+/// Reports whether the folder is absent or holds nothing but the lock file. A folder that cannot be read
+/// counts as not empty, so that a read error never leads to a bootstrap.
+fn holds_no_log(folder: &Path) -> bool {
     let is_lock =
         |entry: std::io::Result<DirEntry>| entry.is_ok_and(|entry| entry.file_name() == LOCK_FILE);
     match std::fs::read_dir(folder) {
@@ -159,7 +164,7 @@
     }
 }
 
-/// The settings of the replica itself, made from the process's; its log is in `log_folder`.
+/// Converts the settings of the process into those of the replica, whose log is in `log_folder`.
 #[must_use]
 pub fn replica_settings(
     settings: ControlSettings,
@@ -177,7 +182,7 @@
     let mut replica =
         corktack_control::ControlSettings::new(CellName(settings.cell), id, start, log_folder);
     let (limits, timeouts) = (&settings.limits, &settings.timeouts);
-    replica.incarnation = draw_incarnation();
+    replica.incarnation = new_incarnation();
     replica.election_timeout = millis(timeouts.election_ms);
     replica.first_election_timeout = replica.election_timeout;
     replica.heartbeat_interval = millis(timeouts.heartbeat_ms);
@@ -203,7 +208,7 @@
 /// Runs a control replica until SIGTERM or SIGINT, then stops it as planned.
 ///
 /// # Errors
-/// [`ControlProcessError`] when it cannot start.
+/// Returns [`ControlProcessError`] if the replica cannot start.
 pub fn run_until_stopped(
     settings: ControlSettings,
     bootstrap: Bootstrap,
--- a/crates/server/src/dev/manifests.rs
+++ b/crates/server/src/dev/manifests.rs
@@ -1,4 +1,4 @@
-//! The built-in resources of `dev`.
+//! Built-in resources of `dev`: a group, its priority classes and a binding.
 
 use super::settings::{DEMO_GROUP, DEMO_USER, DevError};
 use crate::client::Request;
@@ -9,21 +9,22 @@
 };
 use corktack_standin::Group;
 
-/// Classes with their priority and guaranteed share, highest first.
+/// Name, priority and guaranteed percentage of each class, highest priority first.
 const CLASSES: [(&str, u32, u8); 3] = [("gold", 30, 50), ("silver", 20, 20), ("bronze", 10, 10)];
-/// Class of callers whom no binding covers.
+/// Class of callers that no binding matches.
 pub(super) const DEFAULT_CLASS: &str = "bronze";
-/// Class of the demo user.
+/// Class that the binding gives to the demo user.
 const DEMO_CLASS: &str = "gold";
-/// Slots of the group. Chosen, not measured; fewer make callers wait sooner.
-const SLOTS: u32 = 5;
-/// Server connections of the group. Chosen, not measured; fewer make sessions share them sooner.
-const CONNECTIONS: u32 = 30;
-/// Zone of everything in `dev`.
+/// Slots of the group. With fewer slots, callers wait at a lower load.
+const GROUP_SLOTS: u32 = 5;
+/// Server connections of the group. With fewer connections, sessions share them at a lower load.
+const GROUP_CONNECTIONS: u32 = 30;
+/// Zone of all proxies and members of `dev`.
 pub(super) const ZONE: &str = "local.a";
 
-/// The writes that declare the demo group, its classes and a binding, in the order they
-/// refer to each other. They replace what an earlier run declared: members have new ports.
+/// Builds the writes that declare the demo group, its classes and a binding, ordered so that each
+/// resource comes after those it refers to. The writes replace the resources of an earlier run,
+/// because the members have new ports.
 pub(super) fn requests(group: &Group) -> Result<Vec<Request>, DevError> {
     let mut requests = Vec::new();
     for (name, priority, guaranteed_percent) in CLASSES {
@@ -53,8 +54,8 @@
     Ok(DatabaseGroupSpec {
         database: DEMO_GROUP.to_owned(),
         members: members.collect(),
-        slots: SLOTS,
-        connections: CONNECTIONS,
+        slots: GROUP_SLOTS,
+        connections: GROUP_CONNECTIONS,
         queue_limit: 1_000,
         queue_timeout_ms: 5_000,
         replica_wait_ms: 20,
--- a/crates/server/src/dev/mod.rs
+++ b/crates/server/src/dev/mod.rs
@@ -1,7 +1,7 @@
-//! Every role in one process: control replicas, two proxies and a stand-in group of three.
+//! Runs every role in one process: control replicas, two proxies and a stand-in group of three members.
 //!
-//! Owns the parts and their folder. Relies on the same starts as the programs of one role, so that what works
-//! here works there.
+//! Holds the running roles and their temporary folder. Each role starts through the same functions as in a
+//! program of that role alone, so that both behave alike.
 
 mod manifests;
 mod roles;
@@ -17,25 +17,25 @@
 use corktack_core::identity::GroupName;
 use corktack_core::view::View;
 use corktack_standin::Group;
-use settings::{DEMO_USER, EVENT_RECORDS, READY_LIMIT};
+use settings::{DEMO_USER, EVENT_RECORDS, READY_TIMEOUT};
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use tempfile::TempDir;
 use tokio::time::timeout;
 
-/// Where a running `dev` is reached; its text is the line that the program prints.
+/// Addresses of a running `dev`; the program prints their `Display` text.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ready {
-    /// Callers' addresses of the proxies.
+pub struct DevAddresses {
+    /// Address for callers of each proxy.
     pub callers: Vec<SocketAddr>,
-    /// Operators' addresses of the control replicas.
+    /// Address for operators of each control replica.
     pub operators: Vec<SocketAddr>,
 }
 
-impl fmt::Display for Ready {
+impl fmt::Display for DevAddresses {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let list = |addresses: &[SocketAddr]| {
+        let join = |addresses: &[SocketAddr]| {
             let texts: Vec<String> = addresses.iter().map(ToString::to_string).collect();
             texts.join(" ")
         };
@@ -48,15 +48,15 @@
             formatter,
             "psql -h {} -p {port} -d {DEMO_GROUP} -U {DEMO_USER}   (second proxy {}; operators http://{})",
             Ipv4Addr::LOCALHOST,
-            list(others),
-            list(&self.operators)
+            join(others),
+            join(&self.operators)
         )
     }
 }
 
-/// A running `dev`.
+/// Roles of a running `dev`.
 pub struct Dev {
-    ready: Ready,
+    ready: DevAddresses,
     proxies: Vec<ProxyHandle>,
     control: Vec<ControlProcess>,
     group: Group,
@@ -64,10 +64,11 @@
 }
 
 impl Dev {
-    /// Starts every role inside an actix system, and returns once the group is served.
+    /// Starts every role and returns once both proxies serve the group; must be called inside an
+    /// actix system.
     ///
     /// # Errors
-    /// [`DevError`].
+    /// Returns [`DevError`] if a role cannot start or the group is not served in time.
     pub async fn start(settings: DevSettings) -> Result<Self, DevError> {
         let (folder, temporary) = open_folder(&settings)?;
         let group = roles::start_group(&folder)?;
@@ -80,29 +81,29 @@
             wait_until_served(proxy).await?;
         }
         let callers = proxies.iter().map(|proxy| proxy.addresses().callers).collect();
-        let ready = Ready { callers, operators };
+        let ready = DevAddresses { callers, operators };
         Ok(Self { ready, proxies, control, group, _temporary: temporary })
     }
 
-    /// Where it is reached.
+    /// Returns the addresses of the roles.
     #[must_use]
-    pub const fn ready(&self) -> &Ready {
+    pub const fn ready(&self) -> &DevAddresses {
         &self.ready
     }
 
-    /// The control replicas, for further proxies to join.
+    /// Returns the control replicas, to which further proxies can connect.
     #[must_use]
     pub fn control(&self) -> &[ControlProcess] {
         &self.control
     }
 
-    /// The proxies, to look at and to reach.
+    /// Returns the proxies.
     #[must_use]
     pub fn proxies(&self) -> &[ProxyHandle] {
         &self.proxies
     }
 
-    /// The stand-in group, to stop and restart its members.
+    /// Returns the stand-in group, whose members can be stopped and restarted.
     pub const fn group(&mut self) -> &mut Group {
         &mut self.group
     }
@@ -122,9 +123,10 @@
     if let Some(folder) = &settings.data_folder {
         return Ok((folder.clone(), None));
     }
-    let made = tempfile::Builder::new().prefix("corktack-dev-").tempdir();
-    let made = made.map_err(|source| DevError::Folder { folder: std::env::temp_dir(), source })?;
-    Ok((made.path().to_owned(), Some(made)))
+    let temporary = tempfile::Builder::new().prefix("corktack-dev-").tempdir();
+    let temporary =
+        temporary.map_err(|source| DevError::Folder { folder: std::env::temp_dir(), source })?;
+    Ok((temporary.path().to_owned(), Some(temporary)))
 }
 
 async fn apply_manifests(operators: &[SocketAddr], group: &Group) -> Result<(), DevError> {
@@ -138,25 +140,25 @@
 
 async fn wait_until_served(proxy: &ProxyHandle) -> Result<(), DevError> {
     let group = GroupName::new(DEMO_GROUP)?;
-    let served = |view: &std::sync::Arc<View>| {
+    let is_served = |view: &std::sync::Arc<View>| {
         view.groups
             .get(&group)
             .is_some_and(|group| group.primary.is_some() && group.owner.is_some())
     };
     let mut views = proxy.views();
-    match timeout(READY_LIMIT, views.wait_for(served)).await {
+    match timeout(READY_TIMEOUT, views.wait_for(is_served)).await {
         Ok(Ok(_)) => Ok(()),
         _ => Err(DevError::NotReady),
     }
 }
 
-/// Runs `dev` until SIGTERM or SIGINT; `announce` is called once it is ready.
+/// Runs `dev` until SIGTERM or SIGINT; calls `announce` with its addresses once the group is served.
 ///
 /// # Errors
-/// [`DevError`] when it cannot start.
+/// Returns [`DevError`] if a role cannot start.
 pub fn run_until_stopped(
     settings: DevSettings,
-    announce: impl FnOnce(&Ready),
+    announce: impl FnOnce(&DevAddresses),
 ) -> Result<(), DevError> {
     let (folder, temporary) = open_folder(&settings)?;
     let events = install(&folder, EVENT_RECORDS)?;
--- a/crates/server/src/dev/roles.rs
+++ b/crates/server/src/dev/roles.rs
@@ -1,10 +1,11 @@
 //! Starts the roles of `dev` on loopback addresses.
 //!
-//! Relies on a file of the data folder for the replicas' ports: the cell knows its members by them.
+//! A file in the data folder keeps the control replicas' ports over restarts, because the stored cell
+//! configuration identifies its members by their addresses.
 
 use super::manifests::{DEFAULT_CLASS, ZONE};
 use super::settings::{DEMO_GROUP, DevError, DevSettings};
-use crate::control::{Bootstrap, ControlProcess, bind_listeners, start_on};
+use crate::control::{Bootstrap, ControlProcess, bind_listeners, start_with_listeners};
 use crate::proxy::{ProxyHandle, start};
 use crate::settings::control::{ControlAddresses, ControlLimits, ControlMember, ControlTimeouts};
 use crate::settings::proxy::{
@@ -17,14 +18,14 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 
-/// Proxies of `dev`.
-const PROXIES: usize = 2;
-/// Connections that each member of the group takes. Chosen, not measured; more than the group's connections of
+/// Number of proxies.
+const PROXY_COUNT: usize = 2;
+/// Most connections that each member of the group accepts; above the number of the group's connections over
 /// both proxies together.
-const MEMBER_CONNECTIONS: usize = 100;
+const MEMBER_CONNECTION_LIMIT: usize = 100;
 /// Name of the cell.
-const CELL: &str = "dev";
-/// File in the data folder that keeps the replicas' ports: the cell knows its members by them.
+const CELL_NAME: &str = "dev";
+/// File in the data folder that keeps the control replicas' ports over restarts.
 const PORTS_FILE: &str = "control-ports.json";
 
 fn loopback(port: u16) -> SocketAddr {
@@ -33,7 +34,7 @@
 
 pub(super) fn start_group(folder: &Path) -> Result<Group, DevError> {
     let mut settings = GroupSettings::new(GroupName::new(DEMO_GROUP)?, folder.join("group"));
-    settings.connection_limit = MEMBER_CONNECTIONS;
+    settings.connection_limit = MEMBER_CONNECTION_LIMIT;
     Ok(Group::start(settings)?)
 }
 
@@ -41,68 +42,73 @@
     folder: &Path,
     settings: &DevSettings,
 ) -> Result<Vec<ControlProcess>, DevError> {
-    let replicas = settings.control_replicas;
-    if replicas != 1 && replicas != 3 {
-        return Err(DevError::ControlReplicas(replicas));
+    let replica_count = settings.control_replicas;
+    if replica_count != 1 && replica_count != 3 {
+        return Err(DevError::ControlReplicas(replica_count));
     }
-    let ports = read_ports(folder, replicas)?;
-    let mut prepared = Vec::new();
-    for (place, port) in ports.into_iter().enumerate() {
-        // The first replica has the known port for operators.
-        let operators = if place == 0 { settings.operators_port } else { 0 };
-        let settings = control_settings(folder, place, port, operators);
+    let ports = read_ports(folder, replica_count)?;
+    let mut prepared_replicas = Vec::new();
+    for (index, port) in ports.into_iter().enumerate() {
+        // The first replica listens for operators on the port of the settings.
+        let operators_port = if index == 0 { settings.operators_port } else { 0 };
+        let settings = control_settings(folder, index, port, operators_port);
         let listeners =
             bind_listeners(&settings).map_err(crate::control::ControlProcessError::from)?;
-        prepared.push((settings, listeners));
+        prepared_replicas.push((settings, listeners));
     }
-    let members = members(&prepared, folder)?;
+    let members = cell_members(&prepared_replicas, folder)?;
     write_ports(folder, &members)?;
     let start = |(mut settings, listeners): (ControlSettings, ControlListeners)| {
         settings.members.clone_from(&members);
-        start_on(settings, listeners, Bootstrap::Allow).map_err(DevError::from)
+        start_with_listeners(settings, listeners, Bootstrap::Allow).map_err(DevError::from)
     };
-    prepared.into_iter().map(start).collect()
+    prepared_replicas.into_iter().map(start).collect()
 }
 
-fn members(
-    prepared: &[(ControlSettings, ControlListeners)],
+fn cell_members(
+    prepared_replicas: &[(ControlSettings, ControlListeners)],
     folder: &Path,
 ) -> Result<Vec<ControlMember>, DevError> {
-    let failed = |source| DevError::Folder { folder: folder.to_owned(), source };
+    let folder_error = |source| DevError::Folder { folder: folder.to_owned(), source };
     let member = |(settings, listeners): &(ControlSettings, ControlListeners)| {
-        let address = listeners.cell.local_addr().map_err(failed)?;
+        let address = listeners.cell.local_addr().map_err(folder_error)?;
         Ok(ControlMember { id: settings.replica, address })
     };
-    prepared.iter().map(member).collect()
+    prepared_replicas.iter().map(member).collect()
 }
 
-fn read_ports(folder: &Path, replicas: usize) -> Result<Vec<u16>, DevError> {
+fn read_ports(folder: &Path, replica_count: usize) -> Result<Vec<u16>, DevError> {
     match std::fs::read(folder.join(PORTS_FILE)) {
         Ok(bytes) => Ok(serde_json::from_slice(&bytes)?),
-        // A first start takes free ports.
-        Err(_) => Ok(vec![0; replicas]),
+        // Port 0 makes a first start use free ports.
+        Err(_) => Ok(vec![0; replica_count]),
     }
 }
 
 fn write_ports(folder: &Path, members: &[ControlMember]) -> Result<(), DevError> {
-    let failed = |source| DevError::Folder { folder: folder.to_owned(), source };
+    let folder_error = |source| DevError::Folder { folder: folder.to_owned(), source };
     let ports: Vec<u16> = members.iter().map(|member| member.address.port()).collect();
-    std::fs::create_dir_all(folder).map_err(failed)?;
-    std::fs::write(folder.join(PORTS_FILE), serde_json::to_vec(&ports)?).map_err(failed)
+    std::fs::create_dir_all(folder).map_err(folder_error)?;
+    std::fs::write(folder.join(PORTS_FILE), serde_json::to_vec(&ports)?).map_err(folder_error)
 }
 
-fn control_settings(folder: &Path, place: usize, cell: u16, operators: u16) -> ControlSettings {
-    let replica = place as u64 + 1;
+fn control_settings(
+    folder: &Path,
+    index: usize,
+    cell_port: u16,
+    operators_port: u16,
+) -> ControlSettings {
+    let replica = index as u64 + 1;
     ControlSettings {
-        cell: CELL.to_owned(),
+        cell: CELL_NAME.to_owned(),
         replica,
         data_folder: folder.join(format!("control-{replica}")),
         join: false,
         operator_token: None,
         addresses: ControlAddresses {
-            cell: loopback(cell),
+            cell: loopback(cell_port),
             proxies: loopback(0),
-            operators: loopback(operators),
+            operators: loopback(operators_port),
         },
         members: Vec::new(),
         platform: None,
@@ -120,10 +126,10 @@
     let replicas: Vec<SocketAddr> =
         control.iter().map(|replica| replica.addresses().proxies).collect();
     let mut proxies = Vec::new();
-    for place in 0..PROXIES {
-        // The first proxy has the known port for callers.
-        let callers = if place == 0 { settings.callers_port } else { 0 };
-        let settings = proxy_settings(folder, place, callers, replicas.clone())?;
+    for index in 0..PROXY_COUNT {
+        // The first proxy listens for callers on the port of the settings.
+        let callers_port = if index == 0 { settings.callers_port } else { 0 };
+        let settings = proxy_settings(folder, index, callers_port, replicas.clone())?;
         proxies.push(start(settings).await?);
     }
     Ok(proxies)
@@ -131,11 +137,11 @@
 
 fn proxy_settings(
     folder: &Path,
-    place: usize,
-    callers: u16,
+    index: usize,
+    callers_port: u16,
     replicas: Vec<SocketAddr>,
 ) -> Result<ProxySettings, DevError> {
-    let name = format!("proxy-{}", place + 1);
+    let name = format!("proxy-{}", index + 1);
     Ok(ProxySettings {
         data_folder: folder.join(&name),
         name: ProxyName::new(name)?,
@@ -143,7 +149,7 @@
         default_class: ClassName::new(DEFAULT_CLASS)?,
         back_end_user: "corktack".to_owned(),
         addresses: ProxyAddresses {
-            callers: loopback(callers),
+            callers: loopback(callers_port),
             peers: loopback(0),
             peers_announced: None,
             peers_own: None,
--- a/crates/server/src/dev/settings.rs
+++ b/crates/server/src/dev/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of `dev`, and why it could not start.
+//! Settings and errors of `dev`.
 
 use crate::client::ClientError;
 use crate::control::ControlProcessError;
@@ -8,31 +8,31 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Group that `dev` serves, and its database.
+/// Name of the group that `dev` serves, and of its database.
 pub const DEMO_GROUP: &str = "demo";
-/// User that the printed command line names.
+/// User in the printed command line.
 pub(super) const DEMO_USER: &str = "app";
-/// Port for callers unless another one is given.
-const CALLERS_PORT: u16 = 6_432;
-/// Port for operators unless another one is given.
-const OPERATORS_PORT: u16 = 6_480;
-/// Longest wait until the group is served. Chosen, not measured; a lower value gives up on slow machines.
-pub(super) const READY_LIMIT: Duration = Duration::from_secs(30);
-/// Log records kept in memory; as the default of the settings files.
+/// Default port of the first proxy for callers.
+const DEFAULT_CALLERS_PORT: u16 = 6_432;
+/// Default port of the first control replica for operators.
+const DEFAULT_OPERATORS_PORT: u16 = 6_480;
+/// Longest wait until a proxy serves the group. A shorter time makes `dev` fail on slow machines.
+pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of log records kept in memory; equal to the default of `limits.event_records`.
 pub(super) const EVENT_RECORDS: usize = 4_096;
 
-/// Why `dev` could not start.
+/// Error at the start of `dev`.
 #[derive(Debug, thiserror::Error)]
 pub enum DevError {
-    /// The temporary folder or a folder below the given one cannot be made.
+    /// The temporary folder, the data folder or a file in it cannot be created.
     #[error("folder {}: cannot be made", folder.display())]
     Folder {
-        /// The folder.
+        /// Path of the folder.
         folder: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The number of control replicas is not served.
+    /// The given number of control replicas is not supported.
     #[error("--control-replicas {0}: must be 1 or 3")]
     ControlReplicas(usize),
     /// The stand-in group cannot start.
@@ -47,31 +47,31 @@
     /// The built-in manifests cannot be applied.
     #[error("the built-in manifests cannot be applied")]
     Apply(#[from] ClientError),
-    /// A built-in resource has no JSON form.
+    /// A built-in resource or the file of the replicas' ports cannot be converted from or to JSON.
     #[error("a built-in resource has no JSON form")]
     Encode(#[from] serde_json::Error),
     /// A built-in name is not valid.
     #[error("a built-in name is not valid")]
     Name(#[from] corktack_core::identity::NameError),
-    /// The group was not served in time.
-    #[error("group {DEMO_GROUP} is not served after {} s", READY_LIMIT.as_secs())]
+    /// A proxy does not serve the group within the timeout.
+    #[error("group {DEMO_GROUP} is not served after {} s", READY_TIMEOUT.as_secs())]
     NotReady,
-    /// The log cannot be installed.
+    /// The event log cannot be installed.
     #[error(transparent)]
     Telemetry(#[from] TelemetryError),
-    /// Signals cannot be listened for.
+    /// A signal handler cannot be installed.
     #[error("signals cannot be listened for")]
     Signals(#[source] std::io::Error),
 }
 
-/// Settings of `dev`.
+/// Settings of `dev`, from the flags of its command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DevSettings {
-    /// Folder that keeps the data over restarts; otherwise a temporary one.
+    /// Folder that keeps the data over restarts; a temporary folder is used if absent.
     pub data_folder: Option<PathBuf>,
-    /// Port for callers of the first proxy on 127.0.0.1; 0 takes a free one.
+    /// Port of the first proxy for callers, on 127.0.0.1; 0 takes a free port.
     pub callers_port: u16,
-    /// Port for operators on 127.0.0.1; 0 takes a free one.
+    /// Port of the first control replica for operators, on 127.0.0.1; 0 takes a free port.
     pub operators_port: u16,
     /// Number of control replicas: 1 or 3.
     pub control_replicas: usize,
@@ -81,8 +81,8 @@
     fn default() -> Self {
         Self {
             data_folder: None,
-            callers_port: CALLERS_PORT,
-            operators_port: OPERATORS_PORT,
+            callers_port: DEFAULT_CALLERS_PORT,
+            operators_port: DEFAULT_OPERATORS_PORT,
             control_replicas: 1,
         }
     }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,7 +1,8 @@
-//! Runs the processes of corktack: settings, telemetry, and the wiring of every role.
+//! Runs the processes of corktack: reads their settings, sets up telemetry and connects the parts of every
+//! role.
 //!
-//! Relies on `corktack_control`, `corktack_edge`, `corktack_owner` and `corktack_gateway` for what the roles do;
-//! owns where their settings come from, how they are connected, and when they start and stop.
+//! `corktack_control`, `corktack_edge`, `corktack_owner` and `corktack_gateway` implement the roles; this
+//! crate decides where their settings come from, how they are connected, and when they start and stop.
 
 pub mod client;
 pub mod control;
--- a/crates/server/src/listeners.rs
+++ b/crates/server/src/listeners.rs
@@ -1,33 +1,33 @@
-//! Binds listeners, so that a taken port is reported once and before anything starts.
+//! Binds listeners before a role starts, so that a port in use is reported before any part runs.
 //!
-//! The error names the setting that is at fault.
+//! An error names the setting that holds the address.
 
 use std::net::{SocketAddr, TcpListener};
 
-/// Why an address cannot be listened on.
+/// Reports that a listener cannot be bound to the address of a setting.
 #[derive(Debug, thiserror::Error)]
 #[error("{setting} = {address}: cannot be listened on")]
 pub struct ListenError {
-    /// The setting that names the address.
+    /// Key of the setting that holds the address, for example `addresses.peers`.
     pub setting: &'static str,
-    /// The address.
+    /// Address as the settings have it.
     pub address: SocketAddr,
-    /// Why; a taken port is [`std::io::ErrorKind::AddrInUse`].
+    /// Error of the operating system; [`std::io::ErrorKind::AddrInUse`] if the port is in use.
     pub source: std::io::Error,
 }
 
-/// Binds a listener; the error names the setting.
+/// Binds a listener to the address of a setting.
 ///
 /// # Errors
-/// [`ListenError`].
+/// Returns [`ListenError`], which names the setting, if the address cannot be bound.
 pub fn bind(setting: &'static str, address: SocketAddr) -> Result<TcpListener, ListenError> {
     TcpListener::bind(address).map_err(|source| ListenError { setting, address, source })
 }
 
-/// The address a listener got, where the setting left the port open.
+/// Returns the address that a listener is bound to; its port differs from the setting's if that is 0.
 ///
 /// # Errors
-/// [`ListenError`].
+/// Returns [`ListenError`] if the operating system does not report the address.
 pub fn bound_address(
     setting: &'static str,
     address: SocketAddr,
--- a/crates/server/src/proxy/mod.rs
+++ b/crates/server/src/proxy/mod.rs
@@ -1,7 +1,7 @@
-//! Runs a proxy: edge, owner, watch of control, telemetry.
+//! Starts and stops a proxy, which consists of the edge, the owner, the watch of control and telemetry.
 //!
-//! Owns the parts of a running proxy. Decides when callers are served after a start (`wait_until_current`) and
-//! in which order a planned stop ends them ([`ProxyHandle::stop`]); relies on the settings for every limit.
+//! Decides when a started proxy begins to serve callers (`wait_until_current`) and in which order a planned
+//! stop ends the parts ([`ProxyHandle::stop`]).
 
 mod wiring;
 
@@ -25,19 +25,19 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Why a proxy could not start.
+/// Error at the start of a proxy.
 #[derive(Debug, thiserror::Error)]
 pub enum ProxyError {
     /// The data folder cannot be used.
     #[error("data_folder")]
     DataFolder(#[from] StorageError),
-    /// An address cannot be listened on.
+    /// A listener cannot be bound.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The log cannot be installed.
+    /// The event log cannot be installed.
     #[error(transparent)]
     Telemetry(#[from] TelemetryError),
-    /// The watch of control cannot start.
+    /// The client that watches the control replicas cannot start.
     #[error(transparent)]
     Watch(#[from] WatchError),
     /// The edge cannot start.
@@ -46,31 +46,32 @@
     /// The owner cannot start.
     #[error(transparent)]
     Owner(#[from] OwnerError),
-    /// Metrics cannot be served.
+    /// The HTTP server for metrics and health checks cannot start.
     #[error("metrics cannot be served")]
     Metrics(#[source] std::io::Error),
-    /// Signals cannot be listened for.
+    /// A signal handler cannot be installed.
     #[error("signals cannot be listened for")]
     Signals(#[source] std::io::Error),
 }
 
-/// Addresses a proxy got, where the settings left ports open.
+/// Addresses that the listeners of a proxy are bound to; a port that is 0 in the settings is the assigned
+/// one here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BoundAddresses {
-    /// For callers.
+pub struct BoundProxyAddresses {
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For other proxies.
+    /// Address for other proxies.
     pub peers: SocketAddr,
-    /// For metrics and health.
+    /// Address for metrics and health checks.
     pub telemetry: SocketAddr,
 }
 
-/// A running proxy.
+/// Handle of a running proxy.
 pub struct ProxyHandle {
     name: ProxyName,
-    addresses: BoundAddresses,
-    handover_limit: Duration,
-    drain_limit: Duration,
+    addresses: BoundProxyAddresses,
+    handover_timeout: Duration,
+    drain_timeout: Duration,
     readiness: Readiness,
     watch: WatchHandle,
     edge: EdgeHandle,
@@ -79,39 +80,41 @@
     _folder: DataFolder,
 }
 
-/// Incarnation of this process: the time of its start, which no other run has.
+/// Returns the incarnation of this process: the current time in microseconds, which no earlier run of the
+/// process has used.
 #[must_use]
-pub fn draw_incarnation() -> Incarnation {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    Incarnation(u64::try_from(since.as_micros()).unwrap_or(u64::MAX))
+pub fn new_incarnation() -> Incarnation {
+    let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    Incarnation(u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX))
 }
 
-/// Starts a proxy inside an actix system. It serves callers once its configuration is current;
-/// see `timeouts.startup_ms`.
+/// Starts a proxy; must be called inside an actix system. The proxy serves callers once control has
+/// confirmed that its configuration is current, or after `timeouts.startup_ms` with a stored
+/// configuration.
 ///
 /// # Errors
-/// [`ProxyError`]; nothing runs then.
+/// Returns [`ProxyError`] if a part cannot start; nothing runs then.
 pub async fn start(settings: ProxySettings) -> Result<ProxyHandle, ProxyError> {
     let folder = DataFolder::open(&settings.data_folder)?;
     let listeners = Listeners::bind(&settings)?;
     let addresses = listeners.addresses(&settings)?;
-    let incarnation = draw_incarnation();
+    let incarnation = new_incarnation();
     let registry = SharedRegistry::default();
     let readiness = Readiness::default();
     let http = serve(listeners.telemetry, Arc::clone(&registry), readiness.clone());
     let http = http.map_err(ProxyError::Metrics)?;
 
-    let (observations, observed) = mpsc::unbounded_channel();
+    let (observation_sender, observations) = mpsc::unbounded_channel();
     let watch_settings = wiring::watch_settings(&settings, addresses.peers, incarnation);
-    let connect_limit = millis(settings.control.connect_timeout_ms);
+    let connect_timeout = millis(settings.control.connect_timeout_ms);
     let store = Box::new(ViewFile::open(&folder)?);
     let watch = with_registry(&registry, |registry| {
-        let inputs = WatchInputs::without_limits(observed);
-        watch_client::start(watch_settings, connect_limit, store, inputs, registry)
+        let inputs = WatchInputs::without_limits(observations);
+        watch_client::start(watch_settings, connect_timeout, store, inputs, registry)
     })?;
     let owner_settings = wiring::owner_settings(&settings, incarnation);
     let owner = with_registry(&registry, |registry| {
-        Owner::start(owner_settings, listeners.peers, watch.views(), observations, registry)
+        Owner::start(owner_settings, listeners.peers, watch.views(), observation_sender, registry)
     })?;
     wait_until_current(&watch, millis(settings.timeouts.startup_ms)).await;
     let edge_settings = wiring::edge_settings(&settings, addresses.peers, incarnation);
@@ -123,8 +126,8 @@
     Ok(ProxyHandle {
         name: settings.name,
         addresses,
-        handover_limit: millis(settings.timeouts.handover_ms),
-        drain_limit: millis(settings.timeouts.drain_ms),
+        handover_timeout: millis(settings.timeouts.handover_ms),
+        drain_timeout: millis(settings.timeouts.drain_ms),
         readiness,
         watch,
         edge,
@@ -154,51 +157,55 @@
         })
     }
 
-    fn addresses(&self, settings: &ProxySettings) -> Result<BoundAddresses, ListenError> {
-        let wanted = &settings.addresses;
-        Ok(BoundAddresses {
-            callers: bound_address(CALLERS_SETTING, wanted.callers, &self.callers)?,
-            peers: bound_address(PEERS_SETTING, wanted.peers, &self.peers)?,
-            telemetry: bound_address(TELEMETRY_SETTING, wanted.telemetry, &self.telemetry)?,
+    fn addresses(&self, settings: &ProxySettings) -> Result<BoundProxyAddresses, ListenError> {
+        let configured = &settings.addresses;
+        Ok(BoundProxyAddresses {
+            callers: bound_address(CALLERS_SETTING, configured.callers, &self.callers)?,
+            peers: bound_address(PEERS_SETTING, configured.peers, &self.peers)?,
+            telemetry: bound_address(TELEMETRY_SETTING, configured.telemetry, &self.telemetry)?,
         })
     }
 }
 
-/// Waits until a replica proved that the configuration is current. A stored configuration is
-/// good enough after the limit: serving beats waiting for control, and terms keep it safe.
-async fn wait_until_current(watch: &WatchHandle, limit: Duration) {
-    let mut proved = watch.proved();
-    if timeout(limit, proved.wait_for(Option::is_some)).await.is_ok() {
+/// Waits until a control replica has confirmed that the configuration is current. After the timeout a
+/// stored configuration is used instead, so that a proxy can serve callers without control; terms
+/// keep an outdated configuration safe. Without a stored configuration the wait continues.
+async fn wait_until_current(watch: &WatchHandle, startup_timeout: Duration) {
+    let mut confirmations = watch.proved();
+    if timeout(startup_timeout, confirmations.wait_for(Option::is_some)).await.is_ok() {
         return;
     }
-    log::warn!("control did not prove in time that the configuration is current");
+    log::warn!("configuration not confirmed by control in time: used unconfirmed");
     let mut views = watch.views();
-    let stored = views.wait_for(|view| view.revision > Revision::default());
-    // An error means that the watch has ended, and the proxy with it.
-    drop(stored.await);
+    let available = views.wait_for(|view| view.revision > Revision::default());
+    // An error means that the watch has ended, and the proxy stops with it.
+    drop(available.await);
 }
 
 impl ProxyHandle {
-    /// The addresses it listens on.
+    /// Returns the addresses that the proxy listens on.
     #[must_use]
-    pub const fn addresses(&self) -> BoundAddresses {
+    pub const fn addresses(&self) -> BoundProxyAddresses {
         self.addresses
     }
 
-    /// The configuration in force.
+    /// Returns a receiver of the configuration in use.
     #[must_use]
     pub fn views(&self) -> watch::Receiver<Arc<View>> {
         self.watch.views()
     }
 
-    /// A planned stop: hands the groups over, finishes what is in flight, ends.
+    /// Stops the proxy as planned: hands its groups over, completes requests in flight, and then ends
+    /// its parts. Handover and drain are bounded by `timeouts.handover_ms` and `timeouts.drain_ms`.
     pub async fn stop(self) {
         self.readiness.set(false);
         self.watch.drain();
         self.wait_for_handover().await;
         self.edge.drain().await;
-        if timeout(self.drain_limit, self.owner.drain()).await.is_err() {
-            log::error!("streams of other proxies were still open at the end of the drain");
+        if timeout(self.drain_timeout, self.owner.drain()).await.is_err() {
+            log::error!(
+                "streams of other proxies still open at the drain timeout: no longer awaited"
+            );
         }
         self.watch.stop().await;
         self.http.stop(true).await;
@@ -206,15 +213,15 @@
 
     async fn wait_for_handover(&self) {
         let mut views = self.watch.views();
-        let handed_over = views.wait_for(|view| owns_nothing(view, &self.name));
-        if timeout(self.handover_limit, handed_over).await.is_err() {
-            log::warn!("groups were not handed over in time; stopping with them");
+        let handed_over = views.wait_for(|view| is_handed_over(view, &self.name));
+        if timeout(self.handover_timeout, handed_over).await.is_err() {
+            log::warn!("groups not handed over in time: proxy stops while it still owns them");
         }
     }
 }
 
-/// Whether control knows that the proxy stops, and no group is left to it.
-fn owns_nothing(view: &View, proxy: &ProxyName) -> bool {
+/// Reports whether control no longer lists the proxy as live and the proxy owns no group.
+fn is_handed_over(view: &View, proxy: &ProxyName) -> bool {
     let live = view.proxies.get(proxy).is_some_and(|proxy| proxy.state == ProxyState::Live);
     !live && view.groups.values().all(|group| group.owner.as_ref() != Some(proxy))
 }
@@ -222,7 +229,7 @@
 /// Runs a proxy until SIGTERM or SIGINT, then stops it as planned.
 ///
 /// # Errors
-/// [`ProxyError`] when it cannot start.
+/// Returns [`ProxyError`] if the proxy cannot start.
 pub fn run_until_stopped(settings: ProxySettings) -> Result<(), ProxyError> {
     let events = install(&settings.data_folder, settings.limits.event_records as usize)?;
     actix_rt::System::new().block_on(async {
--- a/crates/server/src/proxy/wiring.rs
+++ b/crates/server/src/proxy/wiring.rs
@@ -1,6 +1,4 @@
-//! The settings of a proxy's parts, made from the proxy's.
-//!
-//! Decides nothing: each setting goes to the part that uses it.
+//! Converts the settings of a proxy into those of its parts: the watch of control, the owner and the edge.
 
 use crate::settings::proxy::AuthenticationMode;
 use crate::settings::{ProxySettings, millis};
@@ -32,7 +30,7 @@
     }
 }
 
-/// The settings of a proxy's owner.
+/// Returns the settings of a proxy's owner.
 #[must_use]
 pub fn owner_settings(settings: &ProxySettings, incarnation: Incarnation) -> OwnerSettings {
     let (name, zone) = (settings.name.clone(), settings.zone.clone());
@@ -47,7 +45,7 @@
     owner
 }
 
-/// The settings of a proxy's edge, whose own owner listens on `peers`.
+/// Returns the settings of a proxy's edge; the owner in the same process listens on `peers`.
 #[must_use]
 pub fn edge_settings(
     settings: &ProxySettings,
@@ -65,12 +63,13 @@
     edge.request_timeout = millis(timeouts.request_ms);
     edge.drain_timeout = millis(timeouts.drain_ms);
     edge.authentication = authentication(settings);
-    edge.local_owner = Some(settings.addresses.peers_own.unwrap_or_else(|| reachable(peers)));
+    edge.local_owner = Some(settings.addresses.peers_own.unwrap_or_else(|| local_address(peers)));
     edge
 }
 
-/// An address that a listener on this one is reached at from its own machine.
-fn reachable(mut listener: SocketAddr) -> SocketAddr {
+/// Returns an address at which a listener can be reached from its own machine: the listener's address, or
+/// loopback if it listens on every address.
+fn local_address(mut listener: SocketAddr) -> SocketAddr {
     if listener.ip().is_unspecified() {
         listener.set_ip(match listener {
             SocketAddr::V4(_) => Ipv4Addr::LOCALHOST.into(),
