--- a/crates/server/tests/forms/main.rs
+++ b/crates/server/tests/forms/main.rs
@@ -1,7 +1,7 @@
-//! What operators rely on: the keys of settings files, and the names of the metrics of the watch of
-//! control.
+//! Compares the names that operators rely on with expected files: the keys of settings files, and the metrics
+//! of the watch of control.
 //!
-//! `UPDATE_EXPECT=1` writes the expected files anew where a form is changed on purpose.
+//! `UPDATE_EXPECT=1` rewrites the expected files after an intended change.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -13,8 +13,8 @@
 use prometheus_client::registry::Registry;
 use support::{load_control, load_proxy};
 
-/// A key that no section has; the parser answers with the list of those that it has.
-const UNKNOWN: &str = "no_such_key = 1\n";
+/// Key that no section has; the parser's error lists the keys that the section has.
+const UNKNOWN_KEY: &str = "no_such_key = 1\n";
 const CONTROL_SECTIONS: [&str; 7] =
     ["", "[addresses]", "[[members]]", "[platform]", "[limits]", "[timeouts]", "[failover]"];
 const PROXY_SECTIONS: [&str; 7] = [
@@ -26,7 +26,7 @@
     "[limits]",
     "[timeouts]",
 ];
-/// Every key of a control replica's file, each with another value.
+/// Every key of a control replica's file, each with a different value.
 const CONTROL: &str = r#"
 cell = "main"
 replica = 1
@@ -73,7 +73,7 @@
 cooldown_maximum_ms = 60001
 quiet_ms = 600001
 "#;
-/// Every key of a proxy's file, each with another value.
+/// Every key of a proxy's file, each with a different value.
 const PROXY: &str = r#"
 name = "proxy-1"
 zone = "amba.a"
@@ -117,41 +117,41 @@
 outcome_retention_s = 2013
 "#;
 
-/// How an unknown key of each section is refused, with the keys that the section has.
-fn refusals<T: std::fmt::Debug>(
+/// Returns the error for an unknown key in each section; each error lists the keys that the section has.
+fn unknown_key_errors<T: std::fmt::Debug>(
     sections: &[&str],
     load: fn(&str) -> Result<T, SettingsError>,
 ) -> String {
-    let refusal = |section: &&str| match load(&format!("{section}\n{UNKNOWN}")) {
+    let unknown_key_error = |section: &&str| match load(&format!("{section}\n{UNKNOWN_KEY}")) {
         Err(SettingsError::Form { line, text, reason, .. }) => {
             format!("{section} line {line}: {text}: {reason}\n")
         }
         other => panic!("{section}: {other:?}"),
     };
-    sections.iter().map(refusal).collect()
+    sections.iter().map(unknown_key_error).collect()
 }
 
 #[test]
-fn a_control_replicas_file_has_its_keys() {
+fn a_control_replicas_file_has_the_expected_keys() {
     let settings = load_control(CONTROL).expect("accepted settings");
     let ControlSettings { join, operator_token, platform, limits, timeouts, failover, .. } =
         &settings;
-    let refused = refusals(&CONTROL_SECTIONS, load_control);
+    let errors = unknown_key_errors(&CONTROL_SECTIONS, load_control);
     let text = format!(
-        "{refused}{settings:#?}\n{join} {operator_token:?}\n{platform:#?}\n{limits:#?}\n{timeouts:#?}\n{failover:#?}\n"
+        "{errors}{settings:#?}\n{join} {operator_token:?}\n{platform:#?}\n{limits:#?}\n{timeouts:#?}\n{failover:#?}\n"
     );
     expect_file!["./control_settings.txt"].assert_eq(&text);
 }
 
 #[test]
-fn a_proxys_file_has_its_keys() {
+fn a_proxys_file_has_the_expected_keys() {
     let settings = load_proxy(PROXY).expect("accepted settings");
-    let refused = refusals(&PROXY_SECTIONS, load_proxy);
-    expect_file!["./proxy_settings.txt"].assert_eq(&format!("{refused}{settings:#?}\n"));
+    let errors = unknown_key_errors(&PROXY_SECTIONS, load_proxy);
+    expect_file!["./proxy_settings.txt"].assert_eq(&format!("{errors}{settings:#?}\n"));
 }
 
 #[test]
-fn the_watch_of_control_has_its_metrics() {
+fn the_watch_of_control_has_the_expected_metrics() {
     let mut registry = Registry::default();
     WatchMetrics::register(&mut registry);
     expect_file!["./watch_metrics.txt"].assert_eq(&metrics_text(&registry));
--- a/crates/server/tests/manifest.rs
+++ b/crates/server/tests/manifest.rs
@@ -1,4 +1,4 @@
-//! Manifests: what is refused, and that the error names file, document, key and value.
+//! Checks which manifests are refused, and that the error names the file, document, key and value.
 
 use corktack_core::resources::{ResourceKey, ResourceVersion};
 use corktack_server::manifest::{ManifestError, check, load, parse};
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn documents_keep_their_place_and_version() {
+fn documents_keep_their_number_and_resource_version() {
     let manifests = parse_text(MANIFESTS).expect("valid manifests");
     assert_eq!(manifests.len(), 3);
     assert_eq!(manifests[0].resource_version, Some(ResourceVersion(0)));
@@ -55,23 +55,23 @@
 #[case("priority: 30", "priority: -1", 1, &["spec.priority", "-1"])]
 #[case("apiVersion: corktack/v1\nkind: Binding", "apiVersion: v2\nkind: Binding", 3, &["v2"])]
 #[case("class: gold", "class: gold\nstate: {}", 3, &["state"])]
-fn a_bad_document_names_file_document_key_and_value(
+fn a_parse_error_names_file_document_key_and_value(
     #[case] from: &str,
     #[case] to: &str,
     #[case] document: usize,
-    #[case] named: &[&str],
+    #[case] expected_texts: &[&str],
 ) {
     let text = parse_text(&MANIFESTS.replace(from, to)).expect_err("must be refused").to_string();
     assert!(text.contains("group.yaml"), "{text}");
     assert!(text.contains(&format!("document {document}")), "{text}");
-    for name in named {
-        assert!(text.contains(name), "{text} does not name {name}");
+    for expected in expected_texts {
+        assert!(text.contains(expected), "{text} does not contain {expected}");
     }
 }
 
 #[test]
-fn what_get_shows_can_be_applied() {
-    let shown = MANIFESTS
+fn output_of_get_can_be_applied() {
+    let get_output = MANIFESTS
         .replace(
             "metadata: {name: records}",
             "metadata: {name: records, resourceVersion: 9, generation: 2}",
@@ -80,7 +80,7 @@
             "---\napiVersion: corktack/v1\nkind: Binding",
             "status: {term: 3, primary: records-1}\n---\napiVersion: corktack/v1\nkind: Binding",
         );
-    let manifests = parse_text(&shown).expect("valid manifests");
+    let manifests = parse_text(&get_output).expect("valid manifests");
     assert_eq!(manifests[1].resource_version, Some(ResourceVersion(9)));
 }
 
@@ -93,19 +93,19 @@
 #[case("records-2", "records-1", "spec.members[1].name = records-1")]
 #[case("127.0.0.1:5502", "127.0.0.1:5501", "spec.members[1].address = 127.0.0.1:5501")]
 #[case("guaranteedPercent: 50", "guaranteedPercent: 101", "spec.guaranteedPercent = 101")]
-fn a_bad_value_or_reference_is_found_without_a_server(
+fn an_invalid_value_or_reference_is_reported_without_a_server(
     #[case] from: &str,
     #[case] to: &str,
-    #[case] named: &str,
+    #[case] expected_text: &str,
 ) {
     let errors = check(&parse_text(&MANIFESTS.replace(from, to)).expect("valid manifests"));
     let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
     assert_eq!(texts.len(), 1, "{texts:?}");
-    assert!(texts[0].contains(named), "{texts:?}");
+    assert!(texts[0].contains(expected_text), "{texts:?}");
 }
 
 #[test]
-fn one_resource_is_declared_once_over_the_files_of_a_folder() {
+fn a_resource_declared_in_two_files_of_a_folder_is_reported() {
     let folder = tempfile::tempdir().expect("temporary folder");
     std::fs::write(folder.path().join("b.yaml"), MANIFESTS).expect("file written");
     std::fs::write(folder.path().join("a.yml"), MANIFESTS).expect("file written");
@@ -114,6 +114,6 @@
     assert_eq!(manifests.len(), 6);
     assert!(manifests[0].file.ends_with("a.yml"));
     let errors = check(&manifests);
-    let first = errors.first().expect("one error").to_string();
-    assert!(first.contains("b.yaml") && first.contains("a.yml"), "{first}");
+    let first_error = errors.first().expect("one error").to_string();
+    assert!(first_error.contains("b.yaml") && first_error.contains("a.yml"), "{first_error}");
 }
--- a/crates/server/tests/own_owner.rs
+++ b/crates/server/tests/own_owner.rs
@@ -1,4 +1,7 @@
-//! A proxy reaches the owner in its own process without its announced address.
+//! Checks that a proxy reaches the owner in its own process without its announced address.
+//!
+//! A proxy that connected to its own owner through the announced address would serve none of its callers once
+//! that address cannot be reached.
 
 use corktack_control::api::WriteBody;
 use corktack_core::identity::GroupName;
@@ -16,9 +19,9 @@
 use tokio::time::timeout;
 use tokio_postgres::{Config, NoTls};
 
-/// Bound on every wait of this test.
-const LIMIT: Duration = Duration::from_secs(60);
-const GROUP: &str = "records";
+/// Longest time of each wait in this test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const GROUP_NAME: &str = "records";
 
 fn settings_file(folder: &Path, name: &str, text: &str) -> std::path::PathBuf {
     let file = folder.join(format!("{name}.toml"));
@@ -52,7 +55,7 @@
     proxy::start(settings).await.expect("the proxy starts")
 }
 
-async fn declare(group: &Group, operators: SocketAddr) {
+async fn declare_group(group: &Group, operators: SocketAddr) {
     let member = |(peer, address): (&corktack_standin::Peer, &SocketAddr)| MemberSpec {
         name: peer.name.clone(),
         address: *address,
@@ -60,7 +63,7 @@
         draining: false,
     };
     let spec = DatabaseGroupSpec {
-        database: GROUP.to_owned(),
+        database: GROUP_NAME.to_owned(),
         members: group.peers().iter().zip(group.postgres_addresses()).map(member).collect(),
         slots: 2,
         connections: 6,
@@ -68,7 +71,7 @@
         queue_timeout_ms: 5_000,
         replica_wait_ms: 20,
     };
-    let key = ResourceKey::DatabaseGroup(GroupName::new(GROUP).expect("valid literal"));
+    let key = ResourceKey::DatabaseGroup(GroupName::new(GROUP_NAME).expect("valid literal"));
     let request = Request::put(&key, &ResourceSpec::DatabaseGroup(spec), None).expect("JSON");
     let servers = vec![format!("http://{operators}")];
     let client = ApiClient::new(ClientSettings { servers, ..ClientSettings::default() });
@@ -77,38 +80,41 @@
 }
 
 async fn wait_until_served(proxy: &ProxyHandle) {
-    let name = GroupName::new(GROUP).expect("valid literal");
-    let served = |view: &Arc<View>| {
+    let name = GroupName::new(GROUP_NAME).expect("valid literal");
+    let is_served = |view: &Arc<View>| {
         let group = view.groups.get(&name);
         group.is_some_and(|group| group.primary.is_some() && group.owner.is_some())
     };
     let mut views = proxy.views();
-    timeout(LIMIT, views.wait_for(served)).await.expect("served in time").expect("it runs");
+    timeout(WAIT_TIMEOUT, views.wait_for(is_served))
+        .await
+        .expect("served in time")
+        .expect("it runs");
 }
 
 #[actix_rt::test]
-async fn callers_are_served_while_the_announced_address_answers_nobody() {
+async fn callers_are_served_while_the_announced_address_does_not_respond() {
     let folder = tempfile::tempdir().expect("temporary folder");
-    let name = GroupName::new(GROUP).expect("valid literal");
+    let name = GroupName::new(GROUP_NAME).expect("valid literal");
     let group = Group::start(GroupSettings::new(name, folder.path().join("group")));
     let group = group.expect("the group starts");
     let control = start_control(folder.path());
-    declare(&group, control.addresses().operators).await;
-    // It takes connections and never says a word.
-    let silent = TcpListener::bind("127.0.0.1:0").expect("free port");
-    let announced = silent.local_addr().expect("bound address");
+    declare_group(&group, control.addresses().operators).await;
+    // This listener accepts connections and never sends anything.
+    let silent_listener = TcpListener::bind("127.0.0.1:0").expect("free port");
+    let announced = silent_listener.local_addr().expect("bound address");
     let proxies = control.addresses().proxies;
     let proxy = start_proxy(folder.path(), proxies, announced).await;
     wait_until_served(&proxy).await;
     let mut config = Config::new();
-    config.host("127.0.0.1").port(proxy.addresses().callers.port()).user("app").dbname(GROUP);
+    config.host("127.0.0.1").port(proxy.addresses().callers.port()).user("app").dbname(GROUP_NAME);
     let (client, connection) = config.connect(NoTls).await.expect("let in");
     actix_rt::spawn(connection);
     client.batch_execute("CREATE TABLE beds (id INT)").await.expect("served by its own owner");
     let row = client.query_one("SELECT count(*) FROM beds", &[]).await.expect("one row");
     assert_eq!(row.get::<_, i64>(0), 0);
-    // Held until here, so that nothing else can answer at the address.
-    drop(silent);
+    // The listener is kept until here, so that nothing else can respond at the address.
+    drop(silent_listener);
     proxy.stop().await;
     control.stop().await;
 }
--- a/crates/server/tests/settings.rs
+++ b/crates/server/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is refused, and that the error names file, key and value.
+//! Checks which settings files are refused, and that the error names the file, key and value.
 
 mod support;
 
@@ -7,23 +7,24 @@
 use rstest::rstest;
 use std::io::ErrorKind;
 use std::path::PathBuf;
-use support::{CONTROL, PROXY, file, load_control, load_proxy};
+use support::{CONTROL, PROXY, load_control, load_proxy, settings_file};
 
-/// Whoever names users expects that others are kept out; `trust` would let everybody in.
+/// A file that lists users expects all other users to be refused, but `trust` accepts every user.
 const USERS_WITHOUT_SCRAM: &str =
     "mode = \"trust\"\n[[authentication.users]]\nname = \"app\"\npassword = \"secret\"";
 const USER_WITHOUT_PASSWORD: &str =
     "mode = \"scram\"\n[[authentication.users]]\nname = \"app\"\npassword = \"\"";
 
 #[test]
-fn flags_override_the_file() {
+fn command_line_overrides_the_file() {
     let overrides = ProxyOverrides {
         zone: Some("cuyo.b".parse().expect("valid literal")),
         callers: Some("127.0.0.1:5433".parse().expect("valid literal")),
         data_folder: Some("/elsewhere".into()),
         ..ProxyOverrides::default()
     };
-    let settings = ProxySettings::load(&file(PROXY).1, overrides).expect("accepted settings");
+    let settings =
+        ProxySettings::load(&settings_file(PROXY).1, overrides).expect("accepted settings");
     assert_eq!(settings.zone.as_str(), "cuyo.b");
     assert_eq!(settings.addresses.callers.port(), 5433);
     assert_eq!(settings.data_folder, PathBuf::from("/elsewhere"));
@@ -38,7 +39,7 @@
 #[case("mode = \"trust\"", "mode = \"none\"", "none")]
 #[case("127.0.0.1:6432", "localhost:6432", "localhost:6432")]
 #[case("name = \"proxy-1\"", "name = \"proxy 1\"", "proxy 1")]
-fn a_bad_form_names_the_line_with_key_and_value(
+fn a_parse_error_names_the_line_with_key_and_value(
     #[case] from: &str,
     #[case] to: &str,
     #[case] named: &str,
@@ -66,19 +67,23 @@
 #[case("zone =", "back_end_user = \"\"\nzone =", "back_end_user")]
 #[case("mode = \"trust\"", USERS_WITHOUT_SCRAM, "authentication.users.name")]
 #[case("mode = \"trust\"", USER_WITHOUT_PASSWORD, "authentication.users.password")]
-fn a_bad_value_names_file_key_and_value(#[case] from: &str, #[case] to: &str, #[case] key: &str) {
+fn an_invalid_value_names_file_key_and_value(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] key: &str,
+) {
     let error = load_proxy(&PROXY.replace(from, to)).expect_err("must be refused");
-    let SettingsError::Value(found) = &error else { panic!("{error:?}") };
-    assert_eq!(found.key, key);
+    let SettingsError::Value(value_error) = &error else { panic!("{error:?}") };
+    assert_eq!(value_error.key, key);
     let text = error.to_string();
     assert!(
-        text.contains("settings.toml") && text.contains(&format!("{key} = {}", found.value)),
+        text.contains("settings.toml") && text.contains(&format!("{key} = {}", value_error.value)),
         "{text}"
     );
 }
 
 #[test]
-fn callers_on_other_machines_need_scram_users() {
+fn a_callers_address_off_loopback_needs_scram_users() {
     let open = PROXY.replace("127.0.0.1:6432", "10.0.0.1:6432");
     let scram = "mode = \"scram\"\n[[authentication.users]]\nname = \"app\"\npassword = \"secret\"";
     let settings = load_proxy(&open.replace("mode = \"trust\"", scram)).expect("accepted settings");
@@ -87,12 +92,12 @@
 }
 
 #[test]
-fn operators_on_other_machines_need_a_token() {
+fn an_operators_address_off_loopback_needs_a_token() {
     let open = CONTROL.replace("127.0.0.1:7102", "10.0.0.1:7102");
     let error = load_control(&open).expect_err("must be refused");
-    let SettingsError::Value(found) = &error else { panic!("{error:?}") };
-    assert_eq!(found.key, "addresses.operators");
-    assert!(matches!(found.problem, ValueProblem::Unauthenticated(_)), "{error}");
+    let SettingsError::Value(value_error) = &error else { panic!("{error:?}") };
+    assert_eq!(value_error.key, "addresses.operators");
+    assert!(matches!(value_error.problem, ValueProblem::Unauthenticated(_)), "{error}");
     let token = format!("operator_token = \"0123456789abcdef\"\n{open}");
     assert!(load_control(&token).is_ok());
 }
@@ -102,10 +107,10 @@
 #[case("replica = 1", "replica = 0", "replica")]
 #[case("127.0.0.1:7101", "127.0.0.1:7100", "addresses.proxies")]
 #[case("replica = 1", "replica = 1\noperator_token = \"short\"", "operator_token")]
-fn a_bad_control_value_names_its_key(#[case] from: &str, #[case] to: &str, #[case] key: &str) {
+fn an_invalid_control_value_names_its_key(#[case] from: &str, #[case] to: &str, #[case] key: &str) {
     let error = load_control(&CONTROL.replacen(from, to, 1)).expect_err("must be refused");
-    let SettingsError::Value(found) = &error else { panic!("{error:?}") };
-    assert_eq!(found.key, key);
+    let SettingsError::Value(value_error) = &error else { panic!("{error:?}") };
+    assert_eq!(value_error.key, key);
     assert!(!error.to_string().contains("short\""));
 }
 
@@ -115,20 +120,20 @@
 #[case("cooldown_minimum_ms = 70000", "failover.cooldown_minimum_ms")]
 #[case("answer_ms = 1000", "failover.answer_ms")]
 #[case("probe_ms = 3000", "failover.answer_ms")]
-fn a_bad_time_of_the_failover_names_its_key(#[case] line: &str, #[case] key: &str) {
+fn an_invalid_failover_time_names_its_key(#[case] line: &str, #[case] key: &str) {
     let error = load_control(&format!("{CONTROL}[failover]\n{line}\n")).expect_err("refused");
-    let SettingsError::Value(found) = &error else { panic!("{error:?}") };
-    assert_eq!(found.key, key);
+    let SettingsError::Value(value_error) = &error else { panic!("{error:?}") };
+    assert_eq!(value_error.key, key);
 }
 
 #[rstest]
 #[case("path = \"machines\"", "platform.path")]
 #[case("poll_interval_ms = 0", "platform.poll_interval_ms")]
-fn a_bad_platform_list_names_its_key(#[case] line: &str, #[case] key: &str) {
+fn an_invalid_platform_setting_names_its_key(#[case] line: &str, #[case] key: &str) {
     let section = format!("{CONTROL}[platform]\naddress = \"127.0.0.1:8500\"\n{line}\n");
     let error = load_control(&section).expect_err("refused");
-    let SettingsError::Value(found) = &error else { panic!("{error:?}") };
-    assert_eq!(found.key, key);
+    let SettingsError::Value(value_error) = &error else { panic!("{error:?}") };
+    assert_eq!(value_error.key, key);
 }
 
 #[test]
@@ -138,10 +143,10 @@
 }
 
 #[test]
-fn a_taken_port_names_setting_and_address() {
-    let first = bind("addresses.callers", "127.0.0.1:0".parse().expect("valid literal"))
+fn a_port_in_use_names_setting_and_address() {
+    let first_listener = bind("addresses.callers", "127.0.0.1:0".parse().expect("valid literal"))
         .expect("free port");
-    let address = first.local_addr().expect("bound address");
+    let address = first_listener.local_addr().expect("bound address");
     let error = bind("addresses.callers", address).expect_err("must be refused");
     assert_eq!(error.source.kind(), ErrorKind::AddrInUse);
     assert!(error.to_string().contains(&format!("addresses.callers = {address}")), "{error}");
--- a/crates/server/tests/settings_in_use.rs
+++ b/crates/server/tests/settings_in_use.rs
@@ -1,4 +1,4 @@
-//! What a settings file says reaches the part that uses it.
+//! Checks that each value of a settings file reaches the part that uses it.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use support::{CONTROL, PROXY, load_control, load_proxy};
 
-/// Every key of the section, as the parser itself lists them.
+/// Every key of the section `failover`, in the order of the schema.
 const FAILOVER_KEYS: [&str; 15] = [
     "suspicion_ms",
     "probe_interval_ms",
@@ -32,64 +32,65 @@
 ];
 
 #[test]
-fn every_time_of_the_failover_reaches_the_control_replica() {
+fn every_failover_time_reaches_the_control_replica() {
     let lines = FAILOVER_KEYS.iter().zip(2_001..).map(|(key, value)| format!("{key} = {value}\n"));
     let section = format!("{CONTROL}[failover]\n{}", lines.collect::<String>());
     let settings = load_control(&section).expect("accepted settings");
     let replica = replica_settings(settings, PathBuf::from("log"));
-    let times = replica.failover;
-    let found = [
-        times.suspicion,
-        times.probe_interval,
+    let failover = replica.failover;
+    let actual = [
+        failover.suspicion,
+        failover.probe_interval,
         replica.probe_timeout,
-        times.unobserved_interval,
-        times.sweep_interval,
-        times.resume_wait,
-        times.adoption_wait,
-        times.bootstrap_wait,
-        times.fence_settle,
-        times.retry_first,
-        times.retry_last,
-        times.answer_timeout,
-        times.cooldown_first,
-        times.cooldown_last,
-        times.quiet_time,
+        failover.unobserved_interval,
+        failover.sweep_interval,
+        failover.resume_wait,
+        failover.adoption_wait,
+        failover.bootstrap_wait,
+        failover.fence_settle,
+        failover.retry_first,
+        failover.retry_last,
+        failover.answer_timeout,
+        failover.cooldown_first,
+        failover.cooldown_last,
+        failover.quiet_time,
     ];
     let expected: Vec<Duration> = (2_001..2_016).map(Duration::from_millis).collect();
-    assert_eq!(found.to_vec(), expected);
+    assert_eq!(actual.to_vec(), expected);
 }
 
 #[test]
-fn without_a_section_the_failover_has_the_times_of_the_control_replica() {
+fn defaults_without_a_failover_section_equal_those_of_the_control_replica() {
     let settings = load_control(CONTROL).expect("accepted settings");
     let members = settings.members.len();
     let replica = replica_settings(settings, PathBuf::from("log"));
     let start = CellStart::Join(Vec::with_capacity(members));
     let cell = CellName("main".to_owned());
-    let plain = corktack_control::ControlSettings::new(cell, ReplicaId(1), start, "log".into());
-    assert_eq!(format!("{:?}", replica.failover), format!("{:?}", plain.failover));
-    assert_eq!(replica.probe_timeout, plain.probe_timeout);
-    assert_eq!(replica.back_end_timeout, plain.back_end_timeout);
-    assert_eq!(replica.watch_changes, plain.watch_changes);
-    assert_eq!(replica.snapshot_entries, plain.snapshot_entries);
+    let default_settings =
+        corktack_control::ControlSettings::new(cell, ReplicaId(1), start, "log".into());
+    assert_eq!(format!("{:?}", replica.failover), format!("{:?}", default_settings.failover));
+    assert_eq!(replica.probe_timeout, default_settings.probe_timeout);
+    assert_eq!(replica.back_end_timeout, default_settings.back_end_timeout);
+    assert_eq!(replica.watch_changes, default_settings.watch_changes);
+    assert_eq!(replica.snapshot_entries, default_settings.snapshot_entries);
 }
 
-/// Every number is another one, so that none can stand for another.
+/// Limits and times with a different number for each key, so that swapped values are noticed.
 const PROXY_NUMBERS: &str = "callers = 501\nedge_arbiters = 3\nowner_arbiters = 4\n\
     message_bytes = 2001\nstartup_message_bytes = 2002\n[timeouts]\ndrain_ms = 2003\n\
     authentication_ms = 2004\nrequest_ms = 2005\nprobe_interval_ms = 2006\nprobe_ms = 2007\nmember_silence_ms = 2009\n\
     outcome_retention_s = 2008\n";
 
 #[test]
-fn every_limit_and_time_of_a_proxy_reaches_its_part() {
+fn every_limit_and_time_of_a_proxy_reaches_the_part_that_uses_it() {
     let settings = load_proxy(&PROXY.replace("callers = 500", PROXY_NUMBERS));
     let settings = settings.expect("accepted settings");
     let peers = "0.0.0.0:7001".parse().expect("valid literal");
     let edge = edge_settings(&settings, peers, Incarnation(1));
     assert_eq!((edge.connection_limit, edge.arbiters), (501, 3));
     assert_eq!((edge.message_limit, edge.startup_message_limit), (2_001, 2_002));
-    let times = [edge.drain_timeout, edge.startup_timeout, edge.request_timeout];
-    assert_eq!(times, [2_003, 2_004, 2_005].map(Duration::from_millis));
+    let timeouts = [edge.drain_timeout, edge.startup_timeout, edge.request_timeout];
+    assert_eq!(timeouts, [2_003, 2_004, 2_005].map(Duration::from_millis));
     assert_eq!(edge.local_owner, Some("127.0.0.1:7001".parse().expect("valid literal")));
     let owner = owner_settings(&settings, Incarnation(1));
     assert_eq!(owner.arbiters, 4);
@@ -101,11 +102,11 @@
 }
 
 #[rstest]
-#[case::given("peers_own = \"127.0.0.9:7009\"", "10.0.0.1:7001", "127.0.0.9:7009")]
+#[case::configured("peers_own = \"127.0.0.9:7009\"", "10.0.0.1:7001", "127.0.0.9:7009")]
 #[case::bound("", "10.0.0.1:7001", "10.0.0.1:7001")]
-#[case::every_address("", "0.0.0.0:7001", "127.0.0.1:7001")]
-#[case::every_address_of_version_6("", "[::]:7001", "[::1]:7001")]
-fn a_proxy_reaches_its_own_owner_at(
+#[case::all_addresses("", "0.0.0.0:7001", "127.0.0.1:7001")]
+#[case::all_ipv6_addresses("", "[::]:7001", "[::1]:7001")]
+fn a_proxy_connects_to_its_own_owner_at(
     #[case] line: &str,
     #[case] bound: &str,
     #[case] expected: &str,
--- a/crates/server/tests/support/mod.rs
+++ b/crates/server/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Settings files that the tests start from, and how they are loaded.
+//! Minimal settings files of both roles, and functions that load them.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use corktack_server::settings::{
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use tempfile::TempDir;
 
-/// A proxy's.
+/// Settings file of a proxy; tests replace parts of the text.
 pub const PROXY: &str = r#"
 name = "proxy-1"
 zone = "amba.a"
@@ -24,7 +24,7 @@
 callers = 500
 "#;
 
-/// A control replica's.
+/// Settings file of a control replica; tests replace parts of the text.
 pub const CONTROL: &str = r#"
 replica = 1
 data_folder = "/var/lib/corktack"
@@ -37,8 +37,8 @@
 address = "127.0.0.1:7100"
 "#;
 
-/// A settings file of this text.
-pub fn file(text: &str) -> (TempDir, PathBuf) {
+/// Writes a settings file with this text; the file exists as long as the returned folder.
+pub fn settings_file(text: &str) -> (TempDir, PathBuf) {
     let folder = tempfile::tempdir().expect("temporary folder");
     let path = folder.path().join("settings.toml");
     std::fs::write(&path, text).expect("file written");
@@ -46,9 +46,9 @@
 }
 
 pub fn load_proxy(text: &str) -> Result<ProxySettings, SettingsError> {
-    ProxySettings::load(&file(text).1, ProxyOverrides::default())
+    ProxySettings::load(&settings_file(text).1, ProxyOverrides::default())
 }
 
 pub fn load_control(text: &str) -> Result<ControlSettings, SettingsError> {
-    ControlSettings::load(&file(text).1, ControlOverrides::default())
+    ControlSettings::load(&settings_file(text).1, ControlOverrides::default())
 }
