--- a/crates/edge/src/startup/scram.rs
+++ b/crates/edge/src/startup/scram.rs
@@ -1,7 +1,7 @@
-//! SCRAM-SHA-256, by the library's implementation of the server's side.
+//! Authenticates a caller by SCRAM-SHA-256, with the server side of `pgwire`.
 //!
-//! The module owns the exchange of messages; it relies on `credentials` for what the caller must know. A user
-//! that does not exist is refused at the same step as a wrong password.
+//! An unknown user is refused at the same step as a wrong password, so the exchange doesn't reveal
+//! which users exist.
 
 use crate::answer;
 use crate::caller::CallerSocket;
@@ -12,52 +12,58 @@
 use pgwire::messages::startup::{Authentication, PasswordMessageFamily};
 use pgwire::messages::{PgWireBackendMessage, PgWireFrontendMessage};
 
-/// Shortest body of an initial response that the codec can read: an empty name and a length.
+/// Size of the shortest initial response that the codec can read: an empty mechanism name and a length.
 const INITIAL_RESPONSE_BYTES: usize = 5;
 
-/// Lets the caller prove that it knows the user's password.
+/// Runs the SCRAM exchange and checks that the caller knows the user's password.
 pub(super) async fn authenticate(
     caller: &mut CallerSocket,
     credentials: &Credentials,
     user: &str,
     message_limit: usize,
 ) -> Result<(), SessionEnd> {
-    let refused = || Rejection::Authentication(user.to_owned());
+    let authentication_failed = || Rejection::Authentication(user.to_owned());
     let mechanisms = vec![SCRAM_SHA_256_METHOD.to_owned()];
-    send(caller, Authentication::SASL(mechanisms)).await?;
-    let response = password_message(caller, message_limit).await?;
-    let first = initial_response(response).ok_or_else(refused)?;
+    send_authentication(caller, Authentication::SASL(mechanisms)).await?;
+    let response = read_password_message(caller, message_limit).await?;
+    let client_first = initial_response(response).ok_or_else(authentication_failed)?;
     let password = credentials.expected_password(user);
     let server = ScramServerAuth::new();
-    let (challenge, server) =
-        server.on_client_first_message(&first, password).map_err(|_| refused())?;
-    send(caller, Authentication::SASLContinue(challenge.into())).await?;
-    let response = password_message(caller, message_limit).await?;
-    let last = response.into_sasl_response().map_err(|_| refused())?;
-    let proof = server.on_client_final_message(&last.data).map_err(|_| refused())?;
+    let (challenge, server) = server
+        .on_client_first_message(&client_first, password)
+        .map_err(|_| authentication_failed())?;
+    send_authentication(caller, Authentication::SASLContinue(challenge.into())).await?;
+    let response = read_password_message(caller, message_limit).await?;
+    let final_response = response.into_sasl_response().map_err(|_| authentication_failed())?;
+    let proof = server
+        .on_client_final_message(&final_response.data)
+        .map_err(|_| authentication_failed())?;
     if !credentials.contains(user) {
-        return Err(refused().into());
+        return Err(authentication_failed().into());
     }
-    send(caller, Authentication::SASLFinal(proof.into())).await
+    send_authentication(caller, Authentication::SASLFinal(proof.into())).await
 }
 
-async fn send(caller: &mut CallerSocket, message: Authentication) -> Result<(), SessionEnd> {
-    answer::put(&mut caller.output, &PgWireBackendMessage::Authentication(message));
+async fn send_authentication(
+    caller: &mut CallerSocket,
+    message: Authentication,
+) -> Result<(), SessionEnd> {
+    answer::put_message(&mut caller.output, &PgWireBackendMessage::Authentication(message));
     caller.flush().await
 }
 
-async fn password_message(
+async fn read_password_message(
     caller: &mut CallerSocket,
     limit: usize,
 ) -> Result<PasswordMessageFamily, SessionEnd> {
-    match caller.message(limit).await? {
+    match caller.read_message(limit).await? {
         PgWireFrontendMessage::PasswordMessageFamily(message) => Ok(message),
         PgWireFrontendMessage::Terminate(_) => Err(SessionEnd::CallerGone),
         _ => Err(Rejection::MalformedStartup.into()),
     }
 }
 
-/// The caller's first message, if it chose the one mechanism there is.
+/// Returns the client's first SCRAM message if it selected the only mechanism offered.
 fn initial_response(response: PasswordMessageFamily) -> Option<Vec<u8>> {
     let PasswordMessageFamily::Raw(body) = &response else {
         return None;
@@ -69,6 +75,6 @@
         return None;
     }
     let initial = response.into_sasl_initial_response().ok()?;
-    let chosen = initial.auth_method == SCRAM_SHA_256_METHOD;
-    initial.data.filter(|_| chosen).map(|data| data.to_vec())
+    let is_offered = initial.auth_method == SCRAM_SHA_256_METHOD;
+    initial.data.filter(|_| is_offered).map(|data| data.to_vec())
 }
--- a/crates/edge/tests/retry_decisions.rs
+++ b/crates/edge/tests/retry_decisions.rs
@@ -3,12 +3,15 @@
 use corktack_core::identity::GroupName;
 use corktack_core::view::View;
 use corktack_edge::Rejection;
-use corktack_edge::retry::{Loss, Lost, Progress, Retries, Verdict, judge, judge_unfinished};
+use corktack_edge::retry::{
+    Loss, LostRequest, Progress, RetryDecision, RetryScheduler, decide_retry,
+    rejection_of_unfinished,
+};
 use corktack_protocol::peer::{Access, Failure, NotRunReason};
 use rstest::rstest;
 use std::time::Duration;
 
-/// Retries that a group may save up.
+/// Retries that a group may accumulate.
 const BURST: usize = 50;
 /// Longer than any wait before a retry.
 const LONG: Duration = Duration::from_secs(10);
@@ -50,26 +53,32 @@
     #[case] reason: NotRunReason,
     #[case] repeated: bool,
 ) {
-    let expected = if repeated { Verdict::Retry } else { Verdict::Final };
-    assert_eq!(judge(refused(reason), WRITE), expected(not_run(reason)));
+    let expected = if repeated { RetryDecision::Retry } else { RetryDecision::Final };
+    assert_eq!(decide_retry(refused(reason), WRITE), expected(not_run(reason)));
 }
 
 #[test]
 fn a_refusal_after_a_part_of_the_answer_is_no_proof_that_nothing_ran() {
     let answered = Progress { answered: true, ..WRITE };
     let loss = refused(NotRunReason::NoBackEnd);
-    assert_eq!(judge(loss, answered), Verdict::Final(Rejection::Unknown));
+    assert_eq!(decide_retry(loss, answered), RetryDecision::Final(Rejection::Unknown));
 }
 
 #[rstest]
-#[case::link_unsent(Loss::Link { sent: false }, Verdict::Retry(unreachable()))]
-#[case::late_unsent(Loss::TimedOut { sent: false }, Verdict::Final(unreachable()))]
-#[case::link_sent(Loss::Link { sent: true }, Verdict::Final(Rejection::Unknown))]
-#[case::late_sent(Loss::TimedOut { sent: true }, Verdict::Final(Rejection::Unknown))]
-#[case::unknown(Loss::Failed(Failure::Unknown), Verdict::Final(Rejection::Unknown))]
-#[case::lost(Loss::Failed(Failure::TransactionLost), Verdict::Final(Rejection::TransactionLost))]
-fn a_write_is_repeated_only_where_it_was_not_sent(#[case] loss: Loss, #[case] expected: Verdict) {
-    assert_eq!(judge(loss, WRITE), expected);
+#[case::link_unsent(Loss::Link { sent: false }, RetryDecision::Retry(unreachable()))]
+#[case::late_unsent(Loss::TimedOut { sent: false }, RetryDecision::Final(unreachable()))]
+#[case::link_sent(Loss::Link { sent: true }, RetryDecision::Final(Rejection::Unknown))]
+#[case::late_sent(Loss::TimedOut { sent: true }, RetryDecision::Final(Rejection::Unknown))]
+#[case::unknown(Loss::Failed(Failure::Unknown), RetryDecision::Final(Rejection::Unknown))]
+#[case::lost(
+    Loss::Failed(Failure::TransactionLost),
+    RetryDecision::Final(Rejection::TransactionLost)
+)]
+fn a_write_is_repeated_only_where_it_was_not_sent(
+    #[case] loss: Loss,
+    #[case] expected: RetryDecision,
+) {
+    assert_eq!(decide_retry(loss, WRITE), expected);
 }
 
 #[rstest]
@@ -81,11 +90,11 @@
     #[case] rejection: Rejection,
     #[values(Loss::Link { sent: true }, Loss::Failed(Failure::Unknown))] loss: Loss,
 ) {
-    assert_eq!(judge(loss, progress), Verdict::Retry(rejection.clone()));
+    assert_eq!(decide_retry(loss, progress), RetryDecision::Retry(rejection.clone()));
     let answered = Progress { answered: true, ..progress };
-    assert_eq!(judge(loss, answered), Verdict::Final(rejection.clone()));
+    assert_eq!(decide_retry(loss, answered), RetryDecision::Final(rejection.clone()));
     let late = Loss::TimedOut { sent: true };
-    assert_eq!(judge(late, progress), Verdict::Final(rejection));
+    assert_eq!(decide_retry(late, progress), RetryDecision::Final(rejection));
 }
 
 #[rstest]
@@ -101,9 +110,9 @@
     #[case] expected: Rejection,
 ) {
     let commit = Progress { first_batch: false, may_commit: true, ..WRITE };
-    assert_eq!(judge(loss, commit), Verdict::Final(expected));
+    assert_eq!(decide_retry(loss, commit), RetryDecision::Final(expected));
     let read = Progress { access: Access::Read, ..commit };
-    assert_eq!(judge(loss, read), Verdict::Final(Rejection::TransactionLost));
+    assert_eq!(decide_retry(loss, read), RetryDecision::Final(Rejection::TransactionLost));
 }
 
 #[rstest]
@@ -111,7 +120,7 @@
 #[case::late(Loss::TimedOut { sent: true })]
 fn a_later_batch_that_cannot_commit_loses_its_transaction(#[case] loss: Loss) {
     let later = Progress { first_batch: false, ..WRITE };
-    assert_eq!(judge(loss, later), Verdict::Final(Rejection::TransactionLost));
+    assert_eq!(decide_retry(loss, later), RetryDecision::Final(Rejection::TransactionLost));
 }
 
 #[rstest]
@@ -128,54 +137,56 @@
     #[case] runs_write: bool,
     #[case] expected: Rejection,
 ) {
-    assert_eq!(judge_unfinished(loss, ran_write, runs_write), expected);
+    assert_eq!(rejection_of_unfinished(loss, ran_write, runs_write), expected);
 }
 
-/// Retries of one group that has had a request.
-fn retries() -> (Retries, GroupName) {
+/// Retry state of one group that has had a request.
+fn retries() -> (RetryScheduler, GroupName) {
     let group: GroupName = "calls".parse().expect("a valid name");
-    let mut retries = Retries::new(7);
-    retries.request(&group, &View::default());
+    let mut retries = RetryScheduler::new(7);
+    retries.record_request(&group, &View::default());
     (retries, group)
 }
 
-fn lost(reason: NotRunReason, attempt: u32) -> Lost {
-    Lost { loss: refused(reason), rejection: not_run(reason), attempt }
+fn lost(reason: NotRunReason, attempt: u32) -> LostRequest {
+    LostRequest { loss: refused(reason), rejection: not_run(reason), attempt }
 }
 
 #[test]
 fn a_group_that_used_its_retries_up_answers_so() {
     let (mut retries, group) = retries();
     for _ in 0..BURST {
-        assert!(retries.decide(lost(NotRunReason::NoBackEnd, 0), &group, LONG).is_ok());
+        assert!(retries.schedule_retry(lost(NotRunReason::NoBackEnd, 0), &group, LONG).is_ok());
     }
-    let refused = retries.decide(lost(NotRunReason::NoBackEnd, 0), &group, LONG);
+    let refused = retries.schedule_retry(lost(NotRunReason::NoBackEnd, 0), &group, LONG);
     assert_eq!(refused, Err(not_run(NotRunReason::RetryBudget)));
-    let unknown = Lost { rejection: Rejection::Unknown, ..lost(NotRunReason::NoBackEnd, 0) };
-    assert_eq!(retries.decide(unknown, &group, LONG), Err(Rejection::Unknown));
+    let unknown = LostRequest { rejection: Rejection::Unknown, ..lost(NotRunReason::NoBackEnd, 0) };
+    assert_eq!(retries.schedule_retry(unknown, &group, LONG), Err(Rejection::Unknown));
 }
 
 #[test]
 fn a_handover_costs_no_retry() {
     let (mut retries, group) = retries();
     for attempt in 0..2 * BURST as u32 {
-        assert!(retries.decide(lost(NotRunReason::Stopping, attempt), &group, LONG).is_ok());
-        assert!(retries.decide(lost(NotRunReason::NotOwner, 0), &group, LONG).is_ok());
+        assert!(
+            retries.schedule_retry(lost(NotRunReason::Stopping, attempt), &group, LONG).is_ok()
+        );
+        assert!(retries.schedule_retry(lost(NotRunReason::NotOwner, 0), &group, LONG).is_ok());
     }
     for _ in 0..BURST {
-        assert!(retries.decide(lost(NotRunReason::NotOwner, 1), &group, LONG).is_ok());
+        assert!(retries.schedule_retry(lost(NotRunReason::NotOwner, 1), &group, LONG).is_ok());
     }
-    assert!(retries.decide(lost(NotRunReason::NotOwner, 1), &group, LONG).is_err());
+    assert!(retries.schedule_retry(lost(NotRunReason::NotOwner, 1), &group, LONG).is_err());
 }
 
 #[test]
 fn a_wait_past_the_end_of_the_request_costs_no_retry_and_changes_no_answer() {
     let (mut retries, group) = retries();
     for _ in 0..2 * BURST {
-        let late = retries.decide(lost(NotRunReason::NoBackEnd, 0), &group, Duration::ZERO);
+        let late = retries.schedule_retry(lost(NotRunReason::NoBackEnd, 0), &group, Duration::ZERO);
         assert_eq!(late, Err(not_run(NotRunReason::NoBackEnd)));
     }
-    assert!(retries.decide(lost(NotRunReason::NoBackEnd, 0), &group, LONG).is_ok());
+    assert!(retries.schedule_retry(lost(NotRunReason::NoBackEnd, 0), &group, LONG).is_ok());
 }
 
 #[rstest]
@@ -188,7 +199,7 @@
     let bound = Duration::from_millis(bound_ms);
     let (mut retries, group) = retries();
     let waits: Vec<Duration> = (0..BURST)
-        .map(|_| retries.decide(lost(NotRunReason::NoBackEnd, attempt), &group, LONG))
+        .map(|_| retries.schedule_retry(lost(NotRunReason::NoBackEnd, attempt), &group, LONG))
         .map(|wait| wait.expect("the budget has a retry"))
         .collect();
     assert!(waits.iter().all(|wait| (bound / 2..=bound).contains(wait)), "{waits:?}");
