--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -62,7 +62,7 @@
         self.view.borrow().clone()
     }
 
-    /// Reports whether the edge is shutting down and accepts no new transactions.
+    /// Reports whether the edge is shutting down and accepts no new sessions.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         *self.drain_phase.borrow() != DrainPhase::Running
--- a/crates/edge/src/link/connection.rs
+++ b/crates/edge/src/link/connection.rs
@@ -159,8 +159,7 @@
             if matches!(event, StreamEvent::Ready { .. }) {
                 entry.sent = false;
             }
-            // Sending fails only if the receiver was dropped, which happens right before its entry is
-            // removed.
+            // The receiver lives as long as the entry, so sending doesn't fail.
             let _ = entry.events.send(event);
         }
         if ends {
--- a/crates/edge/src/retry/budget.rs
+++ b/crates/edge/src/retry/budget.rs
@@ -33,8 +33,8 @@
 
 impl LostRequest {
     /// Reports whether the request may be sent again without using the group's budget. An owner that
-    /// hands the group over refuses a request without asking a back end, so such a retry adds no load;
-    /// `NotOwner` counts as a handover only on the first attempt.
+    /// hands the group over refuses a request once, without asking a back end; `NotOwner` therefore
+    /// counts as a handover only on the first attempt.
     fn is_handover(&self) -> bool {
         match self.loss {
             Loss::Failed(Failure::NotRun { reason: NotRunReason::Stopping, .. }) => true,
--- a/crates/edge/src/retry/loss.rs
+++ b/crates/edge/src/retry/loss.rs
@@ -2,7 +2,7 @@
 //! gets otherwise.
 //!
 //! The functions are pure: their inputs are how the request was lost and how far it had progressed. A
-//! request is sent again only if it cannot run twice or if running it twice has no effect.
+//! request is sent again only if it cannot run twice or if running it twice is harmless.
 
 use crate::error::Rejection;
 use crate::times::OWNER_RETRY_AFTER_MS;
@@ -36,7 +36,8 @@
     pub answered: bool,
     /// Whether the batch may commit a transaction that was open before it.
     pub may_commit: bool,
-    /// Whether running the batch twice has the same effect as running it once.
+    /// Whether the batch may run twice without harm, as one that only starts a transaction or only
+    /// prepares statements.
     pub repeatable: bool,
     /// Whether the batch carries an idempotency key, which makes the owner run it at most once.
     pub keyed: bool,
--- a/crates/edge/src/session/flushed.rs
+++ b/crates/edge/src/session/flushed.rs
@@ -96,7 +96,7 @@
         match self.pass_part(&mut unfinished).await? {
             Ok(answer) => self.finish_unfinished(unfinished, &answer),
             Err(loss) => {
-                // The caller has the error, for which the back end rolls back.
+                // The caller has already received the error, because of which the back end rolls back.
                 log::debug!(group:% = unfinished.group, loss:? = loss; "failed batch lost");
                 self.abandon_block_if(unfinished.block == BlockEffect::Opens);
             }
--- a/crates/edge/src/session/plan/mod.rs
+++ b/crates/edge/src/session/plan/mod.rs
@@ -46,7 +46,8 @@
     pub access: Access,
     /// Whether the batch may commit an open transaction.
     pub may_commit: bool,
-    /// Whether running the batch twice has the same effect as running it once.
+    /// Whether the batch may run twice without harm, as one that only starts a transaction or only
+    /// prepares statements.
     pub repeatable: bool,
     /// Whether the batch executes statements; otherwise it only prepares or describes them.
     pub executes: bool,
--- a/crates/edge/src/startup.rs
+++ b/crates/edge/src/startup.rs
@@ -96,7 +96,8 @@
     tokio::time::sleep(REFUSAL_TIMEOUT).await;
 }
 
-/// Starts a session. Returns nothing if the connection only carried a cancel request.
+/// Authenticates a caller and starts its session. Returns nothing if the connection only carried a
+/// cancel request.
 async fn start(
     context: &ArbiterContext,
     caller: &mut CallerSocket,
--- a/crates/edge/tests/callers/main.rs
+++ b/crates/edge/tests/callers/main.rs
@@ -1,4 +1,4 @@
-//! What callers of an edge meet, by concern.
+//! Behaviour of the edge as callers see it, one module for each topic.
 #![allow(clippy::unwrap_used)]
 
 #[path = "../support/mod.rs"]
--- a/crates/edge/tests/callers/retries.rs
+++ b/crates/edge/tests/callers/retries.rs
@@ -1,4 +1,4 @@
-//! What is sent again, what never is, and how much.
+//! Which requests are sent again, which never are, and how many.
 
 use crate::support::owner::FakeOwner;
 use crate::support::wire::{self, RawCaller};
@@ -12,25 +12,25 @@
 
 const INSERT: &str = "INSERT INTO t VALUES (1)";
 const SELECT: &str = "SELECT 1";
-/// Retries that a group may save up.
-const BURST: usize = 50;
-/// Enough requests to use them up.
+/// Retries that a group's budget holds at most.
+const MAX_BUDGET: usize = 50;
+/// Enough requests to exhaust the budget.
 const REQUESTS: usize = 100;
 
-/// How an owner lets a request down after it was sent.
+/// Faults of an owner after it received a request.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    Cut,
+    ConnectionClosed,
     Unknown,
     Garbage,
 }
 
 impl Fault {
-    fn happen(self, owner: &FakeOwner, stream: StreamId) {
+    fn inject(self, owner: &FakeOwner, stream: StreamId) {
         match self {
-            Self::Cut => owner.cut(),
-            Self::Unknown => owner.fail(stream, Failure::Unknown),
-            Self::Garbage => owner.send_raw(&[0xff; 64]),
+            Self::ConnectionClosed => owner.close_connection(),
+            Self::Unknown => owner.send_failure(stream, Failure::Unknown),
+            Self::Garbage => owner.send_bytes(&[0xff; 64]),
         }
     }
 }
@@ -39,14 +39,15 @@
     Failure::NotRun { reason, retry_after_ms: 40 }
 }
 
-/// The error, the state after it, and the text of the first later request.
+/// Returns the SQLSTATE and the fields of the caller's error. Checks that the session is idle after the
+/// error, and that the next request to the owner is a new one.
 async fn final_answer(fixture: &mut Fixture, caller: &mut RawCaller) -> (String, String) {
     let (kind, body) = caller.read().await;
     assert_eq!(kind, 'E');
     let text = String::from_utf8(body).expect("errors are UTF-8").replace('\0', "|");
-    assert_eq!(caller.ready().await, 'I');
+    assert_eq!(caller.read_ready_status().await, 'I');
     caller.send(&wire::query("SELECT 'next'")).await;
-    let request = fixture.owner.serve_one("").await;
+    let request = fixture.owner.serve_one_request("").await;
     assert_eq!(wire::query_text(&request.batch), "SELECT 'next'", "nothing was sent again");
     let code = text.split('|').find_map(|field| field.strip_prefix('C')).map(str::to_owned);
     (code.expect("an error has a SQLSTATE"), text)
@@ -61,26 +62,26 @@
     let mut fixture = Fixture::start().await;
     let mut caller = RawCaller::start(fixture.edge.address()).await;
     caller.send(&wire::query(INSERT)).await;
-    let (stream, _) = fixture.owner.open().await;
-    fixture.owner.fail(stream, not_run(reason));
-    let request = fixture.owner.serve_one("").await;
+    let (stream, _) = fixture.owner.expect_open().await;
+    fixture.owner.send_failure(stream, not_run(reason));
+    let request = fixture.owner.serve_one_request("").await;
     assert_eq!(wire::query_text(&request.batch), INSERT);
-    assert_eq!(caller.read_until_ready().await, "TDCZ");
+    assert_eq!(caller.read_types_until_ready().await, "TDCZ");
 }
 
 #[rstest]
 #[case::full(NotRunReason::QueueFull, "53300")]
 #[case::waited(NotRunReason::QueueTimeout, "53400")]
 #[actix_rt::test]
-async fn request_given_up_on_gets_its_final_answer(
+async fn request_refused_by_the_queue_gets_its_final_answer(
     #[case] reason: NotRunReason,
     #[case] sqlstate: &str,
 ) {
     let mut fixture = Fixture::start().await;
     let mut caller = RawCaller::start(fixture.edge.address()).await;
     caller.send(&wire::query(INSERT)).await;
-    let (stream, _) = fixture.owner.open().await;
-    fixture.owner.fail(stream, not_run(reason));
+    let (stream, _) = fixture.owner.expect_open().await;
+    fixture.owner.send_failure(stream, not_run(reason));
     let (code, text) = final_answer(&mut fixture, &mut caller).await;
     assert_eq!(code, sqlstate);
     assert!(text.contains("not run"), "{text}");
@@ -90,46 +91,46 @@
 #[rstest]
 #[actix_rt::test]
 async fn write_of_unknown_outcome_is_never_sent_again(
-    #[values(Fault::Cut, Fault::Unknown, Fault::Garbage)] fault: Fault,
+    #[values(Fault::ConnectionClosed, Fault::Unknown, Fault::Garbage)] fault: Fault,
 ) {
     let mut fixture = Fixture::start().await;
     let mut caller = RawCaller::start(fixture.edge.address()).await;
     caller.send(&wire::query(INSERT)).await;
-    let (stream, _) = fixture.owner.open().await;
-    fault.happen(&fixture.owner, stream);
+    let (stream, _) = fixture.owner.expect_open().await;
+    fault.inject(&fixture.owner, stream);
     assert_eq!(final_answer(&mut fixture, &mut caller).await.0, "08007");
 }
 
 #[rstest]
 #[actix_rt::test]
 async fn read_of_unknown_outcome_is_sent_again(
-    #[values(Fault::Cut, Fault::Unknown, Fault::Garbage)] fault: Fault,
+    #[values(Fault::ConnectionClosed, Fault::Unknown, Fault::Garbage)] fault: Fault,
 ) {
     let mut fixture = Fixture::start().await;
     let mut caller = RawCaller::start(fixture.edge.address()).await;
     caller.send(&wire::query(SELECT)).await;
-    let (stream, _) = fixture.owner.open().await;
-    fault.happen(&fixture.owner, stream);
-    fixture.owner.serve_one("1").await;
-    assert_eq!(caller.read_until_ready().await, "TDCZ");
+    let (stream, _) = fixture.owner.expect_open().await;
+    fault.inject(&fixture.owner, stream);
+    fixture.owner.serve_one_request("1").await;
+    assert_eq!(caller.read_types_until_ready().await, "TDCZ");
 }
 
 #[rstest]
 #[actix_rt::test]
 async fn write_with_a_key_is_sent_again_under_its_key(
-    #[values(Fault::Cut, Fault::Unknown, Fault::Garbage)] fault: Fault,
+    #[values(Fault::ConnectionClosed, Fault::Unknown, Fault::Garbage)] fault: Fault,
 ) {
     let mut fixture = Fixture::start().await;
     let mut caller = RawCaller::start(fixture.edge.address()).await;
     caller.send(&wire::query("SET corktack.idempotency_key = 'order-7'")).await;
-    caller.read_until_ready().await;
+    caller.read_types_until_ready().await;
     caller.send(&wire::query(INSERT)).await;
-    let (stream, _) = fixture.owner.open().await;
-    fault.happen(&fixture.owner, stream);
-    let request = fixture.owner.serve_one("").await;
+    let (stream, _) = fixture.owner.expect_open().await;
+    fault.inject(&fixture.owner, stream);
+    let request = fixture.owner.serve_one_request("").await;
     assert_eq!(request.idempotency_key.as_deref(), Some("order-7"));
     assert_eq!(wire::query_text(&request.batch), INSERT);
-    assert_eq!(caller.read_until_ready().await, "TDCZ");
+    assert_eq!(caller.read_types_until_ready().await, "TDCZ");
 }
 
 #[rstest]
@@ -137,7 +138,7 @@
 #[case::write("", INSERT, "08007")]
 #[case::write_with_a_key("order-7", INSERT, "08007")]
 #[actix_rt::test]
-async fn request_whose_answer_began_is_not_sent_again(
+async fn request_whose_answer_has_begun_is_not_sent_again(
     #[case] key: &str,
     #[case] text: &str,
     #[case] sqlstate: &str,
@@ -145,12 +146,12 @@
     let mut fixture = Fixture::start().await;
     let mut caller = RawCaller::start(fixture.edge.address()).await;
     caller.send(&wire::query(&format!("SET corktack.idempotency_key = '{key}'"))).await;
-    caller.read_until_ready().await;
+    caller.read_types_until_ready().await;
     caller.send(&wire::query(text)).await;
-    let (stream, _) = fixture.owner.open().await;
-    fixture.owner.data(stream, wire::encode(&[wire::columns(), wire::row("1")]));
+    let (stream, _) = fixture.owner.expect_open().await;
+    fixture.owner.send_data(stream, wire::encode(&[wire::columns(), wire::row("1")]));
     assert_eq!((caller.read().await.0, caller.read().await.0), ('T', 'D'));
-    fixture.owner.cut();
+    fixture.owner.close_connection();
     assert_eq!(final_answer(&mut fixture, &mut caller).await.0, sqlstate);
 }
 
@@ -158,21 +159,21 @@
 #[case::read(SELECT, "57014")]
 #[case::write(INSERT, "08007")]
 #[actix_rt::test]
-async fn silent_owner_is_given_up_on(#[case] text: &str, #[case] sqlstate: &str) {
+async fn request_to_a_silent_owner_times_out(#[case] text: &str, #[case] sqlstate: &str) {
     let settings = EdgeSettings { request_timeout: Duration::from_millis(50), ..settings() };
-    let mut fixture = Fixture::with(settings).await;
+    let mut fixture = Fixture::start_with_settings(settings).await;
     let mut caller = RawCaller::start(fixture.edge.address()).await;
     caller.send(&wire::query(text)).await;
-    let (stream, _) = fixture.owner.open().await;
-    assert_eq!(caller.error_code().await, sqlstate);
-    assert_eq!(caller.ready().await, 'I');
-    assert_eq!(fixture.owner.next().await, EdgeMessage::Close { stream });
+    let (stream, _) = fixture.owner.expect_open().await;
+    assert_eq!(caller.read_error_code().await, sqlstate);
+    assert_eq!(caller.read_ready_status().await, 'I');
+    assert_eq!(fixture.owner.next_message().await, EdgeMessage::Close { stream });
 }
 
 #[actix_rt::test]
-async fn request_without_an_owner_is_answered_when_its_time_is_over() {
+async fn request_without_an_owner_is_answered_after_its_timeout() {
     let settings = EdgeSettings { request_timeout: Duration::from_millis(50), ..settings() };
-    let fixture = Fixture::with(settings).await;
+    let fixture = Fixture::start_with_settings(settings).await;
     let mut caller = RawCaller::start(fixture.edge.address()).await;
     fixture.view.send_replace(Arc::new(view_with_owner(None)));
     caller.send(&wire::query(INSERT)).await;
@@ -194,11 +195,11 @@
     caller.send(&wire::query(INSERT)).await;
     let view = view_with_owner(Some((OWNER, fixture.owner.address)));
     fixture.view.send_replace(Arc::new(view));
-    fixture.owner.serve_one("").await;
-    assert_eq!(caller.read_until_ready().await, "TDCZ");
+    fixture.owner.serve_one_request("").await;
+    assert_eq!(caller.read_types_until_ready().await, "TDCZ");
 }
 
-/// Sends a write of each of so many callers into the owner, then refuses all.
+/// Sends a write from each of `count` callers to the owner, then refuses all writes.
 async fn refuse_writes(fixture: &mut Fixture, count: usize) -> Vec<RawCaller> {
     let mut callers = Vec::new();
     let mut streams = Vec::new();
@@ -206,16 +207,16 @@
         let mut caller = RawCaller::start(fixture.edge.address()).await;
         caller.send(&wire::query(INSERT)).await;
         callers.push(caller);
-        streams.push(fixture.owner.open().await.0);
+        streams.push(fixture.owner.expect_open().await.0);
     }
     for stream in streams {
-        fixture.owner.fail(stream, not_run(NotRunReason::NoBackEnd));
+        fixture.owner.send_failure(stream, not_run(NotRunReason::NoBackEnd));
     }
     callers
 }
 
 #[actix_rt::test]
-async fn failing_group_is_asked_again_within_its_budget_only() {
+async fn failing_group_gets_retries_only_within_its_budget() {
     let mut fixture = Fixture::start().await;
     let mut callers = refuse_writes(&mut fixture, REQUESTS).await;
     let answers = async {
@@ -230,20 +231,20 @@
     let mut sent_again = 0;
     let owner = async {
         loop {
-            let (stream, _) = fixture.owner.open().await;
+            let (stream, _) = fixture.owner.expect_open().await;
             sent_again += 1;
-            fixture.owner.fail(stream, not_run(NotRunReason::NoBackEnd));
+            fixture.owner.send_failure(stream, not_run(NotRunReason::NoBackEnd));
         }
     };
     tokio::select! {
         () = answers => {}
         () = owner => {}
     }
-    assert_eq!(sent_again, BURST);
+    assert_eq!(sent_again, MAX_BUDGET);
 }
 
 #[actix_rt::test]
-async fn failing_group_uses_up_no_other_groups_retries() {
+async fn failing_group_does_not_exhaust_the_budget_of_another_group() {
     let mut fixture = Fixture::start().await;
     let mut view = view_with_owner(Some((OWNER, fixture.owner.address)));
     let mut other = (*view.groups[&group()]).clone();
@@ -251,19 +252,19 @@
     view.groups.insert(GroupName::new("billing").expect("a valid name"), Arc::new(other));
     fixture.view.send_replace(Arc::new(view));
     let mut callers = refuse_writes(&mut fixture, REQUESTS).await;
-    for _ in 0..BURST {
-        let (stream, _) = fixture.owner.open().await;
-        fixture.owner.fail(stream, not_run(NotRunReason::NoBackEnd));
+    for _ in 0..MAX_BUDGET {
+        let (stream, _) = fixture.owner.expect_open().await;
+        fixture.owner.send_failure(stream, not_run(NotRunReason::NoBackEnd));
     }
     for caller in &mut callers {
-        assert_eq!(caller.error_code().await, "57P03");
+        assert_eq!(caller.read_error_code().await, "57P03");
     }
     let mut caller = RawCaller::connect(fixture.edge.address()).await;
     caller.send(&wire::startup(&[("user", "clerk"), ("database", "billing")])).await;
-    caller.read_until_ready().await;
+    caller.read_types_until_ready().await;
     caller.send(&wire::query(INSERT)).await;
-    let (stream, _) = fixture.owner.open().await;
-    fixture.owner.fail(stream, not_run(NotRunReason::NoBackEnd));
-    fixture.owner.serve_one("").await;
-    assert_eq!(caller.read_until_ready().await, "TDCZ");
+    let (stream, _) = fixture.owner.expect_open().await;
+    fixture.owner.send_failure(stream, not_run(NotRunReason::NoBackEnd));
+    fixture.owner.serve_one_request("").await;
+    assert_eq!(caller.read_types_until_ready().await, "TDCZ");
 }
--- a/crates/edge/tests/callers/startup.rs
+++ b/crates/edge/tests/callers/startup.rs
@@ -1,7 +1,7 @@
-//! From a fresh connection to a session, and everything that may go wrong there.
+//! Startup of a session, and the faults that may occur in it.
 
 use crate::support::wire::{self, RawCaller, first_message};
-use crate::support::{Fixture, connect, fields, settings};
+use crate::support::{Fixture, connect, error_fields, settings};
 use corktack_edge::{Authentication, EdgeSettings, UserSecret};
 use corktack_protocol::peer::{EdgeMessage, TransactionStatus};
 use pgwire::api::auth::sasl::scram::{SCRAM_ITERATIONS, gen_salted_password};
@@ -22,8 +22,8 @@
     EdgeSettings { authentication: Authentication::ScramSha256 { users }, ..settings() }
 }
 
-/// SQLSTATE of the one `ErrorResponse` that the connection ends with.
-async fn refusal(caller: &mut RawCaller) -> (String, String) {
+/// Returns the SQLSTATE and the fields of the only `ErrorResponse`, after which the connection ends.
+async fn read_refusal(caller: &mut RawCaller) -> (String, String) {
     let (kind, body) = caller.read().await;
     assert_eq!(kind, 'E', "the refusal comes first");
     assert_eq!(caller.read_to_end().await, "", "the connection is closed after it");
@@ -33,10 +33,10 @@
     (code.expect("a refusal has a SQLSTATE").to_owned(), text.replace('\0', "|"))
 }
 
-async fn is_served(fixture: &mut Fixture) {
+async fn expect_served(fixture: &mut Fixture) {
     let caller = fixture.caller().await;
     let (answer, _) =
-        futures_util::join!(caller.simple_query("SELECT 1"), fixture.owner.serve_one("1"));
+        futures_util::join!(caller.simple_query("SELECT 1"), fixture.owner.serve_one_request("1"));
     answer.expect("an ordinary caller is still served");
 }
 
@@ -44,13 +44,13 @@
 #[case::password("clerk", "secret")]
 #[case::verifier("auditor", "kept")]
 #[actix_rt::test]
-async fn scram_lets_a_user_with_the_password_in(#[case] user: &str, #[case] password: &str) {
-    let mut fixture = Fixture::with(scram_settings()).await;
+async fn scram_admits_a_user_with_the_right_password(#[case] user: &str, #[case] password: &str) {
+    let mut fixture = Fixture::start_with_settings(scram_settings()).await;
     let mut config = fixture.config();
     config.user(user).password(password);
     let caller = connect(&config).await.expect("the password is right");
     let (answer, _) =
-        futures_util::join!(caller.simple_query("SELECT 1"), fixture.owner.serve_one("1"));
+        futures_util::join!(caller.simple_query("SELECT 1"), fixture.owner.serve_one_request("1"));
     answer.expect("the session is served");
 }
 
@@ -58,15 +58,19 @@
 #[case::wrong_password("clerk", "guess", "cdr")]
 #[case::wrong_verifier("auditor", "secret", "cdr")]
 #[case::unknown_user("stranger", "secret", "cdr")]
-#[case::databases_are_not_told_before("clerk", "guess", "nowhere")]
+#[case::databases_are_not_revealed_before("clerk", "guess", "nowhere")]
 #[actix_rt::test]
-async fn scram_refuses(#[case] user: &str, #[case] password: &str, #[case] database: &str) {
-    let mut fixture = Fixture::with(scram_settings()).await;
+async fn scram_refuses_wrong_credentials(
+    #[case] user: &str,
+    #[case] password: &str,
+    #[case] database: &str,
+) {
+    let mut fixture = Fixture::start_with_settings(scram_settings()).await;
     let mut config = fixture.config();
     config.user(user).password(password).dbname(database);
     let error = connect(&config).await.map(drop).expect_err("it is refused");
-    assert_eq!(fields(&error).0, "28P01");
-    assert!(fixture.owner.nothing_more());
+    assert_eq!(error_fields(&error).0, "28P01");
+    assert!(fixture.owner.received_nothing_more());
 }
 
 #[rstest]
@@ -79,12 +83,12 @@
 #[case::too_long(wire::message('p', &[b'x'; 10_000]), "54000")]
 #[actix_rt::test]
 async fn malformed_authentication_is_refused(#[case] response: Vec<u8>, #[case] code: &str) {
-    let fixture = Fixture::with(scram_settings()).await;
+    let fixture = Fixture::start_with_settings(scram_settings()).await;
     let mut caller = RawCaller::connect(fixture.edge.address()).await;
     caller.send(&wire::startup(&[("user", "clerk"), ("database", "cdr")])).await;
     assert_eq!(caller.read().await.0, 'R');
     caller.send(&response).await;
-    assert_eq!(refusal(&mut caller).await.0, code);
+    assert_eq!(read_refusal(&mut caller).await.0, code);
 }
 
 #[rstest]
@@ -110,8 +114,8 @@
     let mut fixture = Fixture::start().await;
     let mut caller = RawCaller::connect(fixture.edge.address()).await;
     caller.send(&bytes).await;
-    assert_eq!(refusal(&mut caller).await.0, code);
-    is_served(&mut fixture).await;
+    assert_eq!(read_refusal(&mut caller).await.0, code);
+    expect_served(&mut fixture).await;
 }
 
 #[rstest]
@@ -119,12 +123,12 @@
 #[case::half_a_length(&[0, 0])]
 #[case::half_a_message(&[0, 0, 0, 40, 0, 3, 0, 0])]
 #[actix_rt::test]
-async fn silence_before_authentication_is_refused(#[case] bytes: &[u8]) {
+async fn silent_caller_is_refused_after_the_startup_timeout(#[case] bytes: &[u8]) {
     let settings = EdgeSettings { startup_timeout: Duration::from_millis(50), ..settings() };
-    let fixture = Fixture::with(settings).await;
+    let fixture = Fixture::start_with_settings(settings).await;
     let mut caller = RawCaller::connect(fixture.edge.address()).await;
     caller.send(bytes).await;
-    assert_eq!(refusal(&mut caller).await.0, "57P05");
+    assert_eq!(read_refusal(&mut caller).await.0, "57P05");
 }
 
 #[actix_rt::test]
@@ -136,15 +140,16 @@
     caller.read_bytes(&mut answer).await;
     assert_eq!(answer, [b'N']);
     caller.send(&wire::startup(&[("user", "clerk"), ("database", "cdr")])).await;
-    assert!(caller.read_until_ready().await.starts_with('R'));
+    assert!(caller.read_types_until_ready().await.starts_with('R'));
 }
 
 #[actix_rt::test]
-async fn one_connection_too_many_is_refused_until_one_ends() {
-    let fixture = Fixture::with(EdgeSettings { connection_limit: 1, ..settings() }).await;
+async fn connection_over_the_limit_is_refused_until_one_ends() {
+    let fixture =
+        Fixture::start_with_settings(EdgeSettings { connection_limit: 1, ..settings() }).await;
     let first = fixture.caller().await;
     let error = connect(&fixture.config()).await.map(drop).expect_err("the limit is one");
-    let (code, text, hint) = fields(&error);
+    let (code, text, hint) = error_fields(&error);
     assert_eq!(code, "53300");
     assert!(text.contains("not run"), "{text}");
     assert_eq!(hint.as_deref(), Some("retry_after_ms=1000"));
@@ -155,17 +160,18 @@
 }
 
 #[actix_rt::test]
-async fn cancel_is_heard_at_the_connection_limit() {
-    let mut fixture = Fixture::with(EdgeSettings { connection_limit: 1, ..settings() }).await;
+async fn cancel_is_accepted_at_the_connection_limit() {
+    let mut fixture =
+        Fixture::start_with_settings(EdgeSettings { connection_limit: 1, ..settings() }).await;
     let (mut caller, cancel) = RawCaller::start_with_cancel(fixture.edge.address()).await;
     caller.send(&wire::query("SELECT 1")).await;
-    let (opened, request) = fixture.owner.open().await;
+    let (opened, request) = fixture.owner.expect_open().await;
     let mut other = RawCaller::connect(fixture.edge.address()).await;
     other.send(&cancel).await;
     assert_eq!(other.read_to_end().await, "", "a cancel request gets no answer");
-    assert_eq!(fixture.owner.next().await, EdgeMessage::Cancel { stream: opened });
-    fixture.owner.answer(opened, &request.batch, "1", TransactionStatus::Idle);
-    assert_eq!(caller.read_until_ready().await, "TDCZ");
+    assert_eq!(fixture.owner.next_message().await, EdgeMessage::Cancel { stream: opened });
+    fixture.owner.answer_batch(opened, &request.batch, "1", TransactionStatus::Idle);
+    assert_eq!(caller.read_types_until_ready().await, "TDCZ");
 }
 
 #[actix_rt::test]
@@ -173,21 +179,21 @@
     let mut fixture = Fixture::start().await;
     let caller = fixture.caller().await;
     let owner = async {
-        let (opened, request) = fixture.owner.open().await;
+        let (opened, request) = fixture.owner.expect_open().await;
         for secret in [0_u32, 1, u32::MAX] {
             let key = [1_u32.to_be_bytes(), secret.to_be_bytes()].concat();
             let mut stranger = RawCaller::connect(fixture.edge.address()).await;
             stranger.send(&first_message(80_877_102, &key)).await;
             assert_eq!(stranger.read_to_end().await, "");
         }
-        assert!(fixture.owner.nothing_more(), "no cancel went to the owner");
-        fixture.owner.answer(opened, &request.batch, "1", TransactionStatus::Idle);
+        assert!(fixture.owner.received_nothing_more(), "no cancel went to the owner");
+        fixture.owner.answer_batch(opened, &request.batch, "1", TransactionStatus::Idle);
     };
     let (answer, ()) = futures_util::join!(caller.simple_query("SELECT 1"), owner);
     answer.expect("the request was not cancelled");
 }
 
-/// The salt that the edge gives this user, and the text it sent.
+/// Returns the salt that the edge sends for a user.
 async fn salt_of(fixture: &Fixture, user: &str) -> String {
     let mut caller = RawCaller::connect(fixture.edge.address()).await;
     caller.send(&wire::startup(&[("user", user), ("database", "cdr")])).await;
@@ -207,8 +213,8 @@
 #[case::verifier("auditor")]
 #[case::unknown_user("stranger")]
 #[actix_rt::test]
-async fn salt_does_not_tell_which_users_exist(#[case] user: &str) {
-    let fixture = Fixture::with(scram_settings()).await;
+async fn salt_does_not_reveal_which_users_exist(#[case] user: &str) {
+    let fixture = Fixture::start_with_settings(scram_settings()).await;
     let first = salt_of(&fixture, user).await;
     assert_eq!(salt_of(&fixture, user).await, first, "a user has one salt");
     assert_ne!(salt_of(&fixture, "another").await, first, "and others have others");
@@ -216,16 +222,17 @@
 
 #[actix_rt::test]
 async fn cancel_reaches_a_session_of_any_arbiter() {
-    let mut fixture = Fixture::with(EdgeSettings { arbiters: 4, ..settings() }).await;
+    let mut fixture =
+        Fixture::start_with_settings(EdgeSettings { arbiters: 4, ..settings() }).await;
     let mut callers = Vec::new();
     for _ in 0..32 {
         let (mut caller, cancel) = RawCaller::start_with_cancel(fixture.edge.address()).await;
         caller.send(&wire::query("SELECT 1")).await;
-        let (stream, _) = fixture.owner.open().await;
+        let (stream, _) = fixture.owner.expect_open().await;
         let mut other = RawCaller::connect(fixture.edge.address()).await;
         other.send(&cancel).await;
         assert_eq!(other.read_to_end().await, "");
-        assert_eq!(fixture.owner.next().await, EdgeMessage::Cancel { stream });
+        assert_eq!(fixture.owner.next_message().await, EdgeMessage::Cancel { stream });
         callers.push(caller);
     }
 }
--- a/crates/edge/tests/callers/uncertain.rs
+++ b/crates/edge/tests/callers/uncertain.rs
@@ -1,4 +1,4 @@
-//! A write that may have run stays one, whatever becomes of its later tries.
+//! A write that may have run is reported as unknown, whatever the outcome of its later attempts.
 
 use crate::support::wire::{self, RawCaller};
 use crate::support::{Fixture, OWNER, group, settings, view_with_owner};
@@ -10,51 +10,62 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What ends the wait for another try.
+/// What ends the wait for another attempt.
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum WaitEnd {
     Refused,
     Cancelled,
     Timeout,
     Drained,
-    /// The database is another group's now, which does not know the key.
+    /// Another group serves the database now, and has no record of the idempotency key.
     Moved,
 }
 
 #[rstest]
 #[actix_rt::test]
-async fn write_that_may_have_run_is_never_called_not_run(
-    #[values(End::Refused, End::Cancelled, End::Timeout, End::Drained, End::Moved)] end: End,
+async fn write_that_may_have_run_is_never_reported_as_not_run(
+    #[values(
+        WaitEnd::Refused,
+        WaitEnd::Cancelled,
+        WaitEnd::Timeout,
+        WaitEnd::Drained,
+        WaitEnd::Moved
+    )]
+    end: WaitEnd,
 ) {
-    let short = Duration::from_millis(if matches!(end, End::Timeout) { 300 } else { 60_000 });
-    let limits =
-        EdgeSettings { request_timeout: short, drain_timeout: Duration::ZERO, ..settings() };
-    let Fixture { mut owner, edge, view, .. } = Fixture::with(limits).await;
+    let short_timeout =
+        Duration::from_millis(if matches!(end, WaitEnd::Timeout) { 300 } else { 60_000 });
+    let limits = EdgeSettings {
+        request_timeout: short_timeout,
+        drain_timeout: Duration::ZERO,
+        ..settings()
+    };
+    let Fixture { mut owner, edge, view, .. } = Fixture::start_with_settings(limits).await;
     let address = edge.address();
     let (mut caller, cancel) = RawCaller::start_with_cancel(address).await;
     caller.send(&wire::query("SET corktack.idempotency_key = 'order-7'")).await;
-    caller.read_until_ready().await;
+    caller.read_types_until_ready().await;
     caller.send(&wire::query("INSERT INTO t VALUES (1)")).await;
-    owner.open().await;
+    owner.expect_open().await;
     view.send_replace(Arc::new(match end {
-        End::Refused => view_with_owner(Some((OWNER, owner.address))),
-        End::Moved => moved_view(owner.address),
+        WaitEnd::Refused => view_with_owner(Some((OWNER, owner.address))),
+        WaitEnd::Moved => moved_view(owner.address),
         _ => view_with_owner(None),
     }));
-    owner.cut();
+    owner.close_connection();
     match end {
-        End::Refused => {
-            let (stream, _) = owner.open().await;
-            owner.fail(
+        WaitEnd::Refused => {
+            let (stream, _) = owner.expect_open().await;
+            owner.send_failure(
                 stream,
                 Failure::NotRun { reason: NotRunReason::QueueFull, retry_after_ms: 40 },
             );
         }
-        End::Drained => edge.drain().await,
-        End::Cancelled | End::Timeout | End::Moved => {}
+        WaitEnd::Drained => edge.drain().await,
+        WaitEnd::Cancelled | WaitEnd::Timeout | WaitEnd::Moved => {}
     }
-    // A cancel may come before the wait, which then goes on, so it is asked for again.
-    let mut code = std::pin::pin!(caller.error_code());
+    // A cancel request before the wait begins has no effect, so the caller repeats it.
+    let mut code = std::pin::pin!(caller.read_error_code());
     let code = loop {
         let cancelled = async {
             let mut other = RawCaller::connect(address).await;
@@ -64,16 +75,16 @@
         tokio::select! {
             biased;
             code = &mut code => break code,
-            _ = cancelled, if matches!(end, End::Cancelled) => {}
+            _ = cancelled, if matches!(end, WaitEnd::Cancelled) => {}
         }
     };
     assert_eq!(code, "08007");
-    if matches!(end, End::Moved) {
-        assert!(owner.nothing_more(), "nothing was sent once more");
+    if matches!(end, WaitEnd::Moved) {
+        assert!(owner.received_nothing_more(), "nothing was sent once more");
     }
 }
 
-/// The database belongs to another group of the same owner.
+/// Returns a view in which another group of the same owner serves the database.
 fn moved_view(owner: std::net::SocketAddr) -> View {
     let mut view = view_with_owner(Some((OWNER, owner)));
     let moved = view.groups.remove(&group()).expect("the group is there");
--- a/crates/edge/tests/retry_decisions.rs
+++ b/crates/edge/tests/retry_decisions.rs
@@ -1,4 +1,4 @@
-//! What a lost request comes to, decided without I/O.
+//! Decisions about lost requests, tested without I/O.
 
 use corktack_core::identity::GroupName;
 use corktack_core::view::View;
@@ -11,12 +11,12 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// Retries that a group may accumulate.
-const BURST: usize = 50;
+/// Retries that a group's budget holds at most.
+const MAX_BUDGET: usize = 50;
 /// Longer than any wait before a retry.
 const LONG: Duration = Duration::from_secs(10);
 
-/// A write that opens its transaction, and of whose answer the caller has nothing.
+/// A write that opens its transaction and whose answer has not begun.
 const WRITE: Progress = Progress {
     access: Access::Write,
     first_batch: true,
@@ -49,7 +49,7 @@
 #[case::queue_full(NotRunReason::QueueFull, false)]
 #[case::queue_timeout(NotRunReason::QueueTimeout, false)]
 #[case::retry_budget(NotRunReason::RetryBudget, false)]
-fn a_refusal_is_repeated_where_another_owner_or_primary_may_be_found(
+fn a_refused_request_is_retried_if_another_owner_or_primary_may_be_found(
     #[case] reason: NotRunReason,
     #[case] repeated: bool,
 ) {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_refusal_after_a_part_of_the_answer_is_no_proof_that_nothing_ran() {
+fn a_refusal_after_a_part_of_the_answer_leaves_the_outcome_unknown() {
     let answered = Progress { answered: true, ..WRITE };
     let loss = refused(NotRunReason::NoBackEnd);
     assert_eq!(decide_retry(loss, answered), RetryDecision::Final(Rejection::Unknown));
@@ -74,10 +74,7 @@
     Loss::Failed(Failure::TransactionLost),
     RetryDecision::Final(Rejection::TransactionLost)
 )]
-fn a_write_is_repeated_only_where_it_was_not_sent(
-    #[case] loss: Loss,
-    #[case] expected: RetryDecision,
-) {
+fn a_write_is_retried_only_if_it_was_not_sent(#[case] loss: Loss, #[case] expected: RetryDecision) {
     assert_eq!(decide_retry(loss, WRITE), expected);
 }
 
@@ -85,7 +82,7 @@
 #[case::read(READ, Rejection::ReadInterrupted)]
 #[case::repeatable(Progress { repeatable: true, ..WRITE }, Rejection::TransactionLost)]
 #[case::keyed(Progress { keyed: true, ..WRITE }, Rejection::Unknown)]
-fn what_harms_nobody_is_repeated_until_a_part_is_answered(
+fn a_request_that_is_safe_to_repeat_is_retried_until_a_part_is_answered(
     #[case] progress: Progress,
     #[case] rejection: Rejection,
     #[values(Loss::Link { sent: true }, Loss::Failed(Failure::Unknown))] loss: Loss,
@@ -105,7 +102,7 @@
 #[case::unknown(Loss::Failed(Failure::Unknown), Rejection::Unknown)]
 #[case::lost(Loss::Failed(Failure::TransactionLost), Rejection::TransactionLost)]
 #[case::refused(refused(NotRunReason::NotOwner), Rejection::TransactionLost)]
-fn a_later_batch_is_never_repeated_and_its_commit_may_be_unknown(
+fn a_later_batch_is_never_retried_and_its_commit_may_be_unknown(
     #[case] loss: Loss,
     #[case] expected: Rejection,
 ) {
@@ -153,9 +150,9 @@
 }
 
 #[test]
-fn a_group_that_used_its_retries_up_answers_so() {
+fn an_exhausted_retry_budget_is_the_reason_in_the_answer() {
     let (mut retries, group) = retries();
-    for _ in 0..BURST {
+    for _ in 0..MAX_BUDGET {
         assert!(retries.schedule_retry(lost(NotRunReason::NoBackEnd, 0), &group, LONG).is_ok());
     }
     let refused = retries.schedule_retry(lost(NotRunReason::NoBackEnd, 0), &group, LONG);
@@ -165,24 +162,24 @@
 }
 
 #[test]
-fn a_handover_costs_no_retry() {
+fn a_handover_uses_no_retry_budget() {
     let (mut retries, group) = retries();
-    for attempt in 0..2 * BURST as u32 {
+    for attempt in 0..2 * MAX_BUDGET as u32 {
         assert!(
             retries.schedule_retry(lost(NotRunReason::Stopping, attempt), &group, LONG).is_ok()
         );
         assert!(retries.schedule_retry(lost(NotRunReason::NotOwner, 0), &group, LONG).is_ok());
     }
-    for _ in 0..BURST {
+    for _ in 0..MAX_BUDGET {
         assert!(retries.schedule_retry(lost(NotRunReason::NotOwner, 1), &group, LONG).is_ok());
     }
     assert!(retries.schedule_retry(lost(NotRunReason::NotOwner, 1), &group, LONG).is_err());
 }
 
 #[test]
-fn a_wait_past_the_end_of_the_request_costs_no_retry_and_changes_no_answer() {
+fn a_wait_past_the_deadline_uses_no_budget_and_keeps_the_answer() {
     let (mut retries, group) = retries();
-    for _ in 0..2 * BURST {
+    for _ in 0..2 * MAX_BUDGET {
         let late = retries.schedule_retry(lost(NotRunReason::NoBackEnd, 0), &group, Duration::ZERO);
         assert_eq!(late, Err(not_run(NotRunReason::NoBackEnd)));
     }
@@ -198,7 +195,7 @@
 fn the_wait_grows_to_its_bound(#[case] attempt: u32, #[case] bound_ms: u64) {
     let bound = Duration::from_millis(bound_ms);
     let (mut retries, group) = retries();
-    let waits: Vec<Duration> = (0..BURST)
+    let waits: Vec<Duration> = (0..MAX_BUDGET)
         .map(|_| retries.schedule_retry(lost(NotRunReason::NoBackEnd, attempt), &group, LONG))
         .map(|wait| wait.expect("the budget has a retry"))
         .collect();
--- a/crates/edge/tests/support/extended.rs
+++ b/crates/edge/tests/support/extended.rs
@@ -1,4 +1,4 @@
-//! Messages of the extended query protocol.
+//! Encodes messages of the extended query protocol.
 
 use super::wire;
 use corktack_protocol::peer::Batch;
@@ -18,8 +18,8 @@
     wire::message('E', &body)
 }
 
-pub fn target(kind: char, target: char, name: &str) -> Vec<u8> {
-    wire::message(kind, format!("{target}{name}\0").as_bytes())
+pub fn target(message_type: char, target: char, name: &str) -> Vec<u8> {
+    wire::message(message_type, format!("{target}{name}\0").as_bytes())
 }
 
 pub fn sync() -> Vec<u8> {
@@ -30,9 +30,9 @@
     wire::message('H', &[])
 }
 
-/// One letter for each message of a batch.
-pub fn kinds(batch: &Batch) -> String {
-    let kind = |message: &Message| match message {
+/// Returns the wire type of each message in a batch, one letter for each.
+pub fn message_types(batch: &Batch) -> String {
+    let message_type = |message: &Message| match message {
         Message::Query(_) => 'Q',
         Message::Parse(_) => 'P',
         Message::Bind(_) => 'B',
@@ -43,5 +43,5 @@
         Message::Flush(_) => 'H',
         _ => '?',
     };
-    wire::decode(batch).iter().map(kind).collect()
+    wire::decode(batch).iter().map(message_type).collect()
 }
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted owner, an edge in front of it, and callers.
+//! Test fixture: a scripted owner, an edge that sends to it, and callers.
 #![allow(clippy::unwrap_used, dead_code)]
 
 pub mod extended;
@@ -28,7 +28,7 @@
     let proxy = ProxyName::new("edge-1").unwrap();
     let class = ClassName::new("standard").unwrap();
     let mut settings = EdgeSettings::new(proxy, Incarnation(1), class);
-    // One arbiter has one connection to the owner, whose streams then share it.
+    // With one arbiter, all streams share one connection to the owner.
     settings.arbiters = 1;
     settings
 }
@@ -74,7 +74,7 @@
     view
 }
 
-/// An edge in front of a scripted owner.
+/// An edge whose group is owned by a scripted owner.
 pub struct Fixture {
     pub owner: FakeOwner,
     pub edge: EdgeHandle,
@@ -84,10 +84,10 @@
 
 impl Fixture {
     pub async fn start() -> Self {
-        Self::with(settings()).await
+        Self::start_with_settings(settings()).await
     }
 
-    pub async fn with(settings: EdgeSettings) -> Self {
+    pub async fn start_with_settings(settings: EdgeSettings) -> Self {
         let owner = FakeOwner::start(OWNER).await;
         let view = view_with_owner(Some((OWNER, owner.address)));
         let (sender, receiver) = watch::channel(Arc::new(view));
@@ -122,8 +122,8 @@
     Ok(client)
 }
 
-/// SQLSTATE, message and hint of a caller's error.
-pub fn fields(error: &tokio_postgres::Error) -> (String, String, Option<String>) {
+/// Returns the SQLSTATE, message and hint of a caller's error.
+pub fn error_fields(error: &tokio_postgres::Error) -> (String, String, Option<String>) {
     let error = error.as_db_error().unwrap_or_else(|| panic!("no answer: {error}"));
     let hint = error.hint().map(str::to_owned);
     (error.code().code().to_owned(), error.message().to_owned(), hint)
--- a/crates/edge/tests/support/owner.rs
+++ b/crates/edge/tests/support/owner.rs
@@ -1,4 +1,4 @@
-//! A scripted owner.
+//! A scripted owner: it records the edge's messages and sends what the test tells it to send.
 
 use super::wire;
 use corktack_core::identity::{Incarnation, ProxyName};
@@ -18,18 +18,18 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// Longest wait for a message of the edge: a test that would wait for ever fails.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for a message of the edge, so that a test fails instead of hanging.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(60);
 
 enum Command {
     Send(OwnerMessage),
-    Raw(Vec<u8>),
-    Cut,
+    SendBytes(Vec<u8>),
+    Close,
 }
 
 type Connections = Rc<RefCell<Vec<mpsc::UnboundedSender<Command>>>>;
 
-/// An owner whose answers the test writes.
+/// An owner whose answers the test scripts.
 pub struct FakeOwner {
     pub address: SocketAddr,
     received: mpsc::UnboundedReceiver<EdgeMessage>,
@@ -42,7 +42,7 @@
         Self::start_with(name, None).await
     }
 
-    /// An owner that says this before its name.
+    /// Starts an owner that sends `first` before its handshake.
     pub async fn start_with(name: &str, first: Option<OwnerMessage>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -72,18 +72,19 @@
         Self { address, received, ended, connections }
     }
 
-    /// The next message, other than `Hello` and `Window`.
-    pub async fn next(&mut self) -> EdgeMessage {
+    /// Returns the next message other than `Hello` and `Window`.
+    pub async fn next_message(&mut self) -> EdgeMessage {
         loop {
-            match timeout(PATIENCE, self.received.recv()).await.expect("a message").unwrap() {
+            match timeout(MESSAGE_TIMEOUT, self.received.recv()).await.expect("a message").unwrap()
+            {
                 EdgeMessage::Hello { .. } | EdgeMessage::Window { .. } => {}
                 message => return message,
             }
         }
     }
 
-    /// The next message, `Window` included.
-    pub async fn next_with_windows(&mut self) -> EdgeMessage {
+    /// Returns the next message other than `Hello`.
+    pub async fn next_message_or_window(&mut self) -> EdgeMessage {
         loop {
             match self.received.recv().await.unwrap() {
                 EdgeMessage::Hello { .. } => {}
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Whether no message but `Hello` and `Window` has come.
-    pub fn nothing_more(&mut self) -> bool {
+    /// Reports whether no message other than `Hello` and `Window` has arrived.
+    pub fn received_nothing_more(&mut self) -> bool {
         while let Ok(message) = self.received.try_recv() {
             if !matches!(message, EdgeMessage::Hello { .. } | EdgeMessage::Window { .. }) {
                 return false;
@@ -102,22 +103,22 @@
         true
     }
 
-    pub async fn open(&mut self) -> (StreamId, OpenRequest) {
-        match self.next().await {
+    pub async fn expect_open(&mut self) -> (StreamId, OpenRequest) {
+        match self.next_message().await {
             EdgeMessage::Open { stream, request } => (stream, *request),
             other => panic!("expected Open, got {other:?}"),
         }
     }
 
-    pub async fn batch(&mut self) -> (StreamId, Batch) {
-        match self.next().await {
+    pub async fn expect_batch(&mut self) -> (StreamId, Batch) {
+        match self.next_message().await {
             EdgeMessage::Batch { stream, batch } => (stream, batch),
             other => panic!("expected Batch, got {other:?}"),
         }
     }
 
-    /// Waits until the edge has ended a connection.
-    pub async fn ended(&mut self) {
+    /// Waits until a connection of the edge has ended.
+    pub async fn wait_until_connection_ended(&mut self) {
         self.ended.recv().await.unwrap();
     }
 
@@ -134,40 +135,46 @@
         self.command(Command::Send(message));
     }
 
-    pub fn send_raw(&self, bytes: &[u8]) {
-        self.command(Command::Raw(bytes.to_vec()));
+    pub fn send_bytes(&self, bytes: &[u8]) {
+        self.command(Command::SendBytes(bytes.to_vec()));
     }
 
-    pub fn cut(&self) {
-        self.command(Command::Cut);
+    pub fn close_connection(&self) {
+        self.command(Command::Close);
     }
 
-    pub fn data(&self, stream: StreamId, messages: Vec<u8>) {
+    pub fn send_data(&self, stream: StreamId, messages: Vec<u8>) {
         self.send(OwnerMessage::Data { stream, messages });
     }
 
-    pub fn position(&self, stream: StreamId, position: Position) {
+    pub fn send_position(&self, stream: StreamId, position: Position) {
         self.send(OwnerMessage::Position { stream, position });
     }
 
-    pub fn ready(&self, stream: StreamId, status: TransactionStatus) {
+    pub fn send_ready(&self, stream: StreamId, status: TransactionStatus) {
         self.send(OwnerMessage::Ready { stream, status, served_by: ServedBy::Primary });
     }
 
-    pub fn fail(&self, stream: StreamId, failure: Failure) {
+    pub fn send_failure(&self, stream: StreamId, failure: Failure) {
         self.send(OwnerMessage::Failed { stream, failure });
     }
 
-    /// Answers every message of the batch; rows hold `value`.
-    pub fn answer(&self, stream: StreamId, batch: &Batch, value: &str, status: TransactionStatus) {
-        self.data(stream, wire::answers(batch, value));
-        self.ready(stream, status);
+    /// Answers every message of the batch; rows contain `value`.
+    pub fn answer_batch(
+        &self,
+        stream: StreamId,
+        batch: &Batch,
+        value: &str,
+        status: TransactionStatus,
+    ) {
+        self.send_data(stream, wire::answers(batch, value));
+        self.send_ready(stream, status);
     }
 
-    /// Takes the next new transaction and answers its first batch.
-    pub async fn serve_one(&mut self, value: &str) -> OpenRequest {
-        let (stream, request) = self.open().await;
-        self.answer(stream, &request.batch, value, TransactionStatus::Idle);
+    /// Waits for the next new transaction and answers its first batch.
+    pub async fn serve_one_request(&mut self, value: &str) -> OpenRequest {
+        let (stream, request) = self.expect_open().await;
+        self.answer_batch(stream, &request.batch, value, TransactionStatus::Idle);
         request
     }
 }
@@ -186,12 +193,12 @@
                         return;
                     }
                 }
-                Some(Command::Raw(bytes)) => {
+                Some(Command::SendBytes(bytes)) => {
                     if framed.get_mut().write_all(&bytes).await.is_err() {
                         return;
                     }
                 }
-                Some(Command::Cut) | None => return,
+                Some(Command::Close) | None => return,
             },
             message = framed.next() => match message {
                 Some(Ok(message)) => drop(events.send(message)),
--- a/crates/edge/tests/support/wire.rs
+++ b/crates/edge/tests/support/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of a back end, and raw callers.
+//! Encodes messages of a back end, and callers that work on raw bytes.
 
 use bytes::{BufMut, BytesMut};
 use corktack_protocol::peer::Batch;
@@ -33,7 +33,7 @@
     messages
 }
 
-/// Text of the simple query that is the whole batch.
+/// Returns the text of the simple query that makes up the whole batch.
 pub fn query_text(batch: &Batch) -> String {
     match decode(batch).as_slice() {
         [Message::Query(query)] => query.query.clone(),
@@ -58,12 +58,12 @@
 }
 
 pub fn error(code: &str, message: &str) -> Answer {
-    let field = |kind, text: &str| (kind, text.to_owned());
+    let field = |message_type, text: &str| (message_type, text.to_owned());
     let fields = vec![field(b'S', "ERROR"), field(b'C', code), field(b'M', message)];
     Answer::ErrorResponse(ErrorResponse::new(fields))
 }
 
-/// What a back end without faults answers to the batch.
+/// Returns a successful back end's answer to the batch.
 pub fn answers(batch: &Batch, value: &str) -> Vec<u8> {
     let mut answers = Vec::new();
     for message in decode(batch) {
@@ -73,8 +73,8 @@
             Message::Bind(_) => answers.push(Answer::BindComplete(BindComplete::new())),
             Message::Describe(describe) => {
                 if describe.target_type == b'S' {
-                    let none = ParameterDescription::new(Vec::new());
-                    answers.push(Answer::ParameterDescription(none));
+                    let no_parameters = ParameterDescription::new(Vec::new());
+                    answers.push(Answer::ParameterDescription(no_parameters));
                 }
                 answers.push(columns());
             }
@@ -86,7 +86,7 @@
     encode(&answers)
 }
 
-/// A caller that writes bytes of its own.
+/// A caller that sends and reads raw bytes.
 pub struct RawCaller {
     pub stream: TcpStream,
 }
@@ -100,11 +100,11 @@
     pub async fn start(address: SocketAddr) -> Self {
         let mut caller = Self::connect(address).await;
         caller.send(&startup(&[("user", "clerk"), ("database", "cdr")])).await;
-        caller.read_until_ready().await;
+        caller.read_types_until_ready().await;
         caller
     }
 
-    /// Connects and starts a session; with it, the message that cancels what it runs.
+    /// Connects and starts a session. Also returns the message that cancels the session's request.
     pub async fn start_with_cancel(address: SocketAddr) -> (Self, Vec<u8>) {
         let mut caller = Self::connect(address).await;
         caller.send(&startup(&[("user", "clerk"), ("database", "cdr")])).await;
@@ -123,25 +123,25 @@
         self.stream.write_all(bytes).await.unwrap();
     }
 
-    /// The next message: type and body.
+    /// Reads the next message and returns its type and body.
     pub async fn read(&mut self) -> (char, Vec<u8>) {
-        let kind = self.stream.read_u8().await.unwrap();
+        let message_type = self.stream.read_u8().await.unwrap();
         let length = self.stream.read_u32().await.unwrap() as usize;
         let mut body = vec![0; length - 4];
         self.stream.read_exact(&mut body).await.unwrap();
-        (char::from(kind), body)
+        (char::from(message_type), body)
     }
 
-    /// Exactly these bytes.
+    /// Fills the buffer from the connection.
     pub async fn read_bytes(&mut self, bytes: &mut [u8]) {
         self.stream.read_exact(bytes).await.unwrap();
     }
 
-    /// The next `ErrorResponse`'s SQLSTATE; other messages are passed over.
-    pub async fn error_code(&mut self) -> String {
+    /// Returns the SQLSTATE of the next `ErrorResponse`; skips other messages.
+    pub async fn read_error_code(&mut self) -> String {
         loop {
-            let (kind, body) = self.read().await;
-            if kind == 'E' {
+            let (message_type, body) = self.read().await;
+            if message_type == 'E' {
                 let text = String::from_utf8(body).unwrap();
                 let code = text.split('\0').find_map(|field| field.strip_prefix('C'));
                 return code.unwrap().to_owned();
@@ -149,8 +149,8 @@
         }
     }
 
-    /// The state in the next `ReadyForQuery`; other messages are passed over.
-    pub async fn ready(&mut self) -> char {
+    /// Returns the transaction status of the next `ReadyForQuery`; skips other messages.
+    pub async fn read_ready_status(&mut self) -> char {
         loop {
             if let ('Z', body) = self.read().await {
                 return char::from(body[0]);
@@ -158,25 +158,25 @@
         }
     }
 
-    /// Types of the next messages, as many as asked for.
-    pub async fn read_kinds(&mut self, count: usize) -> String {
-        let mut kinds = String::new();
+    /// Reads `count` messages and returns their types.
+    pub async fn read_message_types(&mut self, count: usize) -> String {
+        let mut message_types = String::new();
         for _ in 0..count {
-            kinds.push(self.read().await.0);
+            message_types.push(self.read().await.0);
         }
-        kinds
+        message_types
     }
 
-    /// Types of the messages up to `ReadyForQuery`.
-    pub async fn read_until_ready(&mut self) -> String {
-        let mut kinds = String::new();
-        while !kinds.ends_with('Z') {
-            kinds.push(self.read().await.0);
+    /// Reads messages up to `ReadyForQuery` and returns their types.
+    pub async fn read_types_until_ready(&mut self) -> String {
+        let mut message_types = String::new();
+        while !message_types.ends_with('Z') {
+            message_types.push(self.read().await.0);
         }
-        kinds
+        message_types
     }
 
-    /// Everything up to the end of the stream.
+    /// Reads up to the end of the stream.
     pub async fn read_to_end(&mut self) -> String {
         let mut bytes = Vec::new();
         self.stream.read_to_end(&mut bytes).await.unwrap();
@@ -184,10 +184,10 @@
     }
 }
 
-/// A first message with this code and rest.
-pub fn first_message(code: u32, rest: &[u8]) -> Vec<u8> {
-    let length = u32::try_from(rest.len() + 8).unwrap();
-    [&length.to_be_bytes()[..], &code.to_be_bytes(), rest].concat()
+/// Encodes a first message with a request code and the rest of its body.
+pub fn first_message(code: u32, body: &[u8]) -> Vec<u8> {
+    let length = u32::try_from(body.len() + 8).unwrap();
+    [&length.to_be_bytes()[..], &code.to_be_bytes(), body].concat()
 }
 
 pub fn startup(parameters: &[(&str, &str)]) -> Vec<u8> {
@@ -203,8 +203,8 @@
     message.to_vec()
 }
 
-pub fn message(kind: char, body: &[u8]) -> Vec<u8> {
-    let mut message = vec![kind as u8];
+pub fn message(message_type: char, body: &[u8]) -> Vec<u8> {
+    let mut message = vec![message_type as u8];
     message.extend(u32::try_from(body.len() + 4).unwrap().to_be_bytes());
     message.extend(body);
     message
--- a/crates/edge/tests/whole.rs
+++ b/crates/edge/tests/whole.rs
@@ -1,4 +1,4 @@
-//! Callers through the edge and a real owner to a stand-in group.
+//! Callers through the edge and a real owner to a group of stand-in servers.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -21,11 +21,11 @@
 use tokio_postgres::{Client, Config};
 
 const CALLERS: usize = 8;
-/// Writes of each caller before, and after, the hand-over.
-const WRITES: usize = 20;
+/// Writes of each caller before, and after, the handover.
+const WRITES_PER_PHASE: usize = 20;
 
-/// A group, its owners and an edge.
-struct Path {
+/// A stand-in group, its owners and an edge.
+struct TestDeployment {
     edge: EdgeHandle,
     owners: Vec<OwnerHandle>,
     views: Vec<View>,
@@ -39,7 +39,7 @@
     ProxyName::new(format!("owner-{number}")).expect("a valid name")
 }
 
-/// The view in which this owner has the group; all owners are known.
+/// Returns the view in which this owner owns the group; the view lists all owners.
 fn view_of(owner: usize, addresses: &[std::net::SocketAddr], members: &[MemberSpec]) -> View {
     let name = owner_name(owner);
     let mut view = view_with_owner(Some((name.as_str(), addresses[owner])));
@@ -53,7 +53,7 @@
     view
 }
 
-impl Path {
+impl TestDeployment {
     fn start(owners: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder for the group");
         let started = Group::start(GroupSettings::new(group(), folder.path().to_owned()));
@@ -97,25 +97,25 @@
     }
 
     async fn caller(&self) -> Client {
-        support::connect(&self.config()).await.expect("the caller is let in")
+        support::connect(&self.config()).await.expect("the caller is admitted")
     }
 }
 
 async fn count(caller: &Client, condition: &str) -> i64 {
     let text = format!("SELECT count(*) FROM entries WHERE {condition}");
-    caller.query_one(&text, &[]).await.expect("it is read").get(0)
+    caller.query_one(&text, &[]).await.expect("the count is read").get(0)
 }
 
 #[actix_rt::test]
 async fn writes_are_read_through_another_session_by_the_token() {
-    let path = Path::start(1);
-    let writer = path.caller().await;
-    writer.batch_execute("CREATE TABLE entries (id int)").await.expect("it is created");
-    writer.batch_execute("INSERT INTO entries VALUES (1)").await.expect("it is written");
+    let deployment = TestDeployment::start(1);
+    let writer = deployment.caller().await;
+    writer.batch_execute("CREATE TABLE entries (id int)").await.expect("the table is created");
+    writer.batch_execute("INSERT INTO entries VALUES (1)").await.expect("the row is written");
     let token: String =
-        writer.query_one("SHOW corktack.token", &[]).await.expect("it is shown").get(0);
+        writer.query_one("SHOW corktack.token", &[]).await.expect("the token is shown").get(0);
     assert!(token.starts_with("cdr="), "{token}");
-    let mut config = path.config();
+    let mut config = deployment.config();
     config.options(format!("-c corktack.token={token}"));
     let reader = support::connect(&config).await.expect("the token is accepted");
     assert_eq!(count(&reader, "id = 1").await, 1);
@@ -123,80 +123,85 @@
 
 #[actix_rt::test]
 async fn error_of_the_edge_commits_nothing_of_the_transaction() {
-    let path = Path::start(1);
-    let caller = path.caller().await;
-    caller.batch_execute("CREATE TABLE entries (id int)").await.expect("it is created");
-    caller.batch_execute("BEGIN").await.expect("it begins");
-    caller.batch_execute("INSERT INTO entries VALUES (1)").await.expect("it is written");
-    caller.batch_execute("LISTEN flags").await.expect_err("it is refused");
+    let deployment = TestDeployment::start(1);
+    let caller = deployment.caller().await;
+    caller.batch_execute("CREATE TABLE entries (id int)").await.expect("the table is created");
+    caller.batch_execute("BEGIN").await.expect("the block begins");
+    caller.batch_execute("INSERT INTO entries VALUES (1)").await.expect("the row is written");
+    caller.batch_execute("LISTEN flags").await.expect_err("LISTEN is refused");
     let later = caller.batch_execute("INSERT INTO entries VALUES (2)").await;
-    assert_eq!(support::fields(&later.expect_err("the transaction failed")).0, "25P02");
-    caller.batch_execute("COMMIT").await.expect("it ends");
+    assert_eq!(support::error_fields(&later.expect_err("the transaction failed")).0, "25P02");
+    caller.batch_execute("COMMIT").await.expect("the block ends");
     assert_eq!(count(&caller, "id > 0").await, 0);
 }
 
 async fn write(caller: &Client, first: usize, done: &Cell<usize>) {
-    for id in first..first + WRITES {
+    for id in first..first + WRITES_PER_PHASE {
         let text = format!("INSERT INTO entries VALUES ({id})");
-        caller.batch_execute(&text).await.expect("no caller sees the hand-over");
+        caller.batch_execute(&text).await.expect("the handover causes no error");
         done.set(done.get() + 1);
     }
 }
 
 #[actix_rt::test]
-async fn planned_hand_over_is_seen_by_no_caller_and_loses_nothing() {
-    let mut path = Path::start(2);
-    let setup = path.caller().await;
-    setup.batch_execute("CREATE TABLE entries (id int)").await.expect("it is created");
+async fn planned_handover_causes_no_error_and_loses_no_write() {
+    let mut deployment = TestDeployment::start(2);
+    let setup = deployment.caller().await;
+    setup.batch_execute("CREATE TABLE entries (id int)").await.expect("the table is created");
     let done = Rc::new(Cell::new(0));
     let mut writers = Vec::new();
     for number in 0..CALLERS {
-        let (caller, done) = (path.caller().await, done.clone());
+        let (caller, done) = (deployment.caller().await, done.clone());
         writers.push(actix_rt::spawn(async move {
-            write(&caller, 2 * WRITES * number, &done).await;
-            write(&caller, 2 * WRITES * number + WRITES, &done).await;
+            write(&caller, 2 * WRITES_PER_PHASE * number, &done).await;
+            write(&caller, 2 * WRITES_PER_PHASE * number + WRITES_PER_PHASE, &done).await;
         }));
     }
-    while done.get() < CALLERS * WRITES / 2 {
+    while done.get() < CALLERS * WRITES_PER_PHASE / 2 {
         actix_rt::task::yield_now().await;
     }
-    let stopping = actix_rt::spawn(path.owners.remove(0).drain());
-    path.view.send_replace(Arc::new(path.views[1].clone()));
+    let stopping = actix_rt::spawn(deployment.owners.remove(0).drain());
+    deployment.view.send_replace(Arc::new(deployment.views[1].clone()));
     for writer in writers {
         writer.await.expect("every write is acknowledged");
     }
     stopping.await.expect("the first owner ends");
-    // A session without a token asks for a barrier; an older one may read what it has seen.
-    let reader = path.caller().await;
-    assert_eq!(count(&reader, "id >= 0").await, (2 * CALLERS * WRITES) as i64);
+    // A session without a token requires a barrier; one with an older token may read older state.
+    let reader = deployment.caller().await;
+    assert_eq!(count(&reader, "id >= 0").await, (2 * CALLERS * WRITES_PER_PHASE) as i64);
 }
 
-/// What several drivers send for a statement with parameters.
+/// Several drivers send a statement with parameters in this form.
 #[actix_rt::test]
 async fn flushed_write_runs_once_and_is_read_by_its_session() {
-    let path = Path::start(1);
-    let setup = path.caller().await;
-    setup.batch_execute("CREATE TABLE entries (id int)").await.expect("it is created");
-    let mut caller = RawCaller::start(path.edge.address()).await;
+    let deployment = TestDeployment::start(1);
+    let setup = deployment.caller().await;
+    setup.batch_execute("CREATE TABLE entries (id int)").await.expect("the table is created");
+    let mut caller = RawCaller::start(deployment.edge.address()).await;
     let insert = "INSERT INTO entries VALUES (1)";
     caller.send(&[parse("", insert), target('D', 'S', ""), flush()].concat()).await;
-    assert_eq!(caller.read_kinds(3).await, "1tn");
+    assert_eq!(caller.read_message_types(3).await, "1tn");
     caller.send(&[bind("", ""), target('D', 'P', ""), flush()].concat()).await;
-    assert_eq!(caller.read_kinds(2).await, "2n");
+    assert_eq!(caller.read_message_types(2).await, "2n");
     caller.send(&[execute("", 0), flush()].concat()).await;
-    assert_eq!(caller.read_kinds(2).await, "SC", "the position comes before the completion");
+    assert_eq!(
+        caller.read_message_types(2).await,
+        "SC",
+        "the position comes before the completion"
+    );
     caller.send(&sync()).await;
-    assert_eq!(caller.ready().await, 'I');
+    assert_eq!(caller.read_ready_status().await, 'I');
     let select = [parse("", "SELECT id FROM entries"), bind("", ""), execute("", 0), flush()];
     caller.send(&select.concat()).await;
-    assert_eq!(answers(&mut caller, 4).await, "12DC");
+    assert_eq!(read_answer_types(&mut caller, 4).await, "12DC");
     caller.send(&sync()).await;
-    assert_eq!(caller.ready().await, 'I');
-    assert_eq!(count(&caller_with_token(&path, &mut caller).await, "id = 1").await, 1);
+    assert_eq!(caller.read_ready_status().await, 'I');
+    assert_eq!(count(&caller_with_token(&deployment, &mut caller).await, "id = 1").await, 1);
 }
 
-/// Types of the next messages; what tells the session's position is passed over.
-async fn answers(caller: &mut RawCaller, count: usize) -> String {
+/// Reads `count` messages and returns their types; skips `ParameterStatus`, which reports the session's
+/// position.
+async fn read_answer_types(caller: &mut RawCaller, count: usize) -> String {
     let mut kinds = String::new();
     while kinds.len() < count {
         kinds.extend(Some(caller.read().await.0).filter(|kind| *kind != 'S'));
@@ -204,31 +209,31 @@
     kinds
 }
 
-/// A session that has seen what this one has.
-async fn caller_with_token(path: &Path, caller: &mut RawCaller) -> Client {
+/// Starts a session with the token of `caller`.
+async fn caller_with_token(deployment: &TestDeployment, caller: &mut RawCaller) -> Client {
     caller.send(&support::wire::query("SHOW corktack.token")).await;
     assert_eq!(caller.read().await.0, 'T');
     let (_, row) = caller.read().await;
-    caller.ready().await;
-    // A row of one column: count of columns, length, text.
+    caller.read_ready_status().await;
+    // A row of one column: number of columns, length, text.
     let token = String::from_utf8(row[6..].to_vec()).expect("tokens are text");
-    let mut config = path.config();
+    let mut config = deployment.config();
     config.options(format!("-c corktack.token={token}"));
     support::connect(&config).await.expect("the token is accepted")
 }
 
 #[actix_rt::test]
 async fn error_between_flushes_frees_the_session_and_its_connection() {
-    let path = Path::start(1);
-    let setup = path.caller().await;
-    setup.batch_execute("CREATE TABLE entries (id int)").await.expect("it is created");
-    let mut caller = RawCaller::start(path.edge.address()).await;
+    let deployment = TestDeployment::start(1);
+    let setup = deployment.caller().await;
+    setup.batch_execute("CREATE TABLE entries (id int)").await.expect("the table is created");
+    let mut caller = RawCaller::start(deployment.edge.address()).await;
     for _ in 0..3 {
         let part = [parse("", "SELECT id FROM entries"), bind("", ""), execute("", 0), flush()];
         caller.send(&part.concat()).await;
-        assert_eq!(answers(&mut caller, 3).await, "12C");
+        assert_eq!(read_answer_types(&mut caller, 3).await, "12C");
         caller.send(&[parse("", "SELECT id FROM missing"), flush()].concat()).await;
-        assert_eq!(caller.error_code().await, "42P01");
+        assert_eq!(caller.read_error_code().await, "42P01");
         caller.send(&[bind("", ""), execute("", 0), flush(), sync()].concat()).await;
         assert_eq!(caller.read().await, ('Z', b"I".to_vec()));
     }
