--- a/crates/protocol/src/cell.rs
+++ b/crates/protocol/src/cell.rs
@@ -1,8 +1,9 @@
-//! Between control replicas of a cell.
+//! Messages between control replicas of a cell.
 //!
-//! Each replica keeps a connection to each other one. It says who it is and whom the connection is for, and then
-//! sends messages of the consensus and what concerns the proxies that are connected to it. Answers go over the
-//! connection of the replica that answers, and carry the request's number.
+//! Each replica keeps a connection to each other replica. The first message on a connection names the
+//! sender and the intended receiver; later ones carry consensus messages and data about the proxies that
+//! are connected to the sender. A replica sends an answer over its own connection to the asking replica;
+//! the answer carries the number of the request.
 
 use corktack_core::identity::{Incarnation, ProxyName, ReplicaId, ZoneName};
 use corktack_core::limits::{AllowanceGrant, AllowanceReport};
@@ -12,80 +13,82 @@
 
 use crate::control::Observation;
 
-/// Name of a cell: a set of control replicas with one log. Several may share a process.
+/// Name of a cell: a set of control replicas with one log. Replicas of several cells may share a process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellName(pub String);
 
-/// What a replica knows of one proxy that is connected to it, as the proxy said it; goes to the leader in a
-/// summary.
+/// State of one proxy that is connected to a replica, as the proxy reported it. The replica sends it to the
+/// leader in [`CellMessage::Proxies`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyReport {
-    /// The proxy.
+    /// Name of the proxy.
     pub proxy: ProxyName,
-    /// Its incarnation.
+    /// Incarnation of the proxy.
     pub incarnation: Incarnation,
-    /// Address of its interface for other proxies.
+    /// Address at which other proxies reach the proxy.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the proxy.
     pub zone: ZoneName,
     /// Revision of the configuration in force at the proxy.
     pub revision: Revision,
-    /// Whether it is stopping.
+    /// Whether the proxy is stopping.
     pub draining: bool,
-    /// What it sees of members: what changed, and now and then all of it, for a leader that may not know.
+    /// Observed states of members: the changes, and from time to time all states, since a new leader may
+    /// not know the earlier ones.
     pub observations: Vec<Observation>,
 }
 
-/// Revision in force on a proxy, as it reported.
+/// Revision in force on a proxy, as the proxy reported it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyRevision {
-    /// The proxy.
+    /// Name of the proxy.
     pub proxy: ProxyName,
-    /// Its incarnation.
+    /// Incarnation of the proxy.
     pub incarnation: Incarnation,
     /// Revision of the configuration in force at the proxy.
     pub revision: Revision,
 }
 
-/// A message of one control replica to another. `Consensus` is the message type
+/// A message from one control replica to another. `Consensus` is the message type
 /// of the consensus module.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CellMessage<Consensus> {
     /// First message of a connection.
     Hello {
-        /// The cell.
+        /// Cell of the sender.
         cell: CellName,
-        /// The sender.
+        /// Id of the sender.
         replica: ReplicaId,
-        /// Its incarnation.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// Whom the connection is for: another replica may have taken the place at the address.
+        /// Id of the intended receiver: another replica may now use the address.
         receiver: ReplicaId,
     },
-    /// A message of the consensus, for the receiver's own.
+    /// A consensus message for the receiver's consensus module.
     Consensus(Consensus),
     /// A follower's summary of the proxies connected to it, for the leader.
     Proxies {
-        /// The proxies that said something since the last summary.
+        /// Reports of the proxies that sent something since the last summary.
         reports: Vec<ProxyReport>,
     },
-    /// What a proxy that is connected to a follower holds of tenants' limits, for the leader.
+    /// Allowances that a proxy connected to a follower holds and needs, forwarded to the leader.
     AllowanceReport(AllowanceReport),
-    /// The leader's answer, for the proxy.
+    /// The leader's answer to [`CellMessage::AllowanceReport`], to be forwarded to the proxy.
     AllowanceGrant(AllowanceGrant),
-    /// A replica without a cell asks to be added; passed on to the leader.
+    /// Request of a replica without a cell to be added, forwarded to the leader.
     Join {
-        /// The replica that asks.
+        /// The replica that asks to be added.
         member: corktack_core::consensus::CellMember,
     },
     /// A command forwarded to the leader.
     Forward {
-        /// Number that the answer carries; the sender's own.
+        /// Number that the sender assigned to the request; the answer repeats it.
         request: u64,
         /// The command, encoded as a record of the log.
         command: Vec<u8>,
     },
-    /// The leader's answer to [`CellMessage::Forward`]: where it was committed, or why not.
+    /// The leader's answer to [`CellMessage::Forward`]: index of the committed command, or the
+    /// reason why it was not committed.
     Forwarded {
         /// Number of the forwarded command.
         request: u64,
@@ -94,14 +97,15 @@
     },
     /// Asks the leader for the revisions in force on the proxies.
     QueryProxies {
-        /// Number that the answer carries; the sender's own.
+        /// Number that the sender assigned to the request; the answer repeats it.
         request: u64,
     },
-    /// The leader's answer to [`CellMessage::QueryProxies`]; empty when it does not lead.
+    /// The leader's answer to [`CellMessage::QueryProxies`]; empty when the receiver does not
+    /// lead.
     ProxyRevisions {
-        /// Number of the query.
+        /// Number of the answered query.
         request: u64,
-        /// What each proxy reported last.
+        /// The last report of each proxy.
         revisions: Vec<ProxyRevision>,
     },
 }
--- a/crates/protocol/src/control.rs
+++ b/crates/protocol/src/control.rs
@@ -1,8 +1,8 @@
-//! Between a proxy (an edge and owner, or a gateway) and the control replica it watches.
+//! Messages between a proxy (an edge and owner, or a gateway) and the control replica that it watches.
 //!
-//! A proxy opens the connection, says who it is and what it has in force, and then sends a heartbeat at a fixed
-//! interval; the replica sends the configuration and its changes, and answers each heartbeat. Tenants' limits
-//! travel on the same connection.
+//! A proxy opens the connection, sends its identity and the revision that it has in force, and then sends a
+//! heartbeat at a fixed interval; the replica sends the configuration and its changes, and answers each
+//! heartbeat. The limits of tenants travel on the same connection.
 
 use corktack_core::consensus::{CellConfig, CellMember};
 use corktack_core::identity::{GroupName, Incarnation, MemberName, ProxyName, ZoneName};
@@ -12,91 +12,95 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What an observer saw of one member of a group it probes; the terms are those that the member promised.
+/// State of one member of a group, as an observer that probes the member saw it. The terms are those that the
+/// member promised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberHealth {
-    /// It answers as primary of a term.
+    /// The member answers as primary of a term.
     Primary(Term),
-    /// It answers and follows a primary.
+    /// The member answers and follows a primary.
     Replica(Term),
-    /// It answers and is fenced at a term.
+    /// The member answers and is fenced at a term.
     Fenced(Term),
     /// The last probe went unanswered.
     Unreachable,
 }
 
-/// A change in what an observer sees of a member; sent once, on change, and
-/// again after a new connection to control.
+/// A changed state of a member; sent once per change, and again after a new
+/// connection to the control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// The group that the member belongs to.
     pub group: GroupName,
     /// The member that was probed.
     pub member: MemberName,
-    /// What was seen of it last.
+    /// State that the last probe found.
     pub health: MemberHealth,
 }
 
-/// From a proxy to a control replica, or from a replica without a cell that asks for one.
+/// Message from a proxy to a control replica, or from a control replica that has no cell and asks to join
+/// one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProxyMessage {
     /// First message of a connection.
     Hello {
-        /// The proxy.
+        /// Name of the proxy.
         proxy: ProxyName,
-        /// Its incarnation.
+        /// Incarnation of the proxy.
         incarnation: Incarnation,
-        /// Address of its interface for other proxies.
+        /// Address at which other proxies reach the proxy.
         address: SocketAddr,
-        /// Its zone.
+        /// Zone of the proxy.
         zone: ZoneName,
-        /// Revision of the configuration that it has in force; zero where it has none, or wants the whole.
+        /// Revision of the configuration in force at the proxy; zero if the proxy has none or wants the whole
+        /// configuration.
         revision: Revision,
     },
-    /// Only message of a connection: a control replica without a cell asks to be added to this
-    /// one. Answered with [`ControlMessage::Cell`].
+    /// Only message of a connection: a control replica without a cell asks to be added to the
+    /// receiver's cell. Answered with [`ControlMessage::Cell`].
     Join {
-        /// The replica that asks.
+        /// The replica that asks to be added.
         member: CellMember,
     },
     /// Sent at the heartbeat interval; answered with [`ControlMessage::HeartbeatAck`].
     Heartbeat {
-        /// Rises by one each time, also from one connection to the next.
+        /// Rises by one with each heartbeat, also from one connection to the next.
         sequence: u64,
         /// Revision of the configuration in force at the proxy.
         revision: Revision,
         /// Whether the proxy is stopping.
         draining: bool,
-        /// What changed in its view of back ends since the last heartbeat.
+        /// Changes in the proxy's view of back ends since the last heartbeat.
         observations: Vec<Observation>,
     },
-    /// What the proxy holds and needs of tenants' limits; the replica passes it to the cell's leader.
+    /// The allowances of tenants that the proxy holds and needs; the replica forwards the report to the
+    /// cell's leader.
     Allowances(AllowanceReport),
 }
 
-/// From a control replica to a proxy that watches it.
+/// Message from a control replica to a proxy that watches it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlMessage {
     /// The whole configuration, for a proxy too far behind for deltas.
     Snapshot(Box<View>),
     /// Changes after the last snapshot or delta, in order and without gaps.
     Delta(Delta),
-    /// The replicas of the cell, as this one knows them; sent at first and on change. Proxies
-    /// reach each of them at its address and the port that their own settings name.
+    /// The replicas of the cell, as the sender knows them; sent once per connection and on change. Proxies
+    /// reach each replica at its address and the port that their own settings name.
     Cell(CellConfig),
     /// Answer to a heartbeat.
     HeartbeatAck {
-        /// Sequence of the heartbeat that is answered.
+        /// Sequence number of the answered heartbeat.
         sequence: u64,
-        /// Whether the replica proved, since the heartbeat came, that it is current.
-        /// A proxy that gets no such proof for a while changes replica.
+        /// Whether the replica confirmed, after the heartbeat arrived, that its state is current.
+        /// A proxy that gets no such confirmation for a while changes to another replica.
         current: bool,
     },
-    /// A leader of this term has been elected; sent at first and on change.
+    /// A leader has been elected; sent once per connection and on change.
     Led {
-        /// Its term.
+        /// Term of the leader.
         term: Term,
     },
-    /// What the leader gives the proxy of tenants' limits, in answer to its report.
+    /// The allowances of tenants that the leader grants to the proxy, in answer to the proxy's report.
     Allowances(AllowanceGrant),
 }
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,9 +1,9 @@
 //! Frames: version, length, checksum, then one `bincode` message.
 //!
-//! The header has [`HEADER_BYTES`] bytes: the version, two zero bytes, how the
-//! payload is packed, the payload's length and its CRC-32, both in network byte
+//! The header has [`HEADER_BYTES`] bytes: the version, two zero bytes, the
+//! compression of the payload, the payload's length and its CRC-32, both in network byte
 //! order. A frame that breaks a rule is an error of the connection, which is then
-//! closed: the sender's later bytes cannot be trusted to start at a frame.
+//! closed, because the position of the next frame in the sender's later bytes is unknown.
 
 use bytes::{Buf, BufMut, BytesMut};
 use serde::Serialize;
@@ -11,56 +11,58 @@
 use std::marker::PhantomData;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Version of the internal protocol; a frame of another one is refused.
+/// Version of the internal protocol; a frame of another version is refused.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Bytes of a frame's header: three numbers of four bytes.
+/// Size of a frame's header, in bytes: three numbers of four bytes.
 pub const HEADER_BYTES: usize = 12;
-/// Largest payload of a frame, in bytes, packed or not. Chosen, not measured: a lower one refuses long statements
-/// and large configurations, a higher one lets a peer fill more memory with one frame.
+/// Largest payload of a frame, in bytes, before and after compression. A lower limit refuses long statements
+/// and large configurations; a higher one lets a peer fill more memory with one frame.
 pub const PAYLOAD_LIMIT: usize = 8 * 1024 * 1024;
 
-/// Payloads from this size on are compressed where the codec does so, in bytes. Chosen, not measured: below it
-/// little is saved against the time that it takes, with a higher one more goes over narrow links.
-const COMPRESSED_FROM: usize = 4 * 1024;
-/// Effort of the compression. The fastest; a snapshot of 1,500 routes shrinks from 66 KB to a third.
+/// Smallest payload that a compressing codec compresses, in bytes. For smaller payloads compression saves
+/// little for the time that it takes; a higher threshold sends more bytes over narrow links.
+const MIN_COMPRESSED_BYTES: usize = 4 * 1024;
+/// DEFLATE compression level: the fastest, which shrinks a snapshot of 1,500 routes from 66 KB to a third.
 const COMPRESSION_LEVEL: u8 = 1;
 
-/// How a payload is packed.
+/// Compression of a payload, with its code in the header as the discriminant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Packing {
-    /// As it is.
+enum Compression {
+    /// Not compressed.
     Plain,
-    /// Compressed by DEFLATE (RFC 1951).
+    /// Compressed with DEFLATE (RFC 1951).
     Deflate,
 }
 
-impl Packing {
-    /// First four bytes of the header.
-    const fn head(self) -> u32 {
+impl Compression {
+    /// Returns the first four bytes of the header, as a number.
+    const fn header_word(self) -> u32 {
         ((PROTOCOL_VERSION as u32) << 24) | self as u32
     }
 
-    fn of_head(head: u32) -> Option<Self> {
-        [Self::Plain, Self::Deflate].into_iter().find(|packing| packing.head() == head)
+    fn from_header_word(header_word: u32) -> Option<Self> {
+        [Self::Plain, Self::Deflate]
+            .into_iter()
+            .find(|compression| compression.header_word() == header_word)
     }
 }
 
 /// Why a frame could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The peer speaks another version.
+    /// The frame has another protocol version, or an unknown compression.
     #[error("frame of protocol version {0}, this process speaks {PROTOCOL_VERSION}")]
     Version(u8),
-    /// The payload is over [`PAYLOAD_LIMIT`].
+    /// The payload is larger than [`PAYLOAD_LIMIT`].
     #[error("frame of {0} bytes, at most {PAYLOAD_LIMIT} are allowed")]
     TooLarge(usize),
     /// The payload does not match its checksum.
     #[error("frame with a wrong checksum")]
     Checksum,
-    /// The payload cannot be unpacked, or is over [`PAYLOAD_LIMIT`] then.
-    #[error("frame whose payload cannot be unpacked")]
+    /// The payload cannot be decompressed, or is larger than [`PAYLOAD_LIMIT`] once decompressed.
+    #[error("frame whose payload cannot be decompressed")]
     Packing,
-    /// The payload is not a message.
+    /// The payload is not exactly one message of the expected type.
     #[error("frame that holds no valid message")]
     Decode(#[from] bincode::error::DecodeError),
     /// The message could not be encoded.
@@ -71,7 +73,7 @@
     Io(#[from] std::io::Error),
 }
 
-/// Encodes a message as a frame's payload or a record on disk.
+/// Encodes a message as the payload of a frame or the content of a record on disk.
 ///
 /// # Errors
 /// [`FrameError::Encode`] when the message has no encoding.
@@ -79,7 +81,8 @@
     Ok(bincode::serde::encode_to_vec(message, bincode::config::standard())?)
 }
 
-/// Decodes what [`encode`] wrote; allocates no more than the bytes justify.
+/// Decodes a message that [`encode`] wrote. A false length inside `bytes` makes the decoder allocate no
+/// more than [`PAYLOAD_LIMIT`].
 ///
 /// # Errors
 /// [`FrameError::Decode`] when the bytes are not exactly one message.
@@ -93,45 +96,45 @@
     Ok(message)
 }
 
-/// Codec for `tokio_util::codec::Framed`: sends `Out`, receives `In`.
+/// Codec for `tokio_util::codec::Framed` that sends `Out` and receives `In`.
 #[derive(Debug)]
 pub struct FrameCodec<Out, In> {
-    compresses: bool,
+    is_compressing: bool,
     messages: PhantomData<fn(Out) -> In>,
 }
 
 impl<Out, In> Default for FrameCodec<Out, In> {
     fn default() -> Self {
-        Self { compresses: false, messages: PhantomData }
+        Self { is_compressing: false, messages: PhantomData }
     }
 }
 
 impl<Out, In> FrameCodec<Out, In> {
-    /// A codec that compresses large messages: for what many are sent over narrow links.
+    /// Returns a codec that compresses large messages, for message types of which many go over narrow links.
     #[must_use]
     pub fn compressing() -> Self {
-        Self { compresses: true, messages: PhantomData }
+        Self { is_compressing: true, messages: PhantomData }
     }
 
-    /// The payload as it is sent.
-    fn pack(&self, payload: Vec<u8>) -> (Packing, Vec<u8>) {
-        if !self.compresses || payload.len() < COMPRESSED_FROM {
-            return (Packing::Plain, payload);
+    /// Compresses a payload where that makes it smaller, and returns the compression used.
+    fn compress(&self, payload: Vec<u8>) -> (Compression, Vec<u8>) {
+        if !self.is_compressing || payload.len() < MIN_COMPRESSED_BYTES {
+            return (Compression::Plain, payload);
         }
-        let packed = miniz_oxide::deflate::compress_to_vec(&payload, COMPRESSION_LEVEL);
-        if packed.len() < payload.len() {
-            (Packing::Deflate, packed)
+        let compressed = miniz_oxide::deflate::compress_to_vec(&payload, COMPRESSION_LEVEL);
+        if compressed.len() < payload.len() {
+            (Compression::Deflate, compressed)
         } else {
-            (Packing::Plain, payload)
+            (Compression::Plain, payload)
         }
     }
 }
 
-/// The payload as it was before it was packed.
-fn unpack(packing: Packing, payload: BytesMut) -> Result<Vec<u8>, FrameError> {
-    match packing {
-        Packing::Plain => Ok(payload.into()),
-        Packing::Deflate => {
+/// Restores a payload that [`FrameCodec::compress`] returned.
+fn decompress(compression: Compression, payload: BytesMut) -> Result<Vec<u8>, FrameError> {
+    match compression {
+        Compression::Plain => Ok(payload.into()),
+        Compression::Deflate => {
             miniz_oxide::inflate::decompress_to_vec_with_limit(&payload, PAYLOAD_LIMIT)
                 .map_err(|_| FrameError::Packing)
         }
@@ -146,9 +149,9 @@
         if payload.len() > PAYLOAD_LIMIT {
             return Err(FrameError::TooLarge(payload.len()));
         }
-        let (packing, payload) = self.pack(payload);
+        let (compression, payload) = self.compress(payload);
         buffer.reserve(HEADER_BYTES + payload.len());
-        buffer.put_u32(packing.head());
+        buffer.put_u32(compression.header_word());
         // The limit above keeps the length far below `u32::MAX`.
         buffer.put_u32(payload.len() as u32);
         buffer.put_u32(crc32fast::hash(&payload));
@@ -166,10 +169,11 @@
             return Ok(None);
         }
         let mut header = &buffer[..HEADER_BYTES];
-        let head = header.get_u32();
+        let header_word = header.get_u32();
         let length = header.get_u32() as usize;
         let checksum = header.get_u32();
-        let packing = Packing::of_head(head).ok_or(FrameError::Version((head >> 24) as u8))?;
+        let compression = Compression::from_header_word(header_word)
+            .ok_or(FrameError::Version((header_word >> 24) as u8))?;
         if length > PAYLOAD_LIMIT {
             return Err(FrameError::TooLarge(length));
         }
@@ -182,6 +186,6 @@
         if crc32fast::hash(&payload) != checksum {
             return Err(FrameError::Checksum);
         }
-        decode(&unpack(packing, payload)?).map(Some)
+        decode(&decompress(compression, payload)?).map(Some)
     }
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,18 +1,19 @@
 //! Messages between corktack's own processes and the frames that carry them.
 //!
-//! The crate owns the forms of these messages, and decides nothing. It relies on `corktack_core` for the types
-//! inside them. The order of variants and fields is part of the wire's form (`bincode`); names are not.
+//! The crate defines the types of these messages and makes no decisions. `corktack_core` provides the types
+//! inside the messages. The order of variants and fields is part of the wire format (`bincode`); their
+//! names are not.
 //!
-//! A connection carries frames (see [`frame`]) of one message type a direction:
+//! A connection carries frames (see [`frame`]) of one message type in each direction:
 //!
-//! | module | from | to | on the road of |
+//! | module | from | to | serves |
 //! | --- | --- | --- | --- |
 //! | [`peer`] | edge of a proxy | owner of a group, and back | PostgreSQL callers |
 //! | [`tunnel`] | gateway that needs a connection or a count | gateway that holds it, and back | the platform's callers |
 //! | [`control`] | proxy or gateway | control replica that it watches, and back | both |
 //! | [`cell`] | control replica | control replica | both |
 //!
-//! [`liveness`] says when the kernel counts one of these connections as lost.
+//! [`liveness`] sets when the kernel treats one of these connections as lost.
 
 pub mod cell;
 pub mod control;
--- a/crates/protocol/src/tunnel.rs
+++ b/crates/protocol/src/tunnel.rs
@@ -1,19 +1,20 @@
-//! Between gateways: one uses a connection to a member that another holds.
+//! Messages between two gateways, one of which uses a connection to a member that the other holds.
 //!
-//! A tunnel serves one lease or statement after the other. On a lease, bytes of the deployment's own
-//! wire go through unread by the holder, and what the connection knows of session values goes along
-//! with it: so transactions run. A statement outside a transaction is sent whole and run by the
-//! holder: one round trip in place of several, and the connection is in use for none of them.
+//! A tunnel serves leases and statements one after the other. During a lease, the holder forwards bytes of
+//! the deployment's own wire protocol without reading them, and the connection's known session values
+//! travel with the lease, so that transactions run on it. A statement outside a transaction is sent whole
+//! and run by the holder: this takes one round trip between the gateways in place of several, during none of
+//! which the member's connection is occupied.
 //!
-//! Which position a read must see is decided by the holder, which many gateways use and which
-//! therefore knows newer ones. A holder that takes long says that it is at work, so that one that is
-//! gone can be told from one that waits.
+//! The holder decides which position a read must see: many gateways use the holder, so it knows newer
+//! positions. A holder whose answer takes long sends [`TunnelReply::Working`], so that the asking gateway
+//! can tell a lost holder from one that waits.
 //!
-//! The same tunnels carry questions to the gateway that counts the operations of a tenant.
+//! The same tunnels carry requests to the gateway that counts the operations of a tenant.
 //!
 //! The gateway that needs something sends a [`TunnelRequest`]; the holder answers with the [`TunnelReply`]
-//! that the request names, or with [`TunnelReply::Refused`], and may say [`TunnelReply::Working`] before.
-//! [`TunnelRequest::Bytes`] and [`TunnelReply::Bytes`] belong to a lease and go both ways until it is
+//! that the request names, or with [`TunnelReply::Refused`], and may send [`TunnelReply::Working`] before.
+//! [`TunnelRequest::Bytes`] and [`TunnelReply::Bytes`] belong to a lease and go both ways until the lease is
 //! released.
 
 use corktack_core::gateway::{ConnectionProfile, ReadBound, ReadPosition, SessionProfile};
@@ -25,121 +26,122 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// From the gateway that needs a connection, a position or a count to the one that has it.
+/// Request of a gateway that needs a connection, a position or a count, to the gateway that has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TunnelRequest {
-    /// Asks for a connection, on a lease. Answered with [`TunnelReply::Granted`].
+    /// Asks for the lease of a connection. Answered with [`TunnelReply::Granted`].
     Acquire {
-        /// The group.
+        /// The group that the member belongs to.
         group: GroupName,
-        /// The member.
+        /// The member that the connection leads to.
         member: MemberName,
-        /// On whose behalf.
+        /// The caller on whose behalf the gateway asks.
         principal: Principal,
-        /// Priority of the statement that waits.
+        /// Priority of the statement that waits for the connection.
         priority: u32,
-        /// How long the request may wait for a connection.
+        /// Longest time that the request may wait for a connection.
         wait: Duration,
-        /// What a transaction that only reads must see; the holder chooses the position.
+        /// Freshness that a read-only transaction needs; the holder chooses the position.
         bound: Option<ReadBound>,
     },
-    /// Bytes for the member, in the deployment's own wire; only on a lease.
+    /// Bytes for the member, in the deployment's own wire protocol; only during a lease.
     Bytes(Vec<u8>),
-    /// Gives the leased connection back; no answer is outstanding and no transaction is open.
+    /// Returns the leased connection, on which no answer is outstanding and no transaction is open.
     Release {
-        /// What the connection knows now of session values and prepared statements.
+        /// Session values and prepared statements that the connection has now.
         profile: ConnectionProfile,
     },
     /// Asks for a statement outside a transaction to be run at a member. Answered with [`TunnelReply::Ran`].
     Run {
-        /// The group.
+        /// The group that the member belongs to.
         group: GroupName,
-        /// The member.
+        /// The member that the connection leads to.
         member: MemberName,
-        /// On whose behalf.
+        /// The caller on whose behalf the gateway asks.
         principal: Principal,
         /// Priority of the statement.
         priority: u32,
-        /// How long it may wait for a connection.
+        /// Longest time that the statement may wait for a connection.
         wait: Duration,
-        /// How long it may take in all.
+        /// Longest time that the statement may take in all, its wait included.
         limit: Duration,
-        /// The statement.
+        /// The statement and the session values that it needs.
         statement: Box<LoneRequest>,
     },
     /// Asks for the newest position of the group's primary. Answered with [`TunnelReply::Position`].
     Position {
-        /// The group.
+        /// The group that the member belongs to.
         group: GroupName,
-        /// The member that is taken for the primary.
+        /// The member that the asking gateway takes for the primary.
         member: MemberName,
-        /// An answer of the primary that is no older will do.
+        /// Greatest age of the primary's answer that the asking gateway accepts.
         max_age: Duration,
-        /// How long the primary may be waited for.
+        /// Longest time that the holder may wait for the primary's answer.
         wait: Duration,
     },
-    /// Asks the home of a tenant for operations to be counted against its limit. Answered with
-    /// [`TunnelReply::OperationsAdmitted`].
+    /// Asks a tenant's home, the gateway that counts its operations, to count further operations against the
+    /// tenant's limit. Answered with [`TunnelReply::OperationsAdmitted`].
     BeginOperations {
-        /// The tenant.
+        /// The tenant whose operations are counted.
         tenant: TenantName,
         /// How many operations begin.
         operations: u64,
-        /// Priority of their class; zero is served first.
+        /// Priority of the class of the operations; zero is served first.
         priority: u32,
-        /// How long they may wait for the limit.
+        /// Longest time that the operations may wait until the limit admits them.
         wait: Duration,
     },
-    /// Asks for a connection on a lease, a transaction begun on it and its first statement run: one round trip in
-    /// place of three. The transaction is one that only reads where the statement's kind is a read. Answered with
-    /// [`TunnelReply::Opened`] or [`TunnelReply::NotOpened`].
+    /// Asks the holder to lease a connection, begin a transaction on it and run its first statement: one
+    /// round trip in place of three. The transaction is read-only where the statement's kind is a read.
+    /// Answered with [`TunnelReply::Opened`] or [`TunnelReply::NotOpened`].
     Open {
-        /// The group.
+        /// The group that the member belongs to.
         group: GroupName,
-        /// The member.
+        /// The member that the connection leads to.
         member: MemberName,
-        /// On whose behalf.
+        /// The caller on whose behalf the gateway asks.
         principal: Principal,
         /// Priority of the statement.
         priority: u32,
-        /// How long it may wait for a connection.
+        /// Longest time that the statement may wait for a connection.
         wait: Duration,
-        /// How long the statement may take in all.
+        /// Longest time that the statement may take in all, its wait included.
         limit: Duration,
-        /// The first statement.
+        /// The first statement of the transaction.
         statement: Box<LoneRequest>,
     },
-    /// Operations that were counted did not run. Answered with [`TunnelReply::Returned`].
+    /// Reports that counted operations did not run, so that the home subtracts them. Answered with
+    /// [`TunnelReply::Returned`].
     ReturnOperations {
-        /// The tenant.
+        /// The tenant whose operations are counted.
         tenant: TenantName,
-        /// What was counted, as the home admitted it.
+        /// The operations that the home admitted and that did not run.
         begun: AdmittedOperations,
     },
 }
 
-/// How a statement outside a transaction is run.
+/// Where a statement outside a transaction may run, and whether it writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoneKind {
-    /// Reads at any member that is as fresh as this.
+    /// Reads at any member that is fresh enough for `bound`.
     Read {
-        /// What it must see.
+        /// Freshness that the read needs.
         bound: ReadBound,
     },
-    /// Reads inside a transaction of the product's own, which only the primary begins.
+    /// Reads inside a transaction that the gateway begins itself, which is possible only at the primary.
     ReadAtPrimary,
-    /// Writes.
+    /// Writes at the primary.
     Write,
 }
 
 impl LoneKind {
-    /// Whether it only reads, and may therefore be run again.
+    /// Reports whether the statement only reads, and may therefore be run again.
     #[must_use]
     pub const fn is_read(&self) -> bool {
         matches!(self, Self::Read { .. } | Self::ReadAtPrimary)
     }
 
-    /// What a read at any member must see.
+    /// Returns the freshness that a read at any member needs; `None` for the other kinds.
     #[must_use]
     pub const fn bound(&self) -> Option<ReadBound> {
         match self {
@@ -149,36 +151,36 @@
     }
 }
 
-/// A statement outside a transaction, with all that a member's connection must be brought to.
+/// A statement outside a transaction, with the session values that the member's connection must have first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoneRequest {
-    /// Id that the caller gave the statement.
+    /// Id that the caller gave to the statement.
     pub id: String,
-    /// The caller's text.
+    /// Text of the statement, as the caller sent it.
     pub text: String,
-    /// Arguments of a prepared statement, as they came.
+    /// Arguments of a prepared statement, as the caller sent them.
     pub arguments: Option<String>,
-    /// What was prepared, of a prepared statement.
+    /// Shape of a prepared statement, `None` for a plain one.
     pub shape: Option<PreparedShape>,
-    /// Values of the caller's session, to which the connection is brought first.
+    /// Values of the caller's session, which the holder sets on the connection first.
     pub session: SessionProfile,
-    /// How it is run.
+    /// Where the statement may run, and whether it writes.
     pub kind: LoneKind,
 }
 
-/// Why a member refused, in its own words.
+/// Error with which a member refused, as the member sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRefusal {
     /// Code of the member's error.
     pub code: ErrorCode,
-    /// Its text.
+    /// Text of the member's error.
     pub text: String,
 }
 
 /// How a connection to a member failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunFailure {
-    /// No answer came in time.
+    /// No answer arrived within the time limit.
     TimedOut,
     /// The connection was lost.
     Lost,
@@ -187,55 +189,55 @@
 /// Outcome of a statement that another gateway ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunOutcome {
-    /// The member's whole answer.
+    /// The member answered completely.
     Answered {
-        /// Its rows.
+        /// Rows of the answer.
         rows: Vec<String>,
-        /// Its signature, or why it failed.
+        /// Signature of the answer, or the error with which the statement failed.
         outcome: Result<Option<String>, MemberRefusal>,
-        /// State and position of the member's session after it.
+        /// State and position of the member's session after the statement.
         ready: ReadyState,
     },
-    /// The member refused what had to come before the statement, which was not sent.
+    /// The member refused a step that had to precede the statement; the statement was not sent.
     Refused(MemberRefusal),
-    /// The statement was not sent.
+    /// The connection failed before the statement was sent.
     NotSent(RunFailure),
-    /// It was sent and may have run.
+    /// The connection failed after the statement was sent; the statement may have run.
     Unanswered(RunFailure),
 }
 
-/// Why no connection is given.
+/// Why a gateway refused a request of another gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TunnelRefusal {
-    /// None became free in time, or none is likely to.
+    /// No connection became free in time, or none is likely to.
     NoneFree {
-        /// When one is likely to be.
+        /// Time after which a connection is likely to be free.
         retry_after: Duration,
     },
-    /// The member cannot be reached from there.
+    /// The refusing gateway cannot reach the member.
     Unreachable,
-    /// The gateway does not serve the group, or holds no connection to the member.
+    /// The refusing gateway does not serve the group, or holds no connection to the member.
     NotHeld,
-    /// It knows no position that is young enough for the read.
+    /// The refusing gateway knows no position that is recent enough for the read.
     NoPosition,
 }
 
-/// From the gateway that holds connections.
+/// Reply of the gateway that holds connections or counts operations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TunnelReply {
     /// A connection is leased to the gateway that asked.
     Granted {
-        /// What it knows of session values.
+        /// Session values that the connection has.
         profile: ConnectionProfile,
-        /// The position that a transaction that only reads must see.
+        /// The position that a read-only transaction must see.
         position: Option<ReadPosition>,
-        /// Age and position of the holder's newest answer of the group's primary: the age counts
-        /// until the grant was made.
+        /// Age and position of the newest answer of the group's primary that the holder has. The age is
+        /// counted up to the grant.
         newest: Option<(Duration, Position)>,
     },
-    /// What was asked for is not given.
+    /// The request is refused.
     Refused(TunnelRefusal),
-    /// Bytes of the member, in the deployment's own wire; only on a lease.
+    /// Bytes from the member, in the deployment's own wire protocol; only during a lease.
     Bytes(Vec<u8>),
     /// The leased connection to the member is lost.
     Closed,
@@ -245,48 +247,50 @@
         outcome: RunOutcome,
         /// The position that a read had to see.
         position: Option<ReadPosition>,
-        /// Age and position of the holder's newest answer of the group's primary.
+        /// Age and position of the newest answer of the group's primary that the holder has.
         newest: Option<(Duration, Position)>,
-        /// How busy the member is.
+        /// Load of the member.
         load: MemberLoadReport,
     },
-    /// The request waits or is under way; sent again and again, so that a holder that is gone can be told.
+    /// The request waits or is in flight. The holder repeats this reply, so that the asking gateway notices a
+    /// holder that is lost.
     Working,
-    /// Answer to [`TunnelRequest::Position`]: age and position of the holder's newest answer of the group's
-    /// primary, or nothing when it has none.
+    /// Answer to [`TunnelRequest::Position`]: age and position of the newest answer of the group's primary
+    /// that the holder has, or `None` when the holder has no answer.
     Position(Option<(Duration, Position)>),
-    /// A transaction is open on a connection, which is leased.
+    /// A transaction is open on a connection that is leased to the gateway that asked.
     Opened {
-        /// What the connection knows of session values.
+        /// Session values that the connection has.
         profile: ConnectionProfile,
-        /// The position that a transaction that only reads must see.
+        /// The position that a read-only transaction must see.
         position: Option<ReadPosition>,
-        /// Age and position of the holder's newest answer of the group's primary.
+        /// Age and position of the newest answer of the group's primary that the holder has.
         newest: Option<(Duration, Position)>,
         /// Outcome of the first statement.
         outcome: RunOutcome,
     },
-    /// The transaction could not be begun; the first statement was not sent, and there is no lease.
+    /// The transaction could not be begun: the first statement was not sent, and no connection is leased.
     NotOpened {
-        /// Outcome of what came before it.
+        /// Outcome of the steps that precede the first statement.
         outcome: RunOutcome,
-        /// Age and position of the holder's newest answer of the group's primary.
+        /// Age and position of the newest answer of the group's primary that the holder has.
         newest: Option<(Duration, Position)>,
     },
-    /// Answer to [`TunnelRequest::BeginOperations`]: how many operations begin, or why none does.
+    /// Answer to [`TunnelRequest::BeginOperations`]: the admitted operations, or the reason why none
+    /// is admitted.
     OperationsAdmitted(Result<AdmittedOperations, OverLimit>),
-    /// Answer to [`TunnelRequest::ReturnOperations`]: they count no more.
+    /// Answer to [`TunnelRequest::ReturnOperations`]: the operations no longer count against the limit.
     Returned,
 }
 
-/// How busy a member is, as a gateway sees it that holds connections to it.
+/// Load of a member, as seen by a gateway that holds connections to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberLoadReport {
-    /// Time that the holder spent on the statement just run.
+    /// Time that the holder spent on the statement that it just ran.
     pub spent: Duration,
-    /// Mean time of a statement at the member, as the holder sees it.
+    /// Mean time that a statement takes at the member, as seen by the holder.
     pub latency: Duration,
-    /// Statements that wait at the holder, beside those that run, for each that it may run at once;
-    /// in hundredths.
+    /// Statements that wait at the holder, running ones excluded, in percent of the statements that the
+    /// holder may run at once.
     pub waiting_percent: u32,
 }
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames of every kind of connection: what is sent is received, and arbitrary or
+//! Frames of every kind of connection: each sent message is received unchanged, and arbitrary or
 //! damaged bytes are refused without a panic or a large buffer.
 
 use bytes::{BufMut, BytesMut};
@@ -152,16 +152,16 @@
     buffer
 }
 
-/// Every kind of message arrives as it was sent, also byte by byte.
+/// Asserts that each message is decoded as it was sent, also when its frame arrives byte by byte.
 fn check_round_trip<T: Serialize + DeserializeOwned + Clone + Debug>(messages: Vec<T>) {
     for message in messages {
         let sent = encode(&message).expect("the message has an encoding");
         let whole = frame(message);
         let mut codec = FrameCodec::<T, T>::default();
         let mut buffer = BytesMut::new();
-        for (place, byte) in whole.iter().enumerate() {
+        for (offset, byte) in whole.iter().enumerate() {
             let early = codec.decode(&mut buffer).expect("a part is no error");
-            assert!(early.is_none(), "a message after {place} bytes");
+            assert!(early.is_none(), "a message after {offset} bytes");
             buffer.put_u8(*byte);
         }
         let received = codec.decode(&mut buffer).expect("a frame").expect("a message");
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_is_sent_is_received() {
+fn each_message_is_received_as_it_was_sent() {
     check_round_trip(edge_messages());
     check_round_trip(owner_messages());
     check_round_trip(proxy_messages());
@@ -205,15 +205,15 @@
     assert_eq!(bytes.capacity(), before);
 }
 
-/// A length inside a valid frame that promises far more than there is: a buffer
-/// of that size would end the test.
+/// A message inside a valid frame contains a length far beyond the payload; allocating a buffer
+/// of that size would abort the test.
 #[rstest]
 fn a_length_inside_a_message_is_refused(#[values(40, 46, 62)] power: u32) {
     let length = (1_u64 << power).to_le_bytes();
-    // The variant, the stream, then the length of the bytes.
+    // Variant, stream id, then the length of the bytes.
     let bytes = [&[1, 7, 253][..], &length].concat();
     assert!(matches!(decode::<OwnerMessage>(&bytes), Err(FrameError::Decode(_))));
-    // The variant, then the length of a name.
+    // Variant, then the length of a name.
     let text = [&[0, 253][..], &length].concat();
     assert!(matches!(decode::<EdgeMessage>(&text), Err(FrameError::Decode(_))));
 }
@@ -222,17 +222,17 @@
 fn a_flipped_byte_anywhere_in_a_frame_is_refused() {
     for message in cell_messages() {
         let whole = frame(message);
-        for place in 0..whole.len() {
+        for offset in 0..whole.len() {
             let mut bytes = whole.clone();
-            bytes[place] ^= 0x10;
+            bytes[offset] ^= 0x10;
             let found = FrameCodec::<PeerMessage, PeerMessage>::default().decode(&mut bytes);
-            // A longer length waits for more; it never yields a message.
-            assert!(!matches!(found, Ok(Some(_))), "a message from a frame damaged at {place}");
+            // With a greater length the decoder waits for more bytes; it never yields a message.
+            assert!(!matches!(found, Ok(Some(_))), "a message from a frame damaged at {offset}");
         }
     }
 }
 
-/// Feeds bytes to a decoder as a connection would; gives the largest buffer it had.
+/// Feeds bytes to a decoder as a connection would, and returns the largest capacity of its buffer.
 fn feed<In: DeserializeOwned>(bytes: &[u8]) -> usize {
     let mut codec = FrameCodec::<(), In>::default();
     let mut buffer = BytesMut::from(bytes);
@@ -254,7 +254,7 @@
     largest.into_iter().max().unwrap_or(0)
 }
 
-/// A payload under a right header, so that the bytes reach the messages' decoder.
+/// Returns a payload behind a valid header, so that the bytes reach the decoder of the message.
 fn framed(payload: &[u8]) -> BytesMut {
     let length = u32::try_from(payload.len()).expect("a short payload");
     let mut bytes = header(PROTOCOL_VERSION, length, crc32fast::hash(payload));
@@ -265,11 +265,11 @@
 fn payloads() -> Vec<Vec<u8>> {
     let mut all: Vec<Vec<u8>> = Vec::new();
     let mut add = |bytes: Result<Vec<u8>, FrameError>| all.push(bytes.expect("an encoding"));
-    edge_messages().iter().for_each(|it| add(encode(it)));
-    owner_messages().iter().for_each(|it| add(encode(it)));
-    proxy_messages().iter().for_each(|it| add(encode(it)));
-    control_messages().iter().for_each(|it| add(encode(it)));
-    cell_messages().iter().for_each(|it| add(encode(it)));
+    edge_messages().iter().for_each(|message| add(encode(message)));
+    owner_messages().iter().for_each(|message| add(encode(message)));
+    proxy_messages().iter().for_each(|message| add(encode(message)));
+    control_messages().iter().for_each(|message| add(encode(message)));
+    cell_messages().iter().for_each(|message| add(encode(message)));
     all
 }
 
@@ -291,19 +291,19 @@
         prop_assert!(feed_all(&framed(&bytes)) <= 4 * (HEADER_BYTES + 600));
     }
 
-    /// Real messages with a few bytes changed, cut short or run together.
+    /// Valid messages with a few bytes changed, truncated or followed by other bytes.
     #[test]
     fn damaged_payloads_never_panic(
-        place in any::<prop::sample::Index>(),
+        choice in any::<prop::sample::Index>(),
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..4),
         cut in any::<prop::sample::Index>(),
         tail in prop::collection::vec(any::<u8>(), 0..20),
     ) {
         let payloads = payloads();
-        let mut payload = place.get(&payloads).clone();
-        for (at, byte) in changes {
-            let at = at.index(payload.len());
-            payload[at] = byte;
+        let mut payload = choice.get(&payloads).clone();
+        for (index, byte) in changes {
+            let offset = index.index(payload.len());
+            payload[offset] = byte;
         }
         payload.truncate(cut.index(payload.len()) + 1);
         payload.extend(tail);
@@ -311,7 +311,7 @@
     }
 }
 
-/// A message that compresses well, and its frame.
+/// Returns a message that compresses well, and its frame.
 fn large_frame() -> (ControlMessage, BytesMut) {
     let name = |number: u32| name::<ClassName>(&format!("class-{number}"));
     let class = PriorityClassSpec { priority: 1, guaranteed_percent: 0 };
@@ -333,50 +333,50 @@
     assert_eq!(codec.decode(&mut buffer).expect("decoded"), Some(message));
 }
 
-/// The header's form, byte by byte: other versions of this program read it.
+/// Other versions of this program read the header, so each of its bytes is fixed.
 #[test]
-fn the_head_of_a_frame_is_as_it_is() {
+fn the_header_of_a_frame_has_a_fixed_layout() {
     let bytes = frame(OwnerMessage::Stopping);
     let payload = encode(&OwnerMessage::Stopping).expect("the message has an encoding");
     assert_eq!(HEADER_BYTES, 12);
-    assert_eq!(bytes[..4], [1, 0, 0, 0], "version, two zero bytes, packing");
+    assert_eq!(bytes[..4], [1, 0, 0, 0], "version, two zero bytes, compression");
     assert_eq!(bytes[4..8], (payload.len() as u32).to_be_bytes());
     assert_eq!(bytes[8..12], crc32fast::hash(&payload).to_be_bytes());
     assert_eq!(bytes[12..], payload[..]);
-    assert_eq!(payload, [5], "the variant's place among its kind");
+    assert_eq!(payload, [5], "the variant's position in the enum");
 }
 
 #[rstest]
 #[case::plain(0, true)]
 #[case::deflate(1, true)]
 #[case::unknown(2, false)]
-fn the_last_byte_of_the_head_tells_how_the_payload_is_packed(
-    #[case] packing: u8,
-    #[case] known: bool,
+fn the_fourth_byte_of_the_header_gives_the_compression(
+    #[case] compression: u8,
+    #[case] is_valid: bool,
 ) {
     let payload = encode(&OwnerMessage::Stopping).expect("the message has an encoding");
-    let packed = miniz_oxide::deflate::compress_to_vec(&payload, 1);
-    let mut bytes = framed(if packing == 1 { &packed } else { &payload });
-    bytes[3] = packing;
+    let compressed = miniz_oxide::deflate::compress_to_vec(&payload, 1);
+    let mut bytes = framed(if compression == 1 { &compressed } else { &payload });
+    bytes[3] = compression;
     let found = FrameCodec::<(), OwnerMessage>::default().decode(&mut bytes);
-    if known {
+    if is_valid {
         assert!(matches!(found, Ok(Some(OwnerMessage::Stopping))), "{found:?}");
     } else {
         assert!(matches!(found, Err(FrameError::Version(1))), "{found:?}");
     }
 }
 
-/// The payload is compressed from 4 KiB on, and only where that makes it smaller.
+/// A payload is compressed from 4 KiB on, and only where that makes it smaller.
 #[rstest]
 #[case::below(4_095, 0, 0)]
-#[case::from(4_096, 0, 1)]
+#[case::at(4_096, 0, 1)]
 #[case::incompressible(4_096, 1, 0)]
-fn a_payload_is_compressed_from_its_bound_on(
+fn a_payload_is_compressed_from_the_threshold_on(
     #[case] payload_bytes: usize,
     #[case] noise: u32,
-    #[case] packing: u8,
+    #[case] compression: u8,
 ) {
-    // The variant, the stream, the length in three bytes, then the messages.
+    // Variant, stream id, a length of three bytes, then the messages.
     let mut state = 1_u32;
     let mut byte = || {
         state = state.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
@@ -388,7 +388,7 @@
     let mut buffer = BytesMut::new();
     let mut codec = FrameCodec::<OwnerMessage, OwnerMessage>::compressing();
     codec.encode(message.clone(), &mut buffer).expect("encoded");
-    assert_eq!(buffer[3], packing);
+    assert_eq!(buffer[3], compression);
     assert_eq!(codec.decode(&mut buffer).expect("decoded"), Some(message));
 }
 
@@ -402,10 +402,10 @@
 }
 
 #[test]
-fn a_compressed_payload_that_is_none_or_too_large_is_refused() {
+fn a_compressed_payload_that_is_invalid_or_too_large_is_refused() {
     for payload in [vec![0xff; 64], miniz_oxide::deflate::compress_to_vec(&vec![0; 9 << 20], 1)] {
         let mut buffer = framed(&payload);
-        // The last byte of the head says that the payload is compressed.
+        // The fourth byte of the header marks the payload as compressed.
         buffer[3] = 1;
         let mut codec = FrameCodec::<ControlMessage, ControlMessage>::default();
         assert!(matches!(codec.decode(&mut buffer), Err(FrameError::Packing)));
