--- a/crates/storage/src/checked_file.rs
+++ b/crates/storage/src/checked_file.rs
@@ -1,22 +1,23 @@
-//! A file that is replaced as a whole, with a checksum.
+//! Files with a checksum that are replaced as a whole.
 //!
-//! Owns the form: magic, checksum, content. Relies on the disk to sync content before names.
+//! A file consists of a magic string, a checksum and the content. Replacing a file syncs the content before
+//! the name.
 
 use crate::disk::Disk;
 use crate::error::{Damage, StorageError};
 
-/// First bytes of the file: what it is and its version.
+/// First bytes of the file, which give its type and format version.
 const MAGIC: [u8; 8] = *b"corkfil1";
-/// A CRC-32, in little-endian order.
+/// Size of the checksum, a CRC-32 in little-endian order.
 const CHECKSUM_BYTES: usize = 4;
 const HEADER_BYTES: usize = MAGIC.len() + CHECKSUM_BYTES;
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// Content of the file, none when it was never written.
+/// Returns the verified content of the file, or `None` when the file was never written.
 pub(crate) fn read(disk: &impl Disk, name: &str) -> Result<Option<Vec<u8>>, StorageError> {
     let Some(mut bytes) = disk.read(name)? else { return Ok(None) };
     let corrupt = |damage| StorageError::Corrupt { path: disk.path(name), offset: 0, damage };
-    // The file is renamed into place when it is complete, so a short one is damaged.
+    // The file is renamed into place only once it is complete, so a short file is damaged.
     if bytes.len() < HEADER_BYTES || bytes[..MAGIC.len()] != MAGIC {
         return Err(corrupt(Damage::OutOfPlace));
     }
@@ -27,7 +28,7 @@
     Ok(Some(content))
 }
 
-/// Replaces the content; it is durable when this returns, and never half there.
+/// Replaces the content atomically; the new content is durable when the function returns.
 pub(crate) fn replace(
     disk: &mut impl Disk,
     name: &str,
@@ -38,10 +39,10 @@
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&crc32fast::hash(content).to_le_bytes());
     bytes.extend_from_slice(content);
-    // A crash may have left one behind.
+    // A crash may have left a temporary file behind.
     disk.remove(&temporary)?;
     disk.append(&temporary, &bytes)?;
-    // The content is synced before the name, so that the name never shows less.
+    // The content is synced before the rename, so that the name never refers to incomplete content.
     disk.sync(&temporary)?;
     disk.rename(&temporary, name)?;
     disk.sync_folder()
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,47 +1,47 @@
-//! What can go wrong with files.
+//! Errors of operations on files, and the kinds of damage found in their content.
 
 use std::path::PathBuf;
 
-/// What was being done to a file or folder.
+/// Operation on a file or folder that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Create.
+    /// Creating or opening a file or folder.
     Create,
-    /// List a folder.
+    /// Listing the files of a folder.
     List,
-    /// Read.
+    /// Reading a file.
     Read,
-    /// Append or write.
+    /// Appending to a file.
     Write,
-    /// Cut.
+    /// Truncating a file.
     Truncate,
-    /// Sync.
+    /// Syncing a file or folder.
     Sync,
-    /// Rename.
+    /// Renaming a file.
     Rename,
-    /// Remove.
+    /// Removing a file.
     Remove,
 }
 
-/// What is wrong with the content of a file.
+/// Kind of damage found in the content of a file or folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
-    /// Bytes that are no record stand before a valid one.
+    /// The content of a file does not match its checksum, or bytes that are not a record precede a valid one.
     #[error("bytes that do not match their checksum")]
     Checksum,
-    /// The checksum is right, the content has no meaning.
+    /// The checksum is valid, but the content cannot be decoded.
     #[error("a record that cannot be decoded")]
     Undecodable,
-    /// The content was written by another version.
+    /// The content has another format version.
     #[error("format version {0}")]
     Version(u32),
-    /// A record is not where it belongs.
-    #[error("a record out of its place")]
+    /// A record or a file header is not at the offset where it belongs.
+    #[error("a record or header at the wrong offset")]
     OutOfPlace,
-    /// Entries do not follow the ones before.
-    #[error("entries that do not follow the ones before")]
+    /// Entries do not follow the preceding entries.
+    #[error("entries that do not follow the preceding entries")]
     Gap,
-    /// A file between or before the ones found is missing.
+    /// A file that must precede a file in the folder is missing.
     #[error("a file before this one is missing")]
     MissingFile,
 }
@@ -49,66 +49,66 @@
 /// Why an operation on the data folder failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// Another process uses the folder.
+    /// Another process or handle uses the data folder.
     #[error("the data folder {path} is in use by another process")]
     InUse {
-        /// The folder.
+        /// Path of the data folder.
         path: PathBuf,
     },
-    /// The folder cannot be written.
+    /// The data folder cannot be created, locked or written.
     #[error("the data folder {path} cannot be written")]
     Unwritable {
-        /// The folder.
+        /// Path of the data folder.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The system refused an operation.
+    /// The operating system refused an operation.
     #[error("{operation:?} of {path} failed")]
     Io {
-        /// What was done.
+        /// Operation that failed.
         operation: Operation,
-        /// To which file or folder.
+        /// File or folder concerned.
         path: PathBuf,
-        /// Why it failed.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A file holds something that was not written so.
+    /// The content of a file is not as it was written, or a file is missing.
     #[error("{path} is damaged at byte {offset}: {damage}")]
     Corrupt {
-        /// The file.
+        /// Path of the damaged file, or of the file before which one is missing.
         path: PathBuf,
-        /// First byte concerned.
+        /// Offset in the file at which the damage was found, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Kind of damage.
         damage: Damage,
     },
-    /// The name is not one of a file in the data folder.
-    #[error("{name:?} is not a name for a file")]
+    /// The name is not allowed for a file or folder in the data folder.
+    #[error("{name:?} is not a valid file name")]
     Name {
-        /// The name.
+        /// The refused name.
         name: String,
     },
-    /// What is to be written is larger than a reader accepts.
-    #[error("a record of {bytes} bytes is over the limit of {limit}")]
+    /// The value to write is larger than a reader accepts.
+    #[error("a record of {bytes} bytes exceeds the limit of {limit} bytes")]
     TooLarge {
-        /// Its size.
+        /// Encoded size of the value, in bytes.
         bytes: usize,
-        /// The limit.
+        /// Largest size allowed, in bytes.
         limit: usize,
     },
     /// The value has no encoding.
     #[error("the value cannot be encoded")]
     Encode(#[from] bincode::error::EncodeError),
-    /// The entries do not follow the log.
-    #[error("entries from {first} do not follow a log that ends at {last}")]
+    /// The entries leave a gap after the end of the log.
+    #[error("entries from index {first} do not follow a log that ends at index {last}")]
     NotConsecutive {
-        /// First index to write.
+        /// Index of the first entry to write.
         first: u64,
-        /// Last index of the log.
+        /// Index of the last entry in the log.
         last: u64,
     },
-    /// An earlier write or sync failed: what is on disk is unknown until the next start.
-    #[error("an earlier write failed, the log takes no more")]
+    /// An earlier write or sync failed; the content on disk is unknown until the log is opened again.
+    #[error("an earlier write failed; the log accepts no writes until it is opened again")]
     Poisoned,
 }
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,6 +1,6 @@
 //! The data folder of a process and its lock.
 //!
-//! Owns the lock. Every disk of the folder keeps it locked, until the last of them is dropped.
+//! Every disk of the folder shares the lock, so the folder stays locked until the last of them is dropped.
 
 use crate::disk::{Disk, FolderDisk, sync_path};
 use crate::error::{Operation, StorageError};
@@ -9,13 +9,13 @@
 use std::fs::{self, OpenOptions};
 use std::path::PathBuf;
 
-/// Name of the file that carries the lock.
+/// Name of the file on which the lock is held.
 const LOCK_FILE: &str = "LOCK";
-/// Longest name of a file or folder below the data folder, in bytes. Chosen, not measured; file systems take 255,
-/// and suffixes are added.
-const NAME_LIMIT: usize = 100;
+/// Longest name of a file or folder below the data folder, in bytes. File systems allow 255 bytes, and some
+/// names get a suffix.
+const MAX_NAME_BYTES: usize = 100;
 
-/// The data folder of one process, locked against others.
+/// The data folder of one process, locked against other processes.
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
@@ -23,11 +23,11 @@
 }
 
 impl DataFolder {
-    /// Creates the folder where it does not exist and locks it.
+    /// Creates the folder if it does not exist, and locks it.
     ///
     /// # Errors
-    /// [`StorageError::InUse`] while another process or handle holds it,
-    /// [`StorageError::Unwritable`] when it cannot be created or written.
+    /// [`StorageError::InUse`] while another process or handle holds the lock,
+    /// [`StorageError::Unwritable`] when the folder cannot be created or written.
     pub fn open(path: impl Into<PathBuf>) -> Result<Self, StorageError> {
         let path = path.into();
         let unwritable = |source| StorageError::Unwritable { path: path.clone(), source };
@@ -42,16 +42,17 @@
         Ok(Self { path, lock: FolderLock::new(file) })
     }
 
-    /// The files at the top of the folder.
+    /// Returns a disk for the files at the top level of the data folder.
     #[must_use]
     pub fn disk(&self) -> FolderDisk {
         FolderDisk::new(self.path.clone(), self.lock.clone())
     }
 
-    /// The files of a folder below, which is created where it does not exist.
+    /// Returns a disk for the files of a subfolder, which is created if it does not exist.
     ///
     /// # Errors
-    /// [`StorageError::Name`] or [`StorageError::Io`].
+    /// [`StorageError::Name`] when the name is invalid, [`StorageError::Io`] when the subfolder cannot be
+    /// created or synced.
     pub fn subfolder(&self, name: &str) -> Result<FolderDisk, StorageError> {
         check_name(name)?;
         let path = self.path.join(name);
@@ -66,11 +67,11 @@
     }
 }
 
-/// Refuses names that could leave the folder or hide in it.
+/// Refuses names that could refer to a file outside the folder or to a hidden file.
 pub(crate) fn check_name(name: &str) -> Result<(), StorageError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     let valid = !name.is_empty()
-        && name.len() <= NAME_LIMIT
+        && name.len() <= MAX_NAME_BYTES
         && !name.starts_with('.')
         && name.chars().all(allowed);
     if valid { Ok(()) } else { Err(StorageError::Name { name: name.to_owned() }) }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,8 @@
 //! Durable log, snapshots and small files of a corktack process.
 //!
 //! A process owns one [`DataFolder`]. A control replica keeps its log in a
-//! [`ReplicaLog`] there, a proxy its last view and identity in [`SyncedFile`]s.
-//! All of it goes through the [`Disk`] trait, so the simulator runs the same
+//! [`ReplicaLog`] there; a proxy keeps its last view and its identity in [`SyncedFile`]s.
+//! All file access goes through the [`Disk`] trait, so the simulator runs the same
 //! code over a [`MemoryDisk`] that loses unsynced bytes at a crash.
 
 mod checked_file;
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,6 +1,6 @@
-//! A folder in memory that loses unsynced bytes at a crash.
+//! A folder in memory that loses unsynced bytes at a crash, for tests and simulations.
 //!
-//! Owns what each file would hold after a crash beside what it holds now. For tests and simulations.
+//! For each file the folder keeps the current content and the content that would remain after a crash.
 
 use crate::disk::Disk;
 use crate::error::{Operation, StorageError};
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A replica's log in memory.
+/// A replica's log on a [`MemoryDisk`].
 pub type MemoryLog = ReplicaLog<MemoryDisk>;
 
 #[derive(Clone, Debug, Default)]
@@ -24,7 +24,7 @@
     names: BTreeMap<String, u64>,
     durable_names: BTreeMap<String, u64>,
     next_file: u64,
-    /// Operations left before every further one fails.
+    /// Number of changes that still succeed; afterwards each change fails. `None` means no limit.
     operations_left: Option<u64>,
 }
 
@@ -44,8 +44,8 @@
                 path: PathBuf::from(name),
                 source: std::io::ErrorKind::StorageFull.into(),
             }),
-            Some(left) => {
-                *left -= 1;
+            Some(remaining) => {
+                *remaining -= 1;
                 Ok(())
             }
             None => Ok(()),
@@ -53,46 +53,46 @@
     }
 }
 
-/// A folder in memory. Clones are handles to the same folder.
+/// A [`Disk`] in memory. All clones share one folder.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk {
     folder: Arc<Mutex<MemoryFolder>>,
 }
 
 impl MemoryDisk {
-    /// An empty folder.
+    /// Returns a disk with an empty folder.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
     fn folder(&self) -> MutexGuard<'_, MemoryFolder> {
-        // Every operation leaves the folder whole, also when it panics.
+        // Every operation leaves the folder consistent, also when the operation panics.
         self.folder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Loses what was not synced. Of each file's unsynced tail of `n` bytes the
-    /// first `kept(n)` stay; names and cuts that were not synced are undone.
-    pub fn crash(&self, mut kept: impl FnMut(usize) -> usize) {
+    /// Simulates a crash, which loses unsynced changes. Of each file's unsynced tail of `n` bytes the
+    /// first `kept_bytes(n)` stay; unsynced changes of names and unsynced truncations are undone.
+    pub fn crash(&self, mut kept_bytes: impl FnMut(usize) -> usize) {
         let mut folder = self.folder();
         folder.names = folder.durable_names.clone();
         folder.operations_left = None;
-        let live: Vec<u64> = folder.names.values().copied().collect();
-        folder.files.retain(|number, _| live.contains(number));
+        let live_files: Vec<u64> = folder.names.values().copied().collect();
+        folder.files.retain(|number, _| live_files.contains(number));
         for file in folder.files.values_mut() {
             let tail = file.content.strip_prefix(&*file.durable).unwrap_or_default();
-            let keep = kept(tail.len()).min(tail.len());
-            file.durable = [&*file.durable, &tail[..keep]].concat();
+            let kept_length = kept_bytes(tail.len()).min(tail.len());
+            file.durable = [&*file.durable, &tail[..kept_length]].concat();
             file.content = file.durable.clone();
         }
     }
 
-    /// Lets this many changes succeed and every later one fail, until the next crash.
+    /// Lets the next `operations` changes succeed and every later change fail, until the next crash.
     pub fn fail_after(&self, operations: u64) {
         self.folder().operations_left = Some(operations);
     }
 
-    /// Bytes of all files.
+    /// Returns the total size of all files, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let folder = self.folder();
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,63 +1,64 @@
-//! What a log holds when it is opened: segments replayed, a torn tail cut.
+//! Recovery of a log when it is opened: replays the segments and truncates a torn tail.
 //!
-//! Owns the order in which segments are replayed, and decides what is damage and what a crash left. Relies on
-//! the segments' records for their own checksums.
+//! This module defines the order in which segments are replayed, and distinguishes damage from the remains
+//! of a crash. It relies on the checksums of the records.
 
 use crate::disk::Disk;
 use crate::error::{Damage, StorageError};
 use crate::record::{LogBase, Record, SegmentStart};
-use crate::segment::{self, Content};
+use crate::segment::{self, SegmentContent};
 use corktack_core::consensus::{Entry, HardState, Snapshot};
 use corktack_core::position::Term;
 use std::path::PathBuf;
 
-/// Version of the format of segments.
+/// Format version of segments and of the snapshot file.
 pub(crate) const FORMAT_VERSION: u32 = 1;
 
 /// A segment on disk.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Segment {
     pub(crate) number: u64,
-    /// Highest index ever written to it.
-    pub(crate) highest: u64,
+    /// Highest index of an entry ever written to the segment; zero if none was.
+    pub(crate) highest_index: u64,
     pub(crate) length: u64,
 }
 
-/// The log as the segments tell it.
+/// The log as replayed from the segments.
 #[derive(Debug, Default)]
-pub(crate) struct Recovered {
+pub(crate) struct RecoveredLog {
     pub(crate) segments: Vec<Segment>,
     pub(crate) hard_state: HardState,
-    /// The entry before the first of `entries`. Its term is not known once the
-    /// log was cut below the place where the segments begin.
+    /// Index of the entry before the first of `entries`. The term of that entry is unknown once the
+    /// log was cut below the index at which the segments begin.
     base_index: u64,
     base_term: Option<Term>,
-    /// Whether segments before the first one were removed by a compaction.
+    /// Whether a compaction removed segments before the first one.
     compacted: bool,
     pub(crate) entries: Vec<Entry>,
 }
 
-impl Recovered {
+impl RecoveredLog {
     pub(crate) fn last(&self) -> LogBase {
         let base = LogBase { index: self.base_index, term: self.base_term.unwrap_or_default() };
         let last = self.entries.last();
         last.map_or(base, |entry| LogBase { index: entry.index, term: entry.term })
     }
 
-    /// Term of the entry at `index`, where the log holds it.
+    /// Returns the term of the entry at `index`, if the log holds it.
     pub(crate) fn term_at(&self, index: u64) -> Option<Term> {
         if index == self.base_index {
             return self.base_term;
         }
-        let place = index.checked_sub(self.base_index + 1)?;
-        self.entries.get(usize::try_from(place).ok()?).map(|entry| entry.term)
+        let position = index.checked_sub(self.base_index + 1)?;
+        self.entries.get(usize::try_from(position).ok()?).map(|entry| entry.term)
     }
 
-    /// Cuts the log so that it ends before `index`; none when it does not reach there.
+    /// Cuts the log so that it ends before `index`. Returns `None` if the log ends before `index - 1` or
+    /// begins after `index`.
     fn cut_before(&mut self, index: u64) -> Option<()> {
         if index <= self.base_index && index > 0 && self.compacted {
-            // An entry of a removed segment was replaced later. What was replaced
-            // and what replaced it is covered by the snapshot that removed it.
+            // A later entry replaced one of a removed segment. The snapshot for which the segment was
+            // removed covers both the replaced entry and the one that replaced it.
             self.base_index = index - 1;
             self.base_term = None;
             self.entries.clear();
@@ -69,12 +70,12 @@
         Some(())
     }
 
-    fn start(&mut self, start: &SegmentStart) -> Result<(), Damage> {
+    fn apply_start(&mut self, start: &SegmentStart) -> Result<(), Damage> {
         if start.version != FORMAT_VERSION {
             return Err(Damage::Version(start.version));
         }
-        let first = self.segments.is_empty();
-        if first || start.reset {
+        let is_first_segment = self.segments.is_empty();
+        if is_first_segment || start.reset {
             self.compacted = !start.reset;
             self.base_index = start.base.index;
             self.base_term = Some(start.base.term);
@@ -86,7 +87,7 @@
         Ok(())
     }
 
-    fn append(&mut self, entries: Vec<Entry>) -> Result<(), Damage> {
+    fn append_entries(&mut self, entries: Vec<Entry>) -> Result<(), Damage> {
         if let Some(first) = entries.first() {
             self.cut_before(first.index).ok_or(Damage::Gap)?;
         }
@@ -99,14 +100,14 @@
         Ok(())
     }
 
-    fn replay(&mut self, record: Record, is_first: bool) -> Result<(), Damage> {
+    fn replay_record(&mut self, record: Record, is_first_record: bool) -> Result<(), Damage> {
         match record {
-            Record::Start(start) if is_first => self.start(&start),
+            Record::Start(start) if is_first_record => self.apply_start(&start),
             Record::Start(_) => Err(Damage::OutOfPlace),
-            _ if is_first => Err(Damage::OutOfPlace),
+            _ if is_first_record => Err(Damage::OutOfPlace),
             Record::Append { hard_state, entries } => {
                 self.hard_state = hard_state.unwrap_or(self.hard_state);
-                self.append(entries)
+                self.append_entries(entries)
             }
         }
     }
@@ -115,26 +116,27 @@
         &mut self,
         path: &std::path::Path,
         number: u64,
-        content: Content,
+        content: SegmentContent,
     ) -> Result<(), StorageError> {
-        let mut highest = 0;
+        let mut highest_index = 0;
         for (offset, record) in content.records {
-            highest = highest.max(record.highest_index());
-            self.replay(record, offset == 0).map_err(|damage| StorageError::Corrupt {
+            highest_index = highest_index.max(record.highest_index());
+            self.replay_record(record, offset == 0).map_err(|damage| StorageError::Corrupt {
                 path: path.to_path_buf(),
                 offset,
                 damage,
             })?;
         }
-        self.segments.push(Segment { number, highest, length: content.length });
+        self.segments.push(Segment { number, highest_index, length: content.length });
         Ok(())
     }
 }
 
-/// Numbers of the segments in a folder, in order and without a gap.
+/// Returns the numbers of the segments in a folder, in order and without a gap.
 fn segment_numbers(disk: &impl Disk) -> Result<Vec<u64>, StorageError> {
     let names = disk.list()?;
-    let mut numbers: Vec<u64> = names.iter().filter_map(|name| segment::number_of(name)).collect();
+    let mut numbers: Vec<u64> =
+        names.iter().filter_map(|name| segment::parse_file_name(name)).collect();
     numbers.sort_unstable();
     if let Some(pair) = numbers.windows(2).find(|pair| pair[1] != pair[0] + 1) {
         return Err(missing_before(disk.path(&segment::file_name(pair[1]))));
@@ -146,58 +148,63 @@
     StorageError::Corrupt { path, offset: 0, damage: Damage::MissingFile }
 }
 
-/// Replays the segments and cuts what a crash left at the end of the last.
-pub(crate) fn replay_segments(disk: &mut impl Disk) -> Result<Recovered, StorageError> {
+/// Replays the segments and truncates a torn record at the end of the last segment.
+pub(crate) fn replay_segments(disk: &mut impl Disk) -> Result<RecoveredLog, StorageError> {
     let numbers = segment_numbers(disk)?;
-    let mut valid = Vec::new();
-    let mut void = numbers.clone();
-    // From the newest back to the last one that made the log empty: those before
-    // it are void, and a crash may have left only some of them.
-    while let Some(number) = void.pop() {
+    let mut current = Vec::new();
+    let mut obsolete = numbers.clone();
+    // Reads segments from the newest back to the last one that emptied the log. Segments before
+    // that one are obsolete, and a crash may have left only some of them.
+    while let Some(number) = obsolete.pop() {
         let is_last = numbers.last() == Some(&number);
         let content = read_segment(disk, number, is_last)?;
         if content.length == 0 {
-            drop_unstarted(disk, number, is_last, numbers.len())?;
+            remove_unstarted(disk, number, is_last, numbers.len())?;
             continue;
         }
-        let resets = content.resets();
-        valid.push((number, content));
-        if resets {
+        let is_reset = content.is_reset();
+        current.push((number, content));
+        if is_reset {
             break;
         }
     }
-    drop_void(disk, &void)?;
-    let mut recovered = Recovered { base_term: Some(Term(0)), ..Recovered::default() };
-    for (number, content) in valid.into_iter().rev() {
+    remove_obsolete(disk, &obsolete)?;
+    let mut recovered = RecoveredLog { base_term: Some(Term(0)), ..RecoveredLog::default() };
+    for (number, content) in current.into_iter().rev() {
         let path = disk.path(&segment::file_name(number));
         recovered.replay_segment(&path, number, content)?;
     }
     Ok(recovered)
 }
 
-/// Reads a segment; of the last one a torn record is cut.
-fn read_segment(disk: &mut impl Disk, number: u64, is_last: bool) -> Result<Content, StorageError> {
+/// Reads a segment, and truncates a torn record at the end of the last segment.
+fn read_segment(
+    disk: &mut impl Disk,
+    number: u64,
+    is_last: bool,
+) -> Result<SegmentContent, StorageError> {
     let name = segment::file_name(number);
     let bytes = disk.read(&name)?.unwrap_or_default();
     let content = segment::parse(&disk.path(&name), number, &bytes, is_last)?;
     if is_last && content.length > 0 {
-        settle_end(disk, &name, &content)?;
+        truncate_torn_tail(disk, &name, &content)?;
     }
     Ok(content)
 }
 
-/// Removes a segment whose first record never reached the disk. Nothing can have
-/// been written to it, and an older one is removed only after the first record
-/// of its successor is synced.
-fn drop_unstarted(
+/// Removes the last segment, whose first record never reached the disk. No later record can have been
+/// written to the segment. Reports damage instead if a later segment exists, or if the segment is the only
+/// one and not the first of the log: an older segment is removed only after the first record of its
+/// successor is synced.
+fn remove_unstarted(
     disk: &mut impl Disk,
     number: u64,
     is_last: bool,
-    segments: usize,
+    segment_count: usize,
 ) -> Result<(), StorageError> {
     let name = segment::file_name(number);
-    let first_ever = number == 1;
-    if !is_last || (segments == 1 && !first_ever) {
+    let is_first_ever = number == 1;
+    if !is_last || (segment_count == 1 && !is_first_ever) {
         let path = disk.path(&name);
         return Err(StorageError::Corrupt { path, offset: 0, damage: Damage::Checksum });
     }
@@ -205,8 +212,8 @@
     disk.sync_folder()
 }
 
-/// Removes segments, the oldest first, so that no crash leaves a gap.
-fn drop_void(disk: &mut impl Disk, numbers: &[u64]) -> Result<(), StorageError> {
+/// Removes segments, the oldest first, so that no crash leaves a gap in the numbers.
+fn remove_obsolete(disk: &mut impl Disk, numbers: &[u64]) -> Result<(), StorageError> {
     for number in numbers {
         disk.remove(&segment::file_name(*number))?;
         disk.sync_folder()?;
@@ -214,38 +221,42 @@
     Ok(())
 }
 
-/// Cuts a torn record. What is left is synced even if nothing was cut: the
-/// process may have ended between a write and its sync, and what a replica
+/// Truncates a torn record, and syncs the rest even if nothing was truncated: the
+/// previous process may have ended between a write and its sync, and data that a replica
 /// reads at its start must not be lost later.
-fn settle_end(disk: &mut impl Disk, name: &str, content: &Content) -> Result<(), StorageError> {
+fn truncate_torn_tail(
+    disk: &mut impl Disk,
+    name: &str,
+    content: &SegmentContent,
+) -> Result<(), StorageError> {
     if content.torn {
-        log::warn!(file = name, length = content.length; "cut a torn record at the end of the log");
+        log::warn!(file = name, length = content.length; "torn record at the end of the log is truncated");
         disk.truncate(name, content.length)?;
     }
     disk.sync(name)?;
     disk.sync_folder()
 }
 
-/// How the log and the snapshot fit together.
+/// Relation between the log and the snapshot.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Fit {
-    /// The log goes on where the snapshot ends.
-    Continues,
-    /// The snapshot replaces the whole log: a crash came between the two steps
-    /// of installing it.
-    Replaces,
+pub(crate) enum SnapshotRelation {
+    /// The log holds the last entry of the snapshot, and continues after it.
+    LogContinues,
+    /// The snapshot replaces the whole log: a crash occurred between the two steps
+    /// of installing the snapshot.
+    ReplacesLog,
 }
 
-/// Compares the log with the snapshot found beside it.
-pub(crate) fn fit(
+/// Compares the log with the snapshot in the same folder.
+pub(crate) fn compare_with_snapshot(
     disk: &impl Disk,
-    recovered: &Recovered,
+    recovered: &RecoveredLog,
     snapshot: Option<&Snapshot>,
-) -> Result<Fit, StorageError> {
+) -> Result<SnapshotRelation, StorageError> {
     let index = snapshot.map_or(0, |snapshot| snapshot.index);
     let first = recovered.segments.first().map(|segment| segment::file_name(segment.number));
     match first {
-        // The hard state went with the segments: such a replica must not vote.
+        // The hard state is lost with the segments: without it the replica must not vote.
         None if index > 0 => return Err(missing_before(disk.path(&segment::file_name(1)))),
         Some(first) if recovered.base_index > index => {
             return Err(missing_before(disk.path(&first)));
@@ -253,5 +264,9 @@
         _ => {}
     }
     let term = snapshot.map_or(Term(0), |snapshot| snapshot.term);
-    if recovered.term_at(index) == Some(term) { Ok(Fit::Continues) } else { Ok(Fit::Replaces) }
+    if recovered.term_at(index) == Some(term) {
+        Ok(SnapshotRelation::LogContinues)
+    } else {
+        Ok(SnapshotRelation::ReplacesLog)
+    }
 }
--- a/crates/storage/src/replica_log.rs
+++ b/crates/storage/src/replica_log.rs
@@ -1,44 +1,46 @@
 //! The durable log of a control replica.
 //!
-//! Owns the segments, the snapshot's file and the end of the log. Relies on the core to write entries that follow
-//! each other, and on the disk to keep what it has synced.
+//! A [`ReplicaLog`] consists of the segments, the snapshot file and the end of the log. It relies on the
+//! core to write consecutive entries, and on the disk to keep what was synced.
 
 use crate::checked_file;
 use crate::disk::{Disk, FolderDisk};
 use crate::error::{Damage, StorageError};
 use crate::folder::DataFolder;
 use crate::record::{LogBase, Record, SegmentStart, decode_prefix, encode_record, encode_value};
-use crate::recovery::{FORMAT_VERSION, Fit, Recovered, Segment, fit, replay_segments};
+use crate::recovery::{
+    FORMAT_VERSION, RecoveredLog, Segment, SnapshotRelation, compare_with_snapshot, replay_segments,
+};
 use crate::segment;
 use corktack_core::consensus::{CellConfig, Entry, HardState, PersistedState, Snapshot};
 use serde::{Deserialize, Serialize};
 
 const SNAPSHOT_FILE: &str = "snapshot";
-/// Entry bytes after which another record is begun. Chosen, not measured; a lower value syncs more often for one
-/// batch, a higher one loses more of it to a crash.
+/// Size of the entries in a record, in bytes, at which the next entry begins another record. A lower value
+/// syncs more often for one batch of entries; a higher one loses more of a batch to a crash.
 const RECORD_TARGET_BYTES: usize = 1024 * 1024;
 
 /// Settings of a [`ReplicaLog`].
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaLogSettings {
-    /// Bytes of a segment after which the next one is begun.
+    /// Size of a segment, in bytes, at which the next segment is begun.
     pub segment_bytes: u64,
 }
 
 impl Default for ReplicaLogSettings {
     fn default() -> Self {
-        // Chosen, not measured: smaller segments make more files, larger ones keep void entries for longer.
+        // Smaller segments make more files; larger ones keep obsolete entries for longer.
         Self { segment_bytes: 8 * 1024 * 1024 }
     }
 }
 
 /// Durable store of a replica's log, see `corktack_core::consensus::Action`.
 ///
-/// What a method wrote is durable when it returns. After an error the store
-/// takes no more writes: what reached the disk is known only after it is opened anew.
+/// Each change is durable when the method that wrote it returns. After a failed write the store
+/// refuses all further ones: which bytes reached the disk is known only after the store is opened again.
 pub trait LogStore {
     /// Performs `Action::Persist`: cuts the log so that it ends before the first
-    /// of `entries`, appends them and keeps the hard state, where given.
+    /// of `entries`, appends the entries and stores the hard state, if given.
     ///
     /// # Errors
     /// Any [`StorageError`].
@@ -48,21 +50,21 @@
         entries: &[Entry],
     ) -> Result<(), StorageError>;
 
-    /// Performs `Action::InstallSnapshot`: keeps a snapshot of the leader in place of the whole log.
+    /// Performs `Action::InstallSnapshot`: replaces the whole log by a snapshot of the leader.
     ///
     /// # Errors
     /// Any [`StorageError`].
     fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StorageError>;
 
-    /// Keeps a snapshot of the replica's own state and drops what it covers;
-    /// to be done before `Event::Compact` is handed to the replica.
+    /// Stores a snapshot of the replica's own state and removes the entries that the snapshot covers.
+    /// The caller must do this before it passes `Event::Compact` to the replica.
     ///
     /// # Errors
     /// Any [`StorageError`].
     fn compact(&mut self, snapshot: &Snapshot) -> Result<(), StorageError>;
 }
 
-/// What stands before the state's bytes in a snapshot file.
+/// Header of a snapshot file, which precedes the bytes of the state.
 #[derive(Debug, Serialize, Deserialize)]
 struct SnapshotHeader {
     version: u32,
@@ -75,38 +77,39 @@
 pub struct ReplicaLog<D: Disk = FolderDisk> {
     disk: D,
     settings: ReplicaLogSettings,
-    /// Never empty; the last one is written to.
+    /// The segments from the oldest on; never empty once the log is open. Records are written to the last
+    /// one.
     segments: Vec<Segment>,
     hard_state: HardState,
-    /// End of the log.
+    /// End of the log: its last entry, or the entry after which an empty log continues.
     last: LogBase,
     poisoned: bool,
 }
 
 impl ReplicaLog {
-    /// Opens the log of a cell, in a folder of that name below the data folder.
+    /// Opens the log of a cell, in the subfolder of that name in the data folder.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] when something written is damaged; a write that
-    /// a crash cut short is no damage and is dropped.
+    /// [`StorageError::Corrupt`] when synced data is damaged. A write that
+    /// a crash interrupted is not damage; its bytes are dropped.
     pub fn open(folder: &DataFolder, cell: &str) -> Result<(Self, PersistedState), StorageError> {
         Self::open_on(folder.subfolder(cell)?, ReplicaLogSettings::default())
     }
 }
 
 impl<D: Disk> ReplicaLog<D> {
-    /// Opens the log in any folder.
+    /// Opens the log on any disk.
     ///
     /// # Errors
-    /// As [`ReplicaLog::open`].
+    /// Same as for [`ReplicaLog::open`].
     pub fn open_on(
         mut disk: D,
         settings: ReplicaLogSettings,
     ) -> Result<(Self, PersistedState), StorageError> {
         let recovered = replay_segments(&mut disk)?;
         let snapshot = read_snapshot(&disk)?;
-        let fit = fit(&disk, &recovered, snapshot.as_ref())?;
-        let base = snapshot.as_ref().map_or_else(LogBase::default, base_of);
+        let relation = compare_with_snapshot(&disk, &recovered, snapshot.as_ref())?;
+        let base = snapshot.as_ref().map_or_else(LogBase::default, snapshot_base);
         let mut log = Self {
             disk,
             settings,
@@ -116,11 +119,11 @@
             poisoned: false,
         };
         let hard_state = log.hard_state;
-        let entries = match fit {
-            Fit::Continues => entries_after(recovered, base.index),
-            Fit::Replaces => Vec::new(),
+        let entries = match relation {
+            SnapshotRelation::LogContinues => entries_after(recovered, base.index),
+            SnapshotRelation::ReplacesLog => Vec::new(),
         };
-        if fit == Fit::Replaces {
+        if relation == SnapshotRelation::ReplacesLog {
             log.restart_at(base)?;
         } else if log.segments.is_empty() {
             log.begin_segment(true)?;
@@ -128,8 +131,8 @@
         Ok((log, PersistedState { hard_state, snapshot, entries }))
     }
 
-    /// Runs a change; after a failed one the state on disk is not known any more.
-    fn guarded(
+    /// Applies a change, unless an earlier one failed: the state on disk is unknown after a failed change.
+    fn apply_change(
         &mut self,
         change: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
@@ -137,17 +140,17 @@
             return Err(StorageError::Poisoned);
         }
         let outcome = change(self);
-        // Other errors come before anything is written.
+        // All other errors occur before anything is written.
         self.poisoned = matches!(outcome, Err(StorageError::Io { .. }));
         outcome
     }
 
-    fn current(&self) -> Segment {
+    fn current_segment(&self) -> Segment {
         self.segments[self.segments.len() - 1]
     }
 
-    /// Begins the next segment at the end of the log. Its name is synced before
-    /// anything is written to it after the first record.
+    /// Begins the next segment at the end of the log. The name of the segment is synced before
+    /// any record after the first one is written.
     fn begin_segment(&mut self, reset: bool) -> Result<(), StorageError> {
         let number = self.segments.last().map_or(1, |segment| segment.number + 1);
         let name = segment::file_name(number);
@@ -162,22 +165,25 @@
         self.disk.append(&name, &bytes)?;
         self.disk.sync(&name)?;
         self.disk.sync_folder()?;
-        self.segments.push(Segment { number, highest: 0, length: bytes.len() as u64 });
+        self.segments.push(Segment { number, highest_index: 0, length: bytes.len() as u64 });
         Ok(())
     }
 
-    /// Makes the log empty and continue after `base`.
+    /// Empties the log; the next entry follows `base`.
     fn restart_at(&mut self, base: LogBase) -> Result<(), StorageError> {
         self.last = base;
         self.begin_segment(true)?;
-        self.drop_segments(|_| true)
+        self.remove_segments_while(|_| true)
     }
 
-    /// Removes segments from the oldest on while `droppable`, never the current one.
+    /// Removes segments from the oldest on while `is_removable` holds, but never the current segment.
     ///
-    /// Each removal is synced before the next, so that no crash leaves a gap.
-    fn drop_segments(&mut self, droppable: impl Fn(&Segment) -> bool) -> Result<(), StorageError> {
-        while self.segments.len() > 1 && droppable(&self.segments[0]) {
+    /// Each removal is synced before the next, so that no crash leaves a gap in the numbers.
+    fn remove_segments_while(
+        &mut self,
+        is_removable: impl Fn(&Segment) -> bool,
+    ) -> Result<(), StorageError> {
+        while self.segments.len() > 1 && is_removable(&self.segments[0]) {
             let oldest = self.segments.remove(0);
             self.disk.remove(&segment::file_name(oldest.number))?;
             self.disk.sync_folder()?;
@@ -185,9 +191,9 @@
         Ok(())
     }
 
-    /// Writes and syncs one record.
+    /// Writes and syncs one record in the current segment.
     fn write_record(&mut self, record: &Record) -> Result<(), StorageError> {
-        let Segment { number, length, .. } = self.current();
+        let Segment { number, length, .. } = self.current_segment();
         let mut bytes = Vec::new();
         encode_record(record, number, length, &mut bytes)?;
         let name = segment::file_name(number);
@@ -195,7 +201,7 @@
         self.disk.sync(&name)?;
         if let Some(current) = self.segments.last_mut() {
             current.length += bytes.len() as u64;
-            current.highest = current.highest.max(record.highest_index());
+            current.highest_index = current.highest_index.max(record.highest_index());
         }
         Ok(())
     }
@@ -205,17 +211,17 @@
         hard_state: Option<HardState>,
         entries: &[Entry],
     ) -> Result<(), StorageError> {
-        if self.current().length >= self.settings.segment_bytes {
+        if self.current_segment().length >= self.settings.segment_bytes {
             self.begin_segment(false)?;
         }
-        // The hard state goes with the first entries: entries of a term without
-        // it would let the replica vote a second time in that term.
-        let mut runs = split(entries);
-        let first = runs.next().unwrap_or_default().to_vec();
+        // The hard state is written in the same record as the first entries: if a crash kept entries
+        // of a term without its hard state, the replica could vote a second time in that term.
+        let mut batches = split_into_records(entries);
+        let first = batches.next().unwrap_or_default().to_vec();
         self.write_record(&Record::Append { hard_state, entries: first })?;
         self.hard_state = hard_state.unwrap_or(self.hard_state);
-        for run in runs {
-            self.write_record(&Record::Append { hard_state: None, entries: run.to_vec() })?;
+        for batch in batches {
+            self.write_record(&Record::Append { hard_state: None, entries: batch.to_vec() })?;
         }
         if let Some(entry) = entries.last() {
             self.last = LogBase { index: entry.index, term: entry.term };
@@ -237,35 +243,35 @@
         if hard_state.is_none() && entries.is_empty() {
             return Ok(());
         }
-        self.guarded(|log| log.append(hard_state, entries))
+        self.apply_change(|log| log.append(hard_state, entries))
     }
 
     fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
-        self.guarded(|log| {
-            // The snapshot comes first: a crash before the second step is seen at
-            // the next start, because the log does not hold the snapshot's end.
+        self.apply_change(|log| {
+            // The snapshot is written first: the next start detects a crash before the second step,
+            // because the log does not hold the last entry of the snapshot.
             write_snapshot(&mut log.disk, snapshot)?;
-            log.restart_at(base_of(snapshot))
+            log.restart_at(snapshot_base(snapshot))
         })
     }
 
     fn compact(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
-        self.guarded(|log| {
+        self.apply_change(|log| {
             write_snapshot(&mut log.disk, snapshot)?;
-            if log.current().highest > 0 {
+            if log.current_segment().highest_index > 0 {
                 log.begin_segment(false)?;
             }
-            // An older segment is void once a snapshot covers all it ever held.
-            log.drop_segments(|segment| segment.highest <= snapshot.index)
+            // An older segment is obsolete once a snapshot covers all entries ever written to the segment.
+            log.remove_segments_while(|segment| segment.highest_index <= snapshot.index)
         })
     }
 }
 
-fn base_of(snapshot: &Snapshot) -> LogBase {
+fn snapshot_base(snapshot: &Snapshot) -> LogBase {
     LogBase { index: snapshot.index, term: snapshot.term }
 }
 
-fn entries_after(recovered: Recovered, index: u64) -> Vec<Entry> {
+fn entries_after(recovered: RecoveredLog, index: u64) -> Vec<Entry> {
     recovered.entries.into_iter().filter(|entry| entry.index > index).collect()
 }
 
@@ -276,21 +282,21 @@
     }
 }
 
-/// Splits entries into runs for one record each.
-fn split(entries: &[Entry]) -> impl Iterator<Item = &[Entry]> {
+/// Splits entries into batches, each for one record.
+fn split_into_records(entries: &[Entry]) -> impl Iterator<Item = &[Entry]> {
     let mut bytes = 0;
-    entries.chunk_by(move |_, next| {
-        bytes += payload_bytes(next);
-        let same = bytes < RECORD_TARGET_BYTES;
-        if !same {
+    entries.chunk_by(move |_, following| {
+        bytes += payload_bytes(following);
+        let fits = bytes < RECORD_TARGET_BYTES;
+        if !fits {
             bytes = 0;
         }
-        same
+        fits
     })
 }
 
 fn write_snapshot(disk: &mut impl Disk, snapshot: &Snapshot) -> Result<(), StorageError> {
-    let base = base_of(snapshot);
+    let base = snapshot_base(snapshot);
     let header = SnapshotHeader { version: FORMAT_VERSION, base, cell: snapshot.cell.clone() };
     let mut bytes = encode_value(&header)?;
     bytes.extend_from_slice(&snapshot.data);
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -1,53 +1,53 @@
-//! Files of a log: names, and what stands in one.
+//! Segments, the files of a log: their names and the parsing of their content.
 //!
-//! Owns the form of their names. Only the last segment may end in a torn record.
+//! This module defines the format of the file names. Only the last segment may end in a torn record.
 
 use crate::error::{Damage, StorageError};
-use crate::record::{Record, any_record_from, decode_record};
+use crate::record::{Record, contains_record_from, decode_record};
 use std::path::Path;
 
 const PREFIX: &str = "segment-";
 const SUFFIX: &str = ".log";
-/// Digits of the largest number, so that names sort by number.
-const DIGITS: usize = 20;
+/// Digits of the largest `u64`. Numbers are padded to this width, so that file names sort by number.
+const NUMBER_DIGITS: usize = 20;
 
-/// File name of a segment.
+/// Returns the file name of a segment.
 pub(crate) fn file_name(number: u64) -> String {
-    format!("{PREFIX}{number:0DIGITS$}{SUFFIX}")
+    format!("{PREFIX}{number:0NUMBER_DIGITS$}{SUFFIX}")
 }
 
-/// Number of the segment that a file name stands for, if it is one.
-pub(crate) fn number_of(name: &str) -> Option<u64> {
+/// Returns the number of the segment with this file name, or `None` for other files.
+pub(crate) fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_prefix(PREFIX)?.strip_suffix(SUFFIX)?;
-    if digits.len() == DIGITS { digits.parse().ok() } else { None }
+    if digits.len() == NUMBER_DIGITS { digits.parse().ok() } else { None }
 }
 
-/// The records of a segment and where the last whole one ends.
+/// The records of a segment and the end of the last complete one.
 #[derive(Debug)]
-pub(crate) struct Content {
-    /// Records with their places.
+pub(crate) struct SegmentContent {
+    /// Records with their offsets in the segment.
     pub(crate) records: Vec<(u64, Record)>,
-    /// Bytes up to the end of the last whole record.
+    /// Length up to the end of the last complete record, in bytes.
     pub(crate) length: u64,
-    /// Whether bytes follow that a crash left.
+    /// Whether a torn record follows, which a crash left.
     pub(crate) torn: bool,
 }
 
-impl Content {
-    /// Whether the segment makes entries of earlier ones void.
-    pub(crate) fn resets(&self) -> bool {
+impl SegmentContent {
+    /// Reports whether the segment makes the entries of earlier segments obsolete.
+    pub(crate) fn is_reset(&self) -> bool {
         matches!(self.records.first(), Some((_, Record::Start(start))) if start.reset)
     }
 }
 
-/// Reads a segment. Only the last one may be torn: a new one is begun when all
-/// before it is synced.
+/// Parses the content of a segment. Only the last segment may be torn: a new segment is begun only after
+/// all earlier ones are synced.
 pub(crate) fn parse(
     path: &Path,
     number: u64,
     bytes: &[u8],
     is_last: bool,
-) -> Result<Content, StorageError> {
+) -> Result<SegmentContent, StorageError> {
     let corrupt = |offset: usize, damage| StorageError::Corrupt {
         path: path.to_path_buf(),
         offset: offset as u64,
@@ -55,15 +55,15 @@
     };
     let mut records = Vec::new();
     let mut offset = 0;
-    while let Some((record, next)) =
+    while let Some((record, record_end)) =
         decode_record(bytes, number, offset).map_err(|damage| corrupt(offset, damage))?
     {
         records.push((offset as u64, record));
-        offset = next;
+        offset = record_end;
     }
     let torn = offset < bytes.len();
-    if torn && (!is_last || any_record_from(bytes, number, offset + 1)) {
+    if torn && (!is_last || contains_record_from(bytes, number, offset + 1)) {
         return Err(corrupt(offset, Damage::Checksum));
     }
-    Ok(Content { records, length: offset as u64, torn })
+    Ok(SegmentContent { records, length: offset as u64, torn })
 }
--- a/crates/storage/src/synced_file.rs
+++ b/crates/storage/src/synced_file.rs
@@ -1,6 +1,6 @@
-//! Small values that survive a restart: a proxy's last view, an identity.
+//! Small values that survive a restart, such as the last view of a proxy or an identity.
 //!
-//! Owns one file; its content is replaced as a whole.
+//! Each value has one file, whose content is replaced as a whole.
 
 use crate::checked_file;
 use crate::disk::{Disk, FolderDisk};
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// A file that is replaced atomically and checked when it is read.
+/// A file that is replaced atomically, and whose checksum is verified when it is read.
 #[derive(Debug)]
 pub struct SyncedFile<D: Disk = FolderDisk> {
     disk: D,
@@ -18,48 +18,51 @@
 }
 
 impl SyncedFile {
-    /// A file at the top of the data folder.
+    /// Returns the file of this name at the top level of the data folder. The file need not exist.
     ///
     /// # Errors
-    /// [`StorageError::Name`] or [`StorageError::Io`].
+    /// [`StorageError::Name`] when the name is invalid, [`StorageError::Io`] when the folder cannot be
+    /// synced.
     pub fn new(folder: &DataFolder, name: &str) -> Result<Self, StorageError> {
-        Self::on(folder.disk(), name)
+        Self::on_disk(folder.disk(), name)
     }
 }
 
 impl<D: Disk> SyncedFile<D> {
-    /// A file of any folder.
+    /// Returns the file of this name on any disk. The file need not exist.
     ///
     /// # Errors
-    /// [`StorageError::Name`] or [`StorageError::Io`].
-    pub fn on(mut disk: D, name: &str) -> Result<Self, StorageError> {
+    /// [`StorageError::Name`] when the name is invalid, [`StorageError::Io`] when the folder cannot be
+    /// synced.
+    pub fn on_disk(mut disk: D, name: &str) -> Result<Self, StorageError> {
         check_name(name)?;
-        // The last process may have ended between a rename and its sync; what is
-        // read from now on must not be lost later.
+        // The previous process may have ended between a rename and its sync. The content
+        // that is read from now on must not be lost later.
         disk.sync_folder()?;
         Ok(Self { disk, name: name.to_owned() })
     }
 
-    /// The bytes last written, none when there never were any.
+    /// Returns the bytes last written, or `None` when the file was never written.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] or [`StorageError::Io`].
+    /// [`StorageError::Corrupt`] when the file is damaged, or [`StorageError::Io`].
     pub fn read(&self) -> Result<Option<Vec<u8>>, StorageError> {
         checked_file::read(&self.disk, &self.name)
     }
 
-    /// Replaces the bytes; they are durable when this returns.
+    /// Replaces the bytes; the new bytes are durable when the method returns.
     ///
     /// # Errors
-    /// [`StorageError::Io`]; the bytes before stay.
+    /// [`StorageError::Io`]; the previous bytes stay.
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         checked_file::replace(&mut self.disk, &self.name, bytes)
     }
 
-    /// The value last stored.
+    /// Returns the value last stored, or `None` when none was stored.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] also when the bytes are no such value.
+    /// [`StorageError::Corrupt`] when the file is damaged or holds no value of this type, or
+    /// [`StorageError::Io`].
     pub fn load<T: DeserializeOwned>(&self) -> Result<Option<T>, StorageError> {
         let Some(bytes) = self.read()? else { return Ok(None) };
         let value = decode_value(&bytes).ok_or_else(|| StorageError::Corrupt {
@@ -70,7 +73,7 @@
         Ok(Some(value))
     }
 
-    /// Replaces the value; it is durable when this returns.
+    /// Replaces the value; the new value is durable when the method returns.
     ///
     /// # Errors
     /// [`StorageError::Encode`], [`StorageError::TooLarge`] or [`StorageError::Io`].
--- a/crates/storage/tests/replica_log.rs
+++ b/crates/storage/tests/replica_log.rs
@@ -1,4 +1,4 @@
-//! The durable log: reopening, torn tails, damage and crashes at every step.
+//! The durable log: reopening, torn tails, damage, and crashes at every operation.
 
 use corktack_core::consensus::{
     CellConfig, CellMember, Entry, HardState, Payload, PersistedState, Snapshot,
@@ -46,7 +46,8 @@
     disk.append(name, content).expect("written");
 }
 
-/// A log of three records in one segment, and where each record ends.
+/// Returns a log of three records in one segment, the name of the segment, and the end offset of its start
+/// record and of each of the three.
 fn three_records() -> (MemoryDisk, String, Vec<usize>) {
     let disk = MemoryDisk::new();
     let (mut log, _) = open(&disk, LARGE_SEGMENTS);
@@ -62,8 +63,8 @@
 
 #[test]
 fn a_folder_keeps_the_log_over_restarts_and_is_locked() {
-    let place = tempfile::tempdir().expect("folder");
-    let folder = DataFolder::open(place.path()).expect("free folder");
+    let directory = tempfile::tempdir().expect("folder");
+    let folder = DataFolder::open(directory.path()).expect("free folder");
     let (mut log, empty) = ReplicaLog::open(&folder, "control").expect("new log");
     assert_eq!(empty, PersistedState::default());
     log.persist(hard_state(2), &[entry(1, 1), entry(2, 2), entry(2, 3)]).expect("persisted");
@@ -71,9 +72,9 @@
     log.compact(&snapshot(2, 2)).expect("compacted");
     drop(folder);
     // The log still uses the folder.
-    assert!(matches!(DataFolder::open(place.path()), Err(StorageError::InUse { .. })));
+    assert!(matches!(DataFolder::open(directory.path()), Err(StorageError::InUse { .. })));
     drop(log);
-    let folder = DataFolder::open(place.path()).expect("free folder");
+    let folder = DataFolder::open(directory.path()).expect("free folder");
     let (_, found) = ReplicaLog::open(&folder, "control").expect("log");
     assert_eq!(found.hard_state, hard_state(2).expect("hard state"));
     assert_eq!(found.snapshot, Some(snapshot(2, 2)));
@@ -81,32 +82,32 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_is_unwritable_and_names_are_checked() {
-    let place = tempfile::tempdir().expect("folder");
-    let file = place.path().join("file");
+fn a_folder_that_cannot_be_created_is_unwritable_and_names_are_checked() {
+    let directory = tempfile::tempdir().expect("folder");
+    let file = directory.path().join("file");
     std::fs::write(&file, "").expect("file");
     let refused = DataFolder::open(file.join("below"));
     assert!(matches!(refused, Err(StorageError::Unwritable { .. })));
-    let folder = DataFolder::open(place.path()).expect("free folder");
+    let folder = DataFolder::open(directory.path()).expect("free folder");
     for name in ["", "..", "a/b", ".hidden"] {
         assert!(matches!(folder.subfolder(name), Err(StorageError::Name { .. })));
     }
 }
 
 #[rstest]
-fn a_tail_torn_at_any_byte_is_cut_and_the_log_goes_on(#[values(0, 0xFF)] filler: u8) {
+fn a_tail_torn_at_any_byte_is_truncated_and_the_log_continues(#[values(0, 0xFF)] filler: u8) {
     let (mut disk, name, ends) = three_records();
     let whole = disk.read(&name).expect("read").expect("segment");
     for length in ends[0]..whole.len() {
-        // The file may have grown before its content came.
-        for grown in [0, 5] {
-            let torn = [&whole[..length], &vec![filler; grown]].concat();
+        // The file may have grown before its content reached the disk.
+        for filler_bytes in [0, 5] {
+            let torn = [&whole[..length], &vec![filler; filler_bytes]].concat();
             replace(&mut disk, &name, &torn);
             let records = ends.iter().filter(|end| **end <= length).count() - 1;
             let (mut log, found) = open(&disk, LARGE_SEGMENTS);
-            assert_eq!(found.entries.len(), records * 2, "cut at {length}");
-            let next = records as u64 * 2 + 1;
-            log.persist(None, &[entry(1, next)]).expect("persisted");
+            assert_eq!(found.entries.len(), records * 2, "truncated at {length}");
+            let next_index = records as u64 * 2 + 1;
+            log.persist(None, &[entry(1, next_index)]).expect("persisted");
             drop(log);
             assert_eq!(open(&disk, LARGE_SEGMENTS).1.entries.len(), records * 2 + 1);
         }
@@ -127,16 +128,21 @@
 fn any_flipped_byte_before_the_last_record_is_refused_with_file_and_offset() {
     let (mut disk, name, ends) = three_records();
     let whole = disk.read(&name).expect("read").expect("segment");
-    for place in 0..ends[2] {
+    for flipped_offset in 0..ends[2] {
         let mut flipped = whole.clone();
-        flipped[place] ^= 0x10;
+        flipped[flipped_offset] ^= 0x10;
         replace(&mut disk, &name, &flipped);
-        let start = ends.iter().rev().find(|end| **end <= place).copied().unwrap_or(0) as u64;
+        let start =
+            ends.iter().rev().find(|end| **end <= flipped_offset).copied().unwrap_or(0) as u64;
         match ReplicaLog::open_on(disk.clone(), LARGE_SEGMENTS) {
             Err(StorageError::Corrupt { path, offset, damage: Damage::Checksum }) => {
-                assert_eq!((path.to_str(), offset), (Some(&*name), start), "flip at {place}");
+                assert_eq!(
+                    (path.to_str(), offset),
+                    (Some(&*name), start),
+                    "flip at {flipped_offset}"
+                );
             }
-            other => panic!("flip at {place}: {other:?}"),
+            other => panic!("flip at {flipped_offset}: {other:?}"),
         }
     }
 }
@@ -187,7 +193,7 @@
 }
 
 #[test]
-fn after_a_failed_write_the_log_takes_no_more_until_it_is_opened_again() {
+fn after_a_failed_write_the_log_refuses_writes_until_it_is_opened_again() {
     let disk = MemoryDisk::new();
     let (mut log, _) = open(&disk, LARGE_SEGMENTS);
     disk.fail_after(1);
@@ -199,10 +205,10 @@
 }
 
 #[test]
-fn what_is_read_at_a_start_survives_a_crash_right_after() {
+fn entries_read_at_a_start_survive_a_crash_right_after_it() {
     let disk = MemoryDisk::new();
     let (mut log, _) = open(&disk, LARGE_SEGMENTS);
-    // The process ends after the write and before the sync; the machine goes on.
+    // The process ends after the write and before the sync; the machine keeps running.
     disk.fail_after(1);
     log.persist(None, &[entry(1, 1)]).expect_err("no sync");
     disk.fail_after(u64::MAX);
@@ -220,7 +226,7 @@
     log.persist(None, &[entry(1, 1)]).expect("persisted");
 }
 
-/// What one step does to the store.
+/// One change of the store.
 #[derive(Clone, Debug)]
 enum Step {
     Append { count: u64 },
@@ -248,7 +254,7 @@
     snapshot_index(state) + state.entries.len() as u64
 }
 
-/// Performs a step on the store; `state` becomes what it must hold afterwards.
+/// Performs a step on the store, and updates `state` to the state that the store must hold afterwards.
 fn perform(
     log: &mut MemoryLog,
     state: &mut PersistedState,
@@ -268,14 +274,14 @@
         }
         Step::Compact { back } => {
             let index = last_index(state).saturating_sub(*back);
-            let Some(place) = index.checked_sub(base + 1) else { return Ok(()) };
-            let kept = snapshot(state.entries[place as usize].term.0, index);
-            state.entries.drain(..=place as usize);
-            state.snapshot = Some(kept.clone());
-            log.compact(&kept)
+            let Some(position) = index.checked_sub(base + 1) else { return Ok(()) };
+            let compacted = snapshot(state.entries[position as usize].term.0, index);
+            state.entries.drain(..=position as usize);
+            state.snapshot = Some(compacted.clone());
+            log.compact(&compacted)
         }
         Step::Install { ahead } => {
-            // A leader's snapshot is installed only where the log does not hold its end.
+            // A leader's snapshot is installed only if the log does not hold the last entry of the snapshot.
             let installed = snapshot(1_000 + term, base + 1 + ahead);
             state.entries.clear();
             state.snapshot = Some(installed.clone());
@@ -306,8 +312,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// After a crash at any operation of any step the log holds the state before
-    /// or after that step, and what was acknowledged is never lost.
+    /// After a crash at any operation of any step, the log holds the state before
+    /// or after that step, and acknowledged changes are never lost.
     #[test]
     fn a_crash_at_any_operation_loses_nothing_acknowledged(
         lives in prop::collection::vec((prop::collection::vec(step(), 1..12), 0_u64..40, 0_usize..99), 1..6),
@@ -327,7 +333,7 @@
                 before = state.clone();
             }
             disk.crash(|tail| kept % (tail + 1));
-            // Opening is interrupted too.
+            // A crash also interrupts the opening of the log.
             disk.fail_after(operations % 7);
             drop(ReplicaLog::open_on(disk.clone(), SMALL_SEGMENTS));
             disk.crash(|tail| kept % (tail + 1));
