--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -11,7 +11,7 @@
 use corktack_server::manifest::{Manifest, load};
 use serde::Serialize;
 
-/// What became of one manifest.
+/// Result of applying one manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 enum AppliedAs {
@@ -22,7 +22,7 @@
     Failed,
 }
 
-/// One line of the report.
+/// Report on one manifest: the resource, the result and, after a refusal, the reason.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 struct Report {
@@ -36,7 +36,7 @@
 }
 
 impl Report {
-    fn exit(&self) -> Exit {
+    fn exit_code(&self) -> Exit {
         match self.result {
             AppliedAs::Created | AppliedAs::Configured | AppliedAs::Unchanged => Exit::Done,
             AppliedAs::Conflict => Exit::Conflict,
@@ -44,7 +44,7 @@
         }
     }
 
-    fn line(&self) -> String {
+    fn to_line(&self) -> String {
         let result = format!("{:?}", self.result).to_lowercase();
         let version = self.resource_version.map(|version| format!(" (version {})", version.0));
         let reason = self.reason.as_ref().map(|reason| format!(": {reason}"));
@@ -70,23 +70,23 @@
     for path in &command.file {
         manifests.extend(load(path)?);
     }
-    // Bindings refer to classes: those come first.
-    manifests.sort_by_key(|manifest| order(&manifest.spec));
+    // Bindings refer to classes, so classes are applied first.
+    manifests.sort_by_key(|manifest| apply_order(&manifest.spec));
     let mut reports = Vec::new();
     for manifest in &manifests {
         let report = apply(&client, manifest).await?;
         if output.format() == Format::Table {
-            output.line(&report.line())?;
+            output.write_line(&report.to_line())?;
         }
         reports.push(report);
     }
     if output.format() != Format::Table {
-        output.value(&reports, |_| Table::default())?;
+        output.write_value(&reports, |_| Table::default())?;
     }
-    Ok(reports.iter().map(Report::exit).max().unwrap_or(Exit::Done))
+    Ok(reports.iter().map(Report::exit_code).max().unwrap_or(Exit::Done))
 }
 
-const fn order(spec: &ResourceSpec) -> u8 {
+const fn apply_order(spec: &ResourceSpec) -> u8 {
     match spec {
         ResourceSpec::PriorityClass(_) => 0,
         ResourceSpec::DatabaseGroup(_) => 1,
@@ -107,9 +107,9 @@
         Ok(()) => {}
         Err(CommandError::Client(ClientError::Refused(body))) => {
             let error = ClientError::Refused(body);
-            refused(&mut report, &error, manifest.resource_version);
+            record_refusal(&mut report, &error, manifest.resource_version);
         }
-        // A server that does not answer will not answer for the next manifest either.
+        // After any other error, such as an unreachable server, the next manifest would fail as well.
         Err(error) => return Err(error),
     }
     Ok(report)
@@ -120,11 +120,11 @@
     manifest: &Manifest,
     report: &mut Report,
 ) -> Result<(), CommandError> {
-    let stored = stored(client, &resource_path(&manifest.key)).await?;
+    let stored = read_stored(client, &resource_path(&manifest.key)).await?;
     let version = stored.as_ref().and_then(|stored| stored.metadata().resource_version);
-    let asked = manifest.resource_version;
-    let equal = stored.as_ref().is_some_and(|stored| stored.spec() == manifest.spec);
-    if equal && (asked.is_none() || asked == version) {
+    let expected_version = manifest.resource_version;
+    let is_equal = stored.as_ref().is_some_and(|stored| stored.spec() == manifest.spec);
+    if is_equal && (expected_version.is_none() || expected_version == version) {
         report.resource_version = version;
         return Ok(());
     }
@@ -135,7 +135,7 @@
     Ok(())
 }
 
-async fn stored(client: &ApiClient, path: &str) -> Result<Option<AnyManifest>, ClientError> {
+async fn read_stored(client: &ApiClient, path: &str) -> Result<Option<AnyManifest>, ClientError> {
     match client.request::<AnyManifest>(Request::get(path)).await {
         Ok(manifest) => Ok(Some(manifest)),
         Err(error) if error.code() == Some(ErrorCode::NotFound) => Ok(None),
@@ -143,7 +143,11 @@
     }
 }
 
-fn refused(report: &mut Report, error: &ClientError, asked: Option<ResourceVersion>) {
+fn record_refusal(
+    report: &mut Report,
+    error: &ClientError,
+    expected_version: Option<ResourceVersion>,
+) {
     let ClientError::Refused(body) = error else { return };
     report.result = if error.is_conflict() { AppliedAs::Conflict } else { AppliedAs::Failed };
     report.resource_version = body.stored_version;
@@ -151,7 +155,7 @@
         Some(stored) => format!(
             "stored version is {}, the manifest was made from {}",
             stored.0,
-            or_dash(asked.map(|asked| asked.0))
+            or_dash(expected_version.map(|version| version.0))
         ),
         None => error.to_string(),
     });
--- a/crates/cli/src/commands/cell.rs
+++ b/crates/cli/src/commands/cell.rs
@@ -14,7 +14,7 @@
     command: Cell,
     output: &mut Output<'_>,
 ) -> Result<Exit, CommandError> {
-    let (change, done) = match command.subcommand {
+    let (change, message) = match command.subcommand {
         CellCmd::AddLearner(flags) => {
             let id = ReplicaId(flags.id);
             let change = CellChangeBody::AddLearner { id, address: flags.address };
@@ -33,11 +33,11 @@
     let request = Request { method: Method::POST, path: "/v1/cell".to_owned(), body, change: None };
     match client.request::<()>(request).await {
         Ok(()) => {
-            output.line(&done)?;
+            output.write_line(&message)?;
             Ok(Exit::Done)
         }
         Err(error) if error.is_conflict() => {
-            output.line(&format!("conflict: {error}"))?;
+            output.write_line(&format!("conflict: {error}"))?;
             Ok(Exit::Conflict)
         }
         Err(error) => Err(error.into()),
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -11,7 +11,7 @@
 use std::error::Error;
 use std::path::{Path, PathBuf};
 
-/// What was found.
+/// Number of checked files by type, and the errors found in them.
 #[derive(Debug, Default, Serialize)]
 struct Findings {
     manifests: usize,
@@ -20,11 +20,11 @@
 }
 
 impl Findings {
-    fn refuse(&mut self, error: &dyn Error) {
+    fn add_error(&mut self, error: &dyn Error) {
         let mut text = error.to_string();
         let mut cause = error.source();
         while let Some(source) = cause {
-            // Parsers repeat their cause in their own text.
+            // The error texts of parsers already contain their cause.
             if !text.contains(&source.to_string()) {
                 text.push_str(&format!(": {source}"));
             }
@@ -45,9 +45,9 @@
     }
     findings.manifests = manifests.len();
     for error in check(&manifests) {
-        findings.refuse(&error);
+        findings.add_error(&error);
     }
-    show(&findings, output)?;
+    write_findings(&findings, output)?;
     Ok(if findings.errors.is_empty() { Exit::Done } else { Exit::Failed })
 }
 
@@ -55,45 +55,46 @@
     for file in settings_files(path) {
         findings.settings += 1;
         if let Err(error) = check_file(&file) {
-            findings.refuse(&error);
+            findings.add_error(&error);
         }
     }
-    if is_settings(path) {
+    if is_settings_file(path) {
         return;
     }
     match load(path) {
         Ok(loaded) => manifests.extend(loaded),
-        Err(error) => findings.refuse(&error),
+        Err(error) => findings.add_error(&error),
     }
 }
 
-fn is_settings(path: &Path) -> bool {
+fn is_settings_file(path: &Path) -> bool {
     path.extension().is_some_and(|extension| extension == "toml")
 }
 
-/// The settings files of a folder, or the file itself if it is one.
+/// Returns the settings files in a folder, or the path itself when it is a settings file.
 fn settings_files(path: &Path) -> Vec<PathBuf> {
-    if is_settings(path) {
+    if is_settings_file(path) {
         return vec![path.to_owned()];
     }
-    // What is no folder, or cannot be read, is reported when it is read for manifests.
+    // A path that isn't a folder or can't be read yields no files here; loading its manifests reports the
+    // error.
     let entries = std::fs::read_dir(path).into_iter().flatten().flatten();
     let mut files: Vec<PathBuf> =
-        entries.map(|entry| entry.path()).filter(|file| is_settings(file)).collect();
+        entries.map(|entry| entry.path()).filter(|file| is_settings_file(file)).collect();
     files.sort();
     files
 }
 
-fn show(findings: &Findings, output: &mut Output<'_>) -> eyre::Result<()> {
+fn write_findings(findings: &Findings, output: &mut Output<'_>) -> eyre::Result<()> {
     if output.format() != Format::Table {
-        output.value(findings, |_| Table::default())?;
+        output.write_value(findings, |_| Table::default())?;
         return Ok(());
     }
     for error in &findings.errors {
-        output.line(error)?;
+        output.write_line(error)?;
     }
     let Findings { manifests, settings, errors } = findings;
-    output.line(&format!(
+    output.write_line(&format!(
         "{manifests} manifests and {settings} settings files checked, {} errors",
         errors.len()
     ))?;
--- a/crates/cli/src/commands/delete.rs
+++ b/crates/cli/src/commands/delete.rs
@@ -1,7 +1,7 @@
 //! `corktack delete`: deletes a resource.
 
 use super::CommandError;
-use super::get::key;
+use super::get::parse_key;
 use crate::exit::Exit;
 use crate::flags::Delete;
 use crate::kind::parse_kind;
@@ -17,27 +17,31 @@
     output: &mut Output<'_>,
 ) -> Result<Exit, CommandError> {
     let kind = parse_kind(&command.kind)?;
-    let key = key(kind, &command.name)?;
+    let key = parse_key(kind, &command.name)?;
     let request = Request::delete(&key, command.version.map(ResourceVersion));
     match client.request::<WriteBody>(request).await {
         Ok(written) => {
-            output.value(&written, |written| {
+            output.write_value(&written, |written| {
                 let mut table = Table::default();
                 let revision = written.revision.0;
-                table.row([format!("{kind:?}/{} deleted (revision {revision})", command.name)]);
+                table.add_row([format!("{kind:?}/{} deleted (revision {revision})", command.name)]);
                 table
             })?;
             Ok(Exit::Done)
         }
         Err(error) if error.is_conflict() => {
-            output.line(&format!("{kind:?}/{} conflict: {}", command.name, conflict(&error)))?;
+            output.write_line(&format!(
+                "{kind:?}/{} conflict: {}",
+                command.name,
+                conflict_reason(&error)
+            ))?;
             Ok(Exit::Conflict)
         }
         Err(error) => Err(error.into()),
     }
 }
 
-fn conflict(error: &ClientError) -> String {
+fn conflict_reason(error: &ClientError) -> String {
     let stored = match error {
         ClientError::Refused(body) => body.stored_version,
         _ => None,
--- a/crates/cli/src/commands/dev.rs
+++ b/crates/cli/src/commands/dev.rs
@@ -1,4 +1,4 @@
-//! `corktack dev`: every role in one process.
+//! `corktack dev`: runs every role in one process.
 
 use crate::exit::Exit;
 use crate::flags::Dev;
@@ -13,8 +13,8 @@
         operators_port: command.operators_port.unwrap_or(defaults.operators_port),
         control_replicas: command.control_replicas.unwrap_or(defaults.control_replicas),
     };
-    let mut written = Ok(());
-    run_until_stopped(settings, |ready| written = output.line(&ready.to_string()))?;
-    written?;
+    let mut write_result = Ok(());
+    run_until_stopped(settings, |ready| write_result = output.write_line(&ready.to_string()))?;
+    write_result?;
     Ok(Exit::Done)
 }
--- a/crates/cli/src/commands/error.rs
+++ b/crates/cli/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command of an operator failed.
+//! Errors of the operators' commands.
 
 use crate::kind::KindError;
 use crate::output::OutputError;
@@ -6,53 +6,53 @@
 use corktack_server::client::ClientError;
 use corktack_server::manifest::ManifestError;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// The servers did not answer, or refused.
+    /// No server answered, or a server refused the request.
     #[error(transparent)]
     Client(#[from] ClientError),
     /// Output could not be written.
     #[error(transparent)]
     Output(#[from] OutputError),
-    /// The kind is not known.
+    /// The resource kind is unknown.
     #[error(transparent)]
     Kind(#[from] KindError),
-    /// A name is not valid.
+    /// A resource name is invalid.
     #[error("name {name:?}")]
     Name {
-        /// The name.
+        /// The name as given on the command line.
         name: String,
-        /// What is wrong with it.
+        /// The rule for names that it violates.
         source: NameError,
     },
-    /// A manifest is refused.
+    /// A manifest cannot be loaded.
     #[error(transparent)]
     Manifest(#[from] ManifestError),
-    /// A resource has no JSON form.
+    /// The body of a request cannot be represented in JSON.
     #[error("a resource has no JSON form")]
     Encode(#[source] serde_json::Error),
-    /// A line of the watch is not understood.
+    /// A line of the watch stream cannot be decoded.
     #[error("a line of the watch is not understood")]
     WatchLine(#[source] serde_json::Error),
     /// A log file cannot be read.
     #[error("{}: cannot be read", path.display())]
     Log {
-        /// The file.
+        /// Path of the log file.
         path: std::path::PathBuf,
-        /// Why.
+        /// Error of the file system.
         source: std::io::Error,
     },
-    /// No log file was named.
+    /// No log file was given.
     #[error("name at least one log file with -l")]
     NoLogs,
-    /// No line tells of the request.
+    /// No log line mentions the request.
     #[error(transparent)]
     UnknownRequest(#[from] corktack_server::explain::UnknownRequest),
-    /// Neither a request nor a summary is asked for, or both are.
+    /// Both a request id and `--summary` were given, or neither.
     #[error("name either the id of a request or --summary")]
     IdOrSummary,
-    /// No file was named.
+    /// No manifest or settings file was given.
     #[error("name at least one file or folder with -f")]
     NoFiles,
 }
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,5 +1,5 @@
-//! `corktack explain`: from the id of a request to its cause, or how many failed, why and where, by log files
-//! alone.
+//! `corktack explain`: shows from log files alone why a request ended as it did, or how many requests failed,
+//! why and where.
 
 use super::CommandError;
 use crate::exit::Exit;
@@ -11,17 +11,18 @@
     if command.log.is_empty() {
         return Err(CommandError::NoLogs);
     }
-    let texts = command.log.iter().map(|path| read(path)).collect::<Result<Vec<_>, _>>()?;
+    let texts = command.log.iter().map(|path| read_log(path)).collect::<Result<Vec<_>, _>>()?;
     match (&command.id, command.summary) {
         (None, true) => {
             let logs = command.log.iter().zip(&texts);
-            let lines = logs.flat_map(|(path, text)| text.lines().map(|line| (name(path), line)));
-            output.line(corktack_server::explain::report(lines).to_string().trim_end())?;
+            let lines =
+                logs.flat_map(|(path, text)| text.lines().map(|line| (process_name(path), line)));
+            output.write_line(corktack_server::explain::report(lines).to_string().trim_end())?;
         }
         (Some(id), false) => {
             let lines = texts.iter().flat_map(|text| text.lines());
             for line in corktack_server::explain::explain(id, lines)? {
-                output.line(&line.to_string())?;
+                output.write_line(&line.to_string())?;
             }
         }
         _ => return Err(CommandError::IdOrSummary),
@@ -29,13 +30,13 @@
     Ok(Exit::Done)
 }
 
-fn read(path: &Path) -> Result<String, CommandError> {
+fn read_log(path: &Path) -> Result<String, CommandError> {
     let bytes = std::fs::read(path);
     let bytes = bytes.map_err(|source| CommandError::Log { path: path.to_owned(), source })?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// What a log file is named by, without its folder and kind.
-fn name(path: &Path) -> &str {
+/// Returns the name of a log file without its folder and extension; names the process where its lines do not.
+fn process_name(path: &Path) -> &str {
     path.file_stem().and_then(|name| name.to_str()).unwrap_or_default()
 }
--- a/crates/cli/src/commands/get.rs
+++ b/crates/cli/src/commands/get.rs
@@ -17,45 +17,50 @@
 ) -> Result<Exit, CommandError> {
     let kind = parse_kind(&command.kind)?;
     match command.name {
-        Some(name) => one(&client, kind, &name, output).await?,
-        None => all(&client, kind, output).await?,
+        Some(name) => show_one(&client, kind, &name, output).await?,
+        None => show_all(&client, kind, output).await?,
     }
     Ok(Exit::Done)
 }
 
-async fn one(
+async fn show_one(
     client: &ApiClient,
     kind: Kind,
     name: &str,
     output: &mut Output<'_>,
 ) -> Result<(), CommandError> {
-    let path = resource_path(&key(kind, name)?);
+    let path = resource_path(&parse_key(kind, name)?);
     let manifest: AnyManifest = client.request(Request::get(path)).await?;
-    output.value(&manifest, |manifest| table(kind, std::slice::from_ref(manifest)))?;
+    output
+        .write_value(&manifest, |manifest| resource_table(kind, std::slice::from_ref(manifest)))?;
     Ok(())
 }
 
-async fn all(client: &ApiClient, kind: Kind, output: &mut Output<'_>) -> Result<(), CommandError> {
+async fn show_all(
+    client: &ApiClient,
+    kind: Kind,
+    output: &mut Output<'_>,
+) -> Result<(), CommandError> {
     let path = format!("/v1/{}", kind_segment(kind));
     let list: ResourceList = client.request(Request::get(path)).await?;
-    // A stream of documents can be applied again.
+    // YAML output is a stream of manifests, which `corktack apply` accepts.
     if output.format() == Format::Yaml {
         for manifest in &list.items {
-            output.document(manifest)?;
+            output.write_document(manifest)?;
         }
         return Ok(());
     }
-    output.value(&list, |list| table(kind, &list.items))?;
+    output.write_value(&list, |list| resource_table(kind, &list.items))?;
     Ok(())
 }
 
-/// Kind and name as given on the command line.
-pub(super) fn key(kind: Kind, name: &str) -> Result<ResourceKey, CommandError> {
+/// Builds the key of a resource from the kind and name given on the command line.
+pub(super) fn parse_key(kind: Kind, name: &str) -> Result<ResourceKey, CommandError> {
     let key = resource_key(kind, name);
     key.map_err(|source| CommandError::Name { name: name.to_owned(), source })
 }
 
-fn table(kind: Kind, manifests: &[AnyManifest]) -> Table {
+fn resource_table(kind: Kind, manifests: &[AnyManifest]) -> Table {
     let mut table = Table::new(match kind {
         Kind::DatabaseGroup => &[
             "NAME",
@@ -73,12 +78,12 @@
         Kind::Binding => &["NAME", "CLASS", "ORDER", "MATCH", "VERSION"],
     });
     for manifest in manifests {
-        add_row(&mut table, manifest);
+        add_resource(&mut table, manifest);
     }
     table
 }
 
-fn add_row(table: &mut Table, manifest: &AnyManifest) {
+fn add_resource(table: &mut Table, manifest: &AnyManifest) {
     let metadata = manifest.metadata();
     let name = metadata.name.clone();
     let version = or_dash(metadata.resource_version.map(|version| version.0));
@@ -86,7 +91,7 @@
         AnyManifest::Group(group) => {
             let status = group.status.clone().unwrap_or_default();
             let draining: Vec<&str> = status.draining.iter().map(|name| name.as_str()).collect();
-            table.row([
+            table.add_row([
                 name,
                 group.spec.database.clone(),
                 or_dash(status.primary),
@@ -101,26 +106,26 @@
         }
         AnyManifest::Class(class) => {
             let guaranteed = format!("{}%", class.spec.guaranteed_percent);
-            table.row([name, class.spec.priority.to_string(), guaranteed, version]);
+            table.add_row([name, class.spec.priority.to_string(), guaranteed, version]);
         }
         AnyManifest::Binding(binding) => {
-            let callers = callers(&binding.spec.callers);
+            let callers = callers_text(&binding.spec.callers);
             let spec = &binding.spec;
-            table.row([name, spec.class.to_string(), spec.order.to_string(), callers, version]);
+            table.add_row([name, spec.class.to_string(), spec.order.to_string(), callers, version]);
         }
     }
 }
 
-fn callers(callers: &CallerMatch) -> String {
+fn callers_text(callers: &CallerMatch) -> String {
     let fields = [
         ("user", &callers.user),
         ("database", &callers.database),
         ("application", &callers.application_name),
         ("network", &callers.source_network),
     ];
-    let named = fields
+    let conditions = fields
         .iter()
         .filter_map(|(key, value)| value.as_ref().map(|value| format!("{key}={value}")));
-    let named: Vec<String> = named.collect();
-    if named.is_empty() { "all".to_owned() } else { named.join(",") }
+    let conditions: Vec<String> = conditions.collect();
+    if conditions.is_empty() { "all".to_owned() } else { conditions.join(",") }
 }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,7 +1,7 @@
-//! The commands of the program, one a module.
+//! The commands of the program, one in each module.
 //!
-//! Each takes its flags and the client, writes to the output and gives the exit code. What a change means is
-//! decided by the servers.
+//! A command takes its flags, writes to the output and returns the exit code; commands that talk to servers
+//! also take a client. The servers, not the commands, validate changes and decide on their effect.
 
 pub(crate) mod apply;
 pub(crate) mod cell;
--- a/crates/cli/src/commands/watch.rs
+++ b/crates/cli/src/commands/watch.rs
@@ -1,6 +1,7 @@
-//! `corktack watch`: follows changes over lost connections and lost replicas.
+//! `corktack watch`: shows changes as they happen and continues after the loss of a connection or a replica.
 //!
-//! Owns the last revision seen: a new connection goes on from there, so that nothing is missed or shown twice.
+//! The watcher keeps the last revision seen and resumes from there on a new connection, so that no change is
+//! missed or shown twice.
 
 use super::CommandError;
 use crate::exit::Exit;
@@ -15,9 +16,9 @@
 use corktack_server::client::{ApiClient, LostAnswer, Request};
 use std::time::Duration;
 
-/// Wait before the next server is tried. Chosen, not measured; a lower value asks servers that are gone more
-/// often, a higher one lets the operator wait.
-const RETRY_WAIT: Duration = Duration::from_millis(200);
+/// Pause before the watch connects to the next server. A shorter pause sends more requests to servers that
+/// are down; a longer one delays the changes that the operator sees.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 struct Watcher<'a, 'b> {
     client: ApiClient,
@@ -37,80 +38,83 @@
     let mut watcher = Watcher { client, output, kind, revision: Revision(0), events_left };
     watcher.revision = match command.from {
         Some(revision) => Revision(revision),
-        None => watcher.newest().await?,
+        None => watcher.read_newest_revision().await?,
     };
-    watcher.follow().await?;
+    watcher.watch_all_servers().await?;
     Ok(Exit::Done)
 }
 
 impl Watcher<'_, '_> {
-    /// Revision of now.
-    async fn newest(&self) -> Result<Revision, CommandError> {
+    /// Reads the newest revision from a server.
+    async fn read_newest_revision(&self) -> Result<Revision, CommandError> {
         let kind = self.kind.unwrap_or(Kind::PriorityClass);
         let path = format!("/v1/{}", kind_segment(kind));
         let list: ResourceList = self.client.request(Request::get(path)).await?;
         Ok(list.revision)
     }
 
-    async fn follow(&mut self) -> Result<(), CommandError> {
-        for place in 0.. {
-            match self.follow_one(place).await {
+    async fn watch_all_servers(&mut self) -> Result<(), CommandError> {
+        for server_index in 0.. {
+            match self.watch_server(server_index).await {
                 Ok(true) => return Ok(()),
                 Ok(false) => {}
                 Err(CommandError::Client(error)) if error.code() == Some(ErrorCode::TooOld) => {
-                    self.start_over().await?;
+                    self.skip_to_newest().await?;
                 }
                 Err(error) => return Err(error),
             }
-            actix_rt::time::sleep(RETRY_WAIT).await;
+            actix_rt::time::sleep(RETRY_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// The changes in between cannot be had any more: says so and goes on from now.
-    async fn start_over(&mut self) -> Result<(), CommandError> {
-        let missed = self.revision;
-        self.revision = self.newest().await?;
+    /// Continues from the newest revision, and warns the operator, after the servers discarded the changes
+    /// since the last revision seen.
+    async fn skip_to_newest(&mut self) -> Result<(), CommandError> {
+        let last_seen = self.revision;
+        self.revision = self.read_newest_revision().await?;
         eprintln!(
             "changes after revision {} are no longer kept; going on from {}: read the resources again",
-            missed.0, self.revision.0
+            last_seen.0, self.revision.0
         );
         Ok(())
     }
 
-    /// Follows one server until its stream ends; true when enough events were seen.
-    async fn follow_one(&mut self, place: usize) -> Result<bool, CommandError> {
+    /// Shows the changes that one server sends until its stream ends; returns true when the number of events
+    /// asked for has been shown.
+    async fn watch_server(&mut self, server_index: usize) -> Result<bool, CommandError> {
         let kind =
             self.kind.map_or_else(String::new, |kind| format!("&kind={}", kind_segment(kind)));
         let path = format!("/v1/watch?from={}{kind}", self.revision.0);
-        let opened = self.client.lines(place, &Request::get(path)).await?;
-        let mut lines = match opened {
+        let stream = self.client.lines(server_index, &Request::get(path)).await?;
+        let mut lines = match stream {
             Ok(lines) => lines,
-            Err(lost) => return Ok(note(&lost)),
+            Err(lost) => return Ok(log_lost_stream(&lost)),
         };
         loop {
             match lines.next().await {
                 Ok(Some(line)) => {
-                    if self.show(&line)? {
+                    if self.show_line(&line)? {
                         return Ok(true);
                     }
                 }
                 Ok(None) => return Ok(false),
-                Err(lost) => return Ok(note(&lost)),
+                Err(lost) => return Ok(log_lost_stream(&lost)),
             }
         }
     }
 
-    /// Shows one line; true when enough events were seen.
-    fn show(&mut self, text: &[u8]) -> Result<bool, CommandError> {
+    /// Shows the events of one line of the stream; returns true when the number of events asked for has been
+    /// shown.
+    fn show_line(&mut self, text: &[u8]) -> Result<bool, CommandError> {
         let line: WatchLine = serde_json::from_slice(text).map_err(CommandError::WatchLine)?;
         self.revision = self.revision.max(line.revision);
         match self.output.format() {
-            Format::Json => self.output.line(String::from_utf8_lossy(text).trim_end())?,
-            Format::Yaml => self.output.document(&line)?,
+            Format::Json => self.output.write_line(String::from_utf8_lossy(text).trim_end())?,
+            Format::Yaml => self.output.write_document(&line)?,
             Format::Table => {
                 for event in &line.events {
-                    self.output.line(&event_line(line.revision, event))?;
+                    self.output.write_line(&event_line(line.revision, event))?;
                 }
             }
         }
@@ -120,9 +124,9 @@
     }
 }
 
-/// Tells of a lost server; the watch goes on with the next one.
-fn note(lost: &LostAnswer) -> bool {
-    log::warn!(reason:% = lost; "the watch was lost and goes on with the next server");
+/// Logs the loss of a watch stream. Always returns false, since the watch continues with the next server.
+fn log_lost_stream(lost: &LostAnswer) -> bool {
+    log::warn!(reason:% = lost; "watch connection lost: the watch continues with the next server");
     false
 }
 
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -2,21 +2,22 @@
 
 use std::process::ExitCode;
 
-/// How a command ended. An error that is returned ends the program with 1 as well.
+/// Outcome of a command, ordered by severity. The program also ends with code 1 when a command returns an
+/// error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Exit {
-    /// What was asked for is done: 0.
+    /// The command succeeded: code 0.
     Done,
-    /// A change conflicts with what is stored: 3.
+    /// A change conflicts with the stored state: code 3.
     Conflict,
-    /// Something failed: 1.
+    /// The command, or a part of it, failed: code 1.
     Failed,
-    /// The command line is not understood: 2.
+    /// The command line cannot be parsed: code 2.
     Usage,
 }
 
 impl Exit {
-    /// The number the program ends with.
+    /// Returns the exit code of the program.
     #[must_use]
     pub const fn code(self) -> u8 {
         match self {
--- a/crates/cli/src/flags.rs
+++ b/crates/cli/src/flags.rs
@@ -1,4 +1,4 @@
-//! Grammar of the command line.
+//! Commands and flags of the program; the doc comments inside `xflags!` are the help texts that it prints.
 
 use crate::output::Format;
 use corktack_core::identity::{ProxyName, ZoneName};
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,6 +1,7 @@
 //! Command line of corktack.
 //!
-//! [`run`] is the whole program but for the process round it, so that tests call it directly.
+//! [`run`] executes one command with the given arguments, environment and output stream, so that tests can call
+//! it directly; the `corktack` binary only passes in those of its process.
 
 mod commands;
 mod exit;
@@ -18,14 +19,15 @@
 use std::io::Write;
 use std::process::ExitCode;
 
-/// Addresses of the operators' interface, separated by commas, where no `--server` is given.
+/// Environment variable with the addresses of the operators' interface, separated by commas; read when no
+/// `--server` is given.
 pub const SERVER_VARIABLE: &str = "CORKTACK_SERVER";
-/// The operators' bearer token, where no `--token` is given.
+/// Environment variable with the operators' bearer token; read when no `--token` is given.
 pub const TOKEN_VARIABLE: &str = "CORKTACK_TOKEN";
-/// Where `corktack dev` serves operators; used when no other address is given.
+/// Address at which `corktack dev` serves operators by default; used when no other address is given.
 const DEFAULT_SERVER: &str = "http://127.0.0.1:6480";
 
-/// What the program takes from its environment.
+/// Values of the environment variables that the program reads.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     /// Value of [`SERVER_VARIABLE`].
@@ -35,18 +37,18 @@
 }
 
 impl Environment {
-    /// The environment of this process.
+    /// Reads the variables from the environment of this process; an empty value counts as unset.
     #[must_use]
     pub fn from_process() -> Self {
-        let variable = |name| std::env::var(name).ok().filter(|value| !value.is_empty());
-        Self { servers: variable(SERVER_VARIABLE), token: variable(TOKEN_VARIABLE) }
+        let read_variable = |name| std::env::var(name).ok().filter(|value| !value.is_empty());
+        Self { servers: read_variable(SERVER_VARIABLE), token: read_variable(TOKEN_VARIABLE) }
     }
 }
 
-/// Runs one command; errors are for the operator to read.
+/// Parses the arguments, runs the command and returns the exit code of the program.
 ///
 /// # Errors
-/// What kept the command from doing what was asked; the program then ends with 1.
+/// Returns the reason why the command failed, worded for the operator; the program then ends with code 1.
 pub fn run(
     arguments: Vec<OsString>,
     environment: &Environment,
@@ -76,22 +78,22 @@
         CorktackCmd::Dev(command) => commands::dev::run(command, &mut output),
         CorktackCmd::Check(command) => commands::check::run(&command, &mut output),
         CorktackCmd::Explain(command) => Ok(commands::explain::run(&command, &mut output)?),
-        CorktackCmd::Apply(command) => with_client(settings, async |client| {
+        CorktackCmd::Apply(command) => run_with_client(settings, async |client| {
             commands::apply::run(client, command, &mut output).await
         }),
-        CorktackCmd::Get(command) => with_client(settings, async |client| {
+        CorktackCmd::Get(command) => run_with_client(settings, async |client| {
             commands::get::run(client, command, &mut output).await
         }),
-        CorktackCmd::Watch(command) => with_client(settings, async |client| {
+        CorktackCmd::Watch(command) => run_with_client(settings, async |client| {
             commands::watch::run(client, command, &mut output).await
         }),
-        CorktackCmd::Delete(command) => with_client(settings, async |client| {
+        CorktackCmd::Delete(command) => run_with_client(settings, async |client| {
             commands::delete::run(client, command, &mut output).await
         }),
-        CorktackCmd::Status(command) => with_client(settings, async |client| {
+        CorktackCmd::Status(command) => run_with_client(settings, async |client| {
             commands::status::run(client, command, &mut output).await
         }),
-        CorktackCmd::Cell(command) => with_client(settings, async |client| {
+        CorktackCmd::Cell(command) => run_with_client(settings, async |client| {
             commands::cell::run(client, command, &mut output).await
         }),
     }
@@ -100,14 +102,14 @@
 fn client_settings(flags: &Corktack, environment: &Environment) -> ClientSettings {
     let mut servers = flags.server.clone();
     if servers.is_empty() {
-        let named = environment.servers.as_deref().unwrap_or(DEFAULT_SERVER);
-        servers = named.split(',').map(|server| server.trim().to_owned()).collect();
+        let addresses = environment.servers.as_deref().unwrap_or(DEFAULT_SERVER);
+        servers = addresses.split(',').map(|server| server.trim().to_owned()).collect();
     }
     let token = flags.token.clone().or_else(|| environment.token.clone());
     ClientSettings { servers, token, ..ClientSettings::default() }
 }
 
-fn with_client<E: std::error::Error + Send + Sync + 'static>(
+fn run_with_client<E: std::error::Error + Send + Sync + 'static>(
     settings: ClientSettings,
     command: impl AsyncFnOnce(ApiClient) -> Result<Exit, E>,
 ) -> eyre::Result<Exit> {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `corktack` program: parses the command line and starts what it asks for.
+//! The `corktack` program: runs one command with the arguments and environment of the process.
 
 use std::process::ExitCode;
 
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,23 +1,23 @@
-//! Forms of the output.
+//! Writes the results of commands as text tables, JSON or YAML.
 
 use crate::table::Table;
 use serde::Serialize;
 use std::io::Write;
 use std::str::FromStr;
 
-/// Form of the output.
+/// Output format of a command, set with `--output`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Columns for people.
+    /// Aligned columns of text.
     #[default]
     Table,
-    /// JSON.
+    /// Indented JSON.
     Json,
-    /// YAML.
+    /// YAML, one document for each value.
     Yaml,
 }
 
-/// A word that names no form of the output.
+/// Error for a word that names no output format; holds the word.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no form of output; there are table, json and yaml")]
 pub struct FormatError(pub String);
@@ -35,21 +35,21 @@
     }
 }
 
-/// Why output could not be written.
+/// Reason why output could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum OutputError {
-    /// The stream failed.
+    /// Writing to the stream failed.
     #[error("output cannot be written")]
     Stream(#[from] std::io::Error),
-    /// The value has no JSON form.
+    /// The value cannot be represented in JSON.
     #[error("output has no JSON form")]
     Json(#[from] serde_json::Error),
-    /// The value has no YAML form.
+    /// The value cannot be represented in YAML.
     #[error("output has no YAML form")]
     Yaml(#[from] serde_yaml_ng::Error),
 }
 
-/// Where output goes, and in which form.
+/// Output stream of a command, with the format that the operator asked for.
 pub(crate) struct Output<'a> {
     format: Format,
     stream: &'a mut dyn Write,
@@ -64,35 +64,35 @@
         self.format
     }
 
-    /// Writes a value as JSON or YAML, or the table made from it.
-    pub(crate) fn value<T: Serialize>(
+    /// Writes a value as JSON or YAML, or writes the table that the closure builds from the value.
+    pub(crate) fn write_value<T: Serialize>(
         &mut self,
         value: &T,
-        table: impl FnOnce(&T) -> Table,
+        to_table: impl FnOnce(&T) -> Table,
     ) -> Result<(), OutputError> {
         match self.format {
-            Format::Table => self.text(&table(value).to_string()),
+            Format::Table => self.write_text(&to_table(value).to_string()),
             Format::Json => {
                 let text = serde_json::to_string_pretty(value)?;
-                self.line(&text)
+                self.write_line(&text)
             }
-            Format::Yaml => self.document(value),
+            Format::Yaml => self.write_document(value),
         }
     }
 
-    /// Writes one document of a YAML stream.
-    pub(crate) fn document<T: Serialize>(&mut self, value: &T) -> Result<(), OutputError> {
+    /// Writes a value as one document of a YAML stream, whatever the output format is.
+    pub(crate) fn write_document<T: Serialize>(&mut self, value: &T) -> Result<(), OutputError> {
         let text = serde_yaml_ng::to_string(value)?;
-        self.text(&format!("---\n{text}"))
+        self.write_text(&format!("---\n{text}"))
     }
 
-    /// Writes one line, and flushes it.
-    pub(crate) fn line(&mut self, text: &str) -> Result<(), OutputError> {
+    /// Writes one line of text and flushes the stream.
+    pub(crate) fn write_line(&mut self, text: &str) -> Result<(), OutputError> {
         writeln!(self.stream, "{text}")?;
         Ok(self.stream.flush()?)
     }
 
-    fn text(&mut self, text: &str) -> Result<(), OutputError> {
+    fn write_text(&mut self, text: &str) -> Result<(), OutputError> {
         write!(self.stream, "{text}")?;
         Ok(self.stream.flush()?)
     }
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,8 +1,8 @@
-//! Columns for people.
+//! Text tables with aligned columns.
 
 use std::fmt;
 
-/// Rows under a header, in columns as wide as their widest cell.
+/// Text table: rows below an optional header, with each column as wide as its widest cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
@@ -13,11 +13,11 @@
         Self { rows: vec![header.iter().map(|cell| (*cell).to_owned()).collect()] }
     }
 
-    pub(crate) fn row<const CELLS: usize>(&mut self, cells: [String; CELLS]) {
+    pub(crate) fn add_row<const CELLS: usize>(&mut self, cells: [String; CELLS]) {
         self.rows.push(cells.into());
     }
 
-    fn widths(&self) -> Vec<usize> {
+    fn column_widths(&self) -> Vec<usize> {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let width = |column: usize| {
             self.rows
@@ -32,7 +32,7 @@
 
 impl fmt::Display for Table {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let widths = self.widths();
+        let widths = self.column_widths();
         for row in &self.rows {
             let cells = row.iter().zip(&widths);
             let line: Vec<String> =
@@ -43,7 +43,7 @@
     }
 }
 
-/// A value, or a dash where there is none.
+/// Returns the text of a value, or a dash for `None`.
 pub(crate) fn or_dash<T: ToString>(value: Option<T>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
