--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,7 +1,7 @@
 //! The commands of the program, one in each module.
 //!
 //! A command takes its flags, writes to the output and returns the exit code; commands that talk to servers
-//! also take a client. The servers, not the commands, validate changes and decide on their effect.
+//! also take a client. The servers decide what a change does.
 
 pub(crate) mod apply;
 pub(crate) mod cell;
--- a/crates/cli/tests/end_to_end/main.rs
+++ b/crates/cli/tests/end_to_end/main.rs
@@ -1,4 +1,5 @@
-//! The whole of corktack as `dev` runs it, used by a real client and by the program itself.
+//! End-to-end tests: a PostgreSQL client and the `corktack` program against every role, as `corktack dev`
+//! runs them.
 
 mod authentication;
 mod callers;
--- a/crates/cli/tests/end_to_end/support/mod.rs
+++ b/crates/cli/tests/end_to_end/support/mod.rs
@@ -1,4 +1,4 @@
-//! A running `dev` on free ports, its callers and its operators.
+//! Starts `dev` on free ports, connects callers to its proxies and runs the program against it.
 
 mod caller;
 mod operator;
@@ -6,7 +6,7 @@
 mod third;
 
 pub use caller::{Caller, CallerSettings, sqlstate};
-pub use operator::{apply_text, json, run, settled};
+pub use operator::{apply_manifest, run, run_json, wait_until_in_force};
 pub use program::{Finished, Program};
 pub use third::ThirdProxy;
 
@@ -14,8 +14,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bound on every wait of these tests; none is expected to come near it.
-pub const LIMIT: Duration = Duration::from_secs(120);
+/// Timeout of every wait in these tests, far longer than any wait takes in a run that passes.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Starts `dev` on free ports with a temporary data folder.
 pub async fn start_dev() -> Dev {
@@ -23,17 +23,20 @@
     Dev::start(settings).await.expect("dev starts")
 }
 
-/// The callers' address of a proxy of `dev`, counted from 0.
-pub fn proxy(dev: &Dev, place: usize) -> SocketAddr {
-    dev.ready().callers[place]
+/// Returns the callers' address of a proxy of `dev`; indexes start at 0.
+pub fn proxy_address(dev: &Dev, proxy_index: usize) -> SocketAddr {
+    dev.ready().callers[proxy_index]
 }
 
-/// A caller of the demo database at a proxy.
-pub async fn caller(dev: &Dev, place: usize) -> Caller {
-    CallerSettings::new(proxy(dev, place)).connect().await.expect("the caller is let in")
+/// Connects a caller to the demo database through a proxy of `dev`.
+pub async fn connect_caller(dev: &Dev, proxy_index: usize) -> Caller {
+    CallerSettings::new(proxy_address(dev, proxy_index))
+        .connect()
+        .await
+        .expect("the caller is accepted")
 }
 
-/// The program, pointed at the operators' interface of `dev`.
+/// Prepares a run of the program with the operators' interface of `dev` as its server.
 pub fn program(dev: &Dev, arguments: &[&str]) -> Program {
     let server = format!("http://{}", dev.ready().operators[0]);
     Program::new(&[&["--server", &server], arguments].concat())
--- a/crates/cli/tests/end_to_end/support/program.rs
+++ b/crates/cli/tests/end_to_end/support/program.rs
@@ -1,28 +1,28 @@
-//! The built program as an operator runs it.
+//! Runs the built program as a child process.
 
-use super::LIMIT;
+use super::TEST_TIMEOUT;
 use std::io::Read;
 use std::process::{Child, Command, Stdio};
 use tokio::time::timeout;
 
-/// One run of the program, not yet started.
+/// A run of the program that has not started yet.
 pub struct Program {
     command: Command,
 }
 
-/// What a run came to.
+/// Result of a run of the program.
 #[derive(Debug)]
 pub struct Finished {
-    /// Exit code; none when a signal ended it.
+    /// Exit code; `None` when a signal ended the program.
     pub code: Option<i32>,
-    /// What it wrote for its reader.
-    pub output: String,
-    /// What it wrote about itself.
-    pub errors: String,
+    /// Text that the program wrote to its standard output.
+    pub stdout: String,
+    /// Text that the program wrote to its standard error.
+    pub stderr: String,
 }
 
 impl Program {
-    /// The program with arguments, apart from this process's environment.
+    /// Prepares a run with the given arguments and an empty environment.
     pub fn new(arguments: &[&str]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_corktack"));
         command.args(arguments).env_clear().stdin(Stdio::null());
@@ -30,30 +30,30 @@
         Self { command }
     }
 
-    /// Sets a variable of its environment.
-    pub fn variable(mut self, name: &str, value: &str) -> Self {
+    /// Sets an environment variable of the run.
+    pub fn env_variable(mut self, name: &str, value: &str) -> Self {
         self.command.env(name, value);
         self
     }
 
-    /// Runs it to its end. A run that does not end in time is ended, and fails the test.
+    /// Runs the program and waits for its end. A run that exceeds the timeout is killed and fails the test.
     pub async fn run(mut self) -> Finished {
-        let mut child = Running(self.command.spawn().expect("the program starts"));
-        let output = read(child.0.stdout.take().expect("a pipe"));
-        let errors = read(child.0.stderr.take().expect("a pipe"));
-        // Both pipes end when the program does.
-        let texts = timeout(LIMIT, async { (output.await, errors.await) });
-        let (output, errors) = texts.await.expect("the program ends in time");
+        let mut child = ChildGuard(self.command.spawn().expect("the program starts"));
+        let stdout = read_to_end(child.0.stdout.take().expect("a pipe"));
+        let stderr = read_to_end(child.0.stderr.take().expect("a pipe"));
+        // Both pipes reach their end when the program exits.
+        let texts = timeout(TEST_TIMEOUT, async { (stdout.await, stderr.await) });
+        let (stdout, stderr) = texts.await.expect("the program ends in time");
         let code = child.0.wait().expect("the program's end").code();
         Finished {
             code,
-            output: output.expect("the reader ends"),
-            errors: errors.expect("the reader ends"),
+            stdout: stdout.expect("the reader ends"),
+            stderr: stderr.expect("the reader ends"),
         }
     }
 }
 
-fn read(mut pipe: impl Read + Send + 'static) -> actix_rt::task::JoinHandle<String> {
+fn read_to_end(mut pipe: impl Read + Send + 'static) -> actix_rt::task::JoinHandle<String> {
     actix_rt::task::spawn_blocking(move || {
         let mut text = String::new();
         pipe.read_to_string(&mut text).expect("UTF-8 output");
@@ -61,12 +61,12 @@
     })
 }
 
-/// A started program, ended with the test.
-struct Running(Child);
+/// A child process that is killed when the guard is dropped.
+struct ChildGuard(Child);
 
-impl Drop for Running {
+impl Drop for ChildGuard {
     fn drop(&mut self) {
-        // It has ended by itself where the test went well.
+        // Both calls may fail: in a test that passes, the program has exited already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
--- a/crates/cli/tests/end_to_end/support/third.rs
+++ b/crates/cli/tests/end_to_end/support/third.rs
@@ -1,19 +1,19 @@
-//! A third proxy of `dev`, with settings of a test's own.
+//! A third proxy that joins a running `dev`, with settings that the test chooses.
 
 use corktack_server::dev::Dev;
 use corktack_server::proxy::{self, ProxyHandle};
 use corktack_server::settings::{ProxyOverrides, ProxySettings};
 use tempfile::TempDir;
 
-/// A proxy that joined the fleet of `dev`.
+/// A proxy in addition to the two that `dev` runs.
 pub struct ThirdProxy {
-    /// The running proxy.
+    /// Handle to the running proxy; gives its addresses and stops it.
     pub handle: ProxyHandle,
     _folder: TempDir,
 }
 
 impl ThirdProxy {
-    /// Starts it; `sections` stands behind what every proxy needs.
+    /// Starts the proxy; `sections` is TOML that follows the settings which every proxy needs.
     pub async fn start(dev: &Dev, sections: &str) -> Self {
         let folder = tempfile::tempdir().expect("temporary folder");
         let control = dev.control()[0].addresses().proxies;
--- a/crates/cli/tests/forms/main.rs
+++ b/crates/cli/tests/forms/main.rs
@@ -1,11 +1,12 @@
-//! What operators' scripts rely on: the help of each command, with its flags and arguments.
+//! Compares the help of each command with a stored text, because operators' scripts rely on the commands,
+//! flags and arguments.
 //!
-//! `UPDATE_EXPECT=1` writes the expected files anew where a command is changed on purpose.
+//! After an intended change of a command, `UPDATE_EXPECT=1` rewrites the expected file.
 
 use expect_test::expect_file;
 use std::process::Command;
 
-/// Each command; the help of one is that of all.
+/// Arguments of every command; each prints the same help, which covers all commands.
 const COMMANDS: [&[&str]; 15] = [
     &[],
     &["control"],
@@ -25,7 +26,7 @@
 ];
 
 #[test]
-fn every_command_has_its_help() {
+fn every_command_prints_the_expected_help() {
     for command in COMMANDS {
         let mut program = Command::new(env!("CARGO_BIN_EXE_corktack"));
         let output = program.args(command).arg("--help").output().expect("the program runs");
