--- a/crates/lab/src/experiment/failover.rs
+++ b/crates/lab/src/experiment/failover.rs
@@ -1,11 +1,11 @@
-//! The failover gap: how long writes cannot complete after a primary is lost.
+//! Measures the failover gap: the time during which no write completes after a primary is lost.
 //!
-//! Owns the fault and the figure; each run has a fleet of its own. Relies on the load for the times of
-//! acknowledged writes, and on the check of callers' writes against the databases.
+//! Each run starts its own fleet, injects one fault, computes the gap from the times of acknowledged writes,
+//! and checks the callers' writes against the databases.
 
 use crate::fleet::plan::FleetPlan;
 use crate::fleet::{Fleet, Programs, RunningMember};
-use crate::load::run::{LoadSettings, run};
+use crate::load::run::{LoadSettings, run_load};
 use crate::profile::Profile;
 use eyre::{bail, eyre};
 use rustix::process::Signal;
@@ -13,25 +13,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Writes a second that callers of the group start.
+/// Writes per second that the callers of the group start.
 const WRITES_PER_SECOND: f64 = 20.0;
-/// Time of load before the fault.
-const BEFORE_FAULT: Duration = Duration::from_secs(3);
-/// Time of load after the fault.
-const AFTER_FAULT: Duration = Duration::from_secs(12);
-/// Broken rules that are printed.
-const VIOLATIONS_PRINTED: usize = 5;
-/// The target's budget for a change of primary.
-const GAP_BUDGET: Duration = Duration::from_secs(8);
-
-/// How a process is lost.
+/// Duration of the load before the fault.
+const LOAD_BEFORE_FAULT: Duration = Duration::from_secs(3);
+/// Duration of the load after the fault.
+const LOAD_AFTER_FAULT: Duration = Duration::from_secs(12);
+/// Limit on the violations printed per run.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
+/// Target for the longest failover gap; printed for comparison.
+const FAILOVER_GAP_TARGET: Duration = Duration::from_secs(8);
+
+/// Fault that makes the primary unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Killed without warning.
+    /// The process is killed with SIGKILL and restarted after the run.
     Kill,
-    /// Stopped, and let go on after the run.
+    /// The process is suspended with SIGSTOP and continued after the run.
     Freeze,
-    /// Cut off from everyone, and healed after the run.
+    /// The links to the member are cut in both directions and restored after the run.
     Cut,
 }
 
@@ -43,129 +43,133 @@
             "kill" => Ok(Self::Kill),
             "freeze" => Ok(Self::Freeze),
             "cut" => Ok(Self::Cut),
-            _ => Err(eyre!("{text:?} is not kill, freeze or cut")),
+            _ => Err(eyre!("unknown fault {text:?}: expected kill, freeze or cut")),
         }
     }
 }
 
-/// What to run.
+/// Settings of the failover experiment.
 #[derive(Clone, Debug)]
 pub struct FailoverSettings {
-    /// The workload's places.
+    /// Profile that supplies the topology and classes of the fleet.
     pub profile: Profile,
-    /// How the primary is lost.
+    /// Fault injected into the primary.
     pub fault: Fault,
-    /// Whether the leading control replica is killed in the same moment.
+    /// Whether the leader of the control cell is killed at the same time.
     pub with_control_leader: bool,
-    /// Runs, each on a fresh fleet.
+    /// Number of runs, each on a new fleet.
     pub runs: u32,
-    /// Time between an owner's probes of a member, in milliseconds, other than the default.
+    /// Interval between an owner's probes of a member in milliseconds; the default of
+    /// `corktack proxy` if absent.
     pub probe_interval_ms: Option<u32>,
-    /// Folder of the processes.
+    /// Folder of the settings, data and logs of the fleets.
     pub folder: PathBuf,
 }
 
-/// What one run gave.
+/// Result of one run.
 #[derive(Clone, Debug)]
 pub struct FailoverRun {
-    /// Gap in acknowledged writes, milliseconds.
+    /// Longest gap between acknowledged writes, in milliseconds.
     pub gap_millis: f64,
-    /// Writes that were checked.
+    /// Number of writes that were checked against the databases.
     pub writes_checked: usize,
-    /// Rules that were broken.
+    /// Number of violations, including log entries with several transactions.
     pub violations: usize,
 }
 
-/// Runs the experiment and prints the distribution.
+/// Runs the experiment and prints the gap of each run, and the minimum, median and maximum.
 ///
 /// # Errors
-/// A fleet that does not start, or rules that were broken.
+/// The error of a fleet that does not start or stops responding, or an error if a run has violations.
 pub async fn run_failovers(settings: &FailoverSettings) -> eyre::Result<()> {
     let mut runs = Vec::new();
-    for number in 0..settings.runs {
-        let run = run_once(settings, number).await?;
-        println!("run {number}: {run:?}");
-        runs.push(run);
+    for run_index in 0..settings.runs {
+        let run_result = run_once(settings, run_index).await?;
+        println!("run {run_index}: {run_result:?}");
+        runs.push(run_result);
     }
     let mut gaps: Vec<f64> = runs.iter().map(|run| run.gap_millis).collect();
     gaps.sort_by(f64::total_cmp);
-    let broken: usize = runs.iter().map(|run| run.violations).sum();
+    let violations: usize = runs.iter().map(|run| run.violations).sum();
     println!(
-        "{:?}{}: {} runs, gap min {:.0}, median {:.0}, max {:.0} ms (budget {} ms), {broken} rules broken",
+        "{:?}{}: {} runs, gap min {:.0}, median {:.0}, max {:.0} ms (budget {} ms), {violations} rules broken",
         settings.fault,
         if settings.with_control_leader { " with the control leader" } else { "" },
         gaps.len(),
         gaps.first().copied().unwrap_or(0.0),
         gaps.get(gaps.len() / 2).copied().unwrap_or(0.0),
         gaps.last().copied().unwrap_or(0.0),
-        GAP_BUDGET.as_millis(),
+        FAILOVER_GAP_TARGET.as_millis(),
     );
-    if broken > 0 {
-        bail!("{broken} rules broken");
+    if violations > 0 {
+        bail!("{violations} rules broken");
     }
     Ok(())
 }
 
-async fn run_once(settings: &FailoverSettings, number: u32) -> eyre::Result<FailoverRun> {
-    let mut fleet = start_fleet(settings, number).await?;
+async fn run_once(settings: &FailoverSettings, run_index: u32) -> eyre::Result<FailoverRun> {
+    let mut fleet = start_fleet(settings, run_index).await?;
     let group = fleet.plan.groups[0].name.clone();
     let (_, primary) = fleet.find_primary(&group, &fleet.groups[0]).await?;
-    let primary = primary.plan.name.clone();
+    let primary_name = primary.plan.name.clone();
     let leader =
         if settings.with_control_leader { Some(fleet.control_leader().await?) } else { None };
 
-    let load = tokio::spawn(run(LoadSettings {
+    let load = tokio::spawn(run_load(LoadSettings {
         profile: fleet.plan.profile.clone(),
         targets: fleet.targets(),
         proxied: true,
-        duration: BEFORE_FAULT + AFTER_FAULT,
+        duration: LOAD_BEFORE_FAULT + LOAD_AFTER_FAULT,
         rate: 1.0,
-        seed: u64::from(number),
+        seed: u64::from(run_index),
         run_name: "failover".to_owned(),
     }));
     let start = Instant::now();
-    tokio::time::sleep(BEFORE_FAULT).await;
+    tokio::time::sleep(LOAD_BEFORE_FAULT).await;
     let fault_micros = start.elapsed().as_micros() as u64;
     if let Some(leader) = leader {
         fleet.controls[leader].kill()?;
     }
-    strike(member_named(&mut fleet, &primary)?, settings.fault)?;
+    inject_fault(find_member(&mut fleet, &primary_name)?, settings.fault)?;
     let result = load.await?;
-    heal(member_named(&mut fleet, &primary)?, settings.fault)?;
+    clear_fault(find_member(&mut fleet, &primary_name)?, settings.fault)?;
 
-    let verification = fleet.verify(&result.written).await?;
+    let verification = fleet.verify(&result.writes_by_database).await?;
     let violations = verification.violations.iter().chain(&result.violations);
-    violations.clone().take(VIOLATIONS_PRINTED).for_each(|it| println!("  {it:?}"));
+    violations
+        .clone()
+        .take(MAX_PRINTED_VIOLATIONS)
+        .for_each(|violation| println!("  {violation:?}"));
     let times = result.acknowledged_micros.get(&group).map_or(&[][..], Vec::as_slice);
     Ok(FailoverRun {
-        gap_millis: gap_after(times, fault_micros),
+        gap_millis: longest_gap_millis(times, fault_micros),
         writes_checked: verification.writes,
         violations: violations.count() + verification.mixed_entries,
     })
 }
 
-/// Starts a fleet of one group whose callers only write and stay at their proxy.
-async fn start_fleet(settings: &FailoverSettings, number: u32) -> eyre::Result<Fleet> {
+/// Starts a fleet of one group whose callers only write and never switch to another proxy.
+async fn start_fleet(settings: &FailoverSettings, run_index: u32) -> eyre::Result<Fleet> {
     let profile = Profile {
         groups: 1,
-        write_share: 1.0,
+        write_fraction: 1.0,
         arrivals_per_second: WRITES_PER_SECOND,
-        roaming_share: 0.0,
+        endpoint_switch_fraction: 0.0,
         ..settings.profile.clone()
     };
-    let folder = settings.folder.join(format!("failover-{number}"));
+    let folder = settings.folder.join(format!("failover-{run_index}"));
     let plan = FleetPlan::new(profile, &folder)?.with_probe_interval(settings.probe_interval_ms);
-    let fleet = Fleet::start(plan, Programs::beside_this_one()?).await?;
+    let fleet = Fleet::start(plan, Programs::beside_current_executable()?).await?;
     fleet.create_tables().await?;
     Ok(fleet)
 }
 
-fn member_named<'a>(fleet: &'a mut Fleet, name: &str) -> eyre::Result<&'a mut RunningMember> {
-    let found = fleet.groups[0].iter_mut().find(|member| member.plan.name == name);
-    found.ok_or_else(|| eyre!("{name} is not a member"))
+fn find_member<'a>(fleet: &'a mut Fleet, name: &str) -> eyre::Result<&'a mut RunningMember> {
+    let member = fleet.groups[0].iter_mut().find(|member| member.plan.name == name);
+    member.ok_or_else(|| eyre!("member {name} does not exist in the first group"))
 }
 
-fn strike(member: &mut RunningMember, fault: Fault) -> eyre::Result<()> {
+fn inject_fault(member: &mut RunningMember, fault: Fault) -> eyre::Result<()> {
     match fault {
         Fault::Kill => drop(member.process.kill()?),
         Fault::Freeze => member.process.signal(Signal::STOP)?,
@@ -177,7 +181,7 @@
     Ok(())
 }
 
-fn heal(member: &mut RunningMember, fault: Fault) -> eyre::Result<()> {
+fn clear_fault(member: &mut RunningMember, fault: Fault) -> eyre::Result<()> {
     match fault {
         Fault::Kill => member.process.restart()?,
         Fault::Freeze => member.process.signal(Signal::CONT)?,
@@ -189,15 +193,15 @@
     Ok(())
 }
 
-/// The longest time between two acknowledged writes of which the later came after the
-/// fault, in milliseconds; the whole rest of the run when none came.
-fn gap_after(times: &[u64], fault: u64) -> f64 {
-    let end = fault + AFTER_FAULT.as_micros() as u64;
-    let first = times.partition_point(|time| *time < fault).saturating_sub(1);
+/// Returns the longest time in milliseconds between two consecutive acknowledged writes of which the
+/// later came after the fault, or the rest of the run when no write came after the fault.
+fn longest_gap_millis(times: &[u64], fault_micros: u64) -> f64 {
+    let end = fault_micros + LOAD_AFTER_FAULT.as_micros() as u64;
+    let first = times.partition_point(|time| *time < fault_micros).saturating_sub(1);
     let mut after: Vec<u64> = times[first.min(times.len())..].to_vec();
     if after.last().is_none_or(|last| *last < end) {
         after.push(end);
     }
     let longest = after.windows(2).map(|pair| pair[1] - pair[0]).max();
-    longest.unwrap_or(end - fault) as f64 / 1_000.0
+    longest.unwrap_or(end - fault_micros) as f64 / 1_000.0
 }
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: what is run and checked together, and the figures that it prints.
+//! Experiments: each runs a load on a fleet, checks the results and prints its figures.
 
 pub mod failover;
 pub mod profile_load;
--- a/crates/lab/src/fleet/manifests.rs
+++ b/crates/lab/src/fleet/manifests.rs
@@ -1,33 +1,37 @@
-//! Manifests of a profile, as operators would keep them in version control.
+//! Manifests of a fleet, in the form that operators keep in version control.
 //!
-//! Relies on YAML being a superset of JSON: each manifest is one JSON document.
+//! Each manifest is written as one JSON document, which is also valid YAML.
 
 use super::plan::{FleetPlan, GroupPlan};
 use corktack_core::resources::API_VERSION;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// All manifests of a fleet as one text that `corktack apply` reads. Members are reached at
-/// `addresses`, by group.
+/// Returns all manifests of a fleet as one text for `corktack apply`. `addresses` holds the addresses of
+/// the members by group.
 #[must_use]
-pub fn manifests(plan: &FleetPlan, addresses: &[Vec<SocketAddr>]) -> String {
-    let mut all = Vec::new();
+pub fn render_manifests(plan: &FleetPlan, addresses: &[Vec<SocketAddr>]) -> String {
+    let mut documents = Vec::new();
     for class in &plan.profile.classes {
         let spec = json!({
             "priority": class.priority,
             "guaranteedPercent": class.guaranteed_percent,
         });
-        all.push(manifest("PriorityClass", &class.name, &spec));
+        documents.push(render_manifest("PriorityClass", &class.name, &spec));
         let spec = json!({ "match": { "user": class.name }, "class": class.name });
-        all.push(manifest("Binding", &class.name, &spec));
+        documents.push(render_manifest("Binding", &class.name, &spec));
     }
     for (group, addresses) in plan.groups.iter().zip(addresses) {
-        all.push(manifest("DatabaseGroup", &group.name, &group_spec(plan, group, addresses)));
+        documents.push(render_manifest(
+            "DatabaseGroup",
+            &group.name,
+            &group_spec(plan, group, addresses),
+        ));
     }
-    all.join("---\n")
+    documents.join("---\n")
 }
 
-fn manifest(kind: &str, name: &str, spec: &Value) -> String {
+fn render_manifest(kind: &str, name: &str, spec: &Value) -> String {
     let metadata = json!({ "name": name });
     let manifest =
         json!({ "apiVersion": API_VERSION, "kind": kind, "metadata": metadata, "spec": spec });
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,7 +1,8 @@
 //! A fleet of real processes: control replicas, proxies and stand-in members.
 //!
-//! Owns the processes, the links between them and the folder of settings, data and logs; all end with it.
-//! Relies on the programs beside this one and on [`plan`] for names and addresses.
+//! The fleet owns its processes and the links between them, which end when it is dropped, and writes the folder
+//! of settings, data and logs. It starts the programs in the folder of the current executable, with the names
+//! and addresses of [`plan`].
 
 pub mod manifests;
 pub mod plan;
@@ -16,73 +17,73 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Option that lets a control replica found the cell on an empty folder.
-const BOOTSTRAP: &str = "--bootstrap";
+/// Option that lets a control replica with an empty folder create the cell.
+const BOOTSTRAP_OPTION: &str = "--bootstrap";
 
-/// Why a fleet could not be started or used.
+/// Error of starting or using a fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A file or folder of the fleet.
-    #[error("{path}")]
+    /// A file, folder or program of the fleet could not be used.
+    #[error("cannot access {path}")]
     File {
-        /// The file.
+        /// Path of the file, folder or program.
         path: PathBuf,
-        /// Why.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The folder holds files already, perhaps those of an earlier fleet.
-    #[error("{0} is not empty; give each run a folder of its own")]
+    /// The folder holds files already, possibly those of an earlier fleet.
+    #[error("folder {0} is not empty; use a separate folder for each run")]
     FolderInUse(PathBuf),
-    /// A settings file could not be written.
+    /// The settings of a process could not be encoded as TOML.
     #[error("settings cannot be encoded")]
     Settings(#[from] toml::ser::Error),
-    /// A process.
+    /// A process could not be started or signalled.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A link.
+    /// A link could not be started.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// Something did not become ready in time.
-    #[error("{what} was not ready within {waited:?}; the last answer was: {last}")]
+    /// A part of the fleet did not become ready in time.
+    #[error("{awaited} was not ready within {waited:?}; the last answer was: {last_answer}")]
     NotReady {
-        /// What was waited for.
-        what: String,
-        /// How long.
+        /// Name of the awaited part.
+        awaited: String,
+        /// Time waited.
         waited: Duration,
-        /// What the last attempt gave.
-        last: String,
+        /// Answer or error of the last attempt.
+        last_answer: String,
     },
-    /// A command of the product failed.
+    /// A client command of the product failed.
     #[error("{command} ended with {status}: {output}")]
     Command {
-        /// What was run.
+        /// Arguments of the command.
         command: String,
-        /// How it ended.
+        /// Exit status of the command.
         status: std::process::ExitStatus,
-        /// What it printed.
+        /// Output of the command.
         output: String,
     },
 }
 
-/// Programs that a fleet consists of.
+/// Paths of the programs that a fleet runs.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// `corktack`.
+    /// Path of `corktack`.
     pub corktack: PathBuf,
-    /// `corktack-standin`.
+    /// Path of `corktack-standin`.
     pub standin: PathBuf,
 }
 
 impl Programs {
-    /// The programs built beside this one.
+    /// Returns the paths of the programs in the folder of the current executable.
     ///
     /// # Errors
-    /// [`FleetError::File`] when this program's own path is not known.
-    pub fn beside_this_one() -> Result<Self, FleetError> {
-        let this = std::env::current_exe()
+    /// [`FleetError::File`] when the path of the current executable is not available.
+    pub fn beside_current_executable() -> Result<Self, FleetError> {
+        let executable = std::env::current_exe()
             .map_err(|source| FleetError::File { path: PathBuf::new(), source })?;
-        let folder = this.parent().map(Path::to_owned).unwrap_or_default();
-        // Test programs are built one folder further down.
+        let folder = executable.parent().map(Path::to_owned).unwrap_or_default();
+        // Cargo builds test programs in the subfolder `deps`.
         let folder = if folder.ends_with("deps") {
             folder.parent().map(Path::to_owned).unwrap_or_default()
         } else {
@@ -92,42 +93,42 @@
     }
 }
 
-/// A member with the links around it.
+/// A running member with the links to it.
 #[derive(Debug)]
 pub struct RunningMember {
-    /// Its plan.
+    /// Names and addresses.
     pub plan: MemberPlan,
-    /// Its process.
+    /// Child process.
     pub process: Process,
-    /// Between everyone else and its PostgreSQL interface.
+    /// Link to the PostgreSQL interface of the member.
     pub sql_link: Link,
-    /// Between the other members and its replication interface.
+    /// Link from the other members to the replication interface of the member.
     pub replication_link: Link,
-    /// Where a process that was started keeps its files.
+    /// Folder of the files of the member.
     pub data_folder: PathBuf,
 }
 
-/// A proxy with the links around it.
+/// A running proxy with the links to and from it.
 #[derive(Debug)]
 pub struct RunningProxy {
-    /// Its plan.
+    /// Names and addresses.
     pub plan: ProxyPlan,
-    /// Its process.
+    /// Child process.
     pub process: Process,
-    /// Between callers and it.
+    /// Link from callers to the proxy.
     pub caller_link: Link,
-    /// Between other proxies and it.
+    /// Link from other proxies to the proxy.
     pub peer_link: Link,
-    /// Between it and each control replica; held, since a dropped link closes.
+    /// Links from the proxy to each control replica; kept because a dropped link closes its connections.
     pub control_links: Vec<Link>,
 }
 
-/// A running fleet. Its processes are killed when it is dropped.
+/// A running fleet. Dropping the fleet kills its processes.
 #[derive(Debug)]
 pub struct Fleet {
-    /// What was planned.
+    /// Names, addresses and settings of the fleet.
     pub plan: FleetPlan,
-    /// Programs it consists of.
+    /// Programs that the fleet runs.
     pub programs: Programs,
     /// Control replicas.
     pub controls: Vec<Process>,
@@ -141,7 +142,7 @@
     /// Starts every process, applies the manifests and waits until callers are served.
     ///
     /// # Errors
-    /// The first [`FleetError`]; what was started is killed.
+    /// The first [`FleetError`]; the processes started before it are killed.
     pub async fn start(plan: FleetPlan, programs: Programs) -> Result<Self, FleetError> {
         create_empty_folder(&plan.folder)?;
         let controls = start_controls(&plan, &programs)?;
@@ -160,18 +161,18 @@
         Ok(fleet)
     }
 
-    /// Addresses of the operators' interfaces as options of the command line.
+    /// Returns the command-line options that name the operator addresses of the control replicas.
     #[must_use]
     pub fn server_options(&self) -> Vec<String> {
         let addresses = self.plan.controls.iter().map(|control| control.operators);
-        addresses.flat_map(|it| ["--server".to_owned(), format!("http://{it}")]).collect()
+        addresses.flat_map(|address| ["--server".to_owned(), format!("http://{address}")]).collect()
     }
 
-    /// Runs a client command of the product to its end and returns what it printed.
+    /// Runs a client command of the product to completion and returns its standard output.
     ///
     /// # Errors
-    /// [`FleetError::Command`] when it fails.
-    pub fn corktack(&self, arguments: &[&str]) -> Result<String, FleetError> {
+    /// [`FleetError::Command`] when the command fails, [`FleetError::File`] when it cannot be started.
+    pub fn run_corktack(&self, arguments: &[&str]) -> Result<String, FleetError> {
         let command = arguments.join(" ");
         let output = std::process::Command::new(&self.programs.corktack)
             .args(arguments)
@@ -193,12 +194,12 @@
             .map(|members| members.iter().map(|member| member.sql_link.address()).collect())
             .collect();
         let path = self.plan.folder.join("manifests.yaml");
-        write_file(&path, &manifests::manifests(&self.plan, &addresses))?;
-        self.corktack(&["apply", "-f", &path.to_string_lossy()])?;
+        write_file(&path, &manifests::render_manifests(&self.plan, &addresses))?;
+        self.run_corktack(&["apply", "-f", &path.to_string_lossy()])?;
         Ok(())
     }
 
-    /// Databases with the addresses at which callers reach the proxies.
+    /// Returns each database with the addresses at which callers reach the proxies.
     #[must_use]
     pub fn targets(&self) -> Vec<(String, Vec<SocketAddr>)> {
         let callers: Vec<SocketAddr> =
@@ -220,10 +221,10 @@
     let settings = plan.folder.join(format!("{name}.toml"));
     write_file(&settings, &plan.control_file(control, &plan.folder.join(&name))?)?;
     let arguments =
-        ["control", "--settings", &settings.to_string_lossy(), BOOTSTRAP].map(str::to_owned);
+        ["control", "--settings", &settings.to_string_lossy(), BOOTSTRAP_OPTION].map(str::to_owned);
     let mut process = Process::start(&name, &programs.corktack, arguments.to_vec(), &plan.folder)?;
-    // Only an empty folder of the first start may found the cell: a wiped one must not.
-    process.drop_argument(BOOTSTRAP);
+    // Only the first start may create the cell: a replica that restarts with a wiped folder must not.
+    process.remove_argument(BOOTSTRAP_OPTION);
     Ok(process)
 }
 
@@ -273,8 +274,8 @@
     let mut running = Vec::new();
     for (member, (sql_link, replication_link)) in group.members.iter().zip(links) {
         let data_folder = plan.folder.join(&member.name);
-        let primary = running.is_empty();
-        let arguments = member_arguments(plan, member, &data_folder, &peers, primary);
+        let is_primary = running.is_empty();
+        let arguments = member_arguments(plan, member, &data_folder, &peers, is_primary);
         let process = Process::start(&member.name, &programs.standin, arguments, &plan.folder)?;
         let plan = member.clone();
         running.push(RunningMember { plan, process, sql_link, replication_link, data_folder });
@@ -287,7 +288,7 @@
     member: &MemberPlan,
     data_folder: &Path,
     peers: &[(String, SocketAddr)],
-    primary: bool,
+    is_primary: bool,
 ) -> Vec<String> {
     let mut arguments = vec![
         "--name".to_owned(),
@@ -305,18 +306,18 @@
         arguments.push("--peer".to_owned());
         arguments.push(format!("{name}={address}"));
     }
-    if primary {
+    if is_primary {
         arguments.push("--initial-primary".to_owned());
     }
     arguments
 }
 
-/// Makes the folder of a fleet. One that holds an earlier fleet is refused: its control
-/// replicas would go on with members that are no longer there.
+/// Creates the folder of a fleet. Refuses a folder that holds an earlier fleet, since the control replicas
+/// would continue with members that no longer exist.
 fn create_empty_folder(path: &Path) -> Result<(), FleetError> {
-    let failed = |source| FleetError::File { path: path.to_owned(), source };
-    std::fs::create_dir_all(path).map_err(failed)?;
-    if std::fs::read_dir(path).map_err(failed)?.next().is_some() {
+    let file_error = |source| FleetError::File { path: path.to_owned(), source };
+    std::fs::create_dir_all(path).map_err(file_error)?;
+    if std::fs::read_dir(path).map_err(file_error)?.next().is_some() {
         return Err(FleetError::FolderInUse(path.to_owned()));
     }
     Ok(())
--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -1,7 +1,6 @@
-//! Names, addresses and files of a fleet before it is started.
+//! Plan of a fleet: names, zones and loopback addresses of all processes, and their settings files.
 //!
-//! Owns the names, zones and loopback addresses of all processes and the text of their settings files. Relies
-//! on the profile for numbers and regions; starts nothing.
+//! The plan takes the sizes and regions from a profile. It reserves no ports and starts no processes.
 
 use super::ports::free_address;
 use crate::profile::Profile;
@@ -9,76 +8,76 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Control replicas of a fleet, the fewest that bear a loss.
-const CONTROLS: u64 = 3;
-/// Proxies of a fleet, one a region of both profiles.
-const PROXIES: usize = 3;
+/// Control replicas of a fleet: the smallest cell that tolerates the loss of a replica.
+const CONTROL_REPLICA_COUNT: u64 = 3;
+/// Proxies of a fleet: one per region, since each profile has three regions.
+const PROXY_COUNT: usize = 3;
 
-/// A control replica.
+/// Plan of a control replica.
 #[derive(Clone, Debug)]
 pub struct ControlPlan {
-    /// Identity.
+    /// Id of the replica in the cell.
     pub id: u64,
-    /// Interface for other replicas.
+    /// Address for the other replicas of the cell.
     pub cell: SocketAddr,
-    /// Interface for proxies.
+    /// Address for proxies.
     pub proxies: SocketAddr,
-    /// Interface for operators.
+    /// Address for operators.
     pub operators: SocketAddr,
 }
 
-/// A proxy.
+/// Plan of a proxy.
 #[derive(Clone, Debug)]
 pub struct ProxyPlan {
-    /// Name.
+    /// Name in the fleet.
     pub name: String,
-    /// Zone.
+    /// Zone, as `REGION.NUMBER`.
     pub zone: String,
-    /// Interface for callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Interface for other proxies.
+    /// Address for other proxies.
     pub peers: SocketAddr,
-    /// Metrics and readiness.
+    /// Address for metrics and readiness.
     pub telemetry: SocketAddr,
 }
 
-/// A member of a group.
+/// Plan of a member of a group.
 #[derive(Clone, Debug)]
 pub struct MemberPlan {
-    /// Name.
+    /// Name in the fleet.
     pub name: String,
-    /// Zone.
+    /// Zone, as `REGION.NUMBER`.
     pub zone: String,
-    /// PostgreSQL interface.
+    /// Address of the PostgreSQL interface.
     pub sql: SocketAddr,
-    /// Replication interface.
+    /// Address for replication from the other members.
     pub replication: SocketAddr,
 }
 
-/// A database group.
+/// Plan of a database group.
 #[derive(Clone, Debug)]
 pub struct GroupPlan {
-    /// Name, and name of its database.
+    /// Name of the group and of its database.
     pub name: String,
-    /// Members; the first starts as primary.
+    /// Members, of which the first starts as primary.
     pub members: Vec<MemberPlan>,
 }
 
-/// A whole fleet.
+/// Plan of a whole fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// The workload it serves.
+    /// Workload and topology that the fleet serves.
     pub profile: Profile,
     /// Folder of settings, data and logs.
     pub folder: PathBuf,
     /// Control replicas.
     pub controls: Vec<ControlPlan>,
-    /// Proxies, one a region in turn.
+    /// Proxies, assigned to the regions in turn.
     pub proxies: Vec<ProxyPlan>,
-    /// Groups, one a region in turn.
+    /// Groups, assigned to the regions in turn.
     pub groups: Vec<GroupPlan>,
-    /// Time between an owner's probes of a member, in milliseconds; the default of
-    /// `corktack proxy` when absent.
+    /// Interval between an owner's probes of a member in milliseconds; the default of
+    /// `corktack proxy` if absent.
     pub probe_interval_ms: Option<u32>,
 }
 
@@ -86,17 +85,18 @@
     /// Plans a fleet for a profile.
     ///
     /// # Errors
-    /// The system's error when ports cannot be had.
+    /// The error of the search for free ports.
     pub fn new(profile: Profile, folder: &Path) -> std::io::Result<Self> {
-        let controls = (1..=CONTROLS).map(plan_control).collect::<Result<_, _>>()?;
-        let proxies = (0..PROXIES).map(|n| plan_proxy(&profile, n)).collect::<Result<_, _>>()?;
-        let groups = (0..profile.groups as usize).map(|n| plan_group(&profile, n));
+        let controls = (1..=CONTROL_REPLICA_COUNT).map(plan_control).collect::<Result<_, _>>()?;
+        let proxies =
+            (0..PROXY_COUNT).map(|index| plan_proxy(&profile, index)).collect::<Result<_, _>>()?;
+        let groups = (0..profile.groups as usize).map(|index| plan_group(&profile, index));
         let groups = groups.collect::<Result<_, _>>()?;
         let folder = folder.to_owned();
         Ok(Self { profile, folder, controls, proxies, groups, probe_interval_ms: None })
     }
 
-    /// The same fleet with another time between an owner's probes, if one is given.
+    /// Replaces the interval between an owner's probes; `None` selects the default of `corktack proxy`.
     #[must_use]
     pub fn with_probe_interval(mut self, probe_interval_ms: Option<u32>) -> Self {
         self.probe_interval_ms = probe_interval_ms;
@@ -109,10 +109,10 @@
     Ok(ControlPlan { id, cell, proxies, operators })
 }
 
-fn plan_proxy(profile: &Profile, number: usize) -> std::io::Result<ProxyPlan> {
-    let region = &profile.regions[number % profile.regions.len()];
+fn plan_proxy(profile: &Profile, index: usize) -> std::io::Result<ProxyPlan> {
+    let region = &profile.regions[index % profile.regions.len()];
     Ok(ProxyPlan {
-        name: format!("proxy-{}", number + 1),
+        name: format!("proxy-{}", index + 1),
         zone: format!("{region}.1"),
         callers: free_address()?,
         peers: free_address()?,
@@ -120,9 +120,9 @@
     })
 }
 
-fn plan_group(profile: &Profile, number: usize) -> std::io::Result<GroupPlan> {
-    let region = &profile.regions[number % profile.regions.len()];
-    let name = format!("{}-{}", profile.name, number + 1);
+fn plan_group(profile: &Profile, index: usize) -> std::io::Result<GroupPlan> {
+    let region = &profile.regions[index % profile.regions.len()];
+    let name = format!("{}-{}", profile.name, index + 1);
     let members = (1..=profile.members).map(|member| {
         Ok(MemberPlan {
             name: format!("{name}-m{member}"),
@@ -136,16 +136,16 @@
 }
 
 impl FleetPlan {
-    /// Text of a control replica's settings file, as `corktack control` reads it.
+    /// Returns the text of a control replica's settings file for `corktack control`.
     ///
     /// # Errors
-    /// The library's error when a value has no TOML form.
+    /// The encoder's error when a value cannot be represented in TOML.
     pub fn control_file(
         &self,
         control: &ControlPlan,
         data_folder: &Path,
     ) -> Result<String, toml::ser::Error> {
-        let member = |it: &ControlPlan| json!({ "id": it.id, "address": it.cell });
+        let member = |replica: &ControlPlan| json!({ "id": replica.id, "address": replica.cell });
         toml::to_string(&json!({
             "replica": control.id,
             "data_folder": data_folder,
@@ -158,11 +158,11 @@
         }))
     }
 
-    /// Text of a proxy's settings file, as `corktack proxy` reads it. Other proxies reach it at
-    /// `announced`, and it reaches the control replicas at `controls`.
+    /// Returns the text of a proxy's settings file for `corktack proxy`. The proxy announces
+    /// `announced` to other proxies and connects to the control replicas at `controls`.
     ///
     /// # Errors
-    /// The library's error when a value has no TOML form.
+    /// The encoder's error when a value cannot be represented in TOML.
     pub fn proxy_file(
         &self,
         proxy: &ProxyPlan,
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,10 +1,11 @@
-//! The lab: fleets of real processes on loopback, links that fail, load and checks of what callers were told.
+//! Load and failover tests on fleets of real processes on loopback.
 //!
-//! It measures and checks the PostgreSQL road (edge, owner, stand-in members). It owns the processes that it
-//! starts, the links between them and the files of a run; it relies on the programs `corktack` and
-//! `corktack-standin` beside its own. The soak uses [`process`] and [`link`] alone.
+//! The lab measures the PostgreSQL data path (edge, owner, stand-in members) over links with latency and
+//! faults, and compares the answers that callers got with the contents of the databases. It owns the processes
+//! that it starts, the links between them and the files of a run, and relies on the programs `corktack` and
+//! `corktack-standin` in the folder of its own executable. The soak test uses only [`process`] and [`link`].
 //!
-//! "A process starts no other process" binds the product; the lab is what starts fleets of it.
+//! The rule that a process starts no other process applies to the product; the lab starts whole fleets of it.
 
 pub mod experiment;
 pub mod fleet;
--- a/crates/lab/src/load/history.rs
+++ b/crates/lab/src/load/history.rs
@@ -1,102 +1,102 @@
-//! What callers wrote and were told, for the check against the databases.
+//! Checks the outcomes that callers were given for their writes against the rows in the databases.
 //!
-//! Owns the rules: what was acknowledged is there once, what was refused is not, a transaction is whole.
-//! Pure; relies on nothing but the two lists.
+//! An acknowledged write is stored exactly once, a refused write is not stored, and a transaction is stored
+//! completely or not at all. The functions are pure and do no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the caller was told of a write.
+/// Outcome of a write as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Told {
-    /// Acknowledged: it must be there, once.
+pub enum ReportedOutcome {
+    /// Acknowledged: the write must be stored exactly once.
     Acknowledged,
-    /// Refused as not run, or failed by the database: it must not be there.
+    /// Refused as not run, or failed by the database: the write must not be stored.
     NotRun,
-    /// Unknown: it may be there, at most once.
+    /// Unknown: the write may be stored, at most once.
     Unknown,
 }
 
-/// Kind of a write.
+/// Kind of a write, which decides its table and number of rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteKind {
     /// One row of `flag`.
     Flag,
-    /// One row of `charge`, sent under an idempotency key, perhaps several times.
+    /// One row of `charge`, sent with an idempotency key and possibly several times.
     Charge,
     /// Three rows of `ledger` in one transaction.
     Booking,
 }
 
-/// Rows that one booking writes.
-pub const BOOKING_PARTS: i64 = 3;
+/// Rows of `ledger` that one booking writes.
+pub const ROWS_PER_BOOKING: i64 = 3;
 
-/// One write with its verdict.
+/// One write with its reported outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// Its kind.
+    /// Kind of the write.
     pub kind: WriteKind,
-    /// Its id, unique in the run.
+    /// Id of the written rows, unique in the run.
     pub id: String,
-    /// What the caller was told in the end.
-    pub told: Told,
+    /// Last outcome that the caller was given.
+    pub told: ReportedOutcome,
 }
 
-/// A rule that an answer or the databases broke.
+/// A violation of a guarantee, seen in an answer or in a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A session did not see its own write.
+    /// A session did not read its own acknowledged write.
     StaleRead {
-        /// The caller.
+        /// Name of the caller.
         caller: String,
-        /// Sequence of its last acknowledged write.
+        /// Sequence number of the last acknowledged write.
         acknowledged: i64,
-        /// Sequence that it read.
+        /// Sequence number that the session read.
         read: i64,
     },
     /// An answer that belongs to another request.
     WrongAnswer {
-        /// What was asked.
+        /// The request.
         asked: String,
-        /// What came.
+        /// The answer.
         answered: String,
     },
     /// An acknowledged write is not in the database.
     LostWrite(Write),
     /// A write that was refused as not run is in the database.
     RanThoughRefused(Write),
-    /// A write is there more than once.
+    /// A write is stored more often than once.
     Repeated {
-        /// The write.
+        /// The repeated write.
         write: Write,
-        /// How often it is there.
+        /// Rows found under the id of the write.
         times: i64,
     },
-    /// A transaction is there in part.
+    /// A transaction is stored in part.
     PartialTransaction {
         /// The booking.
         write: Write,
-        /// Rows of it that are there.
+        /// Rows found of the booking.
         parts: i64,
     },
-    /// A refusal without the time to come back.
+    /// A refusal does not say after which time to retry.
     NoRetryAfter,
 }
 
-/// How often each id stands in the database.
-pub type Counts = BTreeMap<String, i64>;
+/// Number of rows in the database by id.
+pub type RowCounts = BTreeMap<String, i64>;
 
-/// Checks the callers' writes of one kind against the counts in the database.
+/// Returns the violations among the writes of one kind, given the row counts of the database.
 #[must_use]
-pub fn check(writes: &[Write], kind: WriteKind, counts: &Counts) -> Vec<Violation> {
-    let rows = if kind == WriteKind::Booking { BOOKING_PARTS } else { 1 };
+pub fn check_writes(writes: &[Write], kind: WriteKind, counts: &RowCounts) -> Vec<Violation> {
+    let rows = if kind == WriteKind::Booking { ROWS_PER_BOOKING } else { 1 };
     writes
         .iter()
         .filter(|write| write.kind == kind)
-        .filter_map(|write| check_one(write, counts.get(&write.id).copied().unwrap_or(0), rows))
+        .filter_map(|write| check_write(write, counts.get(&write.id).copied().unwrap_or(0), rows))
         .collect()
 }
 
-fn check_one(write: &Write, found: i64, rows: i64) -> Option<Violation> {
+fn check_write(write: &Write, found: i64, rows: i64) -> Option<Violation> {
     let write = write.clone();
     if found > rows {
         return Some(Violation::Repeated { write, times: found });
@@ -105,17 +105,17 @@
         return Some(Violation::PartialTransaction { write, parts: found });
     }
     match (write.told, found) {
-        (Told::Acknowledged, 0) => Some(Violation::LostWrite(write)),
-        (Told::NotRun, found) if found > 0 => Some(Violation::RanThoughRefused(write)),
+        (ReportedOutcome::Acknowledged, 0) => Some(Violation::LostWrite(write)),
+        (ReportedOutcome::NotRun, found) if found > 0 => Some(Violation::RanThoughRefused(write)),
         _ => None,
     }
 }
 
-/// Checks that every log entry holds whole bookings and no part of a second caller's transaction.
+/// Returns the sets of bookings that share a log entry; an entry must hold one transaction only.
 ///
-/// Each entry is given as the bookings named by its statements.
+/// Each entry is given as the list of bookings that its statements name.
 #[must_use]
-pub fn mixed_entries(entries: &[Vec<String>]) -> Vec<BTreeSet<String>> {
+pub fn find_mixed_entries(entries: &[Vec<String>]) -> Vec<BTreeSet<String>> {
     entries
         .iter()
         .map(|bookings| bookings.iter().cloned().collect::<BTreeSet<_>>())
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,8 +1,7 @@
-//! Load: callers of a profile, what they ask and what they were answered.
+//! Load generation: the callers of a profile, their operations and the answers that they got.
 //!
-//! Arrivals are open-loop: operations start at times drawn beforehand, and the
-//! latency of an operation counts from its drawn time, so a slow system cannot
-//! hide its queue by slowing the callers down.
+//! Arrivals are open-loop: each operation has a start time drawn in advance, and its latency counts from that
+//! time. A slow system therefore cannot hide its queue by slowing the callers down.
 
 pub mod caller;
 pub mod history;
--- a/crates/lab/src/load/outcome.rs
+++ b/crates/lab/src/load/outcome.rs
@@ -1,41 +1,41 @@
-//! What became of one request, from the caller's side.
+//! Classification of client errors by what a caller may conclude from them.
 
 use tokio_postgres::error::SqlState;
 
-/// Words that a refusal carries when the request did not run.
-const NOT_RUN_WORDS: &str = "not run";
-/// Start of the hint that tells when to come back.
+/// Text in the message of a refusal when the request did not run.
+const NOT_RUN_TEXT: &str = "not run";
+/// Prefix of the hint that gives the time until a retry.
 const RETRY_AFTER_PREFIX: &str = "retry_after_ms=";
 
-/// What a caller may conclude from an error.
+/// Class of an error, by what the caller may conclude about its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ErrorClass {
     /// The request did not run.
     NotRun {
-        /// When to come back, in milliseconds; `None` breaks the contract.
+        /// Time until a retry, in milliseconds; a refusal with `None` breaks the protocol.
         retry_after_ms: Option<u32>,
     },
     /// The request may or may not have run.
     Unknown,
-    /// The database answered with an error; the transaction did not commit.
+    /// The database answered with an error of this SQLSTATE; the transaction did not commit.
     Database(String),
-    /// The connection ended and the caller has to connect again; whatever was
-    /// sent last may or may not have run.
+    /// The connection ended and the caller has to connect again; the last request may or may
+    /// not have run.
     Closed,
 }
 
 /// Classifies an error of the client library.
 #[must_use]
-pub fn verdict(error: &tokio_postgres::Error) -> Verdict {
-    let Some(database) = error.as_db_error() else { return Verdict::Closed };
-    if database.message().contains(NOT_RUN_WORDS) {
+pub fn classify_error(error: &tokio_postgres::Error) -> ErrorClass {
+    let Some(database) = error.as_db_error() else { return ErrorClass::Closed };
+    if database.message().contains(NOT_RUN_TEXT) {
         let retry_after_ms = database.hint().and_then(parse_retry_after);
-        return Verdict::NotRun { retry_after_ms };
+        return ErrorClass::NotRun { retry_after_ms };
     }
     match database.code() {
-        &SqlState::TRANSACTION_RESOLUTION_UNKNOWN => Verdict::Unknown,
-        &SqlState::ADMIN_SHUTDOWN => Verdict::Closed,
-        code => Verdict::Database(code.code().to_owned()),
+        &SqlState::TRANSACTION_RESOLUTION_UNKNOWN => ErrorClass::Unknown,
+        &SqlState::ADMIN_SHUTDOWN => ErrorClass::Closed,
+        code => ErrorClass::Database(code.code().to_owned()),
     }
 }
 
--- a/crates/lab/src/load/session.rs
+++ b/crates/lab/src/load/session.rs
@@ -1,10 +1,10 @@
-//! A caller's connection: startup with the token of the session before, prepared statements, transactions.
+//! Connection of a caller: startup with the token of the previous session, prepared statements, transactions.
 //!
-//! Owns the connection and its statements; keeps the newest token that the proxy reported where its caller
-//! finds it. Relies on `tokio_postgres` as any application would.
+//! A session owns its connection and prepared statements, and stores the newest token that the proxy reported
+//! for the caller's next session. It uses `tokio_postgres` as an ordinary application would.
 
 use super::caller::CallerSettings;
-use super::history::BOOKING_PARTS;
+use super::history::ROWS_PER_BOOKING;
 use std::future::poll_fn;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -13,23 +13,23 @@
 
 /// Parameter in which a proxy reports the session's token.
 const TOKEN_PARAMETER: &str = "corktack.token";
-/// Longest wait for a connection.
+/// Timeout of connecting to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The newest token of a caller's sessions.
+/// Newest session token of a caller, shared with the task that drives the connection.
 pub(super) type Token = Arc<Mutex<Option<String>>>;
 
-/// A connection with the statements that its caller repeats.
+/// A connection with its prepared statements.
 #[derive(Debug)]
 pub(super) struct Session {
     pub(super) client: Client,
     pub(super) lookup: Statement,
-    pub(super) own: Statement,
-    pub(super) flag: Statement,
+    pub(super) own_read: Statement,
+    pub(super) flag_insert: Statement,
 }
 
 impl Session {
-    /// Connects to one of the caller's endpoints, with the token if that is a proxy.
+    /// Connects to one of the caller's endpoints and passes the token if the endpoint is a proxy.
     pub(super) async fn connect(
         settings: &CallerSettings,
         endpoint: usize,
@@ -43,23 +43,24 @@
             .user(&settings.user)
             .dbname(&settings.database)
             .connect_timeout(CONNECT_TIMEOUT);
-        let known = token.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        if let (true, Some(known)) = (settings.proxied, known) {
-            config.options(format!("-c {TOKEN_PARAMETER}={known}"));
+        let current_token = token.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        if let (true, Some(current_token)) = (settings.proxied, current_token) {
+            config.options(format!("-c {TOKEN_PARAMETER}={current_token}"));
         }
         let (client, mut connection) = config.connect(NoTls).await?;
-        let shared = Arc::clone(token);
+        let shared_token = Arc::clone(token);
         tokio::spawn(async move {
             loop {
-                let polled = poll_fn(|context| {
+                let polled_message = poll_fn(|context| {
                     let polled = connection.poll_message(context);
                     if let Some(token) = connection.parameter(TOKEN_PARAMETER) {
-                        let mut shared = shared.lock().unwrap_or_else(PoisonError::into_inner);
-                        *shared = Some(token.to_owned());
+                        let mut newest_token =
+                            shared_token.lock().unwrap_or_else(PoisonError::into_inner);
+                        *newest_token = Some(token.to_owned());
                     }
                     polled
                 });
-                let Some(Ok(_)) = polled.await else { return };
+                let Some(Ok(_)) = polled_message.await else { return };
             }
         });
         Self::prepare(client).await
@@ -69,22 +70,22 @@
         let lookup = client
             .prepare_typed("SELECT line, detail FROM record WHERE line = $1", &[Type::INT8])
             .await?;
-        let own = client
+        let own_read = client
             .prepare_typed(
                 "SELECT coalesce(max(sequence), 0) FROM flag WHERE caller = $1",
                 &[Type::TEXT],
             )
             .await?;
-        let flag = client
+        let flag_insert = client
             .prepare_typed(
                 "INSERT INTO flag (id, caller, sequence) VALUES ($1, $2, $3)",
                 &[Type::TEXT, Type::TEXT, Type::INT8],
             )
             .await?;
-        Ok(Self { client, lookup, own, flag })
+        Ok(Self { client, lookup, own_read, flag_insert })
     }
 
-    /// Runs a booking's transaction; the second value tells whether COMMIT was sent.
+    /// Runs the transaction of a booking. The second value tells whether COMMIT was sent.
     pub(super) async fn run_booking(
         &mut self,
         id: &str,
@@ -93,7 +94,7 @@
             Ok(transaction) => transaction,
             Err(error) => return (Err(error), false),
         };
-        for part in 0..BOOKING_PARTS {
+        for part in 0..ROWS_PER_BOOKING {
             let insert = format!("INSERT INTO ledger (booking, part) VALUES ('{id}', {part})");
             if let Err(error) = transaction.simple_query(&insert).await {
                 return (Err(error), false);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `corktack-lab`: load and failovers of whole fleets on this machine's loopback.
+//! `corktack-lab`: runs load and failover experiments on whole fleets on this machine's loopback interface.
 
 use corktack_lab::experiment::failover::{FailoverSettings, Fault, run_failovers};
 use corktack_lab::experiment::profile_load::{ProfileLoadSettings, run_profile};
@@ -60,7 +60,7 @@
 
 async fn run_load(flags: flags::Load) -> eyre::Result<()> {
     let profiles = match &flags.profile {
-        Some(name) => vec![profile(name)?],
+        Some(name) => vec![parse_profile(name)?],
         None => vec![Profile::carte(), Profile::huts()],
     };
     for profile in profiles {
@@ -70,7 +70,7 @@
             rate: flags.rate.unwrap_or(1.0),
             seed: flags.seed.unwrap_or(1),
             probe_interval_ms: flags.probe_interval,
-            folder: folder(flags.folder.as_deref())?,
+            folder: create_folder(flags.folder.as_deref())?,
         };
         run_profile(&settings).await?;
     }
@@ -79,24 +79,24 @@
 
 async fn run_failover(flags: flags::Failover) -> eyre::Result<()> {
     let settings = FailoverSettings {
-        profile: profile(flags.profile.as_deref().unwrap_or("carte"))?,
+        profile: parse_profile(flags.profile.as_deref().unwrap_or("carte"))?,
         fault: flags.fault.parse::<Fault>()?,
         with_control_leader: flags.with_control_leader,
         runs: flags.runs.unwrap_or(5),
         probe_interval_ms: flags.probe_interval,
-        folder: folder(flags.folder.as_deref())?,
+        folder: create_folder(flags.folder.as_deref())?,
     };
     run_failovers(&settings).await
 }
 
-fn profile(name: &str) -> eyre::Result<Profile> {
-    Profile::by_name(name).ok_or_else(|| eyre!("{name:?} is not carte or huts"))
+fn parse_profile(name: &str) -> eyre::Result<Profile> {
+    Profile::by_name(name).ok_or_else(|| eyre!("unknown profile {name:?}: expected carte or huts"))
 }
 
-/// The folder asked for, or a new one among the system's temporary files.
-fn folder(asked: Option<&Path>) -> eyre::Result<PathBuf> {
+/// Creates the requested folder, or one in the system's folder for temporary files.
+fn create_folder(requested: Option<&Path>) -> eyre::Result<PathBuf> {
     let temporary = || std::env::temp_dir().join(format!("corktack-lab-{}", std::process::id()));
-    let folder = asked.map_or_else(temporary, Path::to_owned);
+    let folder = requested.map_or_else(temporary, Path::to_owned);
     std::fs::create_dir_all(&folder)?;
     Ok(folder)
 }
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,43 +1,43 @@
-//! Child processes of a fleet, ended only by the ids that were started here.
+//! Child processes of a fleet. Signals go only to the ids of processes that this module started.
 //!
-//! Owns each child and its log file; a process is killed and waited for when it is dropped. The soak starts
-//! its processes through this module too.
+//! Each [`Process`] owns its child and log file, and kills the child and waits for it when dropped. The soak
+//! test starts its processes through this module too.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// Why a process could not be started or signalled.
+/// Error of starting, signalling or waiting for a process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// The program did not start.
+    /// The log file could not be opened or the program could not be started.
     #[error("cannot start {program}")]
     Start {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// Why.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The signal was refused.
+    /// The system refused the signal.
     #[error("cannot signal process {name}")]
     Signal {
-        /// Name in the fleet.
+        /// Name of the process in the fleet.
         name: String,
-        /// Why.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// Waiting for the end failed.
+    /// The system could not report whether the process has ended.
     #[error("cannot wait for process {name}")]
     Wait {
-        /// Name in the fleet.
+        /// Name of the process in the fleet.
         name: String,
-        /// Why.
+        /// Error of the system.
         source: std::io::Error,
     },
 }
 
-/// A child process. It is killed when dropped.
+/// A child process that is killed when this value is dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -48,14 +48,14 @@
     child: Child,
 }
 
-/// Variables that a process gets beside those of this one.
+/// Environment variables that a process gets in addition to the inherited ones.
 pub type Environment = Vec<(String, String)>;
 
 impl Process {
-    /// Starts `program`; its output goes to `NAME.log` in `folder`.
+    /// Starts `program` and appends its output to `NAME.log` in `folder`.
     ///
     /// # Errors
-    /// [`ProcessError::Start`] when the log or the program cannot be opened.
+    /// [`ProcessError::Start`] when the log cannot be opened or the program cannot be started.
     pub fn start(
         name: &str,
         program: &Path,
@@ -65,10 +65,10 @@
         Self::start_in(name, program, arguments, Environment::new(), folder)
     }
 
-    /// Starts `program` with variables of its own.
+    /// Starts `program` with additional environment variables.
     ///
     /// # Errors
-    /// [`ProcessError::Start`] when the log or the program cannot be opened.
+    /// [`ProcessError::Start`] when the log cannot be opened or the program cannot be started.
     pub fn start_in(
         name: &str,
         program: &Path,
@@ -83,58 +83,58 @@
         Ok(Self { name, program, arguments, environment, log, child })
     }
 
-    /// Leaves an argument that only the first start needs out of later ones.
-    pub fn drop_argument(&mut self, argument: &str) {
-        self.arguments.retain(|it| it != argument);
+    /// Removes an argument that only the first start needs, so that restarts omit it.
+    pub fn remove_argument(&mut self, argument: &str) {
+        self.arguments.retain(|kept| kept != argument);
     }
 
-    /// Process id.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal to this process alone.
+    /// Sends a signal to this process only.
     ///
     /// # Errors
-    /// [`ProcessError::Signal`] when the system refuses.
+    /// [`ProcessError::Signal`] when the system refuses the signal.
     pub fn signal(&self, signal: Signal) -> Result<(), ProcessError> {
         let pid = Pid::from_child(&self.child);
         kill_process(pid, signal)
             .map_err(|error| ProcessError::Signal { name: self.name.clone(), source: error.into() })
     }
 
-    /// Kills the process without warning and waits until it is gone.
+    /// Kills the process with SIGKILL and waits until it has ended.
     ///
     /// # Errors
-    /// [`ProcessError::Wait`] when it cannot be waited for.
+    /// [`ProcessError::Wait`] when waiting for the process fails.
     pub fn kill(&mut self) -> Result<ExitStatus, ProcessError> {
         let _ = self.child.kill();
         self.wait()
     }
 
-    /// Waits for the end.
+    /// Waits until the process has ended.
     ///
     /// # Errors
-    /// [`ProcessError::Wait`] when it cannot be waited for.
+    /// [`ProcessError::Wait`] when waiting for the process fails.
     pub fn wait(&mut self) -> Result<ExitStatus, ProcessError> {
         let name = self.name.clone();
         self.child.wait().map_err(|source| ProcessError::Wait { name, source })
     }
 
-    /// Exit status, if the process has ended.
+    /// Returns the exit status if the process has ended.
     ///
     /// # Errors
-    /// [`ProcessError::Wait`] when the system does not tell.
+    /// [`ProcessError::Wait`] when the system does not report the status.
     pub fn try_wait(&mut self) -> Result<Option<ExitStatus>, ProcessError> {
         let name = self.name.clone();
         self.child.try_wait().map_err(|source| ProcessError::Wait { name, source })
     }
 
-    /// Starts the same program with the same arguments again, after it has ended.
+    /// Kills the process if it still runs and starts the same program again with the same arguments.
     ///
     /// # Errors
-    /// [`ProcessError::Start`] when it cannot be started.
+    /// [`ProcessError::Start`] when the program cannot be started.
     pub fn restart(&mut self) -> Result<(), ProcessError> {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/lab/src/profile.rs
+++ b/crates/lab/src/profile.rs
@@ -1,56 +1,56 @@
-//! The two users' workloads and places, as constants of the lab.
+//! Workloads and topologies of the two users: sizes, regions, latencies and priority classes.
 //!
-//! Owns numbers, regions, latencies and priority classes; both fleets and loads are drawn from it.
+//! The plan of a fleet and the load on it are both derived from a profile.
 
 use std::time::Duration;
 
-/// A user's workload and places.
+/// Workload and topology of one user.
 #[derive(Clone, Debug)]
 pub struct Profile {
-    /// Short name.
+    /// Name on the command line, and prefix of the group names.
     pub name: String,
-    /// Names of the regions, one site each.
+    /// Names of the regions, each with one site.
     pub regions: Vec<String>,
-    /// Database groups.
+    /// Number of database groups.
     pub groups: u32,
-    /// Members of a group.
+    /// Members per group.
     pub members: u32,
-    /// Slots of a group.
+    /// Slots per group.
     pub slots: u32,
-    /// Server connections of a group; also callers a group.
+    /// Server connections per group, and number of callers per group.
     pub connections: u32,
     /// One-way latency between zones.
     pub zone_latency: Duration,
     /// One-way latency between regions.
     pub region_latency: Duration,
-    /// One-way latency to callers.
+    /// One-way latency between callers and their proxy.
     pub caller_latency: Duration,
-    /// Operations a second that all callers of one group start together; a choice of ours
-    /// that the stand-in, which has one writer, can serve.
+    /// Operations per second that all callers of one group start together. The rate is low
+    /// enough for the stand-in, which has a single writer.
     pub arrivals_per_second: f64,
-    /// Share of operations that write.
-    pub write_share: f64,
-    /// Share of operations after which the caller moves to another proxy.
-    pub roaming_share: f64,
-    /// Priority classes with their share of the callers, highest first.
+    /// Fraction of operations that write.
+    pub write_fraction: f64,
+    /// Fraction of operations before which the caller switches to another proxy.
+    pub endpoint_switch_fraction: f64,
+    /// Priority classes with their fraction of the callers, highest priority first.
     pub classes: Vec<ClassShare>,
 }
 
-/// A priority class and how many of the callers are in it.
+/// A priority class and the fraction of the callers in it.
 #[derive(Clone, Debug)]
 pub struct ClassShare {
     /// Name of the class, and of the user that is bound to it.
     pub name: String,
-    /// Its priority.
+    /// Priority; a higher number is served first.
     pub priority: u32,
-    /// Grants guaranteed under contention, in percent.
+    /// Percentage of grants that the class is guaranteed under contention.
     pub guaranteed_percent: u8,
-    /// Share of the callers.
-    pub share: f64,
+    /// Fraction of the callers, from 0 to 1.
+    pub fraction: f64,
 }
 
 impl Profile {
-    /// CARTE: the shared lookup service of the carriers' chamber.
+    /// Returns the profile of CARTE, the shared lookup service of the carriers' chamber.
     #[must_use]
     pub fn carte() -> Self {
         Self {
@@ -64,17 +64,17 @@
             region_latency: Duration::from_millis(20),
             caller_latency: Duration::from_millis(3),
             arrivals_per_second: 40.0,
-            write_share: 0.2,
-            roaming_share: 0.01,
+            write_fraction: 0.2,
+            endpoint_switch_fraction: 0.01,
             classes: vec![
-                class("fraud", 100, 0, 0.3),
-                class("court", 50, 10, 0.3),
-                class("billing", 10, 10, 0.4),
+                class_share("fraud", 100, 0, 0.3),
+                class_share("court", 50, 10, 0.3),
+                class_share("billing", 10, 10, 0.4),
             ],
         }
     }
 
-    /// The huts: bookings of the members' association.
+    /// Returns the profile of the huts, the booking service of the members' association.
     #[must_use]
     pub fn huts() -> Self {
         Self {
@@ -88,23 +88,23 @@
             region_latency: Duration::from_millis(10),
             caller_latency: Duration::from_millis(3),
             arrivals_per_second: 200.0,
-            write_share: 0.05,
-            roaming_share: 0.02,
+            write_fraction: 0.05,
+            endpoint_switch_fraction: 0.02,
             classes: vec![
-                class("hosts", 100, 0, 0.2),
-                class("members", 50, 10, 0.5),
-                class("schools", 10, 10, 0.3),
+                class_share("hosts", 100, 0, 0.2),
+                class_share("members", 50, 10, 0.5),
+                class_share("schools", 10, 10, 0.3),
             ],
         }
     }
 
-    /// The profile of that name.
+    /// Returns the profile of the given name.
     #[must_use]
     pub fn by_name(name: &str) -> Option<Self> {
         [Self::carte(), Self::huts()].into_iter().find(|profile| profile.name == name)
     }
 }
 
-fn class(name: &str, priority: u32, guaranteed_percent: u8, share: f64) -> ClassShare {
-    ClassShare { name: name.to_owned(), priority, guaranteed_percent, share }
+fn class_share(name: &str, priority: u32, guaranteed_percent: u8, fraction: f64) -> ClassShare {
+    ClassShare { name: name.to_owned(), priority, guaranteed_percent, fraction }
 }
