--- a/crates/control/src/leader/limits.rs
+++ b/crates/control/src/leader/limits.rs
@@ -179,7 +179,7 @@
         match &mut self.ledger {
             LedgerState::Proposed if applied => self.ledger = LedgerState::Applied,
             LedgerState::Open(ledger) if applied => {
-                ledger.lowered();
+                ledger.confirm_lowered_ceilings();
                 self.has_changed = true;
             }
             _ => (),
@@ -209,7 +209,7 @@
         }
         let ceilings = state.registry().ceilings();
         let answer =
-            ledger.take_report(now, &report, &LimitsInForce { rates: &self.rates, ceilings });
+            ledger.process_report(now, &report, &LimitsInForce { rates: &self.rates, ceilings });
         self.record_raises(answer)
     }
 
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -78,10 +78,10 @@
             gateway: ProxyName::new(self.name).expect("a valid name"),
             incarnation: Incarnation(1),
             term,
-            running: Duration::ZERO,
+            uptime: Duration::ZERO,
             sequence: self.sequence,
-            taken: self.applied_grant,
-            whole: true,
+            last_applied_grant: self.applied_grant,
+            is_full: true,
             demands: vec![demand],
         };
         self.proxy.allowances(report).await;
--- a/crates/core/src/consensus/accessors.rs
+++ b/crates/core/src/consensus/accessors.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CellMemberHealth {
     /// Time since the member last responded to the leader.
-    pub silent_for: Duration,
+    pub time_since_response: Duration,
     /// Whether the member responds and lacks at most a few committed entries.
     pub caught_up: bool,
 }
@@ -109,8 +109,8 @@
     pub fn member_health(&self, now: Timestamp) -> BTreeMap<ReplicaId, CellMemberHealth> {
         let RoleState::Leader(leader) = &self.role else { return BTreeMap::new() };
         let health = |(id, progress): (&ReplicaId, &Progress)| {
-            let silent_for = now.saturating_since(progress.last_response);
-            (*id, CellMemberHealth { silent_for, caught_up: self.is_caught_up(now, *id) })
+            let time_since_response = now.saturating_since(progress.last_response);
+            (*id, CellMemberHealth { time_since_response, caught_up: self.is_caught_up(now, *id) })
         };
         leader.progress.iter().map(health).collect()
     }
--- a/crates/core/src/limits/account/admission.rs
+++ b/crates/core/src/limits/account/admission.rs
@@ -59,7 +59,7 @@
             return None;
         }
         self.begun.add(now, bounds.window, operations);
-        Some(AdmittedOperations { operations, marked: now })
+        Some(AdmittedOperations { operations, counted_at: now })
     }
 
     /// Returns the operations that may begin now.
--- a/crates/core/src/limits/account/mod.rs
+++ b/crates/core/src/limits/account/mod.rs
@@ -91,7 +91,7 @@
 
     /// Subtracts counted operations that did not run.
     pub(super) fn return_operations(&mut self, admitted: AdmittedOperations, bounds: &LimitBounds) {
-        self.begun.subtract(admitted.marked, bounds.window, admitted.operations);
+        self.begun.subtract(admitted.counted_at, bounds.window, admitted.operations);
     }
 
     /// Lowers the allowance to what the leader lets the gateway keep.
@@ -112,7 +112,7 @@
         self.allowance.replace(granted, expires_at);
         self.awaits_grant = false;
         self.more_follows = granted.more_follows;
-        self.more_available_at = granted.more_after.map(|after| now + after);
+        self.more_available_at = granted.more_available_after.map(|after| now + after);
         if let Some(reported) = &mut self.last_reported {
             // The leader knows what it grants, but not that a lower allowance has been applied.
             self.reduction_unreported = granted.operations < reported.held;
--- a/crates/core/src/limits/account/outcome.rs
+++ b/crates/core/src/limits/account/outcome.rs
@@ -21,7 +21,7 @@
     /// Number of operations.
     pub operations: u64,
     /// Time at which they were counted, on the clock of the gateway that counted them.
-    pub marked: Timestamp,
+    pub counted_at: Timestamp,
 }
 
 /// Outcome of a request for operations.
--- a/crates/core/src/limits/gateway.rs
+++ b/crates/core/src/limits/gateway.rs
@@ -106,7 +106,7 @@
     }
 
     /// Applies the rates of a new document; none where there are no tenants.
-    pub fn follow(&mut self, tenants: Option<&TenantDirectory>) {
+    pub fn apply_rates(&mut self, tenants: Option<&TenantDirectory>) {
         let rates = tenants.into_iter().flat_map(TenantDirectory::rates);
         let limit = |(name, rate): (&TenantName, TenantRate)| {
             (name.clone(), self.bounds.window_limit(rate))
@@ -134,7 +134,7 @@
     }
 
     /// Prepares for operations that are likely to be requested: an allowance is asked for in advance.
-    pub fn expect(&mut self, now: Timestamp, tenant: &TenantName) {
+    pub fn expect_operations(&mut self, now: Timestamp, tenant: &TenantName) {
         if let Some(account) = self.account(tenant) {
             account.expect_operations(now);
         }
@@ -201,7 +201,7 @@
 
     /// Returns the mean time between two admissions of a tenant whose allowance is used up.
     #[must_use]
-    pub fn place_interval(&self, refusal: &OverLimit) -> Duration {
+    pub fn admission_interval(&self, refusal: &OverLimit) -> Duration {
         self.bounds.window.div_f64(refusal.allowance.max(1) as f64)
     }
 
@@ -244,19 +244,19 @@
     /// report.
     pub fn report(&mut self, now: Timestamp) -> Option<AllowanceReport> {
         let term = self.term?;
-        let whole = now >= self.full_report_due;
-        if whole {
+        let is_full = now >= self.full_report_due;
+        if is_full {
             self.full_report_due = now + self.bounds.allowance_life.mul_f64(RENEWAL_FRACTION);
             let bounds = self.bounds;
             self.accounts.retain(|_, account| !account.is_unused(now, &bounds));
         }
         let demand = |(tenant, account): (&TenantName, &mut Account)| {
             let ReportedDemand { held, needed, wanted } =
-                account.report(now, &self.bounds, whole)?;
+                account.report(now, &self.bounds, is_full)?;
             Some(AllowanceDemand { tenant: tenant.clone(), held, needed, wanted })
         };
         let demands: Vec<_> = self.accounts.iter_mut().filter_map(demand).collect();
-        if demands.is_empty() && !whole {
+        if demands.is_empty() && !is_full {
             return None;
         }
         self.last_report_sequence += 1;
@@ -268,16 +268,16 @@
             incarnation: self.incarnation,
             term,
             sequence: self.last_report_sequence,
-            running: now.saturating_since(self.started),
-            taken: self.last_applied_grant,
-            whole,
+            uptime: now.saturating_since(self.started),
+            last_applied_grant: self.last_applied_grant,
+            is_full,
             demands,
         })
     }
 
     /// Applies a grant of the leader. Grants of other leaders and grants older than the newest applied
     /// one are ignored.
-    pub fn take(&mut self, now: Timestamp, grant: &AllowanceGrant) {
+    pub fn apply_grant(&mut self, now: Timestamp, grant: &AllowanceGrant) {
         let is_addressed_here =
             grant.gateway == self.gateway && grant.incarnation == self.incarnation;
         if !is_addressed_here
@@ -286,9 +286,11 @@
         {
             return;
         }
-        let Some(reported_at) = self.report_times.get(&grant.answers).copied() else { return };
+        let Some(reported_at) = self.report_times.get(&grant.report_sequence).copied() else {
+            return;
+        };
         self.last_applied_grant = grant.number;
-        if grant.wants_whole {
+        if grant.wants_full_report {
             self.full_report_due = now;
         }
         let expires_at = reported_at + self.bounds.allowance_life;
--- a/crates/core/src/limits/ledger/ceilings.rs
+++ b/crates/core/src/limits/ledger/ceilings.rs
@@ -71,7 +71,8 @@
 
 impl LimitLedger {
     /// Returns the lowerings of ceilings that are much higher than what is allocated. The lower
-    /// ceilings hold from now on; the caller calls [`LimitLedger::lowered`] once they are in the log.
+    /// ceilings hold from now on; the caller calls [`LimitLedger::confirm_lowered_ceilings`] once they
+    /// are in the log.
     pub fn lower_ceilings(
         &mut self,
         now: Timestamp,
@@ -102,7 +103,7 @@
     }
 
     /// Records that the ceilings lowered last are in the log.
-    pub fn lowered(&mut self) {
+    pub fn confirm_lowered_ceilings(&mut self) {
         self.pending_lowerings.clear();
     }
 }
--- a/crates/core/src/limits/ledger/mod.rs
+++ b/crates/core/src/limits/ledger/mod.rs
@@ -125,7 +125,7 @@
 
     /// Processes a report from the incarnation of a gateway that is in the state. A report to another
     /// leader, or one older than a processed one, is not answered.
-    pub fn take_report(
+    pub fn process_report(
         &mut self,
         now: Timestamp,
         report: &AllowanceReport,
@@ -138,14 +138,14 @@
             return answer.finish();
         }
         self.end_predecessor(now, &reporter);
-        if report.whole {
-            self.apply_uptime(now, &reporter, report.running);
+        if report.is_full {
+            self.apply_uptime(now, &reporter, report.uptime);
         }
         match self.reporters.record_report(now, report) {
             ReportStatus::Stale => return answer.finish(),
             ReportStatus::Partial => {
                 if let Some(grant) = self.reporters.grant(&mut answer, self.term, &report.gateway) {
-                    grant.wants_whole = true;
+                    grant.wants_full_report = true;
                 }
                 return answer.finish();
             }
@@ -165,14 +165,16 @@
                 .tenants
                 .entry(demand.tenant.clone())
                 .or_insert_with(|| TenantLedger::new(inherited_ceiling));
-            tenant.book(&report.gateway, demand, report.taken, was_awaited);
+            tenant.book(&report.gateway, demand, report.last_applied_grant, was_awaited);
         }
-        if report.whole {
+        if report.is_full {
             let reported_tenants: BTreeSet<_> =
                 report.demands.iter().map(|demand| &demand.tenant).collect();
             let unreported =
                 self.tenants.iter_mut().filter(|(tenant, _)| !reported_tenants.contains(tenant));
-            unreported.for_each(|(_, tenant)| tenant.clear_booking(&report.gateway, report.taken));
+            unreported.for_each(|(_, tenant)| {
+                tenant.clear_booking(&report.gateway, report.last_applied_grant)
+            });
             self.update_inherited_expiry(now);
         }
     }
--- a/crates/core/src/limits/ledger/offers.rs
+++ b/crates/core/src/limits/ledger/offers.rs
@@ -43,7 +43,7 @@
     /// Returns the tenants of which some gateway has less than its share, and for which a report may
     /// have freed capacity.
     fn tenants_freed_by(&self, report: &AllowanceReport) -> Vec<TenantName> {
-        if report.whole {
+        if report.is_full {
             return self.tenants_with_shortfall.iter().cloned().collect();
         }
         let reported = report.demands.iter().map(|demand| &demand.tenant);
@@ -132,6 +132,8 @@
         operations: offer.operations,
         window_limit: terms.limit,
         more_follows: offer.shortfall > 0,
-        more_after: offer.more_available_at.map(|available_at| available_at.saturating_since(now)),
+        more_available_after: offer
+            .more_available_at
+            .map(|available_at| available_at.saturating_since(now)),
     }
 }
--- a/crates/core/src/limits/ledger/reporters.rs
+++ b/crates/core/src/limits/ledger/reporters.rs
@@ -87,7 +87,7 @@
         }
         reporter.sequence = report.sequence;
         reporter.reported_at = now;
-        reporter.has_reported_fully |= report.whole;
+        reporter.has_reported_fully |= report.is_full;
         if reporter.has_reported_fully { ReportStatus::Complete } else { ReportStatus::Partial }
     }
 
@@ -126,8 +126,8 @@
                 incarnation: reporter.incarnation,
                 term,
                 number: reporter.last_grant_number,
-                answers: reporter.sequence,
-                wants_whole: false,
+                report_sequence: reporter.sequence,
+                wants_full_report: false,
                 allowances: Vec::new(),
                 recalls: Vec::new(),
             };
--- a/crates/core/src/limits/messages.rs
+++ b/crates/core/src/limits/messages.rs
@@ -37,11 +37,11 @@
     /// Sequence number, which rises with each report of this incarnation.
     pub sequence: u64,
     /// Uptime of this incarnation: its predecessor ended before it started.
-    pub running: Duration,
+    pub uptime: Duration,
     /// Number of the newest grant of this term that the gateway has applied.
-    pub taken: u64,
+    pub last_applied_grant: u64,
     /// Whether the report is full: the gateway holds nothing beyond what is reported here.
-    pub whole: bool,
+    pub is_full: bool,
     /// Demands, one for each reported tenant.
     pub demands: Vec<AllowanceDemand>,
 }
@@ -61,7 +61,7 @@
     /// Time until more can be granted, where less is granted than is wanted because operations begun by
     /// terminated processes may still count; none where there is another reason, or the time is
     /// unknown.
-    pub more_after: Option<Duration>,
+    pub more_available_after: Option<Duration>,
 }
 
 /// Upper bound for a gateway's allowance, sent because other gateways need part of it.
@@ -87,9 +87,9 @@
     pub number: u64,
     /// Sequence number of the newest report that the grant is based on: the life of the allowances
     /// counts from the time at which that report was made.
-    pub answers: u64,
+    pub report_sequence: u64,
     /// Whether the leader first wants a full report of everything that the gateway holds.
-    pub wants_whole: bool,
+    pub wants_full_report: bool,
     /// Allowances, each of which replaces the previous one of its tenant.
     pub allowances: Vec<TenantAllowance>,
     /// Upper bounds for allowances, applied where an allowance is higher.
--- a/crates/core/src/registry/cell_repair.rs
+++ b/crates/core/src/registry/cell_repair.rs
@@ -66,7 +66,9 @@
         health: &BTreeMap<ReplicaId, CellMemberHealth>,
     ) -> Option<CellChange> {
         let is_silent = |id: &ReplicaId| {
-            health.get(id).is_some_and(|health| health.silent_for >= self.settings.replace_after)
+            health
+                .get(id)
+                .is_some_and(|health| health.time_since_response >= self.settings.replace_after)
         };
         let ready = cell.learners.iter().find(|member| {
             health.get(&member.id).is_some_and(|health| health.caught_up) && !is_silent(&member.id)
--- a/crates/core/src/tenancy/directory.rs
+++ b/crates/core/src/tenancy/directory.rs
@@ -17,7 +17,7 @@
 
 impl TenantDirectory {
     /// Applies the tenants of a new document, which must have been checked.
-    pub fn follow(&mut self, tenants: &[TenantRule]) {
+    pub fn update(&mut self, tenants: &[TenantRule]) {
         let declared: HashSet<&TenantName> = tenants.iter().map(|tenant| &tenant.name).collect();
         let removed: Vec<_> =
             self.tenants.keys().filter(|name| !declared.contains(name)).cloned().collect();
@@ -56,7 +56,7 @@
 
     /// Returns the tenant that a key identifies.
     #[must_use]
-    pub fn holder(&self, key: &ApiKey) -> Option<&TenantName> {
+    pub fn tenant_of_key(&self, key: &ApiKey) -> Option<&TenantName> {
         self.by_key.get(key)
     }
 
--- a/crates/core/src/tenancy/name.rs
+++ b/crates/core/src/tenancy/name.rs
@@ -66,7 +66,7 @@
 pub enum Principal {
     /// No tenant: the deployment has none, or the route requires no key.
     #[default]
-    Unnamed,
+    Anonymous,
     /// A tenant, by name.
     Tenant(TenantName),
 }
@@ -76,7 +76,7 @@
     #[must_use]
     pub const fn tenant(&self) -> Option<&TenantName> {
         match self {
-            Self::Unnamed => None,
+            Self::Anonymous => None,
             Self::Tenant(name) => Some(name),
         }
     }
@@ -85,7 +85,7 @@
 impl fmt::Display for Principal {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unnamed => formatter.write_str("-"),
+            Self::Anonymous => formatter.write_str("-"),
             Self::Tenant(name) => name.fmt(formatter),
         }
     }
--- a/crates/core/tests/limits/admission.rs
+++ b/crates/core/tests/limits/admission.rs
@@ -21,7 +21,7 @@
 #[test]
 fn a_tenant_without_a_rate_is_not_limited() {
     let mut gateway = GatewayLimits::new(at_ms(0), gateway_name(0), Incarnation(1), bounds());
-    gateway.follow(None);
+    gateway.apply_rates(None);
     assert_eq!(
         gateway.request(at_ms(0), &tenant(), request(1, at_ms(0))),
         OperationOutcome::Unlimited
@@ -48,7 +48,7 @@
     cluster.begin(0, at_ms(10_000), 200);
     cluster.exchange(0, at_ms(10_000));
     assert_eq!(cluster.begin(0, at_ms(10_100), 200), LIMIT);
-    let begun = AdmittedOperations { operations: 1, marked: at_ms(10_100) };
+    let begun = AdmittedOperations { operations: 1, counted_at: at_ms(10_100) };
     cluster.gateways[0].return_operations(&tenant(), begun);
     assert_eq!(cluster.begin(0, at_ms(10_200), 5), 1);
 }
@@ -61,7 +61,7 @@
         cluster.gateways[0].report(at_ms(10_000)).expect("a report that asks for an allowance");
     let grant = cluster.answer(at_ms(10_000), &report).expect("a grant");
     // The grant arrives when most of the allowance's life is over.
-    cluster.gateways[0].take(at_ms(300_000), &grant);
+    cluster.gateways[0].apply_grant(at_ms(300_000), &grant);
     assert_eq!(cluster.begin(0, at_ms(309_000), 1), 1);
     assert_eq!(cluster.begin(0, at_ms(310_000), 1), 0);
 }
@@ -73,7 +73,7 @@
     cluster.begin(0, at_ms(10_000), 200);
     cluster.exchange(0, at_ms(10_000));
     let lower = TenantRate { per_second: 2.0, burst: 0.0 };
-    cluster.gateways[0].follow(Some(&directory(lower)));
+    cluster.gateways[0].apply_rates(Some(&directory(lower)));
     assert_eq!(
         cluster.begin(0, at_ms(10_100), 200),
         10,
@@ -155,7 +155,7 @@
     let report = gateway.report(at_ms(12_010)).expect("a report that an operation waits");
     let grant = cluster.answer(at_ms(12_020), &report).expect("a grant");
     let gateway = &mut cluster.gateways[0];
-    gateway.take(at_ms(12_030), &grant);
+    gateway.apply_grant(at_ms(12_030), &grant);
     let settled = gateway.settle(at_ms(12_030));
     assert!(matches!(settled[..], [SettledRequest { outcome: Err(_), .. }]), "{settled:?}");
     assert!(matches!(
--- a/crates/core/tests/limits/retry_time.rs
+++ b/crates/core/tests/limits/retry_time.rs
@@ -54,19 +54,19 @@
             operations: LIMIT / 2,
             window_limit: LIMIT,
             more_follows: false,
-            more_after: None,
+            more_available_after: None,
         };
         let grant = AllowanceGrant {
             gateway: report.gateway,
             incarnation: report.incarnation,
             term: report.term,
             number,
-            answers: report.sequence,
-            wants_whole: false,
+            report_sequence: report.sequence,
+            wants_full_report: false,
             allowances: vec![allowance],
             recalls: Vec::new(),
         };
-        gateway.take(now, &grant);
+        gateway.apply_grant(now, &grant);
     };
     let refuse = |gateway: &mut GatewayLimits, now| {
         now + try_begin(gateway, now).expect_err("the allowance is used").retry_after
--- a/crates/core/tests/limits/sharing.rs
+++ b/crates/core/tests/limits/sharing.rs
@@ -45,7 +45,7 @@
     let report =
         cluster.gateways[0].report(at_ms(10_000)).expect("a report that asks for an allowance");
     let terms = Terms(BTreeMap::new());
-    let answer = cluster.ledger.take_report(at_ms(10_000), &report, &terms);
+    let answer = cluster.ledger.process_report(at_ms(10_000), &report, &terms);
     assert_eq!(answer.grants[0].allowances[0].operations, default_ceiling(LIMIT));
     // The 90 needed operations and most of the rest, with a margin, come to the whole limit.
     assert_eq!(answer.ceilings, [CeilingChange::Raise(tenant(), LIMIT)]);
--- a/crates/core/tests/limits/successions.rs
+++ b/crates/core/tests/limits/successions.rs
@@ -78,9 +78,9 @@
     cluster.begin(0, at_ms(60_000), 200);
     let first =
         cluster.gateways[0].report(at_ms(60_000)).expect("a report that asks for an allowance");
-    assert!(first.whole);
+    assert!(first.is_full);
     let grant = cluster.answer(at_ms(60_000), &first).expect("a grant");
-    cluster.gateways[0].take(at_ms(60_000), &grant);
+    cluster.gateways[0].apply_grant(at_ms(60_000), &grant);
     let ended = at_ms(60_000) + bounds().allowance_life.mul_f64(1.03);
     cluster.ledger.expire(ended);
     assert_eq!(
@@ -129,6 +129,6 @@
         cluster.gateways[0].report(at_ms(10_000)).expect("a report that asks for an allowance");
     let grant = cluster.answer(at_ms(10_000), &report).expect("a grant");
     cluster.gateways[0].follow_leader(at_ms(10_010), Term(4));
-    cluster.gateways[0].take(at_ms(10_020), &grant);
+    cluster.gateways[0].apply_grant(at_ms(10_020), &grant);
     assert_eq!(cluster.begin(0, at_ms(10_030), 1), 0);
 }
--- a/crates/core/tests/limits/support.rs
+++ b/crates/core/tests/limits/support.rs
@@ -28,7 +28,7 @@
 pub fn directory(rate: TenantRate) -> TenantDirectory {
     let rule = TenantRule { name: tenant(), keys: vec![ApiKey::new("key")], rate: Some(rate) };
     let mut directory = TenantDirectory::default();
-    directory.follow(&[rule]);
+    directory.update(&[rule]);
     directory
 }
 
@@ -68,7 +68,7 @@
 pub fn gateway(index: usize, incarnation: u64, now: Timestamp, term: Term) -> GatewayLimits {
     let mut gateway =
         GatewayLimits::new(now, gateway_name(index), Incarnation(incarnation), bounds());
-    gateway.follow(Some(&directory(RATE)));
+    gateway.apply_rates(Some(&directory(RATE)));
     gateway.follow_leader(now, term);
     gateway
 }
@@ -103,7 +103,7 @@
 
     pub fn answer(&mut self, now: Timestamp, report: &AllowanceReport) -> Option<AllowanceGrant> {
         let terms = Terms(self.ceilings.clone());
-        let answer = self.ledger.take_report(now, report, &terms);
+        let answer = self.ledger.process_report(now, report, &terms);
         for change in answer.ceilings {
             let CeilingChange::Raise(tenant, operations) = change else { continue };
             self.ceilings.insert(tenant, operations);
@@ -111,7 +111,7 @@
         let (own, others): (Vec<_>, Vec<_>) =
             answer.grants.into_iter().partition(|grant| grant.gateway == report.gateway);
         for grant in others {
-            self.gateways.iter_mut().for_each(|gateway| gateway.take(now, &grant));
+            self.gateways.iter_mut().for_each(|gateway| gateway.apply_grant(now, &grant));
         }
         own.into_iter().next()
     }
@@ -120,7 +120,7 @@
     pub fn exchange(&mut self, index: usize, now: Timestamp) -> bool {
         let Some(report) = self.gateways[index].report(now) else { return false };
         if let Some(grant) = self.answer(now, &report) {
-            self.gateways[index].take(now, &grant);
+            self.gateways[index].apply_grant(now, &grant);
         }
         true
     }
--- a/crates/core/tests/limits_load/world/messages.rs
+++ b/crates/core/tests/limits_load/world/messages.rs
@@ -27,7 +27,7 @@
                 Message::Report(report) => self.answer(&report),
                 Message::Grant(grant) => {
                     let now = at_ms(self.now);
-                    self.counters.iter_mut().for_each(|counter| counter.take(now, &grant));
+                    self.counters.iter_mut().for_each(|counter| counter.apply_grant(now, &grant));
                 }
                 Message::CeilingsLogged(changes) => self.apply(changes),
             }
@@ -40,7 +40,7 @@
             change.apply(&mut self.terms.ceilings);
         }
         if has_lowered {
-            self.ledger.lowered();
+            self.ledger.confirm_lowered_ceilings();
         }
     }
 
@@ -60,7 +60,7 @@
     }
 
     fn answer(&mut self, report: &AllowanceReport) {
-        let answer = self.ledger.take_report(at_ms(self.now), report, &self.terms);
+        let answer = self.ledger.process_report(at_ms(self.now), report, &self.terms);
         self.send_answer(answer);
     }
 
--- a/crates/core/tests/limits_load/world/mod.rs
+++ b/crates/core/tests/limits_load/world/mod.rs
@@ -103,7 +103,7 @@
             keys: vec![ApiKey::new(name.as_str())],
             rate: Some(*rate),
         });
-        directory.follow(&rules.collect::<Vec<_>>());
+        directory.update(&rules.collect::<Vec<_>>());
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(7),
             now: 0,
@@ -138,7 +138,7 @@
         let present = incarnation(number, incarnation_number);
         let mut limits =
             GatewayLimits::new(at_ms(self.now), present.gateway, present.incarnation, bounds());
-        limits.follow(Some(&self.directory));
+        limits.apply_rates(Some(&self.directory));
         limits
     }
 
--- a/crates/core/tests/registry/cell_repair.rs
+++ b/crates/core/tests/registry/cell_repair.rs
@@ -21,8 +21,8 @@
 /// Builds the health of replicas from identity, seconds without an answer, and whether caught up.
 fn health(replicas: &[(u64, u64, bool)]) -> BTreeMap<ReplicaId, CellMemberHealth> {
     let entry = |(id, seconds, caught_up): &(u64, u64, bool)| {
-        let silent_for = Duration::from_secs(*seconds);
-        (ReplicaId(*id), CellMemberHealth { silent_for, caught_up: *caught_up })
+        let time_since_response = Duration::from_secs(*seconds);
+        (ReplicaId(*id), CellMemberHealth { time_since_response, caught_up: *caught_up })
     };
     replicas.iter().map(entry).collect()
 }
--- a/crates/core/tests/tenancy/main.rs
+++ b/crates/core/tests/tenancy/main.rs
@@ -96,25 +96,25 @@
 #[test]
 fn a_principal_is_printed_by_its_name() {
     assert_eq!(Principal::Tenant(name("alfa")).to_string(), "alfa");
-    assert_eq!(Principal::Unnamed.to_string(), "-");
+    assert_eq!(Principal::Anonymous.to_string(), "-");
 }
 
 fn holder(directory: &TenantDirectory, key: &str) -> Option<String> {
-    directory.holder(&ApiKey::new(key)).map(ToString::to_string)
+    directory.tenant_of_key(&ApiKey::new(key)).map(ToString::to_string)
 }
 
 #[test]
 fn keys_are_added_moved_and_removed() {
     let mut directory = TenantDirectory::default();
-    directory.follow(&[tenant("alfa", &["a", "b"]), tenant("beta", &["c"])]);
+    directory.update(&[tenant("alfa", &["a", "b"]), tenant("beta", &["c"])]);
     assert_eq!(holder(&directory, "b"), Some("alfa".to_owned()));
     // The order in which the changed tenants are listed makes no difference.
-    directory.follow(&[tenant("beta", &["c", "b"]), tenant("alfa", &["a"])]);
+    directory.update(&[tenant("beta", &["c", "b"]), tenant("alfa", &["a"])]);
     assert_eq!(holder(&directory, "b"), Some("beta".to_owned()));
-    directory.follow(&[tenant("alfa", &["a", "b"]), tenant("beta", &[])]);
+    directory.update(&[tenant("alfa", &["a", "b"]), tenant("beta", &[])]);
     assert_eq!(holder(&directory, "b"), Some("alfa".to_owned()));
     assert_eq!(holder(&directory, "c"), None);
-    directory.follow(&[tenant("beta", &["d"])]);
+    directory.update(&[tenant("beta", &["d"])]);
     assert_eq!(holder(&directory, "a"), None);
     assert_eq!(directory.len(), 1);
 }
@@ -127,10 +127,10 @@
         })
         .collect();
     let mut directory = TenantDirectory::default();
-    directory.follow(&tenants);
+    directory.update(&tenants);
     let before = directory.entries_written();
     tenants[4_711].keys.pop();
-    directory.follow(&tenants);
+    directory.update(&tenants);
     assert_eq!(directory.entries_written() - before, 5, "three entries removed, two written");
     assert_eq!(holder(&directory, "l4711"), None);
     assert_eq!(holder(&directory, "l4710"), Some("t4710".to_owned()));
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -76,7 +76,7 @@
     statement: &OwnStatement,
     deadline: Instant,
 ) -> Option<MemberAnswer> {
-    let destination = Destination { group, member, address, principal: &Principal::Unnamed };
+    let destination = Destination { group, member, address, principal: &Principal::Anonymous };
     let mut connection = match dial(wire, settings, destination).await {
         Ok((connection, _)) => connection,
         Err(error) if error.failure() == DialFailure::Full && Instant::now() < deadline => {
--- a/crates/gateway/src/group/connect.rs
+++ b/crates/gateway/src/group/connect.rs
@@ -27,7 +27,7 @@
             group: &self.name,
             member: &member,
             address: back_end.address,
-            principal: principal.unwrap_or(&Principal::Unnamed),
+            principal: principal.unwrap_or(&Principal::Anonymous),
         };
         match dial(&self.wire, &self.settings, destination).await {
             Ok((connection, _)) => {
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -92,7 +92,7 @@
 
     /// Applies the tenants' rates of a new document.
     pub(crate) fn update_rates(&self, tenants: Option<&TenantDirectory>) {
-        self.accounts.borrow_mut().follow(tenants);
+        self.accounts.borrow_mut().apply_rates(tenants);
         self.settle_waiting();
     }
 
@@ -117,7 +117,7 @@
         if let Some(tenant) = principal.tenant()
             && self.homes(tenant).is_empty()
         {
-            self.accounts.borrow_mut().expect(self.clock.now(), tenant);
+            self.accounts.borrow_mut().expect_operations(self.clock.now(), tenant);
         }
     }
 
--- a/crates/gateway/src/limits/question.rs
+++ b/crates/gateway/src/limits/question.rs
@@ -154,7 +154,7 @@
 
     /// Refuses operations, with a different retry time for each, so that their callers don't retry at once.
     fn refuse(&self, over_limit: OverLimit, waiters: Vec<Waiter>) {
-        let interval = self.accounts.borrow().place_interval(&over_limit);
+        let interval = self.accounts.borrow().admission_interval(&over_limit);
         let mut retry_after = over_limit.retry_after;
         for waiter in waiters {
             // A send fails only if the caller has gone and needs no answer.
@@ -193,7 +193,7 @@
         match self.count_locally(tenant, requested).await {
             Ok(Some(admitted)) => (None, Ok(admitted)),
             // The limit was removed in the meantime.
-            Ok(None) => (None, Ok(AdmittedOperations { operations, marked: self.clock.now() })),
+            Ok(None) => (None, Ok(AdmittedOperations { operations, counted_at: self.clock.now() })),
             Err(over_limit) => (None, Err(over_limit)),
         }
     }
--- a/crates/gateway/src/limits/report.rs
+++ b/crates/gateway/src/limits/report.rs
@@ -43,7 +43,7 @@
         let mut accounts = self.accounts.borrow_mut();
         match update {
             LimitNews::Led(term) => accounts.follow_leader(now, term),
-            LimitNews::Granted(grant) => accounts.take(now, &grant),
+            LimitNews::Granted(grant) => accounts.apply_grant(now, &grant),
         }
         drop(accounts);
         self.settle_waiting();
--- a/crates/gateway/src/routes/mod.rs
+++ b/crates/gateway/src/routes/mod.rs
@@ -153,9 +153,9 @@
     fn principal(&self, rule: &RouteRule, key: &ApiKey) -> Result<Principal, NotAdmitted> {
         let tenants = self.tenants.borrow();
         match tenants.as_ref().filter(|_| !rule.public) {
-            None => Ok(Principal::Unnamed),
+            None => Ok(Principal::Anonymous),
             Some(tenants) => {
-                let tenant = tenants.holder(key).ok_or(NotAdmitted::UnknownKey)?;
+                let tenant = tenants.tenant_of_key(key).ok_or(NotAdmitted::UnknownKey)?;
                 Ok(Principal::Tenant(tenant.clone()))
             }
         }
@@ -235,7 +235,7 @@
         let mut tenants = self.tenants.borrow_mut();
         match &document.tenants {
             None => *tenants = None,
-            Some(declared) => tenants.get_or_insert_default().follow(declared),
+            Some(declared) => tenants.get_or_insert_default().update(declared),
         }
     }
 
--- a/crates/gateway/tests/sessions/tunnels.rs
+++ b/crates/gateway/tests/sessions/tunnels.rs
@@ -146,7 +146,7 @@
     let acquire = TunnelRequest::Acquire {
         group: GroupName::new("calls").expect("a valid name"),
         member: MemberName::new("m1").expect("a valid name"),
-        principal: Principal::Unnamed,
+        principal: Principal::Anonymous,
         priority: 1,
         wait: Duration::from_secs(5),
         bound: None,
--- a/crates/gateway/tests/sessions/world/limits_control.rs
+++ b/crates/gateway/tests/sessions/world/limits_control.rs
@@ -40,15 +40,15 @@
             operations,
             window_limit: TENANT_RATE.per_second as u64 * 5,
             more_follows: false,
-            more_after: None,
+            more_available_after: None,
         };
         let grant = AllowanceGrant {
             gateway: report.gateway.clone(),
             incarnation: report.incarnation,
             term: report.term,
             number: self.grants,
-            answers: report.sequence,
-            wants_whole: false,
+            report_sequence: report.sequence,
+            wants_full_report: false,
             allowances: vec![allowance],
             recalls: Vec::new(),
         };
--- a/crates/sim/src/limits/gateway.rs
+++ b/crates/sim/src/limits/gateway.rs
@@ -83,8 +83,8 @@
         self.rate = rate;
         let rule = TenantRule { name: tenant(), keys: vec![ApiKey::new("key")], rate: Some(rate) };
         let mut directory = TenantDirectory::default();
-        directory.follow(&[rule]);
-        self.limits.follow(Some(&directory));
+        directory.update(&[rule]);
+        self.limits.apply_rates(Some(&directory));
     }
 
     /// Tries an operation; says whether it begins.
@@ -104,10 +104,11 @@
         self.newest_report = report.sequence;
         report.sequence += self.sequence_before;
         match variant {
-            LimitsVariant::TakenNotTold => report.taken = u64::MAX,
-            LimitsVariant::RunningOverstated => report.running += OVERSTATED_BY,
+            LimitsVariant::TakenNotTold => report.last_applied_grant = u64::MAX,
+            LimitsVariant::RunningOverstated => report.uptime += OVERSTATED_BY,
             LimitsVariant::AnyTermTaken => {
-                report.taken = if self.taken.0 == report.term { self.taken.1 } else { 0 };
+                report.last_applied_grant =
+                    if self.taken.0 == report.term { self.taken.1 } else { 0 };
             }
             _ => (),
         }
@@ -120,18 +121,18 @@
     }
 
     pub(super) fn take(&mut self, now: u64, mut grant: AllowanceGrant, variant: LimitsVariant) {
-        grant.answers = grant.answers.saturating_sub(self.sequence_before);
+        grant.report_sequence = grant.report_sequence.saturating_sub(self.sequence_before);
         match variant {
-            LimitsVariant::LifeFromArrival => grant.answers = self.newest_report,
+            LimitsVariant::LifeFromArrival => grant.report_sequence = self.newest_report,
             LimitsVariant::AnyTermTaken => {
                 self.taken = (grant.term, grant.number);
                 self.grants_taken += 1;
                 grant.number = self.grants_taken;
                 grant.term = self.newest_term.unwrap_or(grant.term);
-                grant.answers = self.newest_report;
+                grant.report_sequence = self.newest_report;
             }
             _ => (),
         }
-        self.limits.take(self.clock.at(now), &grant);
+        self.limits.apply_grant(self.clock.at(now), &grant);
     }
 }
--- a/crates/sim/src/limits/leader.rs
+++ b/crates/sim/src/limits/leader.rs
@@ -88,7 +88,7 @@
 
     pub(super) fn changes_applied(&mut self) {
         self.changing = false;
-        self.ledger.lowered();
+        self.ledger.confirm_lowered_ceilings();
     }
 
     /// Answers a report.
@@ -106,7 +106,7 @@
         let now = self.clock.at(now);
         self.ledger.expire(now);
         let terms = Terms { state: &self.state, variant };
-        self.ledger.take_report(now, report, &terms)
+        self.ledger.process_report(now, report, &terms)
     }
 
     /// Offers more after a change of the state.
