--- a/crates/core/src/admission/bounds.rs
+++ b/crates/core/src/admission/bounds.rs
@@ -5,7 +5,7 @@
 //! requests that are served before by priority and by guaranteed share, all taken from the queue of
 //! [`super`].
 
-use super::{AdmissionQueue, CREDIT_PER_GRANT, Lane, Ticket};
+use super::{AdmissionQueue, CREDIT_PER_GRANT, RequiredRole, Ticket};
 use crate::identity::ClassName;
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -38,8 +38,8 @@
 
     /// Reports whether a new request has to wait. A request for a replica takes a free slot at
     /// once, because requests that wait while a slot is free wait for a primary.
-    pub(super) fn must_wait(&self, lane: Lane) -> bool {
-        let behind_others = lane == Lane::Primary && self.length > 0;
+    pub(super) fn must_wait(&self, lane: RequiredRole) -> bool {
+        let behind_others = lane == RequiredRole::Primary && self.length > 0;
         behind_others || self.in_use >= self.limits.slots
     }
 
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -39,7 +39,7 @@
 
 /// Members that can serve a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lane {
+pub enum RequiredRole {
     /// Only the primary. The request is skipped while there is none.
     Primary,
     /// A replica known to hold the position that the request needs.
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 struct Waiting {
     ticket: Ticket,
-    lane: Lane,
+    lane: RequiredRole,
     deadline: Timestamp,
 }
 
@@ -108,7 +108,9 @@
     }
 
     fn first_eligible(&self, primary_available: bool) -> Option<usize> {
-        self.waiting.iter().position(|entry| primary_available || entry.lane == Lane::Replica)
+        self.waiting
+            .iter()
+            .position(|entry| primary_available || entry.lane == RequiredRole::Replica)
     }
 }
 
@@ -180,7 +182,7 @@
     pub fn enqueue(
         &mut self,
         class: &ClassName,
-        lane: Lane,
+        lane: RequiredRole,
         now: Timestamp,
         deadline: Timestamp,
     ) -> Result<Admitted, AdmissionError> {
--- a/crates/core/src/gateway/detour.rs
+++ b/crates/core/src/gateway/detour.rs
@@ -5,7 +5,7 @@
 //! long as other gateways reach it. One request at a time finds out whether any of them does; while
 //! none does, the next request follows after a growing pause.
 //!
-//! [`Detour`] owns whether other gateways reach one member, and relies on the gateway to send the
+//! [`IndirectRoute`] owns whether other gateways reach one member, and relies on the gateway to send the
 //! requests. Where a partition separates one gateway of seven from its primary, the primary stays
 //! in place and the value of the requests served in a day rises from 0.884 to 0.909, together with
 //! the rule for suspected primaries in `registry::promotion`.
@@ -26,13 +26,13 @@
 
 /// What a caller may do about a member that its gateway does not reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DetourStep {
+pub enum IndirectRouteStep {
     /// Send the request through other gateways.
-    Take,
+    Send,
     /// Wait for the outcome of another request that is in flight.
     Wait,
     /// Give up for now: no other gateway reached the member a moment ago.
-    Closed,
+    Unreachable,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -50,24 +50,25 @@
 
 /// Whether other gateways reach a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Detour {
+pub struct IndirectRoute {
     state: State,
     failures: u32,
 }
 
-impl Detour {
-    /// Returns what a caller may do now. The caller reports the outcome of [`DetourStep::Take`]
-    /// with [`Detour::reached`] or [`Detour::failed`], unless it goes away first.
-    pub fn step(&mut self, now: Timestamp) -> DetourStep {
+impl IndirectRoute {
+    /// Returns what a caller may do now. The caller reports the outcome of [`IndirectRouteStep::Send`]
+    /// with [`IndirectRoute::record_reached`] or [`IndirectRoute::record_failure`], unless it goes away
+    /// first.
+    pub fn step(&mut self, now: Timestamp) -> IndirectRouteStep {
         match self.state {
-            State::Reachable => DetourStep::Take,
+            State::Reachable => IndirectRouteStep::Send,
             State::Probing { since } if now.saturating_since(since) < ANSWER_LIMIT => {
-                DetourStep::Wait
+                IndirectRouteStep::Wait
             }
-            State::Unreachable { until } if now < until => DetourStep::Closed,
+            State::Unreachable { until } if now < until => IndirectRouteStep::Unreachable,
             State::Unknown | State::Probing { .. } | State::Unreachable { .. } => {
                 self.state = State::Probing { since: now };
-                DetourStep::Take
+                IndirectRouteStep::Send
             }
         }
     }
@@ -79,12 +80,12 @@
     }
 
     /// Records that another gateway reaches the member.
-    pub fn reached(&mut self) {
+    pub fn record_reached(&mut self) {
         *self = Self { state: State::Reachable, failures: 0 };
     }
 
     /// Records that none of the gateways asked reaches the member.
-    pub fn failed(&mut self, now: Timestamp) {
+    pub fn record_failure(&mut self, now: Timestamp) {
         let pause =
             FIRST_RETRY_PAUSE.saturating_mul(1 << self.failures.min(8)).min(LONGEST_RETRY_PAUSE);
         self.failures += 1;
--- a/crates/core/src/gateway/fallback.rs
+++ b/crates/core/src/gateway/fallback.rs
@@ -58,20 +58,20 @@
 /// The period in which a gateway's observations of a member are valid. Without connections of its
 /// own the gateway would never notice that the member is back, so the observations expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WitnessPeriod<I> {
+pub struct ObservationPeriod<I> {
     unconnected_since: Option<I>,
 }
 
-impl<I> Default for WitnessPeriod<I> {
+impl<I> Default for ObservationPeriod<I> {
     fn default() -> Self {
         Self { unconnected_since: None }
     }
 }
 
-impl<I: ClockInstant> WitnessPeriod<I> {
+impl<I: ClockInstant> ObservationPeriod<I> {
     /// Records whether the gateway may have connections to the member now. Returns whether it has
     /// been without them for so long that its observations must be discarded.
-    pub fn is_over(&mut self, now: I, holds_connections: bool) -> bool {
+    pub fn update_and_check_expired(&mut self, now: I, holds_connections: bool) -> bool {
         if holds_connections {
             self.unconnected_since = None;
             return false;
--- a/crates/core/src/gateway/flight_limit.rs
+++ b/crates/core/src/gateway/flight_limit.rs
@@ -7,7 +7,7 @@
 //! refused one for lack of room.
 //!
 //! The limit follows from the statements that the member runs concurrently, the number of holders,
-//! refusals and answers. [`FlightLimit`] owns the limit of one member at one holder. After a power
+//! refusals and answers. [`InFlightLimit`] owns the limit of one member at one holder. After a power
 //! loss of all machines, when members are otherwise sent the statements of all gateways at once,
 //! the limit and a faster start together lower the refused statements from 2,256 to 424.
 
@@ -32,14 +32,14 @@
 
 /// Limit of the statements that one gateway may have in flight at a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FlightLimit {
+pub struct InFlightLimit {
     /// The limit without refusals.
     highest: f64,
     limit: f64,
     lowered_at: Option<Timestamp>,
 }
 
-impl FlightLimit {
+impl InFlightLimit {
     /// Creates the limit of one of `holders` gateways for a member that runs `capacity` statements
     /// concurrently.
     #[must_use]
@@ -63,7 +63,7 @@
     }
 
     /// Records that the member had no room for a statement, which lowers the limit.
-    pub fn refused(&mut self, now: Timestamp) {
+    pub fn record_refusal(&mut self, now: Timestamp) {
         let is_recent =
             |lowered_at: Timestamp| now.saturating_since(lowered_at) < DECREASE_INTERVAL;
         if self.lowered_at.is_some_and(is_recent) {
@@ -75,7 +75,7 @@
 
     /// Records that the member ran a statement. The limit rises by one after as many statements as
     /// the limit allows, up to its highest value.
-    pub fn served(&mut self) {
+    pub fn record_served(&mut self) {
         self.limit = (self.limit + 1.0 / self.limit).min(self.highest);
     }
 }
--- a/crates/core/src/gateway/freshness.rs
+++ b/crates/core/src/gateway/freshness.rs
@@ -113,7 +113,7 @@
     /// that the primary changed and may have rolled back entries that it lacked. No member will
     /// ever hold those, so no read may wait for them. A primary holds everything that remains of
     /// earlier terms, so its position replaces the positions of those terms.
-    pub fn note(&mut self, asked_at: Timestamp, position: Position) {
+    pub fn record_position(&mut self, asked_at: Timestamp, position: Position) {
         self.insert_sample(Sample { asked_at, position, source: PositionSource::Primary });
     }
 
@@ -143,7 +143,7 @@
     /// # Errors
     /// [`PositionTooOld`] if this gateway's clock does not reach back to that moment; nothing is
     /// recorded.
-    pub fn note_reported(
+    pub fn record_reported(
         &mut self,
         asked_at: Timestamp,
         age: Duration,
--- a/crates/core/src/gateway/holders/asking.rs
+++ b/crates/core/src/gateway/holders/asking.rs
@@ -47,7 +47,7 @@
     /// Returns at most `limit` holders to send a request to now. The list is empty when all of them
     /// are paused after a refusal or after not answering.
     #[must_use]
-    pub fn to_ask(&self, now: Timestamp, peers: &PeerTable, limit: usize) -> Vec<Holder> {
+    pub fn candidates(&self, now: Timestamp, peers: &PeerTable, limit: usize) -> Vec<Holder> {
         let available = self.holders.iter().filter(|(holder, until)| {
             until.is_none_or(|until| now >= until) && !peers.is_avoided(holder.address, now)
         });
@@ -58,7 +58,7 @@
     /// gateway that itself holds connections passes its address in `own` and gets only the holders
     /// that precede it in the tenant's order.
     #[must_use]
-    pub fn to_ask_for(
+    pub fn candidates_for_tenant(
         &self,
         tenant: &TenantName,
         own: Option<SocketAddr>,
@@ -68,7 +68,7 @@
     ) -> Vec<Holder> {
         let own_weight = own.map(|own| home_weight(tenant, own));
         let weighted = self
-            .to_ask(now, peers, usize::MAX)
+            .candidates(now, peers, usize::MAX)
             .into_iter()
             .map(|holder| (home_weight(tenant, holder.address), holder));
         let mut preceding: Vec<_> =
@@ -95,7 +95,7 @@
         now: Timestamp,
         peers: &PeerTable,
     ) -> Option<Holder> {
-        let near = self.to_ask(now, peers, usize::MAX).into_iter();
+        let near = self.candidates(now, peers, usize::MAX).into_iter();
         let near = near.filter(|holder| holder.distance != Distance::OtherRegion);
         let weighted = near.map(|holder| (home_weight(group, holder.address), holder));
         let (weight, heaviest) = weighted.max_by_key(|(weight, _)| *weight)?;
@@ -104,14 +104,14 @@
 
     /// Records that a holder answered that it does not reach the member or holds no connections to
     /// it.
-    pub fn refused(&mut self, address: SocketAddr, now: Timestamp) {
+    pub fn record_refusal(&mut self, address: SocketAddr, now: Timestamp) {
         if let Some(pause_end) = self.pause_of(address) {
             *pause_end = Some(now + REFUSAL_PAUSE);
         }
     }
 
     /// Records that a holder served a request, which ends its refusal pause.
-    pub fn served(&mut self, address: SocketAddr) {
+    pub fn record_served(&mut self, address: SocketAddr) {
         if let Some(pause_end) = self.pause_of(address) {
             *pause_end = None;
         }
--- a/crates/core/src/gateway/holders/member.rs
+++ b/crates/core/src/gateway/holders/member.rs
@@ -4,7 +4,7 @@
 //! zone's quota. [`MemberHolders`] owns this choice for one member. It relies on
 //! [`super::HolderTable`] for the gateways of each zone and on [`super::quotas`] for the quotas.
 
-use super::MemberNeeds;
+use super::MemberCapacity;
 use super::quotas::{holder_count, zone_quotas};
 use crate::identity::{MemberName, ProxyName, ZoneName};
 use siphasher::sip::SipHasher13;
@@ -14,7 +14,7 @@
 /// The holders of one member.
 #[derive(Debug)]
 pub(super) struct MemberHolders {
-    pub(super) needs: MemberNeeds,
+    pub(super) needs: MemberCapacity,
     /// Target number of holders.
     target_count: usize,
     quotas: BTreeMap<ZoneName, usize>,
@@ -40,7 +40,7 @@
     /// Chooses the holders of a member among the known gateways.
     pub(super) fn new(
         name: &MemberName,
-        needs: MemberNeeds,
+        needs: MemberCapacity,
         zones: &BTreeMap<ZoneName, BTreeSet<ProxyName>>,
         sizes: &ZoneSizes,
         weights_computed: &mut u64,
@@ -72,7 +72,7 @@
         sizes: &ZoneSizes,
         (before, after): (usize, usize),
     ) -> bool {
-        let MemberNeeds { zone, capacity, max_connections } = &self.needs;
+        let MemberCapacity { zone, capacity, max_connections } = &self.needs;
         let target_count = holder_count(*max_connections, *capacity, sizes.gateways);
         if target_count == self.target_count && before.min(target_count) == after.min(target_count)
         {
--- a/crates/core/src/gateway/holders/mod.rs
+++ b/crates/core/src/gateway/holders/mod.rs
@@ -31,7 +31,7 @@
 
 /// Properties of a member that decide which gateways hold connections to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemberNeeds {
+pub struct MemberCapacity {
     /// Zone of the member.
     pub zone: ZoneName,
     /// Number of statements that the member runs concurrently.
@@ -42,7 +42,7 @@
 
 /// Location of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GatewayPlace {
+pub struct GatewayLocation {
     /// Zone of the gateway.
     pub zone: ZoneName,
     /// Address at which other gateways connect to this one.
@@ -63,7 +63,7 @@
 pub struct HolderTable {
     own_name: ProxyName,
     own_zone: ZoneName,
-    gateways: BTreeMap<ProxyName, GatewayPlace>,
+    gateways: BTreeMap<ProxyName, GatewayLocation>,
     zones: BTreeMap<ZoneName, BTreeSet<ProxyName>>,
     members: BTreeMap<MemberName, MemberHolders>,
     changed_members: BTreeSet<MemberName>,
@@ -74,7 +74,7 @@
     /// Creates a table for the gateway `own`. The table counts this gateway as present even before
     /// the control service lists it.
     #[must_use]
-    pub fn new(own: ProxyName, own_place: GatewayPlace) -> Self {
+    pub fn new(own: ProxyName, own_place: GatewayLocation) -> Self {
         let mut table = Self {
             own_name: own.clone(),
             own_zone: own_place.zone.clone(),
@@ -89,7 +89,7 @@
     }
 
     /// Adds a gateway, or updates its address or zone.
-    pub fn put_gateway(&mut self, name: &ProxyName, place: GatewayPlace) {
+    pub fn put_gateway(&mut self, name: &ProxyName, place: GatewayLocation) {
         if let Some(before) = self.gateways.get(name) {
             if before.zone == place.zone {
                 self.update_address(name, place);
@@ -140,7 +140,7 @@
 
     /// Updates the address of a gateway that stays in its zone. The gateway keeps the members it
     /// holds.
-    fn update_address(&mut self, name: &ProxyName, place: GatewayPlace) {
+    fn update_address(&mut self, name: &ProxyName, place: GatewayLocation) {
         let affected =
             self.members.iter().filter(|(_, holders)| holders.is_held_by(&place.zone, name));
         self.changed_members.extend(affected.map(|(member, _)| member.clone()));
@@ -148,7 +148,7 @@
     }
 
     /// Adds a member, or updates its properties.
-    pub fn put_member(&mut self, name: &MemberName, needs: MemberNeeds) {
+    pub fn put_member(&mut self, name: &MemberName, needs: MemberCapacity) {
         if self.members.get(name).is_some_and(|holders| holders.needs == needs) {
             return;
         }
@@ -173,21 +173,21 @@
 
     /// Reports whether this gateway holds connections to a member.
     #[must_use]
-    pub fn holds(&self, member: &MemberName) -> bool {
+    pub fn is_own_member(&self, member: &MemberName) -> bool {
         let holders = self.members.get(member);
         holders.is_some_and(|holders| holders.is_held_by(&self.own_zone, &self.own_name))
     }
 
     /// Returns the number of gateways that hold connections to a member.
     #[must_use]
-    pub fn count(&self, member: &MemberName) -> usize {
+    pub fn holder_count(&self, member: &MemberName) -> usize {
         self.members.get(member).map_or(0, MemberHolders::count)
     }
 
     /// Returns the other gateways that hold connections to a member, in the order in which this
     /// gateway sends requests to them.
     #[must_use]
-    pub fn others(&self, member: &MemberName) -> Vec<Holder> {
+    pub fn other_holders(&self, member: &MemberName) -> Vec<Holder> {
         let Some(holders) = self.members.get(member) else { return Vec::new() };
         let candidates: Vec<_> =
             holders.names_and_zones().filter(|(name, _)| *name != self.own_name).collect();
--- a/crates/core/src/gateway/member_estimate.rs
+++ b/crates/core/src/gateway/member_estimate.rs
@@ -74,7 +74,7 @@
     }
 
     /// Records that the member ran a statement of this gateway in `taken`.
-    pub fn note_served(&mut self, taken: Duration, now: Timestamp) {
+    pub fn record_served(&mut self, taken: Duration, now: Timestamp) {
         self.latency = weighted_mean(self.latency, taken, LATENCY_WEIGHT);
         self.updated_at = Some(now);
         self.record_outcome(0.0, now);
@@ -82,7 +82,7 @@
 
     /// Records that another gateway ran a statement at the member in `taken`, network time
     /// included.
-    pub fn note_reported(&mut self, reported: &ReportedLoad, taken: Duration, now: Timestamp) {
+    pub fn record_reported(&mut self, reported: &ReportedLoad, taken: Duration, now: Timestamp) {
         self.network_time = weighted_mean(
             self.network_time,
             taken.saturating_sub(reported.spent),
@@ -94,12 +94,12 @@
     }
 
     /// Records that the member served a statement of this gateway through another gateway.
-    pub fn note_served_remotely(&mut self, now: Timestamp) {
+    pub fn record_served_remotely(&mut self, now: Timestamp) {
         self.record_outcome(0.0, now);
     }
 
     /// Records that the member refused a statement, failed it or gave no answer.
-    pub fn note_unserved(&mut self, now: Timestamp) {
+    pub fn record_unserved(&mut self, now: Timestamp) {
         self.record_outcome(1.0, now);
     }
 
--- a/crates/core/src/gateway/member_pauses.rs
+++ b/crates/core/src/gateway/member_pauses.rs
@@ -71,7 +71,7 @@
 impl<I: ClockInstant> MemberPauses<I> {
     /// Records that the registry reports the member as draining. Only the first call sets the start
     /// of the drain.
-    pub fn note_draining(&mut self, now: I) {
+    pub fn record_draining(&mut self, now: I) {
         self.draining_since.get_or_insert(now);
     }
 
@@ -84,21 +84,21 @@
     /// Reports whether the member has been draining for `drain_limit`, the time in which a draining
     /// primary still gets work.
     #[must_use]
-    pub fn has_left(&self, now: I, drain_limit: Duration) -> bool {
+    pub fn is_drain_over(&self, now: I, drain_limit: Duration) -> bool {
         self.draining_since.is_some_and(|since| now - since >= drain_limit)
     }
 
     /// Reports whether the member is expected to accept reads.
     #[must_use]
-    pub fn takes_reads(&self, now: I) -> bool {
+    pub fn accepts_reads(&self, now: I) -> bool {
         !self.is_draining() && !self.is_unreachable(now)
     }
 
     /// Reports whether the member is expected to accept writes if it is the primary. A draining
     /// primary accepts them until it is replaced or `drain_limit` has passed.
     #[must_use]
-    pub fn takes_writes(&self, now: I, drain_limit: Duration) -> bool {
-        !self.has_left(now, drain_limit) && !self.is_unreachable(now)
+    pub fn accepts_writes(&self, now: I, drain_limit: Duration) -> bool {
+        !self.is_drain_over(now, drain_limit) && !self.is_unreachable(now)
     }
 
     /// Reports whether the last attempt to connect failed and the pause after it is still running.
@@ -109,17 +109,17 @@
 
     /// Reports whether the last attempt to connect failed.
     #[must_use]
-    pub const fn is_unreached(&self) -> bool {
+    pub const fn has_failed_attempts(&self) -> bool {
         self.failures > 0
     }
 
     /// Records a successful connection. Returns whether attempts had failed before.
-    pub fn note_reached(&mut self) -> bool {
-        self.forget_failures()
+    pub fn record_reached(&mut self) -> bool {
+        self.clear_failures()
     }
 
     /// Clears the failed attempts. Returns whether there were any.
-    pub fn forget_failures(&mut self) -> bool {
+    pub fn clear_failures(&mut self) -> bool {
         let had_failed = self.failures > 0;
         self.failures = 0;
         self.unreachable_until = None;
@@ -127,7 +127,7 @@
     }
 
     /// Records a failed attempt to connect. Returns whether it is the first since the last success.
-    pub fn note_unreachable(&mut self, now: I) -> bool {
+    pub fn record_unreachable(&mut self, now: I) -> bool {
         let is_first_failure = self.failures == 0;
         let pause = FIRST_CONNECT_PAUSE.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
@@ -142,22 +142,22 @@
     }
 
     /// Records that the member lacked a position that a read had to see.
-    pub fn note_lagging(&mut self, now: I) {
+    pub fn record_lagging(&mut self, now: I) {
         self.passed_over_until = Some(now + LAGGING_PAUSE);
     }
 
     /// Records that the member cannot be used now, for a reason that may not be its own.
-    pub fn note_busy(&mut self, now: I) {
+    pub fn record_busy(&mut self, now: I) {
         self.passed_over_until = Some(now + BUSY_PAUSE);
     }
 
     /// Records that the member owes an answer.
-    pub fn note_silent(&mut self, now: I) {
+    pub fn record_silence(&mut self, now: I) {
         self.passed_over_until = Some(now + SILENT_PAUSE);
     }
 
     /// Records that the member refused a further connection.
-    pub fn note_full(&mut self, now: I) {
+    pub fn record_full(&mut self, now: I) {
         self.full_until = Some(now + FULL_PAUSE);
     }
 
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -35,15 +35,15 @@
 mod round_trip;
 mod silence;
 
-pub use detour::{Detour, DetourStep};
-pub use fallback::{FALLBACK_CONNECTIONS, FallbackPeriod, WitnessPeriod};
-pub use flight_limit::FlightLimit;
+pub use detour::{IndirectRoute, IndirectRouteStep};
+pub use fallback::{FALLBACK_CONNECTIONS, FallbackPeriod, ObservationPeriod};
+pub use flight_limit::InFlightLimit;
 pub use freshness::{
     FloorBasis, Freshness, KnownPosition, OwnPosition, POSITION_RETENTION, PositionSource,
     PositionTooOld, ReadBound, ReadPosition,
 };
 pub use holders::{
-    CONNECTIONS_PER_SHARE, GatewayPlace, Holder, HolderChoice, HolderTable, MemberNeeds,
+    CONNECTIONS_PER_SHARE, GatewayLocation, Holder, HolderChoice, HolderTable, MemberCapacity,
     holder_count, holder_order, home_weight, zone_quotas,
 };
 pub use member_choice::{MemberLoad, choose_reader};
@@ -56,4 +56,4 @@
 pub use reader_choice::{ReaderCandidate, choose_available_reader};
 pub use remote_attempt::{RemoteAttempt, RemoteFailure};
 pub use round_trip::RoundTrip;
-pub use silence::Silence;
+pub use silence::SilenceDetector;
--- a/crates/core/src/gateway/peers.rs
+++ b/crates/core/src/gateway/peers.rs
@@ -53,7 +53,7 @@
     }
 
     /// Records that a gateway did not answer in time or cannot be connected to.
-    pub fn note_unanswered(&mut self, address: SocketAddr, now: Timestamp) {
+    pub fn record_unanswered(&mut self, address: SocketAddr, now: Timestamp) {
         self.answered.remove(&address);
         if self.unanswered.len() >= PEER_PRUNE_THRESHOLD {
             self.unanswered.retain(|_, peer| now < peer.until);
@@ -68,7 +68,7 @@
     }
 
     /// Records that a gateway answered.
-    pub fn note_answered(&mut self, address: SocketAddr, now: Timestamp) {
+    pub fn record_answered(&mut self, address: SocketAddr, now: Timestamp) {
         self.unanswered.remove(&address);
         if self.answered.len() >= PEER_PRUNE_THRESHOLD {
             self.answered
@@ -87,7 +87,7 @@
     }
 
     /// Records that a gateway at this distance accepted a connection after `taken`.
-    pub fn note_connected(&mut self, distance: Distance, taken: Duration) {
+    pub fn record_connected(&mut self, distance: Distance, taken: Duration) {
         self.round_trips.entry(distance).or_default().record(taken);
     }
 
--- a/crates/core/src/gateway/preference.rs
+++ b/crates/core/src/gateway/preference.rs
@@ -27,12 +27,12 @@
 impl ReaderPreferences {
     /// Creates the preferences of a gateway.
     #[must_use]
-    pub fn of(gateway: &ProxyName) -> Self {
+    pub fn for_gateway(gateway: &ProxyName) -> Self {
         Self { gateway_hash: hash(gateway), read_count: 0 }
     }
 
     /// Returns the preference of the next read.
-    pub fn next(&mut self, tenant: Option<&TenantName>) -> Preference {
+    pub fn next_preference(&mut self, tenant: Option<&TenantName>) -> Preference {
         if let Some(tenant) = tenant {
             return Preference(hash(tenant));
         }
--- a/crates/core/src/gateway/primary_choice.rs
+++ b/crates/core/src/gateway/primary_choice.rs
@@ -22,21 +22,22 @@
     /// The strongest evidence for the member.
     pub evidence: PrimaryEvidence,
     /// Whether the member is draining and its drain limit has passed.
-    pub has_left: bool,
+    pub is_drain_over: bool,
     /// Whether the member recently answered that it is not the primary.
     pub denied_lately: bool,
     /// Whether the member is expected to accept writes from this gateway.
     pub is_reached: bool,
     /// Whether the member may be reachable through other gateways.
-    pub has_detour: bool,
+    pub has_indirect_route: bool,
 }
 
 impl PrimaryCandidate {
-    /// Reports whether the member can be tried. The detour through other gateways is used only for
+    /// Reports whether the member can be tried. The indirect route through other gateways is used only for
     /// a member with some evidence.
     const fn can_be_tried(&self) -> bool {
-        let reached_by_detour = self.has_detour && !matches!(self.evidence, PrimaryEvidence::None);
-        !self.has_left && !self.denied_lately && (self.is_reached || reached_by_detour)
+        let reached_indirectly =
+            self.has_indirect_route && !matches!(self.evidence, PrimaryEvidence::None);
+        !self.is_drain_over && !self.denied_lately && (self.is_reached || reached_indirectly)
     }
 }
 
--- a/crates/core/src/gateway/profile.rs
+++ b/crates/core/src/gateway/profile.rs
@@ -129,7 +129,7 @@
     }
 
     /// Applies the effect of one of the gateway's own statements that the member completed.
-    pub fn completed(&mut self, statement: &OwnStatement) {
+    pub fn apply_completed(&mut self, statement: &OwnStatement) {
         match statement {
             OwnStatement::Reset => {
                 self.values.clear();
--- a/crates/core/src/gateway/remote_attempt.rs
+++ b/crates/core/src/gateway/remote_attempt.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RemoteAttempt {
     /// Whether the time for waiting has passed.
-    pub is_time_over: bool,
+    pub has_timed_out: bool,
     /// Whether this gateway may have connections to the member itself.
     pub holds_connections: bool,
     /// Whether a gateway reached the member in the last attempt, whether or not there was room.
@@ -30,7 +30,7 @@
     /// Returns the reason why no gateway served the request. `no_holder_left` reports whether no
     /// holder is left to ask; it is called only if its result matters.
     pub fn failure(self, no_holder_left: impl FnOnce() -> bool) -> RemoteFailure {
-        if self.is_time_over {
+        if self.has_timed_out {
             RemoteFailure::NoneFree
         } else if !self.holds_connections && no_holder_left() {
             RemoteFailure::NoHolder
--- a/crates/core/src/gateway/silence.rs
+++ b/crates/core/src/gateway/silence.rs
@@ -4,7 +4,7 @@
 //! accepts connections as long as its machine runs, and leaves many questions unanswered for a long
 //! time.
 //!
-//! [`Silence`] owns the count of unanswered questions to one member. Other modules decide what
+//! [`SilenceDetector`] owns the count of unanswered questions to one member. Other modules decide what
 //! follows when the member counts as gone (reports to the control service, promotions).
 
 use crate::time::Timestamp;
@@ -19,15 +19,15 @@
 
 /// Unanswered questions to a member since its last answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Silence {
+pub struct SilenceDetector {
     /// When the first of these questions timed out.
     since: Option<Timestamp>,
     unanswered_count: u32,
 }
 
-impl Silence {
+impl SilenceDetector {
     /// Records that a question timed out, and reports whether the member counts as gone now.
-    pub fn unanswered(&mut self, now: Timestamp) -> bool {
+    pub fn record_unanswered(&mut self, now: Timestamp) -> bool {
         let since = *self.since.get_or_insert(now);
         self.unanswered_count += 1;
         self.unanswered_count >= MIN_UNANSWERED_QUESTIONS
@@ -36,7 +36,7 @@
 
     /// Records that the member answered at the time `at`. An answer from before the silence began
     /// does not end it.
-    pub fn answered(&mut self, at: Timestamp) {
+    pub fn record_answer(&mut self, at: Timestamp) {
         if self.since.is_none_or(|since| at >= since) {
             *self = Self::default();
         }
--- a/crates/core/src/scheduling/class.rs
+++ b/crates/core/src/scheduling/class.rs
@@ -96,7 +96,7 @@
         let queue = self.tenants.get_mut(&tenant)?;
         let places = queue.waiting.iter().enumerate();
         let eligible = places.filter(|(_, waiting)| waiting.may_use(member, is_primary));
-        let (place, _) = eligible.min_by_key(|(_, waiting)| (waiting.give_up, waiting.ticket))?;
+        let (place, _) = eligible.min_by_key(|(_, waiting)| (waiting.deadline, waiting.ticket))?;
         let waiting = queue.waiting.swap_remove(place);
         self.virtual_time = self.virtual_time.max(queue.start_tag);
         queue.start_tag += waiting.cost;
--- a/crates/core/src/scheduling/likely_wait.rs
+++ b/crates/core/src/scheduling/likely_wait.rs
@@ -72,7 +72,7 @@
         wait: Duration,
         capacity: Capacity,
     ) -> NoSlotInTime {
-        let patience = request.give_up.saturating_since(now).mul_f64(MAX_LIKELY_WAIT_FRACTION);
+        let patience = request.deadline.saturating_since(now).mul_f64(MAX_LIKELY_WAIT_FRACTION);
         let room_at = now + wait.saturating_sub(patience);
         let promised_retry = self.promised_retry.entry(request.priority).or_insert(now);
         let slot_time = request.cost.div_f64(capacity.slots.max(1) as f64);
--- a/crates/core/src/scheduling/queue.rs
+++ b/crates/core/src/scheduling/queue.rs
@@ -51,25 +51,25 @@
             .classes
             .get(&request.priority)
             .is_some_and(|class| class.length >= MAX_CLASS_LENGTH);
-        let patience = request.give_up.saturating_since(now);
+        let patience = request.deadline.saturating_since(now);
         if is_full || Self::is_too_long(wait, patience) {
             return Err(self.refuse(now, &request, wait, capacity));
         }
-        Ok(self.wait_on(request, waker))
+        Ok(self.requeue(request, waker))
     }
 
     /// Enqueues a request again that left the queue to try a member. The request is not refused.
-    pub fn wait_on(&mut self, request: SlotRequest, waker: W) -> SlotTicket {
+    pub fn requeue(&mut self, request: SlotRequest, waker: W) -> SlotTicket {
         self.last_ticket += 1;
         let ticket = SlotTicket(self.last_ticket);
-        let SlotRequest { target, priority, tenant, cost, give_up } = request;
-        let waiting = Waiting { ticket, target, cost, give_up, waker };
+        let SlotRequest { target, priority, tenant, cost, deadline } = request;
+        let waiting = Waiting { ticket, target, cost, deadline, waker };
         self.classes.entry(priority).or_default().push(tenant, waiting);
         ticket
     }
 
     /// Returns the refusal of a request whose deadline has passed.
-    pub fn time_over(
+    pub fn refuse_expired(
         &mut self,
         now: Timestamp,
         request: &SlotRequest,
@@ -80,7 +80,7 @@
     }
 
     /// Removes a request from the queue. Returns whether the request was in the queue.
-    pub fn leave(&mut self, now: Timestamp, ticket: SlotTicket) -> bool {
+    pub fn remove(&mut self, now: Timestamp, ticket: SlotTicket) -> bool {
         self.classes
             .values_mut()
             .any(|class| !class.remove_matching(now, |waiting| waiting.ticket == ticket).is_empty())
@@ -90,7 +90,7 @@
     /// deadline has passed are dropped.
     pub fn next(&mut self, now: Timestamp, member: &MemberName, is_primary: bool) -> Option<W> {
         self.classes.values_mut().find_map(|class| {
-            drop(class.remove_matching(now, |waiting| waiting.give_up <= now));
+            drop(class.remove_matching(now, |waiting| waiting.deadline <= now));
             class.take_next(now, member, is_primary).map(|waiting| waiting.waker)
         })
     }
@@ -114,7 +114,7 @@
 
     /// Returns the number of waiting requests that a slot of the member could serve.
     #[must_use]
-    pub fn len_at(&self, member: &MemberName, is_primary: bool) -> usize {
+    pub fn waiting_for(&self, member: &MemberName, is_primary: bool) -> usize {
         let tenants = self.classes.values().flat_map(|class| class.tenants.values());
         let waiting = tenants.flat_map(|queue| &queue.waiting);
         waiting.filter(|waiting| waiting.may_use(member, is_primary)).count()
--- a/crates/core/src/scheduling/request.rs
+++ b/crates/core/src/scheduling/request.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotTarget {
     /// Only this member.
-    At(MemberName),
+    Member(MemberName),
     /// Only the primary.
     Primary,
     /// Any member but these.
-    AnyBut(BTreeSet<MemberName>),
+    AnyExcept(BTreeSet<MemberName>),
 }
 
 /// A statement that needs a slot.
@@ -30,7 +30,7 @@
     /// Time for which the statement is likely to keep the slot.
     pub cost: Duration,
     /// Deadline until which the request may wait.
-    pub give_up: Timestamp,
+    pub deadline: Timestamp,
 }
 
 /// The slots that could serve a request, all of them in use.
@@ -59,7 +59,7 @@
     pub(super) ticket: SlotTicket,
     pub(super) target: SlotTarget,
     pub(super) cost: Duration,
-    pub(super) give_up: Timestamp,
+    pub(super) deadline: Timestamp,
     pub(super) waker: W,
 }
 
@@ -67,9 +67,9 @@
     /// Reports whether a slot of the member could serve the request.
     pub(super) fn may_use(&self, member: &MemberName, is_primary: bool) -> bool {
         match &self.target {
-            SlotTarget::At(target) => target == member,
+            SlotTarget::Member(target) => target == member,
             SlotTarget::Primary => is_primary,
-            SlotTarget::AnyBut(refused) => !refused.contains(member),
+            SlotTarget::AnyExcept(refused) => !refused.contains(member),
         }
     }
 }
--- a/crates/core/src/scheduling/service_time.rs
+++ b/crates/core/src/scheduling/service_time.rs
@@ -32,7 +32,7 @@
 
 impl ServiceTimes {
     /// Records that a statement kept a slot for `taken`.
-    pub fn note(&mut self, kind: StatementKind, taken: Duration) {
+    pub fn record(&mut self, kind: StatementKind, taken: Duration) {
         let taken = taken.min(MAX_SERVICE_TIME);
         let mean = self.means.entry(kind).or_insert(taken);
         *mean = mean.mul_f64(1.0 - NEWEST_WEIGHT) + taken.mul_f64(NEWEST_WEIGHT);
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,7 +1,9 @@
 //! The wait queue of a group: order, guaranteed shares, bounds and deadlines.
 #![allow(clippy::unwrap_used)]
 
-use corktack_core::admission::{AdmissionError, AdmissionLimits, AdmissionQueue, Lane, Ticket};
+use corktack_core::admission::{
+    AdmissionError, AdmissionLimits, AdmissionQueue, RequiredRole, Ticket,
+};
 use corktack_core::identity::ClassName;
 use corktack_core::resources::PriorityClassSpec;
 use corktack_core::time::Timestamp;
@@ -29,7 +31,7 @@
 }
 
 fn enqueue(queue: &mut AdmissionQueue, name: &str) -> Ticket {
-    queue.enqueue(&class(name), Lane::Primary, NOW, FAR_DEADLINE).unwrap().ticket
+    queue.enqueue(&class(name), RequiredRole::Primary, NOW, FAR_DEADLINE).unwrap().ticket
 }
 
 #[rstest]
@@ -51,7 +53,7 @@
     assert_eq!(queue.grant(NOW, true).len(), 1);
     enqueue(&mut queue, "basic");
     enqueue(&mut queue, "basic");
-    let refused = queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE);
+    let refused = queue.enqueue(&class("basic"), RequiredRole::Primary, NOW, FAR_DEADLINE);
     let Err(AdmissionError::QueueFull { retry_after_ms }) = refused else {
         panic!("the queue is full");
     };
@@ -64,13 +66,14 @@
     let mut queue = queue(1, 0, &[]);
     enqueue(&mut queue, "basic");
     assert_eq!(queue.grant(NOW, true).len(), 1);
-    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE).is_err());
+    assert!(queue.enqueue(&class("basic"), RequiredRole::Primary, NOW, FAR_DEADLINE).is_err());
 }
 
 #[rstest]
 fn an_expired_request_gets_no_slot() {
     let mut queue = queue(1, 10, &[]);
-    let late = queue.enqueue(&class("basic"), Lane::Primary, Timestamp::ZERO, NOW).unwrap().ticket;
+    let late =
+        queue.enqueue(&class("basic"), RequiredRole::Primary, Timestamp::ZERO, NOW).unwrap().ticket;
     let good = enqueue(&mut queue, "basic");
     assert_eq!(queue.grant(NOW, true), [good]);
     assert!(!queue.remove(late));
@@ -80,7 +83,8 @@
 #[rstest]
 fn expire_removes_requests_past_their_deadline() {
     let mut queue = queue(0, 10, &[]);
-    let late = queue.enqueue(&class("basic"), Lane::Primary, Timestamp::ZERO, NOW).unwrap().ticket;
+    let late =
+        queue.enqueue(&class("basic"), RequiredRole::Primary, Timestamp::ZERO, NOW).unwrap().ticket;
     enqueue(&mut queue, "basic");
     assert_eq!(queue.expire(NOW), [late]);
     assert_eq!(queue.length(), 1);
@@ -90,7 +94,8 @@
 fn replica_reads_overtake_writes_that_wait_for_a_primary() {
     let mut queue = queue(2, 10, &[("gold", 10, 0), ("basic", 1, 0)]);
     let write = enqueue(&mut queue, "gold");
-    let read = queue.enqueue(&class("basic"), Lane::Replica, NOW, FAR_DEADLINE).unwrap().ticket;
+    let read =
+        queue.enqueue(&class("basic"), RequiredRole::Replica, NOW, FAR_DEADLINE).unwrap().ticket;
     assert_eq!(queue.grant(NOW, false), [read]);
     assert_eq!(queue.grant(NOW, true), [write]);
 }
@@ -103,9 +108,9 @@
     enqueue(&mut queue, "basic");
     let last = enqueue(&mut queue, "basic");
     enqueue(&mut queue, "silver");
-    let admitted = queue.enqueue(&class("gold"), Lane::Primary, NOW, FAR_DEADLINE).unwrap();
+    let admitted = queue.enqueue(&class("gold"), RequiredRole::Primary, NOW, FAR_DEADLINE).unwrap();
     assert_eq!(admitted.displaced, Some(last));
-    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE).is_err());
+    assert!(queue.enqueue(&class("basic"), RequiredRole::Primary, NOW, FAR_DEADLINE).is_err());
     assert_eq!(queue.length(), 3);
     assert!(!queue.remove(last));
 }
@@ -117,12 +122,13 @@
     assert_eq!(queue.grant(NOW, true).len(), 1);
     let golds: Vec<_> = (0..10).map(|_| enqueue(&mut queue, "gold")).collect();
     for place in [9, 8] {
-        let admitted = queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE).unwrap();
+        let admitted =
+            queue.enqueue(&class("basic"), RequiredRole::Primary, NOW, FAR_DEADLINE).unwrap();
         assert_eq!(admitted.displaced, Some(golds[place]));
     }
     // The reserved places of basic are taken, and gold must not take them back.
-    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE).is_err());
-    assert!(queue.enqueue(&class("gold"), Lane::Primary, NOW, FAR_DEADLINE).is_err());
+    assert!(queue.enqueue(&class("basic"), RequiredRole::Primary, NOW, FAR_DEADLINE).is_err());
+    assert!(queue.enqueue(&class("gold"), RequiredRole::Primary, NOW, FAR_DEADLINE).is_err());
 }
 
 #[rstest]
@@ -131,7 +137,8 @@
     enqueue(&mut queue, "gold");
     enqueue(&mut queue, "gold");
     assert_eq!(queue.grant(NOW, false), []);
-    let read = queue.enqueue(&class("gold"), Lane::Replica, NOW, FAR_DEADLINE).unwrap().ticket;
+    let read =
+        queue.enqueue(&class("gold"), RequiredRole::Replica, NOW, FAR_DEADLINE).unwrap().ticket;
     assert_eq!(queue.grant(NOW, false), [read]);
 }
 
@@ -147,12 +154,12 @@
     assert_eq!(queue.grant(NOW, true).len(), 1);
     // Nine requests of 8 ms each wait before the new one.
     let by = |millis| NOW + Duration::from_millis(millis);
-    let refused = queue.enqueue(&class("basic"), Lane::Primary, NOW, by(79));
+    let refused = queue.enqueue(&class("basic"), RequiredRole::Primary, NOW, by(79));
     assert!(
         matches!(refused, Err(AdmissionError::TooLate { retry_after_ms }) if retry_after_ms > 0)
     );
-    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, by(80)).is_ok());
-    assert!(queue.enqueue(&class("gold"), Lane::Primary, NOW, by(80)).is_ok());
+    assert!(queue.enqueue(&class("basic"), RequiredRole::Primary, NOW, by(80)).is_ok());
+    assert!(queue.enqueue(&class("gold"), RequiredRole::Primary, NOW, by(80)).is_ok());
 }
 
 #[rstest]
@@ -164,7 +171,7 @@
     enqueue(&mut queue, "basic");
     queue.grant(NOW, true);
     let deadline = NOW + Duration::from_secs(5);
-    assert!(queue.enqueue(&class("basic"), Lane::Primary, NOW, deadline).is_ok());
+    assert!(queue.enqueue(&class("basic"), RequiredRole::Primary, NOW, deadline).is_ok());
 }
 
 #[rstest]
@@ -172,7 +179,7 @@
     let mut queue = queue(1, 100, &[("gold", 10, 0), ("basic", 1, 50)]);
     let mut basics = Vec::new();
     for _ in 0..4 {
-        queue.enqueue(&class("basic"), Lane::Primary, Timestamp::ZERO, NOW).unwrap();
+        queue.enqueue(&class("basic"), RequiredRole::Primary, Timestamp::ZERO, NOW).unwrap();
     }
     for _ in 0..4 {
         basics.push(enqueue(&mut queue, "basic"));
@@ -239,10 +246,10 @@
         for _ in 0..2_000 {
             // Gold takes all places before basic arrives.
             for _ in 0..random.random_range(6..=50) {
-                let _ = queue.enqueue(&class("gold"), Lane::Primary, NOW, FAR_DEADLINE);
+                let _ = queue.enqueue(&class("gold"), RequiredRole::Primary, NOW, FAR_DEADLINE);
             }
             for _ in 0..random.random_range(0..=2) {
-                let admitted = queue.enqueue(&class("basic"), Lane::Primary, NOW, FAR_DEADLINE);
+                let admitted = queue.enqueue(&class("basic"), RequiredRole::Primary, NOW, FAR_DEADLINE);
                 basics.extend(admitted.map(|admitted| admitted.ticket));
             }
             for ticket in queue.grant(NOW, true) {
@@ -272,7 +279,7 @@
                 0 | 1 => {
                     let name = if step == 0 { "gold" } else { "basic" };
                     let deadline = now + Duration::from_millis(20);
-                    if let Ok(admitted) = queue.enqueue(&class(name), Lane::Primary, now, deadline) {
+                    if let Ok(admitted) = queue.enqueue(&class(name), RequiredRole::Primary, now, deadline) {
                         waiting.push(admitted.ticket);
                     }
                 }
--- a/crates/core/tests/balancing_load.rs
+++ b/crates/core/tests/balancing_load.rs
@@ -139,7 +139,7 @@
                 .map(|member| MemberEstimate::new(distance(place, member)))
                 .collect(),
             running: vec![0; MEMBERS],
-            preferences: ReaderPreferences::of(
+            preferences: ReaderPreferences::for_gateway(
                 &ProxyName::new(format!("g{place}")).expect("a valid name"),
             ),
         };
@@ -215,7 +215,7 @@
         let gateway = &mut self.gateways[read.gateway];
         let candidates: Vec<usize> =
             (0..MEMBERS).filter(|member| !read.failed_at[*member]).collect();
-        let preferred = gateway.preferences.next(None);
+        let preferred = gateway.preferences.next_preference(None);
         let load = |member: &usize| {
             let load =
                 gateway.estimates[*member].load(gateway.running[*member], SLOTS as f64, at(now));
@@ -280,12 +280,12 @@
         };
         let gateway_state = &mut self.gateways[gateway];
         gateway_state.running[member] -= 1;
-        gateway_state.estimates[member].note_reported(
+        gateway_state.estimates[member].record_reported(
             &reported,
             Duration::from_micros(now - sent),
             at(now),
         );
-        gateway_state.estimates[member].note_served_remotely(at(now));
+        gateway_state.estimates[member].record_served_remotely(at(now));
         self.period(begun).late += u64::from(now - begun > OBJECTIVE * 1_000);
     }
 
@@ -293,7 +293,7 @@
         let Read { gateway, member, .. } = self.reads[number];
         self.reads[number].failed_at[member] = true;
         self.gateways[gateway].running[member] -= 1;
-        self.gateways[gateway].estimates[member].note_unserved(at(now));
+        self.gateways[gateway].estimates[member].record_unserved(at(now));
         self.period(now).failures += 1;
         self.offer(now, number);
     }
--- a/crates/core/tests/flight_limit.rs
+++ b/crates/core/tests/flight_limit.rs
@@ -1,6 +1,6 @@
 //! Limit of the statements that a gateway has in flight at a member.
 
-use corktack_core::gateway::FlightLimit;
+use corktack_core::gateway::InFlightLimit;
 use corktack_core::time::Timestamp;
 use rstest::rstest;
 
@@ -9,7 +9,7 @@
 }
 
 /// The highest number of statements in flight.
-fn max_in_flight(limit: &FlightLimit) -> usize {
+fn max_in_flight(limit: &InFlightLimit) -> usize {
     (0..).take_while(|in_flight| limit.allows(*in_flight)).count()
 }
 
@@ -23,24 +23,24 @@
     #[case] holders: usize,
     #[case] expected: usize,
 ) {
-    assert_eq!(max_in_flight(&FlightLimit::new(capacity, holders)), expected);
+    assert_eq!(max_in_flight(&InFlightLimit::new(capacity, holders)), expected);
 }
 
 #[test]
 fn a_refusal_halves_the_limit_and_served_statements_raise_it() {
-    let mut limit = FlightLimit::new(5, 6);
-    limit.refused(time(1_000));
+    let mut limit = InFlightLimit::new(5, 6);
+    limit.record_refusal(time(1_000));
     assert_eq!(max_in_flight(&limit), 2);
-    limit.refused(time(1_049));
+    limit.record_refusal(time(1_049));
     assert_eq!(max_in_flight(&limit), 2, "refusals within 50 ms count as one");
-    limit.refused(time(1_050));
-    limit.refused(time(2_000));
+    limit.record_refusal(time(1_050));
+    limit.record_refusal(time(2_000));
     assert_eq!(max_in_flight(&limit), 1, "one statement stays allowed");
     let served = (1..).find(|_| {
-        limit.served();
+        limit.record_served();
         max_in_flight(&limit) == 4
     });
     assert!(served.is_some_and(|count| (6..=12).contains(&count)), "{served:?}");
-    (0..100).for_each(|_| limit.served());
+    (0..100).for_each(|_| limit.record_served());
     assert_eq!(max_in_flight(&limit), 4, "the limit does not exceed its initial value");
 }
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -26,7 +26,7 @@
 fn freshness(samples: &[(u64, Position)]) -> Freshness {
     let mut freshness = Freshness::default();
     for (millis, position) in samples {
-        freshness.note(time(*millis), *position);
+        freshness.record_position(time(*millis), *position);
     }
     freshness
 }
@@ -101,7 +101,7 @@
     let mut freshness = Freshness::default();
     let age = Duration::from_millis(6_000);
     assert_eq!(
-        freshness.note_reported(time(600), age, position(1, 111)),
+        freshness.record_reported(time(600), age, position(1, 111)),
         Err(PositionTooOld { age })
     );
     assert_eq!(freshness.floor(time(700), STALENESS), None);
@@ -118,7 +118,7 @@
 ) {
     let mut freshness = Freshness::default();
     let reported =
-        freshness.note_reported(time(2_600), Duration::from_millis(2_000), position(1, 111));
+        freshness.record_reported(time(2_600), Duration::from_millis(2_000), position(1, 111));
     assert_eq!(reported, Ok(()));
     assert_eq!(freshness.floor(time(began), STALENESS), floor);
 }
@@ -127,7 +127,7 @@
 fn an_older_position_reported_by_another_gateway_is_ignored() {
     let mut freshness = freshness(&[(3_000, position(1, 153))]);
     let reported =
-        freshness.note_reported(time(4_000), Duration::from_millis(2_000), position(1, 111));
+        freshness.record_reported(time(4_000), Duration::from_millis(2_000), position(1, 111));
     assert_eq!(reported, Ok(()));
     assert_eq!(freshness.floor(time(4_100), STALENESS), Some(position(1, 153)));
     let needed = freshness.required_position(time(4_100), STALENESS, own(3_500, position(1, 154)));
@@ -140,16 +140,16 @@
 fn a_position_keeps_its_age_from_gateway_to_gateway() {
     let mut second = Freshness::default();
     let reported =
-        second.note_reported(time(5_000), Duration::from_millis(1_500), position(1, 111));
+        second.record_reported(time(5_000), Duration::from_millis(1_500), position(1, 111));
     assert_eq!(reported, Ok(()));
     let (age, passed_on) = second.newest(time(5_400)).expect("a position");
     assert_eq!((age, passed_on), (Duration::from_millis(1_900), position(1, 111)));
     let mut third = Freshness::default();
     assert!(
-        third.note_reported(time(1_800), age, passed_on).is_err(),
+        third.record_reported(time(1_800), age, passed_on).is_err(),
         "the gateway started 1.8 s ago"
     );
-    assert_eq!(third.note_reported(time(9_000), age, passed_on), Ok(()));
+    assert_eq!(third.record_reported(time(9_000), age, passed_on), Ok(()));
     assert_eq!(third.newest(time(9_100)), Some((Duration::from_millis(2_000), position(1, 111))));
 }
 
@@ -163,7 +163,7 @@
 ) {
     let mut freshness = freshness(&[(3_000, position(1, 153))]);
     let reported =
-        freshness.note_reported(time(4_200), Duration::from_millis(200), position(1, 160));
+        freshness.record_reported(time(4_200), Duration::from_millis(200), position(1, 160));
     assert_eq!(reported, Ok(()));
     let basis =
         basis.map(|(millis, source)| FloorBasis { age: Duration::from_millis(millis), source });
--- a/crates/core/tests/gateway.rs
+++ b/crates/core/tests/gateway.rs
@@ -1,9 +1,9 @@
-//! Gateway decisions: session and connection profiles, the choice of members, silence and detours.
+//! Gateway decisions: session and connection profiles, the choice of members, silence and indirect routes.
 
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{
-    ConnectionProfile, Detour, DetourStep, MemberEstimate, MemberLoad, Preference,
-    ReaderPreferences, ReportedLoad, SessionProfile, Silence, choose_reader,
+    ConnectionProfile, IndirectRoute, IndirectRouteStep, MemberEstimate, MemberLoad, Preference,
+    ReaderPreferences, ReportedLoad, SessionProfile, SilenceDetector, choose_reader,
 };
 use corktack_core::identity::{MemberName, ProxyName, ZoneName};
 use corktack_core::statement::{Access, OwnStatement, PreparedShape};
@@ -33,7 +33,7 @@
 
 fn align(connection: &mut ConnectionProfile, session: &SessionProfile) {
     for statement in connection.alignment(session) {
-        connection.completed(&statement);
+        connection.apply_completed(&statement);
     }
 }
 
@@ -89,12 +89,12 @@
 fn a_prepared_statement_is_found_by_its_shape_and_dropped_by_a_reset() {
     let mut connection = ConnectionProfile::default();
     let (name, prepare) = connection.name_for(&shape("q1"));
-    connection.completed(&prepare.expect("the shape is new to the connection"));
+    connection.apply_completed(&prepare.expect("the shape is new to the connection"));
     assert_eq!(connection.name_for(&shape("q1")), (name.clone(), None));
     let (other, prepare) = connection.name_for(&shape("q2"));
     assert_ne!(other, name);
     assert!(prepare.is_some());
-    connection.completed(&OwnStatement::Reset);
+    connection.apply_completed(&OwnStatement::Reset);
     assert!(connection.name_for(&shape("q1")).1.is_some());
 }
 
@@ -112,7 +112,7 @@
     let mut connection = ConnectionProfile::default();
     for number in 0..100 {
         let (_, prepare) = connection.name_for(&shape(&number.to_string()));
-        connection.completed(&prepare.expect("the shape is new to the connection"));
+        connection.apply_completed(&prepare.expect("the shape is new to the connection"));
     }
     let alignment = connection.alignment(&SessionProfile::default());
     assert_eq!(alignment, [OwnStatement::Reset]);
@@ -177,7 +177,7 @@
 }
 
 fn preferences(gateway: &str) -> ReaderPreferences {
-    ReaderPreferences::of(&ProxyName::new(gateway).expect("a valid name"))
+    ReaderPreferences::for_gateway(&ProxyName::new(gateway).expect("a valid name"))
 }
 
 fn most_preferred(preference: Preference, members: usize) -> usize {
@@ -190,7 +190,7 @@
     let mut preferences = preferences("g1");
     let mut counts = [0; 8];
     for _ in 0..8_000 {
-        counts[most_preferred(preferences.next(None), 8)] += 1;
+        counts[most_preferred(preferences.next_preference(None), 8)] += 1;
     }
     assert!(counts.iter().all(|count| (900..1_100).contains(count)), "{counts:?}");
 }
@@ -201,9 +201,9 @@
     let mut counts = [0; 8];
     for number in 0..400 {
         let tenant = TenantName::new(&format!("t{number}")).expect("a valid name");
-        let with_all = most_preferred(here.next(Some(&tenant)), 8);
-        assert_eq!(most_preferred(there.next(Some(&tenant)), 8), with_all);
-        let without_last = most_preferred(here.next(Some(&tenant)), 7);
+        let with_all = most_preferred(here.next_preference(Some(&tenant)), 8);
+        assert_eq!(most_preferred(there.next_preference(Some(&tenant)), 8), with_all);
+        let without_last = most_preferred(here.next_preference(Some(&tenant)), 7);
         assert!(with_all == 7 || without_last == with_all);
         counts[with_all] += 1;
     }
@@ -243,7 +243,7 @@
 fn the_share_of_unserved_statements_halves_each_second() {
     let mut estimate = MemberEstimate::new(Distance::SameZone);
     for _ in 0..100 {
-        estimate.note_unserved(time(0));
+        estimate.record_unserved(time(0));
     }
     let served = |millis| estimate.load(0, 1.0, time(millis)).served;
     assert!((served(0) - 0.05).abs() < 1e-9, "a member that serves nothing keeps a share of 0.05");
@@ -257,11 +257,11 @@
     let mut estimate = MemberEstimate::new(Distance::SameRegion);
     let millis = Duration::from_millis;
     assert_eq!(estimate.latency(), millis(24));
-    estimate.note_served(millis(124), time(0));
+    estimate.record_served(millis(124), time(0));
     assert_eq!(estimate.latency(), millis(34));
     assert_eq!(estimate.load(0, 1.0, time(300)).age, millis(300));
     let reported = ReportedLoad { spent: millis(20), latency: millis(50), waiting: 1.5 };
-    estimate.note_reported(&reported, millis(24), time(1_000));
+    estimate.record_reported(&reported, millis(24), time(1_000));
     let load = estimate.load(2, 4.0, time(1_999));
     assert_eq!((load.latency, load.network_time, load.waiting), (millis(54), millis(4), 1.5));
     assert_eq!(estimate.load(2, 4.0, time(2_000)).waiting, 0.0, "the report has expired");
@@ -273,55 +273,58 @@
 
 #[test]
 fn many_unanswered_questions_over_a_long_time_are_silence() {
-    let mut silence = Silence::default();
+    let mut silence = SilenceDetector::default();
     let reported: Vec<bool> =
-        [0, 600, 1_200, 1_900, 2_000].map(|millis| silence.unanswered(time(millis))).into();
+        [0, 600, 1_200, 1_900, 2_000].map(|millis| silence.record_unanswered(time(millis))).into();
     assert_eq!(reported, [false, false, false, false, true]);
 }
 
 #[test]
 fn few_unanswered_questions_are_not_silence() {
-    let mut silence = Silence::default();
-    assert!([0, 5_000, 9_000].iter().all(|millis| !silence.unanswered(time(*millis))));
+    let mut silence = SilenceDetector::default();
+    assert!([0, 5_000, 9_000].iter().all(|millis| !silence.record_unanswered(time(*millis))));
 }
 
 #[test]
 fn an_answer_ends_the_silence_unless_it_came_before_the_silence() {
-    let mut silence = Silence::default();
+    let mut silence = SilenceDetector::default();
     for millis in [1_000, 1_500, 2_500] {
-        assert!(!silence.unanswered(time(millis)));
+        assert!(!silence.record_unanswered(time(millis)));
     }
     let mut answered = silence;
-    answered.answered(time(2_600));
-    assert!(!answered.unanswered(time(3_200)), "the count starts over");
-    silence.answered(time(900));
-    assert!(silence.unanswered(time(3_200)), "an old answer that is recorded late is ignored");
+    answered.record_answer(time(2_600));
+    assert!(!answered.record_unanswered(time(3_200)), "the count starts over");
+    silence.record_answer(time(900));
+    assert!(
+        silence.record_unanswered(time(3_200)),
+        "an old answer that is recorded late is ignored"
+    );
 }
 
 #[test]
 fn one_request_at_a_time_finds_out_whether_others_reach_a_member() {
-    let mut detour = Detour::default();
-    assert_eq!(detour.step(time(0)), DetourStep::Take);
-    assert_eq!(detour.step(time(1)), DetourStep::Wait);
-    assert_eq!(detour.step(time(799)), DetourStep::Wait);
-    assert_eq!(detour.step(time(800)), DetourStep::Take, "the first caller went away");
-    detour.reached();
-    assert!(detour.is_open());
-    assert_eq!([detour.step(time(802)), detour.step(time(802))], [DetourStep::Take; 2]);
+    let mut route = IndirectRoute::default();
+    assert_eq!(route.step(time(0)), IndirectRouteStep::Send);
+    assert_eq!(route.step(time(1)), IndirectRouteStep::Wait);
+    assert_eq!(route.step(time(799)), IndirectRouteStep::Wait);
+    assert_eq!(route.step(time(800)), IndirectRouteStep::Send, "the first caller went away");
+    route.record_reached();
+    assert!(route.is_open());
+    assert_eq!([route.step(time(802)), route.step(time(802))], [IndirectRouteStep::Send; 2]);
 }
 
 #[test]
 fn a_failed_detour_is_retried_after_growing_pauses() {
-    let mut detour = Detour::default();
+    let mut route = IndirectRoute::default();
     let mut now = time(0);
     let mut pauses = Vec::new();
     for _ in 0..5 {
-        assert_eq!(detour.step(now), DetourStep::Take);
-        detour.failed(now);
-        assert!(!detour.is_open());
+        assert_eq!(route.step(now), IndirectRouteStep::Send);
+        route.record_failure(now);
+        assert!(!route.is_open());
         let closed = (0..2_000).take_while(|millis| {
-            let mut copy = detour;
-            copy.step(now + Duration::from_millis(*millis)) == DetourStep::Closed
+            let mut copy = route;
+            copy.step(now + Duration::from_millis(*millis)) == IndirectRouteStep::Unreachable
         });
         let pause = closed.count() as u64;
         pauses.push(pause);
--- a/crates/core/tests/gateway_choice.rs
+++ b/crates/core/tests/gateway_choice.rs
@@ -11,10 +11,10 @@
 fn candidate(evidence: PrimaryEvidence) -> PrimaryCandidate {
     PrimaryCandidate {
         evidence,
-        has_left: false,
+        is_drain_over: false,
         denied_lately: false,
         is_reached: true,
-        has_detour: false,
+        has_indirect_route: false,
     }
 }
 
@@ -39,14 +39,14 @@
 }
 
 #[rstest]
-#[case::left(PrimaryCandidate { has_left: true, ..candidate(PrimaryEvidence::Proven) })]
+#[case::left(PrimaryCandidate { is_drain_over: true, ..candidate(PrimaryEvidence::Proven) })]
 #[case::denied(PrimaryCandidate { denied_lately: true, ..candidate(PrimaryEvidence::Proven) })]
 #[case::not_reached(PrimaryCandidate { is_reached: false, ..candidate(PrimaryEvidence::Proven) })]
 #[case::left_with_detour(PrimaryCandidate {
-    has_left: true, is_reached: false, has_detour: true, ..candidate(PrimaryEvidence::Proven)
+    is_drain_over: true, is_reached: false, has_indirect_route: true, ..candidate(PrimaryEvidence::Proven)
 })]
 #[case::detour_without_evidence(PrimaryCandidate {
-    is_reached: false, has_detour: true, ..candidate(PrimaryEvidence::None)
+    is_reached: false, has_indirect_route: true, ..candidate(PrimaryEvidence::None)
 })]
 fn a_member_that_cannot_be_tried_is_skipped(#[case] unable: PrimaryCandidate) {
     let other = candidate(PrimaryEvidence::None);
@@ -59,7 +59,8 @@
 #[case(PrimaryEvidence::Promoted)]
 #[case(PrimaryEvidence::Registered)]
 fn a_member_with_evidence_is_tried_by_a_detour(#[case] evidence: PrimaryEvidence) {
-    let by_detour = PrimaryCandidate { is_reached: false, has_detour: true, ..candidate(evidence) };
+    let by_detour =
+        PrimaryCandidate { is_reached: false, has_indirect_route: true, ..candidate(evidence) };
     assert_eq!(choose_primary([("primary", by_detour)]), Some("primary"));
 }
 
@@ -99,13 +100,13 @@
 fn every_unserved_request_has_the_expected_reason() {
     for case in 0..16_u8 {
         let attempt = RemoteAttempt {
-            is_time_over: case & 1 != 0,
+            has_timed_out: case & 1 != 0,
             holds_connections: case & 2 != 0,
             is_reached: case & 4 != 0,
         };
         let no_holder_left = case & 8 != 0;
         let expected = match attempt {
-            RemoteAttempt { is_time_over: true, .. } => RemoteFailure::NoneFree,
+            RemoteAttempt { has_timed_out: true, .. } => RemoteFailure::NoneFree,
             RemoteAttempt { holds_connections: false, .. } if no_holder_left => {
                 RemoteFailure::NoHolder
             }
--- a/crates/core/tests/gateway_pauses.rs
+++ b/crates/core/tests/gateway_pauses.rs
@@ -1,6 +1,8 @@
 //! Pauses of a gateway after failures of a member, on a simulated clock.
 
-use corktack_core::gateway::{FALLBACK_CONNECTIONS, FallbackPeriod, MemberPauses, WitnessPeriod};
+use corktack_core::gateway::{
+    FALLBACK_CONNECTIONS, FallbackPeriod, MemberPauses, ObservationPeriod,
+};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -18,9 +20,9 @@
 #[test]
 fn a_member_without_failures_accepts_reads_and_writes() {
     let pauses = pauses();
-    assert!(pauses.takes_reads(time(0)) && pauses.takes_writes(time(0), DRAIN_LIMIT));
+    assert!(pauses.accepts_reads(time(0)) && pauses.accepts_writes(time(0), DRAIN_LIMIT));
     assert!(!pauses.is_passed_over(time(0)) && !pauses.is_full(time(0)));
-    assert!(!pauses.is_unreached() && !pauses.is_unreachable(time(0)));
+    assert!(!pauses.has_failed_attempts() && !pauses.is_unreachable(time(0)));
 }
 
 #[rstest]
@@ -36,17 +38,17 @@
 ) {
     let mut pauses = pauses();
     for _ in 0..failures {
-        pauses.note_unreachable(time(1_000));
+        pauses.record_unreachable(time(1_000));
     }
     assert!(pauses.is_unreachable(time(1_000 + pause_millis - 1)));
     assert!(!pauses.is_unreachable(time(1_000 + pause_millis)));
-    assert!(pauses.is_unreached());
+    assert!(pauses.has_failed_attempts());
 }
 
 #[test]
 fn the_pause_end_is_not_rounded() {
     let mut pauses = pauses();
-    pauses.note_unreachable(Duration::from_nanos(1));
+    pauses.record_unreachable(Duration::from_nanos(1));
     assert!(pauses.is_unreachable(time(100)));
     assert!(!pauses.is_unreachable(time(100) + Duration::from_nanos(1)));
 }
@@ -54,26 +56,26 @@
 #[test]
 fn only_changes_between_reached_and_unreached_are_returned() {
     let mut pauses = pauses();
-    assert!(!pauses.note_reached());
-    assert!(pauses.note_unreachable(time(0)));
-    assert!(!pauses.note_unreachable(time(200)));
-    assert!(pauses.note_reached());
-    assert!(!pauses.note_reached());
-    assert!(pauses.takes_reads(time(200)));
+    assert!(!pauses.record_reached());
+    assert!(pauses.record_unreachable(time(0)));
+    assert!(!pauses.record_unreachable(time(200)));
+    assert!(pauses.record_reached());
+    assert!(!pauses.record_reached());
+    assert!(pauses.accepts_reads(time(200)));
 }
 
 #[test]
 fn an_unreachable_member_accepts_neither_reads_nor_writes() {
     let mut pauses = pauses();
-    pauses.note_unreachable(time(0));
-    assert!(!pauses.takes_reads(time(99)) && !pauses.takes_writes(time(99), DRAIN_LIMIT));
-    assert!(pauses.takes_reads(time(100)) && pauses.takes_writes(time(100), DRAIN_LIMIT));
+    pauses.record_unreachable(time(0));
+    assert!(!pauses.accepts_reads(time(99)) && !pauses.accepts_writes(time(99), DRAIN_LIMIT));
+    assert!(pauses.accepts_reads(time(100)) && pauses.accepts_writes(time(100), DRAIN_LIMIT));
 }
 
 #[rstest]
-#[case::lagging(MemberPauses::note_lagging, 150)]
-#[case::busy(MemberPauses::note_busy, 50)]
-#[case::silent(MemberPauses::note_silent, 300)]
+#[case::lagging(MemberPauses::record_lagging, 150)]
+#[case::busy(MemberPauses::record_busy, 50)]
+#[case::silent(MemberPauses::record_silence, 300)]
 fn a_member_is_passed_over_for_a_moment(
     #[case] record: fn(&mut MemberPauses<Duration>, Duration),
     #[case] pause_millis: u64,
@@ -82,34 +84,34 @@
     record(&mut pauses, time(10));
     assert!(pauses.is_passed_over(time(10 + pause_millis - 1)));
     assert!(!pauses.is_passed_over(time(10 + pause_millis)));
-    assert!(pauses.takes_reads(time(10)));
+    assert!(pauses.accepts_reads(time(10)));
 }
 
 #[test]
 fn the_last_reason_to_pass_over_a_member_counts() {
     let mut pauses = pauses();
-    pauses.note_silent(time(0));
-    pauses.note_busy(time(10));
+    pauses.record_silence(time(0));
+    pauses.record_busy(time(10));
     assert!(pauses.is_passed_over(time(59)) && !pauses.is_passed_over(time(60)));
 }
 
 #[test]
 fn a_full_member_gets_no_connections_for_a_moment_and_still_accepts_reads() {
     let mut pauses = pauses();
-    pauses.note_full(time(0));
+    pauses.record_full(time(0));
     assert!(pauses.is_full(time(149)) && !pauses.is_full(time(150)));
-    assert!(pauses.takes_reads(time(0)) && !pauses.is_passed_over(time(0)));
+    assert!(pauses.accepts_reads(time(0)) && !pauses.is_passed_over(time(0)));
 }
 
 #[test]
 fn a_draining_primary_accepts_writes_until_the_drain_limit() {
     let mut pauses = pauses();
-    pauses.note_draining(time(1_000));
-    pauses.note_draining(time(4_000));
-    assert!(pauses.is_draining() && !pauses.takes_reads(time(1_000)));
-    assert!(pauses.takes_writes(time(5_999), DRAIN_LIMIT));
-    assert!(pauses.has_left(time(6_000), DRAIN_LIMIT));
-    assert!(!pauses.takes_writes(time(6_000), DRAIN_LIMIT));
+    pauses.record_draining(time(1_000));
+    pauses.record_draining(time(4_000));
+    assert!(pauses.is_draining() && !pauses.accepts_reads(time(1_000)));
+    assert!(pauses.accepts_writes(time(5_999), DRAIN_LIMIT));
+    assert!(pauses.is_drain_over(time(6_000), DRAIN_LIMIT));
+    assert!(!pauses.accepts_writes(time(6_000), DRAIN_LIMIT));
 }
 
 #[test]
@@ -123,7 +125,7 @@
 #[test]
 fn an_unreachable_member_is_not_connected_to_before_its_pause_ends() {
     let mut pauses = pauses();
-    pauses.note_unreachable(time(0));
+    pauses.record_unreachable(time(0));
     assert!(!pauses.begin_check(time(99)));
     assert!(pauses.begin_check(time(100)));
 }
@@ -149,34 +151,37 @@
 
 #[test]
 fn observations_stay_valid_for_four_seconds_without_connections() {
-    let mut period = WitnessPeriod::default();
-    assert!(!period.is_over(time(0), true));
-    assert!(!period.is_over(time(10_000), true), "the gateway has connections");
-    assert!(!period.is_over(time(10_500), false));
-    assert!(!period.is_over(time(14_499), false));
-    assert!(period.is_over(time(14_500), false));
-    assert!(period.is_over(time(15_000), false), "later observations are not valid either");
+    let mut period = ObservationPeriod::default();
+    assert!(!period.update_and_check_expired(time(0), true));
+    assert!(!period.update_and_check_expired(time(10_000), true), "the gateway has connections");
+    assert!(!period.update_and_check_expired(time(10_500), false));
+    assert!(!period.update_and_check_expired(time(14_499), false));
+    assert!(period.update_and_check_expired(time(14_500), false));
+    assert!(
+        period.update_and_check_expired(time(15_000), false),
+        "later observations are not valid either"
+    );
 }
 
 #[test]
 fn connections_in_between_restart_the_period() {
-    let mut period = WitnessPeriod::default();
-    assert!(!period.is_over(time(0), false));
-    assert!(!period.is_over(time(3_900), true));
-    assert!(!period.is_over(time(4_000), false));
-    assert!(!period.is_over(time(7_999), false));
-    assert!(period.is_over(time(8_000), false));
+    let mut period = ObservationPeriod::default();
+    assert!(!period.update_and_check_expired(time(0), false));
+    assert!(!period.update_and_check_expired(time(3_900), true));
+    assert!(!period.update_and_check_expired(time(4_000), false));
+    assert!(!period.update_and_check_expired(time(7_999), false));
+    assert!(period.update_and_check_expired(time(8_000), false));
 }
 
 #[test]
 fn after_forgotten_failures_the_next_failure_counts_as_the_first() {
     let mut pauses = pauses();
-    assert!(!pauses.forget_failures());
-    assert!(pauses.note_unreachable(time(0)));
-    assert!(!pauses.note_unreachable(time(100)));
-    assert!(pauses.forget_failures());
-    assert!(!pauses.is_unreachable(time(100)) && !pauses.is_unreached());
-    assert!(!pauses.forget_failures(), "failures are cleared once");
-    assert!(pauses.note_unreachable(time(200)), "the next failure is the first again");
+    assert!(!pauses.clear_failures());
+    assert!(pauses.record_unreachable(time(0)));
+    assert!(!pauses.record_unreachable(time(100)));
+    assert!(pauses.clear_failures());
+    assert!(!pauses.is_unreachable(time(100)) && !pauses.has_failed_attempts());
+    assert!(!pauses.clear_failures(), "failures are cleared once");
+    assert!(pauses.record_unreachable(time(200)), "the next failure is the first again");
     assert!(!pauses.is_unreachable(time(300)));
 }
--- a/crates/core/tests/holders.rs
+++ b/crates/core/tests/holders.rs
@@ -2,7 +2,7 @@
 
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{
-    GatewayPlace, HolderTable, MemberNeeds, holder_count, holder_order, zone_quotas,
+    GatewayLocation, HolderTable, MemberCapacity, holder_count, holder_order, zone_quotas,
 };
 use corktack_core::identity::{MemberName, ProxyName, ZoneName};
 use proptest::prelude::*;
@@ -29,12 +29,12 @@
     SocketAddr::from(([10, 0, (number / 256) as u8, (number % 256) as u8], 7_443))
 }
 
-fn place(number: usize) -> GatewayPlace {
-    GatewayPlace { zone: zone(ZONES[number % ZONES.len()]), address: address(number) }
+fn place(number: usize) -> GatewayLocation {
+    GatewayLocation { zone: zone(ZONES[number % ZONES.len()]), address: address(number) }
 }
 
-fn needs(number: usize) -> MemberNeeds {
-    MemberNeeds { zone: zone(ZONES[number % 3 * 2]), capacity: 5, max_connections: 857 }
+fn needs(number: usize) -> MemberCapacity {
+    MemberCapacity { zone: zone(ZONES[number % 3 * 2]), capacity: 5, max_connections: 857 }
 }
 
 /// Creates the table of gateway 0.
@@ -127,13 +127,13 @@
     let mut table = table(30, 20);
     let members_at_old_address = |table: &HolderTable| {
         let is_asked = |number: &usize| {
-            table.others(&member(*number)).iter().any(|holder| holder.address == address(7))
+            table.other_holders(&member(*number)).iter().any(|holder| holder.address == address(7))
         };
         (0..20).filter(is_asked).count()
     };
     let before = members_at_old_address(&table);
     assert!(before > 0);
-    let moved = GatewayPlace { address: address(999), ..place(7) };
+    let moved = GatewayLocation { address: address(999), ..place(7) };
     table.put_gateway(&gateway(7), moved);
     assert_eq!(table.take_changed().len(), before);
     assert_eq!(members_at_old_address(&table), 0);
@@ -143,9 +143,12 @@
 fn a_gateway_counts_itself_when_control_does_not_list_it() {
     let mut table = HolderTable::new(gateway(0), place(0));
     table.put_member(&member(0), needs(0));
-    assert!(table.holds(&member(0)));
+    assert!(table.is_own_member(&member(0)));
     table.remove_gateway(&gateway(0));
-    assert!(table.holds(&member(0)), "the gateway is present even if control lists it as gone");
+    assert!(
+        table.is_own_member(&member(0)),
+        "the gateway is present even if control lists it as gone"
+    );
 }
 
 #[derive(Clone, Debug)]
@@ -183,7 +186,7 @@
                     gateways.remove(&number);
                 }
                 Change::PutMember(number, capacity) => {
-                    let needs = MemberNeeds { capacity, ..needs(number) };
+                    let needs = MemberCapacity { capacity, ..needs(number) };
                     updated.put_member(&member(number), needs.clone());
                     members.insert(number, needs);
                 }
@@ -200,9 +203,9 @@
             .for_each(|(number, needs)| created.put_member(&member(*number), needs.clone()));
         for number in 0..6 {
             let name = member(number);
-            prop_assert_eq!(updated.others(&name), created.others(&name));
-            prop_assert_eq!(updated.holds(&name), created.holds(&name));
-            prop_assert_eq!(updated.count(&name), created.count(&name));
+            prop_assert_eq!(updated.other_holders(&name), created.other_holders(&name));
+            prop_assert_eq!(updated.is_own_member(&name), created.is_own_member(&name));
+            prop_assert_eq!(updated.holder_count(&name), created.holder_count(&name));
         }
     }
 }
@@ -264,8 +267,13 @@
     }
 
     fn order(choice: &HolderChoice, tenant: &TenantName) -> Vec<SocketAddr> {
-        let asked =
-            choice.to_ask_for(tenant, None, Timestamp::ZERO, &PeerTable::default(), usize::MAX);
+        let asked = choice.candidates_for_tenant(
+            tenant,
+            None,
+            Timestamp::ZERO,
+            &PeerTable::default(),
+            usize::MAX,
+        );
         asked.iter().map(|holder| holder.address).collect()
     }
 
@@ -308,7 +316,8 @@
         let (own, peers) = (address(9), PeerTable::default());
         for number in 0..100 {
             let tenant = tenant(number);
-            let asked = choice.to_ask_for(&tenant, Some(own), Timestamp::ZERO, &peers, 9);
+            let asked =
+                choice.candidates_for_tenant(&tenant, Some(own), Timestamp::ZERO, &peers, 9);
             let own_weight = home_weight(&tenant, own);
             assert!(asked.iter().all(|holder| home_weight(&tenant, holder.address) > own_weight));
             let lighter = order(&choice, &tenant).len() - asked.len();
@@ -323,8 +332,8 @@
         let choice = holders(0..4);
         let mut peers = PeerTable::default();
         let homes = order(&choice, &tenant(1));
-        peers.note_unanswered(homes[0], Timestamp::ZERO);
-        let asked = choice.to_ask_for(&tenant(1), None, Timestamp::ZERO, &peers, 1);
+        peers.record_unanswered(homes[0], Timestamp::ZERO);
+        let asked = choice.candidates_for_tenant(&tenant(1), None, Timestamp::ZERO, &peers, 1);
         assert_eq!(asked[0].address, homes[1]);
         assert_eq!(asked[0].distance, Distance::SameZone);
     }
--- a/crates/core/tests/peers.rs
+++ b/crates/core/tests/peers.rs
@@ -21,7 +21,7 @@
 }
 
 fn holders_to_ask(choice: &HolderChoice, now: u64, peers: &PeerTable, most: usize) -> Vec<Holder> {
-    choice.to_ask(time(now), peers, most)
+    choice.candidates(time(now), peers, most)
 }
 
 fn choice(holders: &[Holder]) -> HolderChoice {
@@ -48,7 +48,7 @@
 #[test]
 fn round_trips_are_kept_by_distance() {
     let mut peers = PeerTable::default();
-    (0..50).for_each(|_| peers.note_connected(Distance::SameZone, millis(1)));
+    (0..50).for_each(|_| peers.record_connected(Distance::SameZone, millis(1)));
     assert_eq!(peers.round_trip_limit(Distance::SameZone), millis(30));
     assert_eq!(peers.round_trip_limit(Distance::OtherRegion), millis(100));
     assert_eq!(peers.stagger(Distance::SameZone), millis(15));
@@ -66,16 +66,16 @@
     let mut now = 0;
     let mut pauses = Vec::new();
     for _ in 0..5 {
-        peers.note_unanswered(address, time(now));
+        peers.record_unanswered(address, time(now));
         // Other statements in flight report the same silence.
-        peers.note_unanswered(address, time(now + 1));
+        peers.record_unanswered(address, time(now + 1));
         let pause = (0..).take_while(|more| peers.is_avoided(address, time(now + more))).count();
         pauses.push(pause);
         now += pause as u64;
     }
     assert_eq!(pauses, [250, 500, 1_000, 2_000, 2_000]);
-    peers.note_answered(address, time(now));
-    peers.note_unanswered(address, time(now));
+    peers.record_answered(address, time(now));
+    peers.record_unanswered(address, time(now));
     assert!(!peers.is_avoided(address, time(now + 250)), "an answer resets the pause");
 }
 
@@ -84,13 +84,13 @@
     let mut peers = PeerTable::default();
     let address = holder(1).address;
     assert!(!peers.answers(address, time(0)), "the gateway has not answered yet");
-    peers.note_answered(address, time(0));
+    peers.record_answered(address, time(0));
     assert!(peers.answers(address, time(9_999)));
     assert!(!peers.answers(address, time(10_000)), "the gateway may have been lost since");
-    peers.note_answered(address, time(10_000));
-    peers.note_unanswered(address, time(10_001));
+    peers.record_answered(address, time(10_000));
+    peers.record_unanswered(address, time(10_001));
     assert!(!peers.answers(address, time(10_002)));
-    peers.note_answered(address, time(10_003));
+    peers.record_answered(address, time(10_003));
     assert!(peers.answers(address, time(10_004)));
 }
 
@@ -100,8 +100,8 @@
     let holders = [holder(1), holder(2), holder(3), holder(4)];
     let mut choice = choice(&holders);
     assert_eq!(holders_to_ask(&choice, 0, &peers, 3), holders[..3]);
-    peers.note_unanswered(holder(1).address, time(0));
-    choice.refused(holder(3).address, time(0));
+    peers.record_unanswered(holder(1).address, time(0));
+    choice.record_refusal(holder(3).address, time(0));
     assert_eq!(holders_to_ask(&choice, 0, &peers, 3), [holder(2), holder(4)]);
     assert_eq!(holders_to_ask(&choice, 250, &peers, 3), [holder(1), holder(2), holder(4)]);
     assert_eq!(
@@ -109,8 +109,8 @@
         holders[..3],
         "the first holder is preferred again"
     );
-    choice.refused(holder(1).address, time(500));
-    choice.served(holder(1).address);
+    choice.record_refusal(holder(1).address, time(500));
+    choice.record_served(holder(1).address);
     assert_eq!(holders_to_ask(&choice, 500, &peers, 1), [holder(1)]);
 }
 
@@ -118,7 +118,7 @@
 fn a_refusal_is_kept_when_other_holders_change() {
     let peers = PeerTable::default();
     let mut choice = choice(&[holder(1), holder(2)]);
-    choice.refused(holder(1).address, time(0));
+    choice.record_refusal(holder(1).address, time(0));
     choice.replace(&[holder(3), holder(1)]);
     assert_eq!(holders_to_ask(&choice, 100, &peers, 3), [holder(3)]);
     assert_eq!(holders_to_ask(&choice, 500, &peers, 3), [holder(3), holder(1)]);
--- a/crates/core/tests/region_relay.rs
+++ b/crates/core/tests/region_relay.rs
@@ -60,7 +60,7 @@
     let group = group(1);
     let mut peers = PeerTable::default();
     let lost = asked_by(0, &group, &peers);
-    peers.note_unanswered(lost, Timestamp::ZERO);
+    peers.record_unanswered(lost, Timestamp::ZERO);
     let remaining: Vec<_> = NEAR.into_iter().filter(|own| address(*own) != lost).collect();
     let relay = asked_by(remaining[0], &group, &peers);
     assert_ne!(relay, lost);
--- a/crates/core/tests/scheduling.rs
+++ b/crates/core/tests/scheduling.rs
@@ -27,11 +27,11 @@
 /// A request for the first member with a late deadline.
 fn request(priority: u32, name: &str) -> SlotRequest {
     SlotRequest {
-        target: SlotTarget::At(member(1)),
+        target: SlotTarget::Member(member(1)),
         priority,
         tenant: tenant(name),
         cost: MILLISECOND * 10,
-        give_up: time(10_000),
+        deadline: time(10_000),
     }
 }
 
@@ -57,11 +57,11 @@
     let mut queue = SlotQueue::default();
     let target = |target| SlotRequest { target, ..request(1, "alfa") };
     put(&mut queue, target(SlotTarget::Primary), "writer");
-    put(&mut queue, target(SlotTarget::At(member(2))), "at the second");
+    put(&mut queue, target(SlotTarget::Member(member(2))), "at the second");
     let refused = BTreeSet::from([member(3)]);
-    put(&mut queue, target(SlotTarget::AnyBut(refused)), "reader");
+    put(&mut queue, target(SlotTarget::AnyExcept(refused)), "reader");
     assert_eq!(queue.next(time(0), &member(3), false), None);
-    assert_eq!(queue.len_at(&member(2), false), 2);
+    assert_eq!(queue.waiting_for(&member(2), false), 2);
     assert_eq!(queue.next(time(0), &member(2), false), Some("at the second"));
     assert_eq!(queue.next(time(0), &member(2), false), Some("reader"));
     assert_eq!(queue.next(time(0), &member(2), false), None);
@@ -73,7 +73,7 @@
 fn within_a_tenant_the_earliest_deadline_goes_first() {
     let mut queue = SlotQueue::default();
     for (name, give_up) in [("late", 900), ("early", 300), ("middle", 600)] {
-        let request = SlotRequest { give_up: time(give_up), ..request(1, "alfa") };
+        let request = SlotRequest { deadline: time(give_up), ..request(1, "alfa") };
         put(&mut queue, request, name);
     }
     assert_eq!(order(&mut queue), ["early", "middle", "late"]);
@@ -107,7 +107,7 @@
 #[test]
 fn a_request_that_cannot_meet_its_deadline_is_refused_on_arrival() {
     let mut queue = SlotQueue::default();
-    let urgent = SlotRequest { give_up: time(100), ..request(1, "alfa") };
+    let urgent = SlotRequest { deadline: time(100), ..request(1, "alfa") };
     let mut refused = None;
     let mut accepted = 0;
     while refused.is_none() {
@@ -127,7 +127,7 @@
 #[test]
 fn refused_callers_get_different_retry_times() {
     let mut queue = SlotQueue::default();
-    let urgent = SlotRequest { give_up: time(100), ..request(1, "alfa") };
+    let urgent = SlotRequest { deadline: time(100), ..request(1, "alfa") };
     while queue.enqueue(time(0), urgent.clone(), FOUR, "hasty").is_ok() {}
     let retry_times: Vec<Duration> = (0..40)
         .map(|_| match queue.enqueue(time(0), urgent.clone(), FOUR, "hasty") {
@@ -146,10 +146,10 @@
     let mut queue = SlotQueue::default();
     let ticket =
         queue.enqueue(time(0), request(1, "alfa"), FOUR, "gone").expect("the deadline can be met");
-    put(&mut queue, SlotRequest { give_up: time(50), ..request(1, "alfa") }, "over");
+    put(&mut queue, SlotRequest { deadline: time(50), ..request(1, "alfa") }, "over");
     put(&mut queue, request(1, "alfa"), "there");
-    assert!(queue.leave(time(0), ticket));
-    assert!(!queue.leave(time(0), ticket));
+    assert!(queue.remove(time(0), ticket));
+    assert!(!queue.remove(time(0), ticket));
     assert_eq!(queue.next(time(60), &member(1), false), Some("there"));
     assert_eq!(queue.next(time(60), &member(1), false), None);
 }
@@ -160,10 +160,10 @@
     let read = StatementKind { priority: 1, writes: false };
     let write = StatementKind { priority: 0, writes: true };
     for _ in 0..100 {
-        times.note(read, MILLISECOND * 26);
-        times.note(write, MILLISECOND * 5);
+        times.record(read, MILLISECOND * 26);
+        times.record(write, MILLISECOND * 5);
     }
-    times.note(read, Duration::from_secs(60));
+    times.record(read, Duration::from_secs(60));
     assert_eq!(times.estimate(write), MILLISECOND * 5);
     assert!(times.estimate(read) < MILLISECOND * 60, "{:?}", times.estimate(read));
 }
--- a/crates/core/tests/scheduling_load.rs
+++ b/crates/core/tests/scheduling_load.rs
@@ -109,11 +109,11 @@
     fn wait(&mut self, now: u64, number: usize, arrival: &Arrival) -> bool {
         let tenant = TenantName::new(&format!("t{}", arrival.tenant)).expect("a valid name");
         let request = SlotRequest {
-            target: SlotTarget::At(Self::member()),
+            target: SlotTarget::Member(Self::member()),
             priority: arrival.class as u32,
             tenant: Some(tenant),
             cost: self.times.estimate(kind(arrival)),
-            give_up: Timestamp::from_millis(now + CLASSES[arrival.class].2),
+            deadline: Timestamp::from_millis(now + CLASSES[arrival.class].2),
         };
         let now = Timestamp::from_millis(now);
         self.queue.enqueue(now, request, Capacity { slots: SLOTS }, number).is_ok()
@@ -124,7 +124,7 @@
     }
 
     fn record_run(&mut self, arrival: &Arrival) {
-        self.times.note(kind(arrival), Duration::from_millis(arrival.work));
+        self.times.record(kind(arrival), Duration::from_millis(arrival.work));
     }
 }
 
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -139,7 +139,7 @@
     ) -> Result<Answer, LinkError> {
         let answer = self.exchange(&MemberRequest::Own(statement), deadline).await?;
         if answer.outcome.is_ok() {
-            self.profile.completed(statement);
+            self.profile.apply_completed(statement);
         }
         Ok(answer)
     }
@@ -173,7 +173,7 @@
         let mut refused = None;
         for statement in statements {
             match self.read_answer().await?.outcome {
-                Ok(_) => self.profile.completed(statement),
+                Ok(_) => self.profile.apply_completed(statement),
                 Err(failure) => {
                     self.profile.mark_unknown();
                     refused = refused.or(Some(failure));
--- a/crates/gateway/src/group/choice.rs
+++ b/crates/gateway/src/group/choice.rs
@@ -13,7 +13,7 @@
 use crate::tunnel::Tunnels;
 use crate::wire::Wire;
 use corktack_core::gateway::{
-    DetourStep, Holder, MemberLoad, PrimaryCandidate, PrimaryEvidence, ReaderCandidate,
+    Holder, IndirectRouteStep, MemberLoad, PrimaryCandidate, PrimaryEvidence, ReaderCandidate,
     choose_available_reader, choose_primary,
 };
 use corktack_core::identity::MemberName;
@@ -78,8 +78,8 @@
         if let Some(holders) = home_holders(member, request, settings, tunnels) {
             return Step::Remote(RemoteMember { name, holders });
         }
-        if request.target == Target::Primary && member.needs_detour(now) {
-            return detour_step(name, member, now, clock, tunnels);
+        if request.target == Target::Primary && member.needs_indirect_route(now) {
+            return indirect_route_step(name, member, now, clock, tunnels);
         }
         if member.is_full_without_connections(now)
             && let Some(step) = full_member_step(&name, member, request, tunnels)
@@ -103,9 +103,11 @@
         member.pool.release_reserved();
         let now = Instant::now();
         let is_able = match &request.target {
-            Target::Reader { refused } => member.pauses.takes_reads(now) && !refused.contains(name),
+            Target::Reader { refused } => {
+                member.pauses.accepts_reads(now) && !refused.contains(name)
+            }
             Target::Primary | Target::Held(_) => {
-                member.pauses.takes_writes(now, settings.drain_limit)
+                member.pauses.accepts_writes(now, settings.drain_limit)
             }
         };
         if !is_able || !member.has_room(now, request.needs_slot) {
@@ -123,8 +125,8 @@
         settings: &GatewaySettings,
     ) -> Option<MemberName> {
         let member = self.members.get(name)?;
-        let takes_writes = member.pauses.takes_writes(now, settings.drain_limit);
-        (member.holds_connections() && takes_writes).then(|| name.clone())
+        let accepts_writes = member.pauses.accepts_writes(now, settings.drain_limit);
+        (member.holds_connections() && accepts_writes).then(|| name.clone())
     }
 
     /// Selects the member to try as primary.
@@ -135,13 +137,14 @@
         clock: SteadyClock,
     ) -> Option<MemberName> {
         let candidates = self.members.iter().map(|(name, member)| {
-            let is_closed = member.detour.clone().step(clock.at(now)) == DetourStep::Closed;
+            let is_closed =
+                member.indirect_route.clone().step(clock.at(now)) == IndirectRouteStep::Unreachable;
             let candidate = PrimaryCandidate {
                 evidence: self.primary_evidence(name, member),
-                has_left: member.pauses.has_left(now, settings.drain_limit),
+                is_drain_over: member.pauses.is_drain_over(now, settings.drain_limit),
                 denied_lately: self.not_primary_until.get(name).is_some_and(|until| now < *until),
-                is_reached: member.pauses.takes_writes(now, settings.drain_limit),
-                has_detour: member.needs_detour(now) && !is_closed,
+                is_reached: member.pauses.accepts_writes(now, settings.drain_limit),
+                has_indirect_route: member.needs_indirect_route(now) && !is_closed,
             };
             (name, candidate)
         });
@@ -169,11 +172,12 @@
         request: &ConnectionRequest<'_>,
         refused: &BTreeSet<MemberName>,
     ) -> Option<MemberName> {
-        let preferred = self.preferences.next(request.principal.and_then(Principal::tenant));
+        let preferred =
+            self.preferences.next_preference(request.principal.and_then(Principal::tenant));
         let able_members = self
             .members
             .iter()
-            .filter(|(name, member)| member.pauses.takes_reads(now) && !refused.contains(*name));
+            .filter(|(name, member)| member.pauses.accepts_reads(now) && !refused.contains(*name));
         let candidate = |(name, member): (_, &Member<W>)| {
             let load = MemberLoad { preference: preferred.weight(name), ..member.load(steady) };
             let candidate = ReaderCandidate {
@@ -200,8 +204,12 @@
     if matches!(request.target, Target::Held(_)) || member.pool.has_idle_for(request.principal) {
         return None;
     }
-    let homes =
-        tunnels.to_ask_for(&member.holders, tenant, Some(settings.peers), MAX_HOLDERS_ASKED);
+    let homes = tunnels.candidates_for_tenant(
+        &member.holders,
+        tenant,
+        Some(settings.peers),
+        MAX_HOLDERS_ASKED,
+    );
     (!homes.is_empty()).then_some(homes)
 }
 
@@ -213,8 +221,10 @@
     tunnels: &Tunnels,
 ) -> Step<W> {
     let holders = match request.principal.and_then(Principal::tenant) {
-        Some(tenant) => tunnels.to_ask_for(&member.holders, tenant, None, MAX_HOLDERS_ASKED),
-        None => tunnels.to_ask(&member.holders, MAX_HOLDERS_ASKED),
+        Some(tenant) => {
+            tunnels.candidates_for_tenant(&member.holders, tenant, None, MAX_HOLDERS_ASKED)
+        }
+        None => tunnels.candidates(&member.holders, MAX_HOLDERS_ASKED),
     };
     if holders.is_empty() {
         return Step::NoHolder(name);
@@ -240,7 +250,7 @@
     match request.target {
         Target::Held(_) => Some(Step::Full(name.clone())),
         Target::Primary => {
-            let holders = tunnels.to_ask(&member.holders, MAX_HOLDERS_ASKED);
+            let holders = tunnels.candidates(&member.holders, MAX_HOLDERS_ASKED);
             let remote = RemoteMember { name: name.clone(), holders };
             (!remote.holders.is_empty()).then_some(Step::Remote(remote))
         }
@@ -249,18 +259,18 @@
 }
 
 /// Returns the step for a primary that this gateway holds connections to and does not reach.
-fn detour_step<W: Wire>(
+fn indirect_route_step<W: Wire>(
     name: MemberName,
     member: &mut Member<W>,
     now: Instant,
     clock: SteadyClock,
     tunnels: &Tunnels,
 ) -> Step<W> {
-    match member.detour.step(clock.at(now)) {
-        DetourStep::Wait => Step::Wait,
-        DetourStep::Closed => Step::NoMember,
-        DetourStep::Take => {
-            let holders = tunnels.to_ask(&member.holders, MAX_HOLDERS_ASKED);
+    match member.indirect_route.step(clock.at(now)) {
+        IndirectRouteStep::Wait => Step::Wait,
+        IndirectRouteStep::Unreachable => Step::NoMember,
+        IndirectRouteStep::Send => {
+            let holders = tunnels.candidates(&member.holders, MAX_HOLDERS_ASKED);
             let remote = RemoteMember { name, holders };
             match member.begin_reconnect(now) {
                 None => Step::Remote(remote),
--- a/crates/gateway/src/group/connect.rs
+++ b/crates/gateway/src/group/connect.rs
@@ -48,7 +48,7 @@
         match error.failure() {
             DialFailure::Full => {
                 let now = Instant::now();
-                self.with_member(&member, |member| member.pauses.note_full(now));
+                self.with_member(&member, |member| member.pauses.record_full(now));
                 return AcquireError::Full(member);
             }
             DialFailure::Unreachable => self.record_unreachable(&member),
@@ -57,7 +57,7 @@
             }
             DialFailure::NoAnswer | DialFailure::Other => {
                 let now = Instant::now();
-                self.with_member(&member, |member| member.pauses.note_busy(now));
+                self.with_member(&member, |member| member.pauses.record_busy(now));
             }
         }
         AcquireError::Unreachable(member)
--- a/crates/gateway/src/group/mod.rs
+++ b/crates/gateway/src/group/mod.rs
@@ -132,7 +132,7 @@
         let mut state = self.state.borrow_mut();
         state.members.retain(|name, member| {
             let stays = update.members.contains_key(name);
-            if !stays && member.pauses.is_unreached() {
+            if !stays && member.pauses.has_failed_attempts() {
                 // If the member came back under its name, it would start as reached without a report to
                 // control.
                 self.retract_unreachable(name);
@@ -165,7 +165,7 @@
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let Some(member) = state.members.get_mut(name) else { return connection.terminate() };
-        member.silence.answered(self.clock.at(connection.answered_at()));
+        member.silence.record_answer(self.clock.at(connection.answered_at()));
         member.give_back(connection, now, self.settings.drain_limit);
         state.wake_next(self.now(), name);
     }
@@ -191,7 +191,7 @@
         for member in state.members.values() {
             holdings.idle += member.pool.idle();
             holdings.in_use += member.pool.in_use();
-            holdings.unreached += usize::from(member.pauses.is_unreached());
+            holdings.unreached += usize::from(member.pauses.has_failed_attempts());
             holdings.unserving += usize::from(member.is_unserving(now));
         }
     }
--- a/crates/gateway/src/group/notes.rs
+++ b/crates/gateway/src/group/notes.rs
@@ -38,7 +38,7 @@
     ) {
         self.record_primary(name);
         if let Some(position) = position {
-            self.freshness.borrow_mut().note(asked_at, position);
+            self.freshness.borrow_mut().record_position(asked_at, position);
         }
     }
 
@@ -50,7 +50,7 @@
     /// Returns the load of a member, for the gateway whose statement has just taken `spent`.
     pub(crate) fn load_report(&self, name: &MemberName, spent: Duration) -> MemberLoadReport {
         let state = self.state.borrow();
-        let waiting = state.waiting.len_at(name, state.may_be_primary(name));
+        let waiting = state.waiting.waiting_for(name, state.may_be_primary(name));
         let member = state.members.get(name);
         member.map_or_else(MemberLoadReport::default, |member| member.load_report(spent, waiting))
     }
@@ -69,7 +69,7 @@
                     let elapsed = begun.elapsed();
                     let now = self.now();
                     self.with_member(name, |member| member.record_served(elapsed, now));
-                    self.state.borrow_mut().service_times.note(kind, elapsed);
+                    self.state.borrow_mut().service_times.record(kind, elapsed);
                 }
                 Err(failure) if failure.code == ErrorCode::Busy => self.record_no_room(name),
                 Err(failure) => self.record_failure(name, kind.writes, failure.code),
--- a/crates/gateway/src/group/reach.rs
+++ b/crates/gateway/src/group/reach.rs
@@ -16,8 +16,8 @@
         let now = self.clock.now();
         let mut is_changed = false;
         self.with_member(name, |member| {
-            member.silence.answered(now);
-            is_changed = member.pauses.note_reached();
+            member.silence.record_answer(now);
+            is_changed = member.pauses.record_reached();
         });
         if is_changed {
             self.report_reach(name, true);
@@ -40,7 +40,7 @@
         let mut is_gone = false;
         // Without own connections, the request went through another gateway, which may be the slow one.
         self.with_member(name, |member| {
-            is_gone = member.holds_connections() && member.silence.unanswered(now)
+            is_gone = member.holds_connections() && member.silence.record_unanswered(now)
         });
         if is_gone {
             log::warn!(
--- a/crates/gateway/src/group/remote/outcome.rs
+++ b/crates/gateway/src/group/remote/outcome.rs
@@ -27,8 +27,8 @@
     pub(super) fn record_holder_served(&self, member: &MemberName, holder: Holder) {
         self.metrics.record_remote(RemoteOutcome::Served);
         self.with_member(member, |member_state| {
-            member_state.detour.reached();
-            member_state.holders.served(holder.address);
+            member_state.indirect_route.record_reached();
+            member_state.holders.record_served(holder.address);
         });
     }
 
@@ -44,11 +44,11 @@
                 self.metrics.record_remote(RemoteOutcome::NoneFree);
                 let (steady, now) = (self.now(), Instant::now());
                 self.with_member(member, |member_state| {
-                    member_state.detour.reached();
+                    member_state.indirect_route.record_reached();
                     if member_state.is_full_without_connections(now) {
                         // The holder may have no connection to the full member either: other holders are
                         // asked before it for a while.
-                        member_state.holders.refused(holder.address, steady);
+                        member_state.holders.record_refusal(holder.address, steady);
                     }
                 });
                 HolderReply::AskNext(Some(retry_after))
@@ -61,7 +61,7 @@
                 self.metrics.record_remote(RemoteOutcome::NotReached);
                 let now = self.now();
                 self.with_member(member, |member_state| {
-                    member_state.holders.refused(holder.address, now)
+                    member_state.holders.record_refusal(holder.address, now)
                 });
                 HolderReply::AskNext(None)
             }
@@ -86,14 +86,14 @@
         let steady = self.now();
         let (mut is_reached, mut holds_connections) = (false, false);
         self.with_member(&member, |member_state| {
-            is_reached = member_state.detour.is_open();
+            is_reached = member_state.indirect_route.is_open();
             holds_connections = member_state.holds_connections();
             if !is_reached {
-                member_state.detour.failed(steady);
+                member_state.indirect_route.record_failure(steady);
             }
         });
         let attempt = RemoteAttempt {
-            is_time_over: now >= request.wait_deadline,
+            has_timed_out: now >= request.wait_deadline,
             holds_connections,
             is_reached,
         };
@@ -107,7 +107,7 @@
                 AcquireError::NoHolder(member)
             }
             RemoteFailure::Unreachable => {
-                self.with_member(&member, |member_state| member_state.pauses.note_busy(now));
+                self.with_member(&member, |member_state| member_state.pauses.record_busy(now));
                 AcquireError::Unreachable(member)
             }
         }
@@ -117,7 +117,7 @@
     fn no_holder_left(&self, member: &MemberName) -> bool {
         let mut none_left = false;
         self.with_member(member, |member_state| {
-            none_left = self.tunnels.to_ask(&member_state.holders, 1).is_empty()
+            none_left = self.tunnels.candidates(&member_state.holders, 1).is_empty()
         });
         none_left
     }
@@ -140,7 +140,7 @@
         newest: Option<(Duration, Position)>,
     ) {
         let Some((age, position)) = newest else { return };
-        let recorded = self.freshness.borrow_mut().note_reported(asked_at, age, position);
+        let recorded = self.freshness.borrow_mut().record_reported(asked_at, age, position);
         self.metrics.record_reported_position(recorded.is_ok());
         if let Err(error) = recorded {
             log::debug!(
--- a/crates/gateway/src/group/state.rs
+++ b/crates/gateway/src/group/state.rs
@@ -42,7 +42,7 @@
             not_primary_until: BTreeMap::new(),
             waiting: SlotQueue::default(),
             service_times: ServiceTimes::default(),
-            preferences: ReaderPreferences::of(gateway),
+            preferences: ReaderPreferences::for_gateway(gateway),
         }
     }
 
@@ -75,7 +75,7 @@
         if self.promotion.as_ref() == promotion {
             return;
         }
-        self.members.values_mut().for_each(|member| member.detour = Default::default());
+        self.members.values_mut().for_each(|member| member.indirect_route = Default::default());
         self.promotion = promotion.cloned();
         self.not_primary_until.clear();
         self.proven_primary = None;
@@ -84,9 +84,9 @@
     /// Returns the number of slots at the members that can serve a target.
     pub(super) fn capacity(&self, target: &SlotTarget) -> Capacity {
         let serves = |name: &MemberName| match target {
-            SlotTarget::At(wanted) => wanted == name,
+            SlotTarget::Member(wanted) => wanted == name,
             SlotTarget::Primary => self.may_be_primary(name),
-            SlotTarget::AnyBut(refused) => !refused.contains(name),
+            SlotTarget::AnyExcept(refused) => !refused.contains(name),
         };
         let members = self.members.iter().filter(|(name, _)| serves(name));
         Capacity { slots: members.map(|(_, member)| member.slots()).sum() }
@@ -97,7 +97,7 @@
         let may_be_primary = self.may_be_primary(name);
         let Some(member) = self.members.get_mut(name) else { return };
         // A draining member gets no new work from waiting statements.
-        if !member.pauses.takes_reads(Instant::now()) {
+        if !member.pauses.accepts_reads(Instant::now()) {
             return;
         }
         while let Some(waker) = self.waiting.next(now, name, may_be_primary) {
--- a/crates/gateway/src/group/wait.rs
+++ b/crates/gateway/src/group/wait.rs
@@ -45,7 +45,7 @@
         let ticket = {
             let waiting = &mut self.state.borrow_mut().waiting;
             if has_waited {
-                waiting.wait_on(slot_request.clone(), waker)
+                waiting.requeue(slot_request.clone(), waker)
             } else {
                 let enqueued = waiting.enqueue(self.now(), slot_request.clone(), capacity, waker);
                 enqueued.map_err(no_slot_error)?
@@ -58,8 +58,11 @@
             Err(_) if Instant::now() < request.wait_deadline => Ok(None),
             Err(_) => {
                 self.log_wait_timeout(request);
-                let error =
-                    self.state.borrow_mut().waiting.time_over(self.now(), &slot_request, capacity);
+                let error = self.state.borrow_mut().waiting.refuse_expired(
+                    self.now(),
+                    &slot_request,
+                    capacity,
+                );
                 Err(no_slot_error(error))
             }
         }
@@ -71,13 +74,13 @@
         let slot_request = SlotRequest {
             target: match &request.target {
                 Target::Primary => SlotTarget::Primary,
-                Target::Reader { refused } => SlotTarget::AnyBut(refused.clone()),
-                Target::Held(member) => SlotTarget::At(member.clone()),
+                Target::Reader { refused } => SlotTarget::AnyExcept(refused.clone()),
+                Target::Held(member) => SlotTarget::Member(member.clone()),
             },
             priority: request.kind.priority,
             tenant: request.principal.and_then(Principal::tenant).cloned(),
             cost: state.service_times.estimate(request.kind),
-            give_up: self.clock.at(request.wait_deadline),
+            deadline: self.clock.at(request.wait_deadline),
         };
         let capacity = state.capacity(&slot_request.target);
         (slot_request, capacity)
@@ -115,7 +118,7 @@
 impl<W: Wire> Drop for QueuePlace<'_, W> {
     fn drop(&mut self) {
         let mut state = self.group.state.borrow_mut();
-        if state.waiting.leave(self.group.now(), self.ticket) {
+        if state.waiting.remove(self.group.now(), self.ticket) {
             return;
         }
         // The waiter was woken but is dropped before it took the reserved place: it goes to the next one.
--- a/crates/gateway/src/holder/statement.rs
+++ b/crates/gateway/src/holder/statement.rs
@@ -109,7 +109,7 @@
 
 fn refusal_of(error: &AcquireError) -> TunnelRefusal {
     match error {
-        // The member is reachable, so that the other gateway needs no detour to it.
+        // The member is reachable, so that the other gateway needs no indirect route to it.
         AcquireError::NoneFree { .. } | AcquireError::Full(_) => {
             TunnelRefusal::NoneFree { retry_after: error.retry_after() }
         }
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -157,7 +157,12 @@
     /// them.
     fn homes(&self, tenant: &TenantName) -> Vec<Holder> {
         let peers = self.peers.borrow();
-        self.tunnels.to_ask_for(&peers.1, tenant, Some(self.own_address), MAX_HOMES_ASKED)
+        self.tunnels.candidates_for_tenant(
+            &peers.1,
+            tenant,
+            Some(self.own_address),
+            MAX_HOMES_ASKED,
+        )
     }
 
     /// Counts operations for another gateway; returns none if this gateway knows no limit of the tenant.
--- a/crates/gateway/src/member/load.rs
+++ b/crates/gateway/src/member/load.rs
@@ -5,7 +5,7 @@
 
 use super::Member;
 use crate::wire::Wire;
-use corktack_core::gateway::{FlightLimit, MemberEstimate, MemberLoad, ReportedLoad};
+use corktack_core::gateway::{InFlightLimit, MemberEstimate, MemberLoad, ReportedLoad};
 use corktack_core::time::Timestamp;
 use corktack_protocol::tunnel::MemberLoadReport;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 /// Load limit and load estimate of a member, from the statements that it served and refused.
 #[derive(Debug)]
 pub(super) struct ObservedLoad {
-    pub(super) flight_limit: FlightLimit,
+    pub(super) flight_limit: InFlightLimit,
     pub(super) estimate: MemberEstimate,
 }
 
@@ -66,41 +66,41 @@
         let MemberLoadReport { spent, latency, waiting_percent } = *report;
         let waiting = f64::from(waiting_percent) / 100.0;
         let reported = ReportedLoad { spent, latency, waiting };
-        self.observed.estimate.note_reported(&reported, elapsed, now);
+        self.observed.estimate.record_reported(&reported, elapsed, now);
     }
 
     /// Records that the member served a statement of this gateway through another gateway.
     pub(crate) fn record_served_remotely(&mut self, now: Timestamp) {
-        self.observed.estimate.note_served_remotely(now);
+        self.observed.estimate.record_served_remotely(now);
     }
 
     /// Records that the member ran a statement of this gateway in `taken`.
     pub(crate) fn record_served(&mut self, elapsed: Duration, now: Timestamp) {
-        self.observed.flight_limit.served();
-        self.observed.estimate.note_served(elapsed, now);
+        self.observed.flight_limit.record_served();
+        self.observed.estimate.record_served(elapsed, now);
     }
 
     /// Records that the member gave no answer, or failed a read.
     pub(crate) fn record_failed(&mut self, now: Timestamp) {
-        self.observed.estimate.note_unserved(now);
+        self.observed.estimate.record_unserved(now);
     }
 
     /// Records that the member had not yet applied the position that a read had to see.
     pub(crate) fn record_lagging(&mut self, steady: Timestamp, now: Instant) {
-        self.observed.estimate.note_unserved(steady);
-        self.pauses.note_lagging(now);
+        self.observed.estimate.record_unserved(steady);
+        self.pauses.record_lagging(now);
     }
 
     /// Records that the member had no room for a statement of this gateway.
     pub(crate) fn record_refused(&mut self, steady: Timestamp, now: Instant) {
-        self.observed.flight_limit.refused(steady);
+        self.observed.flight_limit.record_refusal(steady);
         self.record_unserved(steady, now);
     }
 
     /// Records that the member did not serve a statement; other members are preferred strongly for a moment,
     /// and less strongly for longer.
     pub(crate) fn record_unserved(&mut self, steady: Timestamp, now: Instant) {
-        self.observed.estimate.note_unserved(steady);
-        self.pauses.note_busy(now);
+        self.observed.estimate.record_unserved(steady);
+        self.pauses.record_busy(now);
     }
 }
--- a/crates/gateway/src/member/mod.rs
+++ b/crates/gateway/src/member/mod.rs
@@ -13,8 +13,8 @@
 use crate::wire::Wire;
 use corktack_core::distance::Distance;
 use corktack_core::gateway::{
-    Detour, FALLBACK_CONNECTIONS, FallbackPeriod, FlightLimit, Holder, HolderChoice,
-    MemberEstimate, MemberPauses, Silence, WitnessPeriod,
+    FALLBACK_CONNECTIONS, FallbackPeriod, Holder, HolderChoice, InFlightLimit, IndirectRoute,
+    MemberEstimate, MemberPauses, ObservationPeriod, SilenceDetector,
 };
 use corktack_core::registry::{BackEndState, RegisteredBackEnd};
 use load::ObservedLoad;
@@ -46,14 +46,14 @@
     /// Other gateways that hold connections to the member.
     pub(crate) holders: HolderChoice,
     /// Whether other gateways reach the member while this one does not.
-    pub(crate) detour: Detour,
+    pub(crate) indirect_route: IndirectRoute,
     /// Connections of other gateways in use by this one.
     pub(crate) remote_in_use: usize,
     /// Requests that the member did not answer.
-    pub(crate) silence: Silence,
+    pub(crate) silence: SilenceDetector,
     fallback: FallbackPeriod<Instant>,
     /// Period in which this gateway's failures to connect to the member still count.
-    witness: WitnessPeriod<Instant>,
+    witness: ObservationPeriod<Instant>,
     /// Share of this gateway and the other holders, from the registry.
     share: MemberShare,
     observed: ObservedLoad,
@@ -62,7 +62,7 @@
 impl<W: Wire> Member<W> {
     pub(crate) fn new(back_end: Arc<RegisteredBackEnd>, distance: Distance) -> Self {
         let observed = ObservedLoad {
-            flight_limit: FlightLimit::new(1, 1),
+            flight_limit: InFlightLimit::new(1, 1),
             estimate: MemberEstimate::new(distance),
         };
         Self {
@@ -70,11 +70,11 @@
             pool: ConnectionPool::new(),
             pauses: MemberPauses::default(),
             holders: HolderChoice::default(),
-            detour: Detour::default(),
+            indirect_route: IndirectRoute::default(),
             remote_in_use: 0,
-            silence: Silence::default(),
+            silence: SilenceDetector::default(),
             fallback: FallbackPeriod::default(),
-            witness: WitnessPeriod::default(),
+            witness: ObservationPeriod::default(),
             share: MemberShare::default(),
             observed,
         }
@@ -88,7 +88,7 @@
         }
         self.back_end = Arc::clone(back_end);
         if back_end.state == BackEndState::Draining {
-            self.pauses.note_draining(now);
+            self.pauses.record_draining(now);
         }
     }
 
@@ -102,7 +102,7 @@
         let newly_held = self.share.connections == 0 && share.connections > 0;
         self.share = share.clone();
         self.pool.set_limit(share.connections);
-        self.observed.flight_limit = FlightLimit::new(self.back_end.capacity, share.holder_count);
+        self.observed.flight_limit = InFlightLimit::new(self.back_end.capacity, share.holder_count);
         self.fallback.cancel();
         self.holders.replace(&share.others);
         self.pool.close_surplus();
@@ -133,9 +133,9 @@
 
     /// Reports whether other gateways have to be asked for a connection to the member, because this gateway
     /// may hold connections but does not reach the member.
-    pub(crate) fn needs_detour(&self, now: Instant) -> bool {
+    pub(crate) fn needs_indirect_route(&self, now: Instant) -> bool {
         let unreached = self.pauses.is_unreachable(now)
-            || (self.pauses.is_unreached() && self.detour.is_open());
+            || (self.pauses.has_failed_attempts() && self.indirect_route.is_open());
         self.holds_connections() && unreached && !self.holders.is_empty()
     }
 
@@ -184,7 +184,7 @@
         drain_limit: Duration,
     ) {
         let takes_no_work =
-            self.pauses.is_draining() && !self.pauses.takes_writes(now, drain_limit);
+            self.pauses.is_draining() && !self.pauses.accepts_writes(now, drain_limit);
         if takes_no_work || self.pool.open() > self.pool.limit() {
             self.pool.close(connection);
         } else {
@@ -201,12 +201,13 @@
     /// Forgets failures to connect once this gateway, having no connections, can no longer find out that the
     /// member is back; reports whether there were any.
     pub(crate) fn forget_old_failures(&mut self, now: Instant) -> bool {
-        self.witness.is_over(now, self.holds_connections()) && self.pauses.forget_failures()
+        self.witness.update_and_check_expired(now, self.holds_connections())
+            && self.pauses.clear_failures()
     }
 
     /// Records that the member could not be reached; reports whether it was reached before.
     pub(crate) fn record_unreachable(&mut self, now: Instant) -> bool {
-        let is_newly_unreached = self.pauses.note_unreachable(now);
+        let is_newly_unreached = self.pauses.record_unreachable(now);
         self.pool.drop_idle();
         is_newly_unreached
     }
@@ -215,7 +216,7 @@
     /// too. Returns the back end to reconnect to, unless an attempt is already in flight.
     pub(crate) fn record_silence(&mut self, now: Instant) -> Option<Arc<RegisteredBackEnd>> {
         self.pool.drop_idle();
-        self.pauses.note_silent(now);
+        self.pauses.record_silence(now);
         if self.holds_connections() { self.begin_reconnect(now) } else { None }
     }
 }
--- a/crates/gateway/src/routes/membership.rs
+++ b/crates/gateway/src/routes/membership.rs
@@ -5,7 +5,7 @@
 
 use crate::group::{GroupUpdate, MemberUpdate};
 use crate::member::MemberShare;
-use corktack_core::gateway::{GatewayPlace, Holder, HolderTable, MemberNeeds};
+use corktack_core::gateway::{GatewayLocation, Holder, HolderTable, MemberCapacity};
 use corktack_core::identity::{GroupName, MemberName, ProxyName};
 use corktack_core::map_difference::{EntryChange, differences};
 use corktack_core::registry::{Document, RegisteredBackEnd};
@@ -49,7 +49,7 @@
 }
 
 impl Membership {
-    pub(super) fn new(own: ProxyName, own_place: GatewayPlace) -> Self {
+    pub(super) fn new(own: ProxyName, own_place: GatewayLocation) -> Self {
         Self {
             view: Arc::default(),
             holders: HolderTable::new(own, own_place),
@@ -154,7 +154,7 @@
         let Some(service) = document.service(&back_end.group) else { return };
         let Some(members) = self.members.get_mut(&back_end.group) else { return };
         members.insert(member.clone(), Arc::clone(back_end));
-        let needs = MemberNeeds {
+        let needs = MemberCapacity {
             zone: back_end.zone.clone(),
             capacity: back_end.capacity,
             max_connections: service.max_connections,
@@ -202,20 +202,20 @@
         max_connections: u32,
         pooling: Pooling,
     ) -> MemberShare {
-        let holder_count = self.holders.count(member).max(1);
+        let holder_count = self.holders.holder_count(member).max(1);
         let available = max_connections.saturating_sub(CONTROL_CONNECTIONS).max(1);
         let even_share = f64::from(available) / holder_count as f64;
         let connections =
             ((even_share * pooling.share_factor) as usize).clamp(1, available as usize);
         MemberShare {
-            connections: if self.holders.holds(member) { connections } else { 0 },
-            others: self.holders.others(member),
+            connections: if self.holders.is_own_member(member) { connections } else { 0 },
+            others: self.holders.other_holders(member),
             holder_count,
             idle_limit: pooling.idle_limit,
         }
     }
 }
 
-fn place_of(proxy: &ProxyView) -> GatewayPlace {
-    GatewayPlace { zone: proxy.zone.clone(), address: proxy.address }
+fn place_of(proxy: &ProxyView) -> GatewayLocation {
+    GatewayLocation { zone: proxy.zone.clone(), address: proxy.address }
 }
--- a/crates/gateway/src/routes/mod.rs
+++ b/crates/gateway/src/routes/mod.rs
@@ -12,7 +12,7 @@
 use crate::settings::GatewaySettings;
 use crate::tunnel::Tunnels;
 use crate::wire::Wire;
-use corktack_core::gateway::{GatewayPlace, Holder};
+use corktack_core::gateway::{GatewayLocation, Holder};
 use corktack_core::identity::GroupName;
 use corktack_core::registry::{Document, RouteRule};
 use corktack_core::statement::ErrorCode;
@@ -101,7 +101,7 @@
         clock: SteadyClock,
         metrics: Metrics,
     ) -> Self {
-        let place = GatewayPlace { zone: settings.zone.clone(), address: settings.peers };
+        let place = GatewayLocation { zone: settings.zone.clone(), address: settings.peers };
         let membership = Membership::new(settings.name.clone(), place);
         Self {
             wire,
--- a/crates/gateway/src/tunnel/pool.rs
+++ b/crates/gateway/src/tunnel/pool.rs
@@ -46,20 +46,26 @@
     }
 
     /// Returns the holders to ask now, at most `max_holders`, in the order in which to ask them.
-    pub(crate) fn to_ask(&self, holders: &HolderChoice, max_holders: usize) -> Vec<Holder> {
-        holders.to_ask(self.clock.now(), &self.peers.borrow(), max_holders)
+    pub(crate) fn candidates(&self, holders: &HolderChoice, max_holders: usize) -> Vec<Holder> {
+        holders.candidates(self.clock.now(), &self.peers.borrow(), max_holders)
     }
 
     /// Returns the holders to ask now for a tenant, its home first. If this gateway holds connections itself
     /// (`own_address`), returns only the holders before it in the tenant's order.
-    pub(crate) fn to_ask_for(
+    pub(crate) fn candidates_for_tenant(
         &self,
         holders: &HolderChoice,
         tenant: &TenantName,
         own_address: Option<SocketAddr>,
         max_holders: usize,
     ) -> Vec<Holder> {
-        holders.to_ask_for(tenant, own_address, self.clock.now(), &self.peers.borrow(), max_holders)
+        holders.candidates_for_tenant(
+            tenant,
+            own_address,
+            self.clock.now(),
+            &self.peers.borrow(),
+            max_holders,
+        )
     }
 
     /// Returns the holder that requests the primary's position for all gateways of this region; none if it is
@@ -131,7 +137,7 @@
         let connected = self.connect(holder).await;
         if let Err(error) = &connected {
             log::info!(holder:% = holder.address, error:% = error; "gateway cannot be reached");
-            self.peers.borrow_mut().note_unanswered(holder.address, self.clock.now());
+            self.peers.borrow_mut().record_unanswered(holder.address, self.clock.now());
         }
         connected
     }
@@ -244,7 +250,7 @@
     pub(crate) fn record_silence(&self, holder: Holder) {
         log::info!(holder:% = holder.address; "gateway sends no heartbeat: it is not asked for a while");
         self.idle.borrow_mut().remove(&holder.address);
-        self.peers.borrow_mut().note_unanswered(holder.address, self.clock.now());
+        self.peers.borrow_mut().record_unanswered(holder.address, self.clock.now());
     }
 
     async fn connect(&self, holder: Holder) -> Result<TunnelClient, LinkError> {
@@ -253,7 +259,7 @@
         let stream = timeout(round_trip_limit, TcpStream::connect(holder.address)).await;
         let stream = stream.map_err(|_| LinkError::TimedOut)??;
         let elapsed = started_at.elapsed();
-        self.peers.borrow_mut().note_connected(holder.distance, elapsed);
+        self.peers.borrow_mut().record_connected(holder.distance, elapsed);
         Ok(TunnelClient::new(stream, holder, round_trip_limit)?)
     }
 
@@ -281,7 +287,7 @@
     fn record_result<T>(&self, holder: Holder, result: &Result<T, TunnelError>) {
         match result {
             Ok(_) | Err(TunnelError::Refused(_)) => {
-                self.peers.borrow_mut().note_answered(holder.address, self.clock.now());
+                self.peers.borrow_mut().record_answered(holder.address, self.clock.now());
             }
             Err(TunnelError::Sent(LinkError::HolderSilent | LinkError::TimedOut)) => {
                 self.record_silence(holder);
--- a/crates/gateway/tests/sessions/world/mod.rs
+++ b/crates/gateway/tests/sessions/world/mod.rs
@@ -13,7 +13,7 @@
 use crate::member::Member;
 use crate::wire::TestWire;
 use corktack_core::gateway::home_weight;
-use corktack_core::gateway::{GatewayPlace, HolderTable, MemberNeeds};
+use corktack_core::gateway::{GatewayLocation, HolderTable, MemberCapacity};
 use corktack_core::identity::{Incarnation, MemberName};
 use corktack_core::registry::ServiceRule;
 use corktack_core::tenancy::TenantName;
@@ -302,19 +302,21 @@
     pub fn holder_of(&self, member: &Member) -> usize {
         let view = self.views.borrow();
         let first = gateway_name(0);
-        let place_of =
-            |proxy: &ProxyView| GatewayPlace { zone: proxy.zone.clone(), address: proxy.address };
+        let place_of = |proxy: &ProxyView| GatewayLocation {
+            zone: proxy.zone.clone(),
+            address: proxy.address,
+        };
         let name = MemberName::new(member.name.as_str()).expect("a valid name");
         let mut table = HolderTable::new(first.clone(), place_of(&view.proxies[&first]));
-        let needs = MemberNeeds { zone: zone(), capacity: 3, max_connections: ONE_SHARE };
+        let needs = MemberCapacity { zone: zone(), capacity: 3, max_connections: ONE_SHARE };
         table.put_member(&name, needs);
         for (gateway, proxy) in &view.proxies {
             table.put_gateway(gateway, place_of(proxy));
         }
-        if table.holds(&name) {
+        if table.is_own_member(&name) {
             return 0;
         }
-        let holder = table.others(&name)[0].address;
+        let holder = table.other_holders(&name)[0].address;
         let index = view.proxies.values().position(|proxy| proxy.address == holder);
         index.expect("the holder is a gateway of the world")
     }
--- a/crates/owner/src/decisions/waiting.rs
+++ b/crates/owner/src/decisions/waiting.rs
@@ -1,7 +1,7 @@
 //! How long a request may wait for a server connection, and what it is refused with when that is over.
 
 use super::refusal::RetryCause;
-use corktack_core::admission::Lane;
+use corktack_core::admission::RequiredRole;
 use corktack_protocol::peer::NotRunReason;
 use std::time::Duration;
 
@@ -29,9 +29,9 @@
 #[must_use]
 pub fn reason_when_late(
     known: NotRunReason,
-    lane: Lane,
+    lane: RequiredRole,
     primary_is_available: impl FnOnce() -> bool,
 ) -> NotRunReason {
-    let stuck = lane == Lane::Primary && !primary_is_available();
+    let stuck = lane == RequiredRole::Primary && !primary_is_available();
     if stuck && known == NotRunReason::QueueTimeout { NotRunReason::NoBackEnd } else { known }
 }
--- a/crates/owner/src/group/slots.rs
+++ b/crates/owner/src/group/slots.rs
@@ -3,7 +3,7 @@
 //! The module owns the grants; it relies on the admission queue of `corktack_core` for whose turn it is.
 
 use super::{Group, GroupState};
-use corktack_core::admission::{AdmissionError, Lane, Ticket};
+use corktack_core::admission::{AdmissionError, RequiredRole, Ticket};
 use corktack_core::identity::ClassName;
 use corktack_core::time::Timestamp;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
     pub fn enqueue(
         self: &Arc<Self>,
         class: &ClassName,
-        lane: Lane,
+        lane: RequiredRole,
         deadline: Timestamp,
     ) -> Result<PendingSlot, AdmissionError> {
         let (sender, receiver) = oneshot::channel();
--- a/crates/owner/src/router.rs
+++ b/crates/owner/src/router.rs
@@ -8,7 +8,7 @@
 use crate::group::{GivenUp, Group, Slot};
 use crate::lease::{Destination, Lease};
 use crate::metrics::ClassLabel;
-use corktack_core::admission::Lane;
+use corktack_core::admission::RequiredRole;
 use corktack_core::identity::ClassName;
 use corktack_core::position::Position;
 use corktack_core::routing::ReadRoute;
@@ -98,21 +98,21 @@
         Ok(())
     }
 
-    async fn choose_lane(&mut self) -> Result<Lane, Refusal> {
+    async fn choose_lane(&mut self) -> Result<RequiredRole, Refusal> {
         if self.access == Access::Write {
-            return Ok(Lane::Primary);
+            return Ok(RequiredRole::Primary);
         }
         let minimum = match self.minimum {
             Some(minimum) => minimum,
             None => self.barrier().await?,
         };
         if !self.primary_only && self.replica_catches_up(minimum).await {
-            return Ok(Lane::Replica);
+            return Ok(RequiredRole::Replica);
         }
         if !self.confirmed && !self.primary_covers(minimum) {
             self.barrier().await?;
         }
-        Ok(Lane::Primary)
+        Ok(RequiredRole::Primary)
     }
 
     /// Whether what the primary was seen to have committed holds the minimum, so
@@ -166,7 +166,7 @@
         self.group.with_state(|state| state.routing.route_read(&view, zone, minimum))
     }
 
-    async fn wait_for_slot(&mut self, lane: Lane) -> Result<Slot, Refusal> {
+    async fn wait_for_slot(&mut self, lane: RequiredRole) -> Result<Slot, Refusal> {
         let started = Instant::now();
         let enqueued = self.group.enqueue(&self.class, lane, self.deadline);
         let pending = enqueued.map_err(Refusal::from)?;
@@ -181,14 +181,14 @@
         })
     }
 
-    fn late(&self, lane: Lane) -> Refusal {
+    fn late(&self, lane: RequiredRole) -> Refusal {
         let available = || self.group.available_primary().is_some();
         Refusal::from(reason_when_late(self.late_reason, lane, available))
     }
 
-    fn destination(&self, lane: Lane) -> Option<Destination> {
+    fn destination(&self, lane: RequiredRole) -> Option<Destination> {
         let term = self.group.view().term;
-        if lane == Lane::Replica {
+        if lane == RequiredRole::Replica {
             let ReadRoute::Replica(member) = self.route(self.minimum?) else {
                 return None;
             };
--- a/crates/owner/tests/decisions.rs
+++ b/crates/owner/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! What the owner decides about a request, without I/O.
 
-use corktack_core::admission::{AdmissionError, Lane};
+use corktack_core::admission::{AdmissionError, RequiredRole};
 use corktack_core::position::{Position, Term};
 use corktack_owner::decisions::{
     AfterLoss, Answer, InFlight, Probed, Refusal, RetryCause, after_loss, failure_of_loss,
@@ -49,16 +49,16 @@
 ) {
     assert_eq!(late_reason(cause), expected);
     // It is told also where there is no primary any more.
-    assert_eq!(reason_when_late(expected, Lane::Primary, || false), expected);
+    assert_eq!(reason_when_late(expected, RequiredRole::Primary, || false), expected);
 }
 
 #[rstest]
-#[case(Lane::Primary, false, NotRunReason::NoBackEnd)]
-#[case(Lane::Primary, true, NotRunReason::QueueTimeout)]
-#[case(Lane::Replica, false, NotRunReason::QueueTimeout)]
-#[case(Lane::Replica, true, NotRunReason::QueueTimeout)]
+#[case(RequiredRole::Primary, false, NotRunReason::NoBackEnd)]
+#[case(RequiredRole::Primary, true, NotRunReason::QueueTimeout)]
+#[case(RequiredRole::Replica, false, NotRunReason::QueueTimeout)]
+#[case(RequiredRole::Replica, true, NotRunReason::QueueTimeout)]
 fn a_request_that_waited_for_a_primary_in_vain_says_so(
-    #[case] lane: Lane,
+    #[case] lane: RequiredRole,
     #[case] available: bool,
     #[case] expected: NotRunReason,
 ) {
