--- a/crates/control/src/leader/duties.rs
+++ b/crates/control/src/leader/duties.rs
@@ -167,7 +167,7 @@
     ) {
         let Some(leadership) = &mut self.current else { return };
         for report in reports {
-            leadership.membership.on_report(now, heartbeat(&report));
+            leadership.membership.on_heartbeat(now, heartbeat(&report));
             leadership.contacts.record_report(now, &report.proxy);
             leadership.record_observations(now, report, state);
         }
@@ -210,10 +210,10 @@
         let Some(leadership) = &mut self.current else { return };
         match answer {
             RegistryAnswer::Status(call, status) => {
-                leadership.promotion.take_status(&call.group, &call.member, status);
+                leadership.promotion.record_member_answer(&call.group, &call.member, status);
             }
             RegistryAnswer::Promotion(group, fence, answer) => {
-                leadership.promotion.take_answer(now, &group, fence, answer);
+                leadership.promotion.record_authority_answer(now, &group, fence, answer);
             }
         }
     }
@@ -221,7 +221,7 @@
     /// Records a list polled from the platform, and makes the membership evaluation due at once.
     pub(crate) fn record_platform_list(&mut self, now: Timestamp, list: PlatformList) {
         if let Some(leadership) = &mut self.current {
-            leadership.membership.on_platform(list);
+            leadership.membership.on_platform_list(list);
             leadership.membership_due = now;
         }
     }
--- a/crates/control/src/leader/leadership.rs
+++ b/crates/control/src/leader/leadership.rs
@@ -12,7 +12,7 @@
 };
 use corktack_core::identity::{GroupName, MemberName, ProxyName};
 use corktack_core::membership::{Membership, MembershipSettings};
-use corktack_core::registry::{PromotionAction, PromotionDuty, PromotionSettings};
+use corktack_core::registry::{PromotionAction, PromotionManager, PromotionSettings};
 use corktack_core::state::ControlState;
 use corktack_core::state::command::{Command, FailoverStep, Outcome};
 use corktack_core::time::Timestamp;
@@ -40,7 +40,7 @@
     membership_in_flight: usize,
     pub(super) failover: FailoverManager,
     pub(super) failover_due: Timestamp,
-    pub(super) promotion: PromotionDuty,
+    pub(super) promotion: PromotionManager,
     pub(super) contacts: GatewayContacts,
     pub(super) limits: LeaderLimits,
     /// The revision of the state that was applied last.
@@ -64,7 +64,7 @@
             membership_in_flight: 0,
             failover: FailoverManager::new(failover.clone()),
             failover_due: now,
-            promotion: PromotionDuty::new(PromotionSettings::default()),
+            promotion: PromotionManager::new(PromotionSettings::default()),
             contacts: GatewayContacts::new(now),
             limits,
             applied_revision: None,
@@ -155,7 +155,7 @@
     pub(super) fn record_membership_outcome(&mut self, now: Timestamp) {
         self.membership_in_flight = self.membership_in_flight.saturating_sub(1);
         if self.membership_in_flight == 0 {
-            self.membership.on_outcome();
+            self.membership.on_proposal_outcome();
             self.membership_due = now;
         }
     }
@@ -185,7 +185,7 @@
         for observation in report.observations {
             let Observation { group, member, health } = &observation;
             if state.registry().back_end(member).is_some() {
-                self.promotion.report(reach_report(&report.proxy, &observation));
+                self.promotion.record_reach_report(reach_report(&report.proxy, &observation));
                 continue;
             }
             let owner = state.group(group).and_then(|group| group.view.owner.as_ref());
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -100,7 +100,7 @@
         let (name, peeked_report) = (member.clone(), report.clone());
         let is_change = self
             .consensus
-            .peek(move |reader| reader.state.registry().is_news(&name, &peeked_report))
+            .peek(move |reader| reader.state.registry().changes_registration(&name, &peeked_report))
             .await?;
         if !is_change {
             return Ok(());
--- a/crates/control/tests/formation.rs
+++ b/crates/control/tests/formation.rs
@@ -144,7 +144,7 @@
     let routes = &mut Arc::make_mut(&mut invalid.document).routes;
     routes[0].statement_timeout = Duration::ZERO;
     let refused = registry.put_document(invalid).await;
-    let error = DocumentError::NoTime { route: "r-1".to_owned() };
+    let error = DocumentError::ZeroTimeout { route: "r-1".to_owned() };
     assert_eq!(refused, Err(RegistryError::Document(error)));
 }
 
--- a/crates/control/tests/primary_faults.rs
+++ b/crates/control/tests/primary_faults.rs
@@ -225,8 +225,8 @@
     let mut fleet = Fleet::start(|settings| {
         settings.failover.suspicion = Duration::from_millis(10);
         settings.failover.probe_interval = Duration::from_millis(10);
-        settings.failover.cooldown_first = Duration::from_secs(3_600);
-        settings.failover.cooldown_last = Duration::from_secs(3_600);
+        settings.failover.cooldown_minimum = Duration::from_secs(3_600);
+        settings.failover.cooldown_maximum = Duration::from_secs(3_600);
     })
     .await;
     let (old_primary, term) = fleet.declare_group(&group).await;
--- a/crates/core/examples/observers.rs
+++ b/crates/core/examples/observers.rs
@@ -109,7 +109,7 @@
         view.groups.iter().map(|(name, group)| second_observer(view, name, group)).collect();
     let full_time = start.elapsed();
     let start = Instant::now();
-    let weighed = observers.follow(view);
+    let weighed = observers.update(view);
     let groups = view.groups.iter();
     let kept: Vec<_> =
         groups.map(|(name, group)| observers.of(name, group.owner.as_ref())).collect();
--- a/crates/core/src/failover/decide.rs
+++ b/crates/core/src/failover/decide.rs
@@ -113,7 +113,7 @@
             return None;
         }
         // No probe was sent before the origin of the clock.
-        let since = context.now.before(PROBE_MAX_AGE).unwrap_or(Timestamp::ZERO);
+        let since = context.now.checked_sub(PROBE_MAX_AGE).unwrap_or(Timestamp::ZERO);
         let following = Some(MemberHealth::Replica(view.term));
         let not_draining = self.evidence.iter().filter(|(name, _)| !view.draining.contains(*name));
         let ready =
--- a/crates/core/src/failover/settings.rs
+++ b/crates/core/src/failover/settings.rs
@@ -32,19 +32,19 @@
     /// majority would otherwise promote a draining member.
     pub fence_settle: Duration,
     /// Delay before the first retry of a call that failed or had no answer.
-    pub retry_first: Duration,
-    /// Longest retry delay; the delay doubles from [`FailoverSettings::retry_first`].
-    pub retry_last: Duration,
+    pub retry_minimum: Duration,
+    /// Longest retry delay; the delay doubles from [`FailoverSettings::retry_minimum`].
+    pub retry_maximum: Duration,
     /// Timeout for the answer to a probe, a promotion or a proposal. Exceeds the timeouts of
     /// the calling process, which answers each of them.
     pub answer_timeout: Duration,
     /// Shortest time between a failover of a group and its next failover.
-    pub cooldown_first: Duration,
+    pub cooldown_minimum: Duration,
     /// Longest cooldown; the cooldown doubles with every failover that follows within
     /// [`FailoverSettings::quiet_time`].
-    pub cooldown_last: Duration,
+    pub cooldown_maximum: Duration,
     /// Time without a failover after which the cooldown starts from
-    /// [`FailoverSettings::cooldown_first`] again.
+    /// [`FailoverSettings::cooldown_minimum`] again.
     pub quiet_time: Duration,
 }
 
@@ -59,11 +59,11 @@
             adoption_wait: Duration::from_secs(1),
             bootstrap_wait: Duration::from_secs(3),
             fence_settle: Duration::from_millis(200),
-            retry_first: Duration::from_millis(200),
-            retry_last: Duration::from_secs(3),
+            retry_minimum: Duration::from_millis(200),
+            retry_maximum: Duration::from_secs(3),
             answer_timeout: Duration::from_secs(3),
-            cooldown_first: Duration::from_secs(2),
-            cooldown_last: Duration::from_secs(60),
+            cooldown_minimum: Duration::from_secs(2),
+            cooldown_maximum: Duration::from_secs(60),
             quiet_time: Duration::from_secs(600),
         }
     }
@@ -72,12 +72,13 @@
 impl FailoverSettings {
     /// Returns the delay before the attempt that follows `attempts` failed attempts.
     pub(super) fn retry_delay(&self, attempts: u32) -> Duration {
-        exponential_delay(self.retry_first, attempts.saturating_sub(1)).min(self.retry_last)
+        exponential_delay(self.retry_minimum, attempts.saturating_sub(1)).min(self.retry_maximum)
     }
 
     /// Returns the least time to the next failover after `failovers` recent failovers.
     pub(super) fn cooldown(&self, failovers: u32) -> Duration {
-        exponential_delay(self.cooldown_first, failovers.saturating_sub(1)).min(self.cooldown_last)
+        exponential_delay(self.cooldown_minimum, failovers.saturating_sub(1))
+            .min(self.cooldown_maximum)
     }
 }
 
--- a/crates/core/src/gateway/freshness.rs
+++ b/crates/core/src/gateway/freshness.rs
@@ -150,7 +150,7 @@
         position: Position,
     ) -> Result<(), PositionTooOld> {
         // The answer was given later than `asked_at`, so the question is no older than this.
-        let asked_at = asked_at.before(age).ok_or(PositionTooOld { age })?;
+        let asked_at = asked_at.checked_sub(age).ok_or(PositionTooOld { age })?;
         self.insert_sample(Sample { asked_at, position, source: PositionSource::Gateway });
         Ok(())
     }
@@ -214,7 +214,7 @@
     pub fn read_position(&self, now: Timestamp, bound: &ReadBound) -> Option<ReadPosition> {
         let own = bound.own.map(|own| KnownPosition {
             position: own.position,
-            known_at: now.before(own.age).unwrap_or(Timestamp::ZERO),
+            known_at: now.checked_sub(own.age).unwrap_or(Timestamp::ZERO),
         });
         Some(ReadPosition {
             needed: self.required_position(now, bound.staleness, own)?,
--- a/crates/core/src/limits/ledger/incarnations.rs
+++ b/crates/core/src/limits/ledger/incarnations.rs
@@ -49,7 +49,8 @@
     ) {
         // An uptime that reaches back before the leader's clock began gives time zero, which is late
         // enough.
-        let ended_by = now.before(self.bounds.minimum_elapsed(uptime)).unwrap_or(Timestamp::ZERO);
+        let ended_by =
+            now.checked_sub(self.bounds.minimum_elapsed(uptime)).unwrap_or(Timestamp::ZERO);
         for tenant in self.tenants.values_mut() {
             tenant.shorten_ended(present, ended_by + self.bounds.counting_time());
         }
--- a/crates/core/src/list_difference.rs
+++ b/crates/core/src/list_difference.rs
@@ -1,6 +1,6 @@
 //! Differences between two lists, as edit steps, which are usually shorter than the new list.
 //!
-//! [`list_steps`] computes the steps and [`follow_steps`] applies them. Steps are sent between processes.
+//! [`edit_steps`] computes the steps and [`apply_steps`] applies them. Steps are sent between processes.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
 
 /// Returns the steps that turn `before` into `after`. Entries with the same key count as versions of the
 /// same entry. The steps are exact for any keys, and short if no two entries of a list share a key.
-pub fn list_steps<T, K>(
+pub fn edit_steps<T, K>(
     before: &[T],
     after: &[T],
     key: impl for<'t> Fn(&'t T) -> &'t K,
@@ -65,10 +65,7 @@
 ///
 /// # Errors
 /// [`StepsMismatch`] if the steps were computed for a list of another length.
-pub fn follow_steps<T: Clone>(
-    before: &[T],
-    steps: &[ListStep<T>],
-) -> Result<Vec<T>, StepsMismatch> {
+pub fn apply_steps<T: Clone>(before: &[T], steps: &[ListStep<T>]) -> Result<Vec<T>, StepsMismatch> {
     let consumed_entries = |step: &ListStep<T>| match step {
         ListStep::Keep(count) | ListStep::Drop(count) => *count,
         ListStep::Insert(_) => 0,
--- a/crates/core/src/membership/tracker.rs
+++ b/crates/core/src/membership/tracker.rs
@@ -127,7 +127,7 @@
 
     /// Records a heartbeat that reached the cell at `now`. A heartbeat of the previous incarnation
     /// is ignored unless the proxy has been silent for the heartbeat timeout.
-    pub fn on_report(&mut self, now: Timestamp, heartbeat: ProxyHeartbeat) {
+    pub fn on_heartbeat(&mut self, now: Timestamp, heartbeat: ProxyHeartbeat) {
         let Some(last) = self.heartbeats.get_mut(&heartbeat.proxy) else {
             let name = heartbeat.proxy.clone();
             self.heartbeats.insert(
@@ -150,12 +150,12 @@
     }
 
     /// Replaces the platform's list.
-    pub fn on_platform(&mut self, list: PlatformList) {
+    pub fn on_platform_list(&mut self, list: PlatformList) {
         self.platform = list;
     }
 
     /// Records that the commands of the last tick were committed or lost.
-    pub fn on_outcome(&mut self) {
+    pub fn on_proposal_outcome(&mut self) {
         self.proposed_at = None;
     }
 
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -166,10 +166,10 @@
     }
 
     /// Moves groups to a proxy that registered, and returns the names of the moved groups.
-    pub fn attract<'b>(
+    pub fn rebalance_to<'b>(
         &mut self,
         newcomer: &ProxyName,
-        groups: impl Iterator<Item = Owned<'b>>,
+        groups: impl Iterator<Item = OwnedGroup<'b>>,
     ) -> Vec<GroupName> {
         let foreign = groups.filter(|group| group.owner != newcomer);
         let mut moves: Vec<_> =
@@ -193,7 +193,7 @@
 
     /// Returns the move of a group to a newcomer, if the newcomer suits it better than its owner or
     /// owned it before.
-    fn improving_move<'b>(&self, newcomer: &ProxyName, group: Owned<'b>) -> Option<Move<'b>> {
+    fn improving_move<'b>(&self, newcomer: &ProxyName, group: OwnedGroup<'b>) -> Option<Move<'b>> {
         let placement = group.placement;
         let offered = self.rank_of(newcomer, placement, 0)?;
         let current = self.rank_of(group.owner, placement, 1)?;
@@ -235,7 +235,7 @@
 
 /// A group and its current owner.
 #[derive(Clone, Copy, Debug)]
-pub struct Owned<'a> {
+pub struct OwnedGroup<'a> {
     /// Name of the group and zone of its primary.
     pub placement: Placement<'a>,
     /// Current owner of the group.
@@ -249,7 +249,7 @@
 struct Move<'b> {
     returning: bool,
     offered: Suitability,
-    group: Owned<'b>,
+    group: OwnedGroup<'b>,
 }
 
 impl Move<'_> {
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -14,7 +14,7 @@
 /// primary enough for all slots, and to each replica an equal share of the rest of the group's
 /// connection limit, but at most one per slot.
 #[must_use]
-pub fn warm_targets(group: &GroupView) -> BTreeMap<MemberName, u32> {
+pub fn idle_connection_targets(group: &GroupView) -> BTreeMap<MemberName, u32> {
     let spec = &group.spec;
     let names = spec.members.iter().map(|member| &member.name);
     let serving: Vec<_> = names.filter(|name| !is_draining(group, name)).collect();
--- a/crates/core/src/pool/outcomes.rs
+++ b/crates/core/src/pool/outcomes.rs
@@ -75,7 +75,7 @@
 impl Fingerprint {
     /// Adds one part. The length of the part is hashed too, so different divisions into parts give
     /// different hashes.
-    pub fn part(&mut self, bytes: &[u8]) {
+    pub fn add_part(&mut self, bytes: &[u8]) {
         bytes.hash(&mut self.hasher);
     }
 
--- a/crates/core/src/pool/replies.rs
+++ b/crates/core/src/pool/replies.rs
@@ -163,7 +163,7 @@
     }
 
     /// Marks the statement as the one used most recently.
-    pub fn touch_statement(&mut self, name: &str) {
+    pub fn mark_statement_used(&mut self, name: &str) {
         self.uses += 1;
         if let Some(last_use) = self.prepared.get_mut(name) {
             *last_use = self.uses;
@@ -185,19 +185,19 @@
     }
 
     /// Removes all statements, after a reset of the session dropped them on the server.
-    pub fn forget_statements(&mut self) {
+    pub fn clear_statements(&mut self) {
         self.prepared.clear();
     }
 
     /// Records a message that was sent, or left out ([`Sent::SkippedParse`]).
-    pub fn sent(&mut self, message: Sent) {
+    pub fn record_sent(&mut self, message: Sent) {
         self.expected.push_back(message);
     }
 
     /// Removes the next Flush if every message before it is answered, and returns the number of
     /// `ParseComplete` messages to synthesize for the caller. Returns `None` if the next message
     /// to be answered is not a Flush.
-    pub fn flushed(&mut self) -> Option<usize> {
+    pub fn pop_answered_flush(&mut self) -> Option<usize> {
         let skipped = self.expected.iter().take_while(|sent| **sent == Sent::SkippedParse).count();
         if self.expected.get(skipped) != Some(&Sent::Flush) {
             return None;
@@ -210,12 +210,12 @@
     ///
     /// # Errors
     /// [`UnexpectedReply`] if the message answers no message sent.
-    pub fn received(&mut self, tag: u8) -> Result<Reply, UnexpectedReply> {
+    pub fn match_reply(&mut self, tag: u8) -> Result<Reply, UnexpectedReply> {
         if matches!(tag, back::PARAMETER_STATUS | back::NOTICE | back::NOTIFICATION) {
             return Ok(Reply { synthesized: 0, disposition: Disposition::Forward });
         }
         let synthesized = self.pop_skipped_parses();
-        let disposition = self.match_reply(tag)?;
+        let disposition = self.match_to_first(tag)?;
         Ok(Reply { synthesized, disposition })
     }
 
@@ -228,7 +228,7 @@
         count
     }
 
-    fn match_reply(&mut self, tag: u8) -> Result<Disposition, UnexpectedReply> {
+    fn match_to_first(&mut self, tag: u8) -> Result<Disposition, UnexpectedReply> {
         let unexpected = UnexpectedReply { tag: char::from(tag) };
         let first = self.expected.front().cloned().ok_or(unexpected)?;
         if first == Sent::Query {
--- a/crates/core/src/registry/document.rs
+++ b/crates/core/src/registry/document.rs
@@ -116,7 +116,7 @@
     },
     /// The statement timeout of a route is 0.
     #[error("route {route:?}: the statement timeout is 0")]
-    NoTime {
+    ZeroTimeout {
         /// Name of the route.
         route: String,
     },
@@ -166,7 +166,7 @@
             return Err(DocumentError::DuplicateRoute { route });
         }
         if rule.statement_timeout.is_zero() {
-            return Err(DocumentError::NoTime { route });
+            return Err(DocumentError::ZeroTimeout { route });
         }
         Ok(())
     }
--- a/crates/core/src/registry/document_change.rs
+++ b/crates/core/src/registry/document_change.rs
@@ -5,7 +5,7 @@
 //! another version than the base of the change requests the whole document.
 
 use super::document::{Document, DocumentLimits, RouteRule, ServiceRule};
-use crate::list_difference::{ListStep, StepsMismatch, follow_steps, list_steps};
+use crate::list_difference::{ListStep, StepsMismatch, apply_steps, edit_steps};
 use crate::tenancy::TenantRule;
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentChange {
     /// Version of the document that the change applies to.
-    pub former: u64,
+    pub base_version: u64,
     /// Version of the document that results from the change.
     pub version: u64,
     routes: Vec<ListStep<RouteRule>>,
@@ -51,13 +51,13 @@
         let tenants_before = former.tenants.as_deref().unwrap_or_default();
         let tenants = document.tenants.as_deref();
         let change = Self {
-            former: former.version,
+            base_version: former.version,
             version: document.version,
-            routes: list_steps(&former.routes, &document.routes, |route| &route.name),
-            services: list_steps(&former.services, &document.services, |service| &service.name),
+            routes: edit_steps(&former.routes, &document.routes, |route| &route.name),
+            services: edit_steps(&former.services, &document.services, |service| &service.name),
             limits: document.limits,
             tenants: tenants
-                .map(|tenants| list_steps(tenants_before, tenants, |tenant| &tenant.name)),
+                .map(|tenants| edit_steps(tenants_before, tenants, |tenant| &tenant.name)),
         };
         let entries = document.routes.len() + tenants.map_or(0, <[_]>::len);
         let is_small = change.weight() as f64 <= entries as f64 * MAX_CHANGED_FRACTION;
@@ -77,17 +77,17 @@
     /// [`DocumentChangeError`] if the change is for another document.
     pub fn apply(&self, former: Option<&Document>) -> Result<Document, DocumentChangeError> {
         let found = former.map(|document| document.version);
-        let former = former.filter(|document| document.version == self.former);
-        let mismatch = DocumentChangeError::OtherVersion { expected: self.former, found };
+        let former = former.filter(|document| document.version == self.base_version);
+        let mismatch = DocumentChangeError::OtherVersion { expected: self.base_version, found };
         let former = former.ok_or(mismatch)?;
         let tenants_before = former.tenants.as_deref().unwrap_or_default();
         let tenants = self.tenants.as_ref();
         Ok(Document {
             version: self.version,
-            routes: follow_steps(&former.routes, &self.routes)?,
-            services: follow_steps(&former.services, &self.services)?,
+            routes: apply_steps(&former.routes, &self.routes)?,
+            services: apply_steps(&former.services, &self.services)?,
             limits: self.limits,
-            tenants: tenants.map(|steps| follow_steps(tenants_before, steps)).transpose()?,
+            tenants: tenants.map(|steps| apply_steps(tenants_before, steps)).transpose()?,
         })
     }
 }
--- a/crates/core/src/registry/mod.rs
+++ b/crates/core/src/registry/mod.rs
@@ -23,7 +23,7 @@
 };
 pub use document_change::{DocumentChange, DocumentChangeError};
 pub use promotion::{
-    GatewayContact, MemberAnswer, PromotionAction, PromotionAnswer, PromotionDuty,
+    GatewayContact, MemberAnswer, PromotionAction, PromotionAnswer, PromotionManager,
     PromotionSettings, ReachReport,
 };
 pub use state::{
--- a/crates/core/src/registry/promotion/evaluation.rs
+++ b/crates/core/src/registry/promotion/evaluation.rs
@@ -16,7 +16,7 @@
 //!    asks the primary as well.
 
 use super::evidence::{candidates, primary_of};
-use super::{GatewayContact, GroupState, LOG_TARGET, PromotionDuty};
+use super::{GatewayContact, GroupState, LOG_TARGET, PromotionManager};
 use crate::identity::{GroupName, MemberName};
 use crate::registry::back_end::BackEndState;
 use crate::registry::state::RegistryState;
@@ -33,7 +33,7 @@
 /// Least number of gateways whose reports suffice, as one gateway may itself be cut off.
 const MIN_SUSPECTING: usize = 2;
 
-impl PromotionDuty {
+impl PromotionManager {
     /// Starts to ask the members if the primary must be replaced or may have failed.
     pub(super) fn evaluate_primary(
         &self,
--- a/crates/core/src/registry/promotion/mod.rs
+++ b/crates/core/src/registry/promotion/mod.rs
@@ -75,7 +75,7 @@
 
 /// Replaces primaries of registered groups, for the duration of one leadership.
 #[derive(Clone, Debug)]
-pub struct PromotionDuty {
+pub struct PromotionManager {
     settings: PromotionSettings,
     groups: BTreeMap<GroupName, GroupState>,
     /// Gateways that report a member as unreachable.
@@ -94,7 +94,7 @@
     }
 }
 
-impl PromotionDuty {
+impl PromotionManager {
     /// Returns the state of a new leadership.
     #[must_use]
     pub fn new(settings: PromotionSettings) -> Self {
@@ -102,7 +102,7 @@
     }
 
     /// Records a gateway's report.
-    pub fn report(&mut self, report: ReachReport) {
+    pub fn record_reach_report(&mut self, report: ReachReport) {
         let key = (report.group, report.member);
         if report.reached {
             if let Some(gateways) = self.unreachable_reports.get_mut(&key) {
@@ -122,7 +122,12 @@
     }
 
     /// Records the result of [`PromotionAction::Ask`].
-    pub fn take_status(&mut self, group: &GroupName, member: &MemberName, answer: MemberAnswer) {
+    pub fn record_member_answer(
+        &mut self,
+        group: &GroupName,
+        member: &MemberName,
+        answer: MemberAnswer,
+    ) {
         let Some(group_state) = self.groups.get_mut(group) else { return };
         let Phase::Asking { answers, .. } = &mut group_state.phase else { return };
         if let Some(entry) = answers.get_mut(member) {
@@ -132,7 +137,7 @@
 
     /// Handles the authority's answer to [`PromotionAction::Call`]. An answer to an older call is
     /// ignored.
-    pub fn take_answer(
+    pub fn record_authority_answer(
         &mut self,
         now: Timestamp,
         group: &GroupName,
--- a/crates/core/src/registry/promotion/steps.rs
+++ b/crates/core/src/registry/promotion/steps.rs
@@ -5,7 +5,7 @@
 //! member that the authority refused, or that did not become primary, is excluded for a time.
 
 use super::evidence::{candidates, primary_of, statuses};
-use super::{GroupState, LOG_TARGET, Phase, PromotionAction, PromotionDuty};
+use super::{GroupState, LOG_TARGET, Phase, PromotionAction, PromotionManager};
 use crate::identity::GroupName;
 use crate::position::Position;
 use crate::registry::back_end::{BackEndRole, BackEndState};
@@ -13,7 +13,7 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-impl PromotionDuty {
+impl PromotionManager {
     /// Asks the candidates of the group for their status.
     pub(super) fn ask_members(
         &self,
--- a/crates/core/src/registry/state.rs
+++ b/crates/core/src/registry/state.rs
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DocumentReplaced {
     /// Document that was in force before; none if there was none.
-    pub former: Option<Arc<Document>>,
+    pub previous: Option<Arc<Document>>,
 }
 
 /// Changes by one command that the view must include.
@@ -146,7 +146,7 @@
         }
         let replaced = self.document.replace(offered);
         changes.document =
-            Some(DocumentReplaced { former: replaced.map(|stored| stored.document) });
+            Some(DocumentReplaced { previous: replaced.map(|stored| stored.document) });
         RegistryOutcome::Document { held: version }
     }
 
@@ -156,7 +156,7 @@
         report: BackEndReport,
         changes: &mut RegistryChanges,
     ) -> RegistryOutcome {
-        if !self.is_news(&member, &report) {
+        if !self.changes_registration(&member, &report) {
             return RegistryOutcome::Registered;
         }
         let mut back_end = report.back_end;
@@ -172,7 +172,7 @@
     /// Reports whether a heartbeat changes the registration of the back end. Only such heartbeats
     /// go through the log.
     #[must_use]
-    pub fn is_news(&self, member: &MemberName, report: &BackEndReport) -> bool {
+    pub fn changes_registration(&self, member: &MemberName, report: &BackEndReport) -> bool {
         if self.departed.contains_key(member) {
             return false;
         }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -38,7 +38,7 @@
 
 impl RetryBudget {
     /// Counts a first attempt.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(BUCKET_CAPACITY);
     }
 
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -66,7 +66,7 @@
 
     /// Merges a reported position and marks the member as reachable, as it answered.
     /// Returns whether the known position of the member rose.
-    pub fn learn_position(&mut self, name: &MemberName, position: Position) -> bool {
+    pub fn merge_position(&mut self, name: &MemberName, position: Position) -> bool {
         let Some(member) = self.members.get_mut(name) else {
             return false;
         };
@@ -100,14 +100,14 @@
     }
 
     /// Counts a transaction that starts on the member.
-    pub fn started(&mut self, name: &MemberName) {
+    pub fn record_transaction_start(&mut self, name: &MemberName) {
         if let Some(member) = self.members.get_mut(name) {
             member.busy += 1;
         }
     }
 
     /// Counts a transaction that ended on the member.
-    pub fn ended(&mut self, name: &MemberName) {
+    pub fn record_transaction_end(&mut self, name: &MemberName) {
         if let Some(member) = self.members.get_mut(name) {
             member.busy = member.busy.saturating_sub(1);
         }
--- a/crates/core/src/routing/observers.rs
+++ b/crates/core/src/routing/observers.rs
@@ -34,7 +34,7 @@
 impl SecondObservers {
     /// Updates the observers to a view, whichever view came before; returns the number of
     /// weights that were computed.
-    pub fn follow(&mut self, view: &View) -> usize {
+    pub fn update(&mut self, view: &View) -> usize {
         let computed = self.update_proxies(view) + self.add_new_groups(view);
         // All groups of the view are stored by now, so others remain only if there are more.
         if self.heaviest.len() > view.groups.len() {
--- a/crates/core/src/state/change_set.rs
+++ b/crates/core/src/state/change_set.rs
@@ -63,11 +63,11 @@
 /// Returns the view change of a replaced document: the difference from the former document if that is much
 /// smaller, else the whole document.
 fn document_change(
-    DocumentReplaced { former }: &DocumentReplaced,
+    DocumentReplaced { previous }: &DocumentReplaced,
     state: &ControlState,
 ) -> Option<ViewChange> {
     let document = &state.registry.document()?.document;
-    let change = former.as_ref().and_then(|former| DocumentChange::between(former, document));
+    let change = previous.as_ref().and_then(|previous| DocumentChange::between(previous, document));
     Some(match change {
         Some(change) => ViewChange::ChangeDocument(Arc::new(change)),
         None => ViewChange::PutDocument(Arc::clone(document)),
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -7,7 +7,7 @@
 use super::command::{ProxyRegistration, Refusal};
 use super::records::{GroupRecord, ProxyRecord};
 use crate::identity::{GroupName, Incarnation, ProxyName};
-use crate::ownership::{Balancer, Owned, Placement};
+use crate::ownership::{Balancer, OwnedGroup, Placement};
 use crate::view::{ProxyState, ProxyView, Revision};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -142,7 +142,7 @@
         for proxy in newly_live {
             let movable = groups.iter().filter(|(name, _)| !unowned.contains(*name));
             let owned = movable.filter_map(|(name, group)| owned_group(name, group));
-            for name in balancer.attract(proxy, owned) {
+            for name in balancer.rebalance_to(proxy, owned) {
                 set_owner(groups, &name, Some(proxy.clone()), changed);
             }
         }
@@ -191,10 +191,10 @@
     Placement { group: name, zone: group.primary_spec().map(|member| &member.zone) }
 }
 
-fn owned_group<'a>(name: &'a GroupName, group: &'a GroupRecord) -> Option<Owned<'a>> {
+fn owned_group<'a>(name: &'a GroupName, group: &'a GroupRecord) -> Option<OwnedGroup<'a>> {
     let owner = group.view.owner.as_ref()?;
     let former_owner = group.former_owner.as_ref();
-    Some(Owned { placement: placement(name, group), owner, former_owner })
+    Some(OwnedGroup { placement: placement(name, group), owner, former_owner })
 }
 
 /// Records the owner that went down or is draining, so that it gets the group back when it returns.
@@ -215,7 +215,7 @@
     let placement = placement(name, group);
     let is_zone_unknown = placement.zone.is_none();
     let owner = balancer.assign(placement);
-    group.placed_blindly = is_zone_unknown;
+    group.owner_chosen_without_zone = is_zone_unknown;
     set_owner(groups, name, owner, changed);
 }
 
--- a/crates/core/src/state/groups.rs
+++ b/crates/core/src/state/groups.rs
@@ -29,7 +29,7 @@
             match apply_step(group, step) {
                 Ok(false) => {}
                 Ok(true) => {
-                    if group.placed_blindly && group.view.primary.is_some() {
+                    if group.owner_chosen_without_zone && group.view.primary.is_some() {
                         to_reassign.insert(name.clone());
                     }
                     changed.groups.insert(name);
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -54,7 +54,7 @@
     pub former_owner: Option<ProxyName>,
     /// Set if the owner was assigned while the zone of the primary was unknown. The owner is assigned again
     /// when a primary is announced.
-    pub placed_blindly: bool,
+    pub owner_chosen_without_zone: bool,
     /// Group as proxies see it.
     pub view: Arc<GroupView>,
 }
@@ -69,7 +69,7 @@
             generation: 1,
             leaving: BTreeSet::new(),
             former_owner: None,
-            placed_blindly: true,
+            owner_chosen_without_zone: true,
             view: Arc::new(view),
         }
     }
--- a/crates/core/src/statement.rs
+++ b/crates/core/src/statement.rs
@@ -236,7 +236,7 @@
         /// Group of the member.
         group: &'a str,
         /// Name of the tenant that the connection is for, else of the process that opens the connection.
-        who: &'a str,
+        client_name: &'a str,
         /// Member that is expected at the address.
         member: &'a str,
     },
@@ -277,5 +277,5 @@
     /// Last position that the member received.
     pub received: Position,
     /// Term of the pause that keeps the member from receiving log entries, 0 if it is not paused.
-    pub held_term: u64,
+    pub pause_term: u64,
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -8,7 +8,7 @@
 ///
 /// Each process has a clock of its own that starts with the process, so only differences between
 /// timestamps of the same process have a meaning. A moment that another process reports by its age may
-/// lie before the origin; [`Timestamp::before`] returns `None` for such a moment.
+/// lie before the origin; [`Timestamp::checked_sub`] returns `None` for such a moment.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -39,7 +39,7 @@
     /// Returns the timestamp that lies `age` before this one, or `None` if that is before the origin.
     /// Returning the origin instead would make an old value look only as old as the clock.
     #[must_use]
-    pub fn before(self, age: Duration) -> Option<Self> {
+    pub fn checked_sub(self, age: Duration) -> Option<Self> {
         let age = u64::try_from(age.as_micros()).ok()?;
         self.0.checked_sub(age).map(Self)
     }
--- a/crates/core/tests/failover/main.rs
+++ b/crates/core/tests/failover/main.rs
@@ -126,7 +126,7 @@
     world.node("g0", "m1").reachable = true;
     world.node("g0", "m1").connected = true;
     let took = world.run_until(has_new_primary);
-    assert!(took < settings().retry_last + Duration::from_secs(1), "{took:?}");
+    assert!(took < settings().retry_maximum + Duration::from_secs(1), "{took:?}");
 }
 
 #[test]
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -53,12 +53,12 @@
         for command in &commands {
             self.cell.apply(command.clone());
         }
-        self.membership.on_outcome();
+        self.membership.on_proposal_outcome();
         commands
     }
 
     fn report(&mut self, heartbeat: ProxyHeartbeat) {
-        self.membership.on_report(Timestamp::from_millis(self.now), heartbeat);
+        self.membership.on_heartbeat(Timestamp::from_millis(self.now), heartbeat);
     }
 
     /// Delivers the heartbeats that `alive` returns for each interval; returns the proposed commands.
@@ -157,7 +157,7 @@
         leader.report(stopping);
     } else {
         let leaving = BTreeSet::from([stopping.address]);
-        leader.membership.on_platform(PlatformList { leaving, ..Default::default() });
+        leader.membership.on_platform_list(PlatformList { leaving, ..Default::default() });
     }
     assert!(matches!(&leader.tick()[..], [Command::ProxiesDraining(_)]));
     assert_eq!(leader.state_of("p1"), ProxyState::Draining);
@@ -180,7 +180,7 @@
 fn the_platforms_live_list_does_not_override_missed_heartbeats() {
     let mut leader = Leader::with_fleet(4);
     let live = BTreeSet::from([heartbeat(1, 1).address]);
-    leader.membership.on_platform(PlatformList { live, ..Default::default() });
+    leader.membership.on_platform_list(PlatformList { live, ..Default::default() });
     leader.run(4_000, all_but(4, &[1]));
     assert_eq!(leader.state_of("p1"), ProxyState::Down);
 }
@@ -191,15 +191,15 @@
     leader.cell.put_group("calls", None).expect("accepted");
     let second = BTreeSet::from([address(6001)]);
     let leaving = PlatformList { leaving: second.clone(), live: second.clone() };
-    leader.membership.on_platform(leaving);
+    leader.membership.on_platform_list(leaving);
     leader.tick();
     assert!(
         leader.cell.group("calls").draining.contains(&name("m1")),
         "a machine on both lists is leaving"
     );
-    leader.membership.on_platform(PlatformList::default());
+    leader.membership.on_platform_list(PlatformList::default());
     assert!(leader.tick().is_empty(), "a machine on neither list keeps its state");
-    leader.membership.on_platform(PlatformList { live: second, ..Default::default() });
+    leader.membership.on_platform_list(PlatformList { live: second, ..Default::default() });
     leader.tick();
     assert!(leader.cell.group("calls").draining.is_empty());
 }
--- a/crates/core/tests/observers.rs
+++ b/crates/core/tests/observers.rs
@@ -117,11 +117,11 @@
     ) {
         let mut view = view(proxies, GROUPS);
         let mut observers = SecondObservers::default();
-        observers.follow(&view);
+        observers.update(&view);
         check_observers(&observers, &view)?;
         for changes in revisions {
             changes.iter().for_each(|change| change.apply(&mut view));
-            observers.follow(&view);
+            observers.update(&view);
             check_observers(&observers, &view)?;
         }
     }
@@ -131,30 +131,30 @@
 fn only_changed_weights_are_computed() {
     let mut view = view(PROXIES, GROUPS);
     let mut observers = SecondObservers::default();
-    assert_eq!(observers.follow(&view), PROXIES * GROUPS);
-    assert_eq!(observers.follow(&view), 0);
+    assert_eq!(observers.update(&view), PROXIES * GROUPS);
+    assert_eq!(observers.update(&view), 0);
     // The owner changes to the second observer.
     let name = group_name(0);
     let second = observers.of(&name, Some(&proxy_name(0))).cloned();
     view.groups.insert(name.clone(), group(second.clone()));
-    assert_eq!(observers.follow(&view), 0);
+    assert_eq!(observers.update(&view), 0);
     assert_ne!(observers.of(&name, second.as_ref()), second.as_ref());
     // A proxy joins, another goes down, and a group is added.
     view.proxies.insert(proxy_name(PROXIES), proxy(ProxyState::Live));
-    assert_eq!(observers.follow(&view), GROUPS);
+    assert_eq!(observers.update(&view), GROUPS);
     view.proxies.insert(proxy_name(1), proxy(ProxyState::Down));
-    assert_eq!(observers.follow(&view), 0);
+    assert_eq!(observers.update(&view), 0);
     view.groups.insert(group_name(GROUPS), group(None));
-    assert_eq!(observers.follow(&view), PROXIES);
+    assert_eq!(observers.update(&view), PROXIES);
 }
 
 #[rstest]
 fn a_deleted_group_has_no_second_observer() {
     let mut view = view(PROXIES, GROUPS);
     let mut observers = SecondObservers::default();
-    observers.follow(&view);
+    observers.update(&view);
     assert!(observers.of(&group_name(0), None).is_some());
     view.groups.remove(&group_name(0));
-    assert_eq!(observers.follow(&view), 0);
+    assert_eq!(observers.update(&view), 0);
     assert_eq!(observers.of(&group_name(0), None), None);
 }
--- a/crates/core/tests/outcomes.rs
+++ b/crates/core/tests/outcomes.rs
@@ -52,7 +52,7 @@
 fn fingerprints_distinguish_parts_by_their_lengths() {
     let fingerprint_of = |parts: &[&str]| {
         let mut fingerprint = Fingerprint::default();
-        parts.iter().for_each(|part| fingerprint.part(part.as_bytes()));
+        parts.iter().for_each(|part| fingerprint.add_part(part.as_bytes()));
         fingerprint.finish()
     };
     assert_eq!(fingerprint_of(&["ab", "c"]), fingerprint_of(&["ab", "c"]));
--- a/crates/core/tests/registry/documents.rs
+++ b/crates/core/tests/registry/documents.rs
@@ -58,7 +58,7 @@
 )]
 #[case::no_time(
     invalid_document(|document| document.routes[0].statement_timeout = Duration::ZERO),
-    DocumentError::NoTime { route: "r-1".to_owned() }
+    DocumentError::ZeroTimeout { route: "r-1".to_owned() }
 )]
 #[case::same_service(
     invalid_document(|document| document.services.push(document.services[0].clone())),
--- a/crates/core/tests/registry/heartbeats.rs
+++ b/crates/core/tests/registry/heartbeats.rs
@@ -9,12 +9,15 @@
 #[test]
 fn only_heartbeats_with_changes_go_through_the_log() {
     let registry = Registry::with_group(0);
-    let is_news = |report| registry.state.is_news(&member(2), &report);
-    assert!(!is_news(report(2, Ready, Replica, 2)), "an unchanged heartbeat");
-    assert!(is_news(report(2, Ready, Primary, 2)), "another role");
-    assert!(is_news(report(2, Draining, Replica, 2)), "another state");
-    assert!(!is_news(report(2, Ready, Primary, 1)), "a heartbeat that was overtaken");
-    assert!(registry.state.is_news(&member(4), &report(4, Ready, Replica, 1)), "a new member");
+    let changes_registration = |report| registry.state.changes_registration(&member(2), &report);
+    assert!(!changes_registration(report(2, Ready, Replica, 2)), "an unchanged heartbeat");
+    assert!(changes_registration(report(2, Ready, Primary, 2)), "another role");
+    assert!(changes_registration(report(2, Draining, Replica, 2)), "another state");
+    assert!(!changes_registration(report(2, Ready, Primary, 1)), "a heartbeat that was overtaken");
+    assert!(
+        registry.state.changes_registration(&member(4), &report(4, Ready, Replica, 1)),
+        "a new member"
+    );
 }
 
 #[test]
@@ -41,7 +44,7 @@
 fn a_late_heartbeat_does_not_register_a_departed_back_end_again() {
     let mut registry = Registry::with_group(0);
     registry.apply(RegistryCommand::Leave { member: member(2) });
-    assert!(!registry.state.is_news(&member(2), &report(2, Ready, Replica, 9)));
+    assert!(!registry.state.changes_registration(&member(2), &report(2, Ready, Replica, 9)));
     registry.apply_report(2, Ready, Replica, 9);
     assert_eq!(registry.state_of(2), None);
 }
--- a/crates/core/tests/registry/promotion.rs
+++ b/crates/core/tests/registry/promotion.rs
@@ -6,7 +6,7 @@
 use corktack_core::registry::BackEndRole::{Primary, Replica};
 use corktack_core::registry::BackEndState::{Draining, Ready};
 use corktack_core::registry::{
-    GatewayContact, MemberAnswer, PromotionAction, PromotionAnswer, PromotionDuty,
+    GatewayContact, MemberAnswer, PromotionAction, PromotionAnswer, PromotionManager,
     PromotionSettings, ReachReport, RegistryCommand,
 };
 use corktack_core::statement::MemberStatus;
@@ -23,7 +23,7 @@
 /// A registry and the leader's promotions for it, on a virtual clock.
 struct World {
     registry: Registry,
-    duty: PromotionDuty,
+    duty: PromotionManager,
     gateways: GatewayContact,
     now: Timestamp,
 }
@@ -33,7 +33,7 @@
         primary,
         term,
         received: Position { term: Term(term), index },
-        held_term: 0,
+        pause_term: 0,
     })
 }
 
@@ -45,7 +45,7 @@
     fn new(synchronous_replicas: u32) -> Self {
         Self {
             registry: Registry::with_group(synchronous_replicas),
-            duty: PromotionDuty::new(PromotionSettings::default()),
+            duty: PromotionManager::new(PromotionSettings::default()),
             gateways: GatewayContact { reporting: GATEWAYS, silent: 0 },
             now: Timestamp::from_millis(1_000),
         }
@@ -71,7 +71,7 @@
     /// Lets this number of gateways report a member as unreachable.
     fn report_unreachable(&mut self, gateways: usize, number: u16) {
         for gateway_number in 0..gateways {
-            self.duty.report(ReachReport {
+            self.duty.record_reach_report(ReachReport {
                 gateway: gateway(gateway_number),
                 group: group(),
                 member: member(number),
@@ -81,7 +81,7 @@
     }
 
     fn answer(&mut self, number: u16, answer: MemberAnswer) {
-        self.duty.take_status(&group(), &member(number), answer);
+        self.duty.record_member_answer(&group(), &member(number), answer);
     }
 
     /// Delivers the positions of both replicas; member 2 is ahead.
@@ -211,7 +211,7 @@
     assert!(world.after(5_000).is_empty());
     for number in 0..2 {
         let (gateway, group, member) = (gateway(number), group(), member(1));
-        world.duty.report(ReachReport { gateway, group, member, reached: true });
+        world.duty.record_reach_report(ReachReport { gateway, group, member, reached: true });
     }
     assert!(world.after(1).is_empty());
     world.report_unreachable(1, 1);
@@ -321,7 +321,7 @@
 fn a_lost_call_is_retried_with_the_same_fence() {
     let mut world = World::new(0);
     let fence = world.call_for_member_2();
-    world.duty.take_answer(world.now, &group(), fence, PromotionAnswer::Unknown);
+    world.duty.record_authority_answer(world.now, &group(), fence, PromotionAnswer::Unknown);
     assert_eq!(called(&world.advance()), None);
     assert_eq!(called(&world.after(350)), Some((member(2), fence)));
 }
@@ -330,7 +330,7 @@
 fn an_accepted_call_is_not_repeated_and_ends_when_the_member_is_primary() {
     let mut world = World::new(0);
     let fence = world.call_for_member_2();
-    world.duty.take_answer(world.now, &group(), fence, PromotionAnswer::Accepted);
+    world.duty.record_authority_answer(world.now, &group(), fence, PromotionAnswer::Accepted);
     assert_eq!(called(&world.after(1_000)), None);
     world.registry.apply_report(2, Ready, Primary, 2);
     assert!(world.advance().is_empty());
@@ -342,16 +342,16 @@
 fn each_new_decision_has_a_higher_fence() {
     let mut world = World::new(0);
     let first = world.call_for_member_2();
-    world.duty.take_answer(world.now, &group(), first, PromotionAnswer::Refused);
+    world.duty.record_authority_answer(world.now, &group(), first, PromotionAnswer::Refused);
     assert_eq!(asked(&world.advance()), names(&[3]), "the refused member is excluded");
     world.answer(3, status(false, 1, 10));
     let actions = world.advance();
     let second = world.commit(&actions);
     assert!(second > first);
     assert_eq!(called(&world.advance()), Some((member(3), second)));
-    world.duty.take_answer(world.now, &group(), first, PromotionAnswer::Refused);
+    world.duty.record_authority_answer(world.now, &group(), first, PromotionAnswer::Refused);
     assert!(world.after(10).is_empty());
-    world.duty.take_answer(world.now, &group(), second, PromotionAnswer::Unknown);
+    world.duty.record_authority_answer(world.now, &group(), second, PromotionAnswer::Unknown);
     let again = called(&world.after(350));
     assert_eq!(again, Some((member(3), second)), "the answer to the older call has no effect");
 }
@@ -360,7 +360,7 @@
 fn a_member_that_never_becomes_primary_is_given_up() {
     let mut world = World::new(0);
     let fence = world.call_for_member_2();
-    world.duty.take_answer(world.now, &group(), fence, PromotionAnswer::Accepted);
+    world.duty.record_authority_answer(world.now, &group(), fence, PromotionAnswer::Accepted);
     assert_eq!(asked(&world.after(3_600)), BTreeSet::new());
     assert_eq!(asked(&world.after(10)), names(&[3]));
 }
@@ -369,7 +369,7 @@
 fn a_new_leader_does_not_reuse_the_fence_of_its_predecessor() {
     let mut world = World::new(0);
     let first = world.call_for_member_2();
-    world.duty = PromotionDuty::new(PromotionSettings::default());
+    world.duty = PromotionManager::new(PromotionSettings::default());
     world.report_unreachable(REQUIRED_GATEWAYS, 1);
     world.advance();
     world.answer_replicas();
--- a/crates/core/tests/replies.rs
+++ b/crates/core/tests/replies.rs
@@ -11,7 +11,7 @@
 fn match_replies(tracker: &mut ReplyTracker, tags: &str) -> String {
     let mut trace = String::new();
     for tag in tags.bytes() {
-        match tracker.received(tag) {
+        match tracker.match_reply(tag) {
             Ok(reply) => {
                 trace.push_str(&"+".repeat(reply.synthesized));
                 trace.push(match reply.disposition {
@@ -51,7 +51,7 @@
     #[case] expected: &str,
 ) {
     let mut tracker = ReplyTracker::default();
-    sent.into_iter().for_each(|message| tracker.sent(message));
+    sent.into_iter().for_each(|message| tracker.record_sent(message));
     assert_eq!(match_replies(&mut tracker, tags), expected);
 }
 
@@ -70,12 +70,12 @@
     #[case] flushed: Option<usize>,
 ) {
     let mut tracker = ReplyTracker::default();
-    sent.into_iter().for_each(|message| tracker.sent(message));
+    sent.into_iter().for_each(|message| tracker.record_sent(message));
     assert_eq!(match_replies(&mut tracker, tags), expected);
-    assert_eq!(tracker.flushed(), flushed);
+    assert_eq!(tracker.pop_answered_flush(), flushed);
     if flushed.is_some() {
         assert!(tracker.is_idle(), "no message of the part is left");
-        tracker.sent(Sent::Sync);
+        tracker.record_sent(Sent::Sync);
         assert_eq!(match_replies(&mut tracker, "Z"), "!");
     }
 }
@@ -83,16 +83,16 @@
 #[rstest]
 fn a_statement_exists_unless_its_parse_fails_or_it_is_closed() {
     let mut tracker = ReplyTracker::default();
-    tracker.sent(Sent::InjectedParse(owned("a")));
-    tracker.sent(Sent::Sync);
+    tracker.record_sent(Sent::InjectedParse(owned("a")));
+    tracker.record_sent(Sent::Sync);
     assert!(tracker.has_statement("a"));
     assert_eq!(match_replies(&mut tracker, "EZ"), "E!");
     assert!(!tracker.has_statement("a"));
-    tracker.sent(Sent::Parse(owned("a")));
-    tracker.sent(Sent::Close(Some(owned("a"))));
+    tracker.record_sent(Sent::Parse(owned("a")));
+    tracker.record_sent(Sent::Close(Some(owned("a"))));
     assert!(!tracker.has_statement("a"));
     assert_eq!(match_replies(&mut tracker, "1"), "1");
-    tracker.sent(Sent::Sync);
+    tracker.record_sent(Sent::Sync);
     assert_eq!(match_replies(&mut tracker, "3Z"), "3!");
     assert!(!tracker.has_statement("a") && tracker.is_idle());
 }
@@ -101,10 +101,10 @@
 fn the_least_recently_used_statement_is_closed_first() {
     let mut tracker = ReplyTracker::default();
     for statement in ["a", "b", "c"] {
-        tracker.sent(Sent::Parse(owned(statement)));
+        tracker.record_sent(Sent::Parse(owned(statement)));
     }
     assert_eq!(match_replies(&mut tracker, "111"), "111");
-    tracker.touch_statement("a");
+    tracker.mark_statement_used("a");
     assert_eq!(tracker.statements_to_close(3, &BTreeSet::new()), ["b"]);
     assert_eq!(tracker.statements_to_close(3, &BTreeSet::from(["b"])), ["c"]);
     assert!(tracker.statements_to_close(4, &BTreeSet::new()).is_empty());
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -13,14 +13,14 @@
 fn a_full_budget_allows_a_burst_and_then_a_share_of_requests() {
     let mut budget = RetryBudget::default();
     assert_eq!(retries(&mut budget), 50);
-    (0..20).for_each(|_| budget.request());
+    (0..20).for_each(|_| budget.record_request());
     assert_eq!(retries(&mut budget), 4);
 }
 
 #[rstest]
 fn unused_tokens_do_not_exceed_the_burst() {
     let mut budget = RetryBudget::default();
-    (0..10_000).for_each(|_| budget.request());
+    (0..10_000).for_each(|_| budget.record_request());
     assert_eq!(retries(&mut budget), 50);
 }
 
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use corktack_core::identity::{GroupName, Incarnation, MemberName, ProxyName, ZoneName};
-use corktack_core::pool::warm_targets;
+use corktack_core::pool::idle_connection_targets;
 use corktack_core::position::{Position, Term};
 use corktack_core::resources::{DatabaseGroupSpec, MemberSpec};
 use corktack_core::retry::{Backoff, RetryBudget};
@@ -47,9 +47,9 @@
 fn table(group: &GroupView, near: u64, far: u64) -> RoutingTable {
     let mut table = RoutingTable::default();
     table.set_members(group);
-    table.learn_position(&member("p"), position(100));
-    table.learn_position(&member("near"), position(near));
-    table.learn_position(&member("far"), position(far));
+    table.merge_position(&member("p"), position(100));
+    table.merge_position(&member("near"), position(near));
+    table.merge_position(&member("far"), position(far));
     table
 }
 
@@ -88,7 +88,7 @@
 
 #[rstest]
 fn warm_connections_fit_the_limit() {
-    let targets = warm_targets(&group());
+    let targets = idle_connection_targets(&group());
     assert_eq!(targets[&member("p")], 5);
     assert_eq!(targets[&member("near")], 3);
     assert!(targets.values().sum::<u32>() <= 12);
@@ -120,7 +120,7 @@
     let mut budget = RetryBudget::default();
     while budget.try_retry() {}
     for _ in 0..5 {
-        budget.request();
+        budget.record_request();
     }
     assert!(budget.try_retry());
     assert!(!budget.try_retry());
--- a/crates/core/tests/time.rs
+++ b/crates/core/tests/time.rs
@@ -13,10 +13,10 @@
     #[case] expected: Option<Timestamp>,
 ) {
     let now = Timestamp::from_millis(3_000);
-    assert_eq!(now.before(Duration::from_millis(age_millis)), expected);
+    assert_eq!(now.checked_sub(Duration::from_millis(age_millis)), expected);
 }
 
 #[test]
 fn an_age_beyond_all_timestamps_is_before_the_origin() {
-    assert_eq!(Timestamp::from_micros(u64::MAX).before(Duration::MAX), None);
+    assert_eq!(Timestamp::from_micros(u64::MAX).checked_sub(Duration::MAX), None);
 }
--- a/crates/edge/src/retry/budget.rs
+++ b/crates/edge/src/retry/budget.rs
@@ -57,11 +57,11 @@
     /// Counts a request to the group: it earns a part of a retry.
     pub fn request(&mut self, group: &GroupName, view: &View) {
         if let Some(budget) = self.budgets.get_mut(group) {
-            budget.request();
+            budget.record_request();
             return;
         }
         self.budgets.retain(|known, _| view.groups.contains_key(known));
-        self.budgets.entry(group.clone()).or_default().request();
+        self.budgets.entry(group.clone()).or_default().record_request();
     }
 
     /// The wait before a lost request is sent again to a group, of whose time so much is left. A wait is
--- a/crates/gateway/src/dial.rs
+++ b/crates/gateway/src/dial.rs
@@ -49,7 +49,7 @@
         MemberConnection::new(wire.clone(), Transport::Direct(stream), principal.clone());
     let start = MemberRequest::Start {
         group: group.as_str(),
-        who: principal.tenant().map_or(settings.name.as_str(), TenantName::as_str),
+        client_name: principal.tenant().map_or(settings.name.as_str(), TenantName::as_str),
         member: member.as_str(),
     };
     connection.send(&start).await?;
--- a/crates/gateway/tests/sessions/wire.rs
+++ b/crates/gateway/tests/sessions/wire.rs
@@ -130,8 +130,8 @@
 
     fn encode_request(&self, request: &MemberRequest<'_>, buffer: &mut BytesMut) {
         match request {
-            MemberRequest::Start { group, who, member } => {
-                put_line(buffer, &["start", group, who, member]);
+            MemberRequest::Start { group, client_name, member } => {
+                put_line(buffer, &["start", group, client_name, member]);
             }
             MemberRequest::Forward { id, after, text } => {
                 put_line(buffer, &["query", id, &position_text(*after), text]);
--- a/crates/owner/src/batch.rs
+++ b/crates/owner/src/batch.rs
@@ -154,7 +154,7 @@
             output.extend_from_slice(&message.bytes);
         }
         if let Some(sent) = sent {
-            tracker.sent(sent);
+            tracker.record_sent(sent);
         }
     }
     Ok(())
@@ -167,17 +167,17 @@
     output: &mut BytesMut,
 ) -> Result<(), BatchError> {
     if tracker.has_statement(&statement.name) {
-        tracker.touch_statement(&statement.name);
+        tracker.mark_statement_used(&statement.name);
         return Ok(());
     }
     for name in tracker.statements_to_close(STATEMENT_LIMIT, needed) {
         wire::encode(&Close::new(CLOSE_STATEMENT, Some(name.clone())), output)?;
-        tracker.sent(Sent::InjectedClose(name));
+        tracker.record_sent(Sent::InjectedClose(name));
     }
     let name = statement.name.clone();
     let types = statement.parameter_types.clone();
     wire::encode(&Parse::new(Some(name.clone()), statement.query.clone(), types), output)?;
-    tracker.sent(Sent::InjectedParse(name));
+    tracker.record_sent(Sent::InjectedParse(name));
     Ok(())
 }
 
--- a/crates/owner/src/connection.rs
+++ b/crates/owner/src/connection.rs
@@ -187,7 +187,7 @@
         let Some(message) = wire::split_message(&mut self.input)? else {
             return Ok(None);
         };
-        let reply = self.tracker.received(message.tag)?;
+        let reply = self.tracker.match_reply(message.tag)?;
         Ok(Some((message, reply)))
     }
 
@@ -200,7 +200,7 @@
     /// Queues a simple query.
     pub fn queue_query(&mut self, text: &str) -> Result<(), ConnectionError> {
         wire::encode(&Query::new(text.to_owned()), &mut self.output)?;
-        self.tracker.sent(Sent::Query);
+        self.tracker.record_sent(Sent::Query);
         Ok(())
     }
 
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -47,7 +47,7 @@
 
     /// The status when everything up to a Flush is answered: the transaction goes on.
     fn read_flush(&mut self) -> Result<Option<TransactionStatus>, ConnectionError> {
-        let Some(skipped) = self.lease.connection()?.tracker.flushed() else {
+        let Some(skipped) = self.lease.connection()?.tracker.pop_answered_flush() else {
             return Ok(None);
         };
         for _ in 0..skipped {
--- a/crates/owner/src/group/mod.rs
+++ b/crates/owner/src/group/mod.rs
@@ -175,7 +175,7 @@
 
     /// Records a position that a member reported with an answer.
     pub fn learn_position(&self, member: &MemberName, position: Position) {
-        if self.with_state(|state| state.routing.learn_position(member, position)) {
+        if self.with_state(|state| state.routing.merge_position(member, position)) {
             self.knowledge_changed();
         }
     }
--- a/crates/owner/src/groups.rs
+++ b/crates/owner/src/groups.rs
@@ -99,7 +99,7 @@
 
 impl Duties {
     fn apply(&mut self, context: &Arc<Context>, view: &View) {
-        self.observers.follow(view);
+        self.observers.update(view);
         self.end_lost(context, view);
         self.retired.retain(|lost| lost.follow(view));
         for (name, group) in &view.groups {
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -61,7 +61,7 @@
         let member = &destination.member;
         let epoch = group.with_state(|state| state.epoch);
         let pooled = obtain_connection(group, member).await?;
-        group.with_state(|state| state.routing.started(member));
+        group.with_state(|state| state.routing.record_transaction_start(member));
         let group = Arc::clone(group);
         let destination = destination.clone();
         Ok(Self { pooled: Some(pooled), group, destination, epoch, _slot: slot })
@@ -174,7 +174,7 @@
 impl Drop for Lease {
     fn drop(&mut self) {
         let member = &self.destination.member;
-        self.group.with_state(|state| state.routing.ended(member));
+        self.group.with_state(|state| state.routing.record_transaction_end(member));
         if self.pooled.take().is_some() {
             self.group.metrics.discarded.get_or_create(&self.group.label()).inc();
             self.group.warm.notify_one();
@@ -194,7 +194,7 @@
         return true;
     }
     let reset = connection.query(RESET_SESSION, CLEAN_TIMEOUT).await;
-    connection.tracker.forget_statements();
+    connection.tracker.clear_statements();
     connection.session_changed = false;
     reset.is_ok()
 }
--- a/crates/owner/src/stream.rs
+++ b/crates/owner/src/stream.rs
@@ -71,7 +71,7 @@
     input: &mut Input,
     outbound: &Outbound,
 ) {
-    group.with_state(|state| state.retry.request());
+    group.with_state(|state| state.retry.record_request());
     let mut router = Router::new(Arc::clone(group), &request);
     let mut reported = request.minimum;
     // The commit of a keyed write was sent in an earlier attempt.
--- a/crates/owner/src/transcript.rs
+++ b/crates/owner/src/transcript.rs
@@ -56,11 +56,11 @@
                 add(&mut fingerprint, message.tag, texts.get(&name).unwrap_or(&name));
                 add_values(&mut fingerprint, &bind.parameters);
                 let formats = (bind.parameter_format_codes, bind.result_column_format_codes);
-                fingerprint.part(format!("{formats:?}").as_bytes());
+                fingerprint.add_part(format!("{formats:?}").as_bytes());
             }
             front::DESCRIBE => {
                 let describe: Describe = wire::decode(&message)?;
-                fingerprint.part(&[message.tag, describe.target_type]);
+                fingerprint.add_part(&[message.tag, describe.target_type]);
             }
             front::EXECUTE => {
                 let execute: Execute = wire::decode(&message)?;
@@ -73,14 +73,14 @@
 }
 
 fn add(fingerprint: &mut Fingerprint, tag: u8, text: &str) {
-    fingerprint.part(&[tag]);
-    fingerprint.part(text.as_bytes());
+    fingerprint.add_part(&[tag]);
+    fingerprint.add_part(text.as_bytes());
 }
 
 fn add_values(fingerprint: &mut Fingerprint, values: &[Option<bytes::Bytes>]) {
     for value in values {
-        fingerprint.part(&[u8::from(value.is_some())]);
-        fingerprint.part(value.as_deref().unwrap_or_default());
+        fingerprint.add_part(&[u8::from(value.is_some())]);
+        fingerprint.add_part(value.as_deref().unwrap_or_default());
     }
 }
 
--- a/crates/owner/src/warm.rs
+++ b/crates/owner/src/warm.rs
@@ -6,7 +6,7 @@
 use crate::group::Group;
 use crate::idle::sweep_idle;
 use corktack_core::identity::MemberName;
-use corktack_core::pool::warm_targets;
+use corktack_core::pool::idle_connection_targets;
 use futures_util::future::join_all;
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 fn missing_connections(group: &Group) -> Vec<MemberName> {
     let view = group.view();
     let mut missing = Vec::new();
-    for (member, target) in warm_targets(&view) {
+    for (member, target) in idle_connection_targets(&view) {
         let present = group.with_state(|state| {
             let idle = state.idle.get(&member).map_or(0, Vec::len) as u32;
             let busy = state.routing.member(&member).map_or(0, |known| known.busy);
--- a/crates/server/src/settings/failover.rs
+++ b/crates/server/src/settings/failover.rs
@@ -75,11 +75,11 @@
             adoption_wait_ms: whole_millis(times.adoption_wait),
             bootstrap_wait_ms: whole_millis(times.bootstrap_wait),
             fence_settle_ms: whole_millis(times.fence_settle),
-            retry_minimum_ms: whole_millis(times.retry_first),
-            retry_maximum_ms: whole_millis(times.retry_last),
+            retry_minimum_ms: whole_millis(times.retry_minimum),
+            retry_maximum_ms: whole_millis(times.retry_maximum),
             answer_ms: whole_millis(times.answer_timeout),
-            cooldown_minimum_ms: whole_millis(times.cooldown_first),
-            cooldown_maximum_ms: whole_millis(times.cooldown_last),
+            cooldown_minimum_ms: whole_millis(times.cooldown_minimum),
+            cooldown_maximum_ms: whole_millis(times.cooldown_maximum),
             quiet_ms: whole_millis(times.quiet_time),
         }
     }
@@ -102,11 +102,11 @@
             adoption_wait: millis(self.adoption_wait_ms),
             bootstrap_wait: millis(self.bootstrap_wait_ms),
             fence_settle: millis(self.fence_settle_ms),
-            retry_first: millis(self.retry_minimum_ms),
-            retry_last: millis(self.retry_maximum_ms),
+            retry_minimum: millis(self.retry_minimum_ms),
+            retry_maximum: millis(self.retry_maximum_ms),
             answer_timeout: millis(self.answer_ms),
-            cooldown_first: millis(self.cooldown_minimum_ms),
-            cooldown_last: millis(self.cooldown_maximum_ms),
+            cooldown_minimum: millis(self.cooldown_minimum_ms),
+            cooldown_maximum: millis(self.cooldown_maximum_ms),
             quiet_time: millis(self.quiet_ms),
         }
     }
--- a/crates/server/tests/settings_in_use.rs
+++ b/crates/server/tests/settings_in_use.rs
@@ -48,11 +48,11 @@
         times.adoption_wait,
         times.bootstrap_wait,
         times.fence_settle,
-        times.retry_first,
-        times.retry_last,
+        times.retry_minimum,
+        times.retry_maximum,
         times.answer_timeout,
-        times.cooldown_first,
-        times.cooldown_last,
+        times.cooldown_minimum,
+        times.cooldown_maximum,
         times.quiet_time,
     ];
     let expected: Vec<Duration> = (2_001..2_016).map(Duration::from_millis).collect();
--- a/crates/sim/src/run/control/duties.rs
+++ b/crates/sim/src/run/control/duties.rs
@@ -54,7 +54,7 @@
     pub fn membership_answered(&mut self) {
         self.membership_open = self.membership_open.saturating_sub(1);
         if self.membership_open == 0 {
-            self.membership.on_outcome();
+            self.membership.on_proposal_outcome();
         }
     }
 
--- a/crates/sim/src/run/control/serve.rs
+++ b/crates/sim/src/run/control/serve.rs
@@ -25,7 +25,7 @@
                     let proxy = &report.heartbeat.proxy;
                     duties.observe(context.now, &process.state, proxy, observation.clone());
                 }
-                duties.membership.on_report(context.now, report.heartbeat);
+                duties.membership.on_heartbeat(context.now, report.heartbeat);
             }
             None => {
                 let leader = process.replica.leader().map(super::machine_of);
