--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -23,7 +23,7 @@
 
 /// Requests a member's status; with `hold`, pauses its replication first, in the term after the member's own,
 /// and returns the answer to the pause.
-pub async fn ask_status<W: Wire>(
+pub async fn request_status<W: Wire>(
     wire: &W,
     settings: &GatewaySettings,
     group: &GroupName,
@@ -40,8 +40,8 @@
     request(wire, settings, (group, member, address), &pause).await
 }
 
-/// Resumes the replication of a member that [`ask_status`] has paused.
-pub async fn release<W: Wire>(
+/// Resumes the replication of a member that [`request_status`] has paused.
+pub async fn resume_replication<W: Wire>(
     wire: &W,
     settings: &GatewaySettings,
     group: &GroupName,
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -22,11 +22,11 @@
     }
 
     pub(crate) fn now(&self) -> Timestamp {
-        self.at(Instant::now())
+        self.timestamp_of(Instant::now())
     }
 
     /// Converts an instant to a timestamp.
-    pub(crate) fn at(&self, instant: Instant) -> Timestamp {
+    pub(crate) fn timestamp_of(&self, instant: Instant) -> Timestamp {
         Timestamp::ZERO + BEFORE_START + instant.saturating_duration_since(self.started_at)
     }
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -65,7 +65,7 @@
     }
 
     /// Reports whether every request has been answered.
-    pub(crate) const fn is_settled(&self) -> bool {
+    pub(crate) const fn has_no_pending_answer(&self) -> bool {
         !self.awaits_answer
     }
 
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -9,7 +9,7 @@
 
 /// Waits until every session has ended; rolls back transactions that are open after their grace period.
 pub(crate) async fn drain<W: Wire>(shared: &Rc<Shared<W>>) {
-    tokio::time::sleep(shared.settings.notice).await;
+    tokio::time::sleep(shared.settings.drain_notice).await;
     shared.stopping.set(true);
     shared.stop_began.notify_waiters();
     let end = Instant::now() + shared.settings.transaction_grace;
--- a/crates/gateway/src/group/choice.rs
+++ b/crates/gateway/src/group/choice.rs
@@ -66,7 +66,9 @@
         let now = Instant::now();
         let chosen = match &request.target {
             Target::Primary => self.select_primary(now, settings, clock),
-            Target::Reader { refused } => self.select_reader(now, clock.at(now), request, refused),
+            Target::Reader { refused } => {
+                self.select_reader(now, clock.timestamp_of(now), request, refused)
+            }
             Target::Held(member) => self.select_held(member, now, settings),
         };
         let Some(name) = chosen else { return Step::NoMember };
@@ -137,8 +139,8 @@
         clock: SteadyClock,
     ) -> Option<MemberName> {
         let candidates = self.members.iter().map(|(name, member)| {
-            let is_closed =
-                member.indirect_route.clone().step(clock.at(now)) == IndirectRouteStep::Unreachable;
+            let is_closed = member.indirect_route.clone().step(clock.timestamp_of(now))
+                == IndirectRouteStep::Unreachable;
             let candidate = PrimaryCandidate {
                 evidence: self.primary_evidence(name, member),
                 is_drain_over: member.pauses.is_drain_over(now, settings.drain_limit),
@@ -266,7 +268,7 @@
     clock: SteadyClock,
     tunnels: &Tunnels,
 ) -> Step<W> {
-    match member.indirect_route.step(clock.at(now)) {
+    match member.indirect_route.step(clock.timestamp_of(now)) {
         IndirectRouteStep::Wait => Step::Wait,
         IndirectRouteStep::Unreachable => Step::NoMember,
         IndirectRouteStep::Send => {
--- a/crates/gateway/src/group/lease.rs
+++ b/crates/gateway/src/group/lease.rs
@@ -87,11 +87,11 @@
         self.set_idle_in_transaction(false);
         let Some(connection) = self.connection.take() else { return };
         if self.is_remote {
-            let is_settled = connection.is_settled() && !self.in_transaction;
+            let is_settled = connection.has_no_pending_answer() && !self.in_transaction;
             self.group.release_remote(&self.member, connection, is_settled);
             return;
         }
-        if connection.is_settled() && !self.in_transaction {
+        if connection.has_no_pending_answer() && !self.in_transaction {
             self.group.give_back(&self.member, connection);
         } else {
             drop(connection);
--- a/crates/gateway/src/group/mod.rs
+++ b/crates/gateway/src/group/mod.rs
@@ -36,7 +36,7 @@
 use crate::clock::SteadyClock;
 use crate::connection::MemberConnection;
 use crate::member::Member;
-use crate::metrics::{Holdings, Metrics};
+use crate::metrics::{ConnectionTotals, Metrics};
 use crate::settings::GatewaySettings;
 use crate::tunnel::Tunnels;
 use crate::wire::Wire;
@@ -165,7 +165,7 @@
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let Some(member) = state.members.get_mut(name) else { return connection.terminate() };
-        member.silence.record_answer(self.clock.at(connection.answered_at()));
+        member.silence.record_answer(self.clock.timestamp_of(connection.answered_at()));
         member.give_back(connection, now, self.settings.drain_limit);
         state.wake_next(self.now(), name);
     }
@@ -183,7 +183,7 @@
     }
 
     /// Adds the group's connections, waiting statements and unreached or unserving members to the totals.
-    pub(crate) fn add_holdings(&self, holdings: &mut Holdings) {
+    pub(crate) fn add_holdings(&self, holdings: &mut ConnectionTotals) {
         let (state, now) = (self.state.borrow(), self.now());
         for (priority, waiting) in state.waiting.lengths() {
             *holdings.waiting.entry(priority).or_default() += waiting;
--- a/crates/gateway/src/group/remote/mod.rs
+++ b/crates/gateway/src/group/remote/mod.rs
@@ -13,7 +13,7 @@
 use crate::lone_statement::LoneStatement;
 use crate::metrics::RemoteOutcome;
 use crate::transport::Transport;
-use crate::tunnel::{Granted, OpenedAtHolder, RemoteRequest, TunnelClient, TunnelError};
+use crate::tunnel::{GrantedConnection, OpenedAtHolder, RemoteRequest, TunnelClient, TunnelError};
 use crate::wire::Wire;
 use corktack_core::gateway::{Holder, ReadPosition};
 use corktack_core::identity::MemberName;
@@ -87,7 +87,7 @@
         deadline: Instant,
     ) -> Result<RemoteOpening<W>, AcquireError> {
         let ask = async |tunnel: TunnelClient, remote| {
-            if self.tunnels.answers(tunnel.holder()) {
+            if self.tunnels.has_answered_recently(tunnel.holder()) {
                 return self.ask_to_open(&member.name, tunnel, remote, first, deadline).await;
             }
             self.ask_to_lend(&member.name, tunnel, remote).await.map(RemoteOpening::Lent)
@@ -233,7 +233,7 @@
                 located.lease.in_transaction = true;
                 RemoteOpening::Open(located, result)
             }
-            OpenedAtHolder::Not(tunnel, reason, newest) => {
+            OpenedAtHolder::NotOpened(tunnel, reason, newest) => {
                 self.record_reported_position(tunnel.holder(), asked_at, newest);
                 self.tunnels.keep_free(*tunnel);
                 RemoteOpening::NotBegun(reason)
@@ -253,7 +253,7 @@
         if remaining.is_empty() || time_left().is_zero() {
             return None;
         }
-        let Ok(tunnel) = self.tunnels.reach(remaining).await else {
+        let Ok(tunnel) = self.tunnels.connect_first(remaining).await else {
             self.metrics.record_remote(RemoteOutcome::NotReached);
             remaining.clear();
             return None;
@@ -283,7 +283,7 @@
     fn lease_remote(
         self: &Rc<Self>,
         member: MemberName,
-        granted: Granted,
+        granted: GrantedConnection,
         principal: Principal,
     ) -> LocatedConnection<W> {
         self.with_member(&member, |member| member.remote_in_use += 1);
--- a/crates/gateway/src/group/wait.rs
+++ b/crates/gateway/src/group/wait.rs
@@ -80,7 +80,7 @@
             priority: request.kind.priority,
             tenant: request.principal.and_then(Principal::tenant).cloned(),
             cost: state.service_times.estimate(request.kind),
-            deadline: self.clock.at(request.wait_deadline),
+            deadline: self.clock.timestamp_of(request.wait_deadline),
         };
         let capacity = state.capacity(&slot_request.target);
         (slot_request, capacity)
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -47,9 +47,9 @@
     pub views: watch::Receiver<Arc<View>>,
     /// Time of the last request to control that confirmed the configuration as current; none before the
     /// first.
-    pub proved: watch::Receiver<Option<std::time::Instant>>,
+    pub confirmed_current: watch::Receiver<Option<std::time::Instant>>,
     /// Reports to control whether this gateway reaches members.
-    pub reach: mpsc::UnboundedSender<MemberReach>,
+    pub reach_reports: mpsc::UnboundedSender<MemberReach>,
     /// Reports and grants for the limits of tenants.
     pub limits: LimitsLink,
 }
@@ -78,7 +78,7 @@
     ) -> Result<GatewayHandle<W>, GatewayError> {
         let callers = to_async_listener(listeners.callers)?;
         let peers = to_async_listener(listeners.peers)?;
-        let GatewayLinks { views, proved, reach, limits: limits_link } = links;
+        let GatewayLinks { views, confirmed_current, reach_reports, limits: limits_link } = links;
         let settings = Rc::new(settings);
         let clock = SteadyClock::start();
         let metrics = Metrics::register(registry);
@@ -87,8 +87,8 @@
         let routes = Routes::new(
             wire.clone(),
             Rc::clone(&settings),
-            reach,
-            proved,
+            reach_reports,
+            confirmed_current,
             tunnels,
             clock,
             metrics.clone(),
--- a/crates/gateway/src/holder/statement.rs
+++ b/crates/gateway/src/holder/statement.rs
@@ -50,7 +50,7 @@
         acquire(shared, remote, !statement.kind.is_read()).await?;
     let group = Rc::clone(lease.group());
     let first = LoneStatement::of_request(statement, remote.priority);
-    let opened = first.open_on(&mut lease, position, deadline).await;
+    let opened = first.begin_and_run_on(&mut lease, position, deadline).await;
     let newest = group.newest_position();
     match opened {
         Ok(result) => {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -59,10 +59,10 @@
 mod tunnel;
 mod wire;
 
-pub use ask::{ask_status, release};
+pub use ask::{request_status, resume_replication};
 pub use error::{GatewayError, WireError};
 pub use group::MemberReach;
 pub use handle::{Gateway, GatewayHandle, GatewayLinks, GatewayListeners};
-pub use limits::{LimitNews, LimitsLink};
+pub use limits::{LimitUpdate, LimitsLink};
 pub use settings::GatewaySettings;
 pub use wire::Wire;
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -12,7 +12,7 @@
 
 pub(crate) use permit::OperationPermit;
 pub(crate) use report::run_allowance_reports;
-pub use report::{LimitNews, LimitsLink};
+pub use report::{LimitUpdate, LimitsLink};
 
 use crate::clock::SteadyClock;
 use crate::settings::GatewaySettings;
@@ -180,7 +180,8 @@
         tenant: &TenantName,
         RequestedOperations { operations, priority, until }: RequestedOperations,
     ) -> Result<Option<AdmittedOperations>, OverLimit> {
-        let request = OperationRequest { operations, priority, until: self.clock.at(until) };
+        let request =
+            OperationRequest { operations, priority, until: self.clock.timestamp_of(until) };
         let outcome = self.accounts.borrow_mut().request(self.clock.now(), tenant, request);
         let number = match outcome {
             OperationOutcome::Unlimited => return Ok(None),
--- a/crates/gateway/src/limits/question.rs
+++ b/crates/gateway/src/limits/question.rs
@@ -172,7 +172,7 @@
         let RequestedOperations { operations, priority, until } = requested;
         let mut remaining = self.homes(tenant);
         while !remaining.is_empty() {
-            let Ok(tunnel) = self.tunnels.reach(&remaining).await else { break };
+            let Ok(tunnel) = self.tunnels.connect_first(&remaining).await else { break };
             let home = tunnel.holder();
             remaining.retain(|other| other.address != home.address);
             let wait = until.saturating_duration_since(Instant::now());
--- a/crates/gateway/src/limits/report.rs
+++ b/crates/gateway/src/limits/report.rs
@@ -21,7 +21,7 @@
 
 /// Update on limits from control.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LimitNews {
+pub enum LimitUpdate {
     /// A leader of this term was elected, or reported by another replica.
     Led(Term),
     /// The leader grants allowances.
@@ -34,16 +34,16 @@
     /// Reports to the leader.
     pub reports: mpsc::UnboundedSender<AllowanceReport>,
     /// Updates from control.
-    pub news: mpsc::UnboundedReceiver<LimitNews>,
+    pub updates: mpsc::UnboundedReceiver<LimitUpdate>,
 }
 
 impl Limits {
-    fn apply_update(&self, update: LimitNews) {
+    fn apply_update(&self, update: LimitUpdate) {
         let now = self.clock.now();
         let mut accounts = self.accounts.borrow_mut();
         match update {
-            LimitNews::Led(term) => accounts.follow_leader(now, term),
-            LimitNews::Granted(grant) => accounts.apply_grant(now, &grant),
+            LimitUpdate::Led(term) => accounts.follow_leader(now, term),
+            LimitUpdate::Granted(grant) => accounts.apply_grant(now, &grant),
         }
         drop(accounts);
         self.settle_waiting();
@@ -72,7 +72,7 @@
     loop {
         let settle_due = limits.settle_due();
         tokio::select! {
-            update = link.news.recv() => match update {
+            update = link.updates.recv() => match update {
                 Some(update) => limits.apply_update(update),
                 None => return,
             },
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -65,7 +65,7 @@
 
 /// Numbers of connections, waiting statements and impaired members of a gateway, summed over all members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Holdings {
+pub(crate) struct ConnectionTotals {
     /// Connections in use or being opened.
     pub(crate) in_use: usize,
     /// Idle connections.
@@ -210,7 +210,7 @@
     }
 
     /// Sets the gauges of connections, waiting statements, impaired members and sessions.
-    pub(crate) fn record_holdings(&self, holdings: &Holdings, sessions: usize) {
+    pub(crate) fn record_holdings(&self, holdings: &ConnectionTotals, sessions: usize) {
         let state = |state| self.connections.get_or_create(&ConnectionState { state }).clone();
         set_gauge(&state("in_use"), holdings.in_use as u64);
         set_gauge(&state("idle"), holdings.idle as u64);
--- a/crates/gateway/src/routes/mod.rs
+++ b/crates/gateway/src/routes/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::SteadyClock;
 use crate::group::{Group, MemberReach};
-use crate::metrics::{Holdings, Metrics};
+use crate::metrics::{ConnectionTotals, Metrics};
 use crate::retry_after::{self, not_run};
 use crate::settings::GatewaySettings;
 use crate::tunnel::Tunnels;
@@ -146,7 +146,7 @@
 
     /// Reports whether control has confirmed the configuration recently enough.
     fn is_recently_confirmed(&self) -> bool {
-        let Some(limit) = self.settings.unproved_limit else { return true };
+        let Some(limit) = self.settings.max_confirmation_age else { return true };
         self.confirmed_at.borrow().is_some_and(|confirmed_at| confirmed_at.elapsed() < limit)
     }
 
@@ -211,8 +211,8 @@
     }
 
     /// Returns the connections and waiting statements of all groups.
-    pub(crate) fn holdings(&self) -> Holdings {
-        let mut holdings = Holdings::default();
+    pub(crate) fn holdings(&self) -> ConnectionTotals {
+        let mut holdings = ConnectionTotals::default();
         for group in self.groups.borrow().values() {
             group.add_holdings(&mut holdings);
         }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -126,7 +126,7 @@
         {
             lease.group().record_primary_position(&lease.member, asked_at, answer.ready.position);
         }
-        if lease.in_transaction && lease.connection().is_settled() {
+        if lease.in_transaction && lease.connection().has_no_pending_answer() {
             roll_back_in_background(lease, ROLLBACK_TIMEOUT);
         }
         result
@@ -134,7 +134,7 @@
 
     /// Begins a transaction and runs the statement in it. The outer error is the reason why the begin failed,
     /// in which case the statement was not sent.
-    pub(crate) async fn open_on<W: Wire>(
+    pub(crate) async fn begin_and_run_on<W: Wire>(
         &self,
         lease: &mut Lease<W>,
         position: Option<ReadPosition>,
--- a/crates/gateway/src/session/open_transaction.rs
+++ b/crates/gateway/src/session/open_transaction.rs
@@ -27,7 +27,7 @@
         if self.has_changed_profile {
             self.lease.connection().profile.mark_unknown();
         }
-        if self.lease.connection().is_settled() {
+        if self.lease.connection().has_no_pending_answer() {
             roll_back_in_background(self.lease, ROLLBACK_TIMEOUT);
         }
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -16,7 +16,7 @@
     pub limits: LimitBounds,
     /// Longest time since control last confirmed the configuration as current in which operations may begin;
     /// with none, operations begin by the last configuration, however old.
-    pub unproved_limit: Option<Duration>,
+    pub max_confirmation_age: Option<Duration>,
     /// Address at which other gateways reach this one.
     pub peers: SocketAddr,
     /// Zone of the gateway, in which it prefers members.
@@ -31,7 +31,7 @@
     pub drain_limit: Duration,
     /// Time at the start of a planned stop in which sessions continue, while new callers are directed to
     /// other gateways.
-    pub notice: Duration,
+    pub drain_notice: Duration,
     /// Grace period of open transactions after the notice: they are rolled back at its end, and sessions that
     /// are still open after the same time again are left.
     pub transaction_grace: Duration,
--- a/crates/gateway/src/tunnel/client.rs
+++ b/crates/gateway/src/tunnel/client.rs
@@ -57,7 +57,7 @@
 
 /// A connection lent by a holder.
 #[derive(Debug)]
-pub(crate) struct Granted {
+pub(crate) struct GrantedConnection {
     pub(crate) tunnel: Box<TunnelClient>,
     /// Session values and prepared statements that the member holds for the connection.
     pub(crate) profile: ConnectionProfile,
@@ -71,9 +71,9 @@
 #[derive(Debug)]
 pub(crate) enum OpenedAtHolder {
     /// The transaction is open, and its first statement was run.
-    Open(Granted, Result<Answer, Unanswered>),
+    Open(GrantedConnection, Result<Answer, Unanswered>),
     /// The begin failed, and the first statement was not sent. The tunnel is free again.
-    Not(Box<TunnelClient>, Unanswered, Option<(Duration, Position)>),
+    NotOpened(Box<TunnelClient>, Unanswered, Option<(Duration, Position)>),
 }
 
 /// Outcome of a statement at a holder.
@@ -140,14 +140,17 @@
     }
 
     /// Requests a connection. The tunnel is closed if none is granted.
-    pub(super) async fn acquire(mut self, remote: &RemoteRequest) -> Result<Granted, TunnelError> {
+    pub(super) async fn acquire(
+        mut self,
+        remote: &RemoteRequest,
+    ) -> Result<GrantedConnection, TunnelError> {
         let RemoteRequest { group, member, principal, priority, wait, bound } = remote.clone();
         let request = TunnelRequest::Acquire { group, member, principal, priority, wait, bound };
         self.send(request).await?;
         let deadline = Instant::now() + wait + self.silence_timeout;
         match self.read_reply(deadline, true).await? {
             TunnelReply::Granted { profile, position, newest } => {
-                Ok(Granted { tunnel: Box::new(self), profile, position, newest })
+                Ok(GrantedConnection { tunnel: Box::new(self), profile, position, newest })
             }
             other => Err(unexpected_reply(other)),
         }
@@ -169,11 +172,14 @@
         let deadline = Instant::now() + wait + limit + self.silence_timeout;
         match self.read_reply(deadline, true).await? {
             TunnelReply::Opened { profile, position, newest, outcome } => {
-                let granted = Granted { tunnel: Box::new(self), profile, position, newest };
+                let granted =
+                    GrantedConnection { tunnel: Box::new(self), profile, position, newest };
                 Ok(OpenedAtHolder::Open(granted, result_of(outcome)))
             }
             TunnelReply::NotOpened { outcome, newest } => match result_of(outcome) {
-                Err(unanswered) => Ok(OpenedAtHolder::Not(Box::new(self), unanswered, newest)),
+                Err(unanswered) => {
+                    Ok(OpenedAtHolder::NotOpened(Box::new(self), unanswered, newest))
+                }
                 Ok(_) => Err(TunnelError::Sent(LinkError::Closed)),
             },
             other => Err(unexpected_reply(other)),
--- a/crates/gateway/src/tunnel/mod.rs
+++ b/crates/gateway/src/tunnel/mod.rs
@@ -11,7 +11,7 @@
 mod pool;
 
 pub(crate) use client::{
-    Granted, OpenedAtHolder, OperationsRequest, RanAtHolder, RemoteRequest, TunnelClient,
+    GrantedConnection, OpenedAtHolder, OperationsRequest, RanAtHolder, RemoteRequest, TunnelClient,
     TunnelError,
 };
 pub(crate) use link::{FIRST_HEARTBEAT, HEARTBEAT_INTERVAL, link_error};
--- a/crates/gateway/src/tunnel/pool.rs
+++ b/crates/gateway/src/tunnel/pool.rs
@@ -5,7 +5,7 @@
 //! [`client`](super::client) implements a single exchange.
 
 use super::client::{
-    Granted, OpenedAtHolder, OperationsRequest, RanAtHolder, RemoteRequest, TunnelClient,
+    GrantedConnection, OpenedAtHolder, OperationsRequest, RanAtHolder, RemoteRequest, TunnelClient,
     TunnelError,
 };
 use crate::clock::SteadyClock;
@@ -82,7 +82,7 @@
     /// Returns a tunnel to the first of the holders that can be reached. The attempts are staggered: each
     /// starts a little after the one before, whether that has failed or is still in flight. No request is
     /// sent before a tunnel is open, so attempts at the other holders have no effect there.
-    pub(crate) async fn reach(
+    pub(crate) async fn connect_first(
         self: &Rc<Self>,
         holders: &[Holder],
     ) -> Result<TunnelClient, TunnelError> {
@@ -147,7 +147,7 @@
         &self,
         tunnel: TunnelClient,
         request: &RemoteRequest,
-    ) -> Result<Granted, TunnelError> {
+    ) -> Result<GrantedConnection, TunnelError> {
         let holder = tunnel.holder();
         let granted = tunnel.acquire(request).await;
         self.record_result(holder, &granted);
@@ -169,7 +169,7 @@
     }
 
     /// Reports whether a holder has answered recently.
-    pub(crate) fn answers(&self, holder: Holder) -> bool {
+    pub(crate) fn has_answered_recently(&self, holder: Holder) -> bool {
         self.peers.borrow().answers(holder.address, self.clock.now())
     }
 
@@ -225,7 +225,7 @@
     ) {
         let tunnels = Rc::clone(self);
         actix_rt::spawn(async move {
-            let Ok(mut tunnel) = tunnels.reach(&[holder]).await else { return };
+            let Ok(mut tunnel) = tunnels.connect_first(&[holder]).await else { return };
             let returned = tunnel.return_operations(&tenant, begun).await;
             tunnels.finish_request(tunnel, &returned);
         });
--- a/crates/gateway/tests/metric_names.rs
+++ b/crates/gateway/tests/metric_names.rs
@@ -13,7 +13,7 @@
 use corktack_core::statement::ErrorCode;
 use error::RefusalReason;
 use expect_test::expect;
-use metrics::{Holdings, Metrics, RemoteOutcome};
+use metrics::{ConnectionTotals, Metrics, RemoteOutcome};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::registry::Registry;
 use std::time::Duration;
@@ -78,7 +78,7 @@
     OUTCOMES.iter().for_each(|outcome| metrics.record_remote(*outcome));
     [true, false].iter().for_each(|used| metrics.record_reported_position(*used));
     let waiting = [(0, 1)].into();
-    metrics.record_holdings(&Holdings { waiting, ..Holdings::default() }, 0);
+    metrics.record_holdings(&ConnectionTotals { waiting, ..ConnectionTotals::default() }, 0);
     expect![[r##"
         # EOF
         # HELP corktack_gateway_allowed_operations Operations of limited tenants that may begin here in a window.
--- a/crates/gateway/tests/sessions/addresses.rs
+++ b/crates/gateway/tests/sessions/addresses.rs
@@ -47,7 +47,7 @@
 ) {
     let mut primary = Member::start("m1", true, "1.5").await;
     let world = World::start(&[&primary], 1, max_connections);
-    primary.asked().await;
+    primary.position_requested().await;
     let mut callers = begin_each(&world, before).await;
     end_each(&mut callers).await;
     let accepted = primary.state.borrow().accepted;
@@ -64,13 +64,13 @@
 async fn a_member_that_was_removed_and_added_again_is_used_at_a_new_address() {
     let mut primary = Member::start("m1", true, "1.5").await;
     let world = World::start(&[&primary], 1, 4);
-    primary.asked().await;
+    primary.position_requested().await;
     let mut callers = begin_each(&world, &["a", "b"]).await;
     world.remove(&primary);
     // When the gateway answers, it has applied the removal.
     Caller::start(world.gateways[0], LINEARIZABLE, "c").await;
     world.add(&primary);
-    primary.asked().await;
+    primary.position_requested().await;
     end_each(&mut callers).await;
     primary.change_address();
     world.change_address(&primary);
--- a/crates/gateway/tests/sessions/doubt.rs
+++ b/crates/gateway/tests/sessions/doubt.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::Caller;
 use crate::member::Member;
-use crate::world::{BOUNDED, HASTY, LINEARIZABLE, World};
+use crate::world::{BOUNDED, LINEARIZABLE, SHORT_WAIT, World};
 
 #[actix_rt::test]
 async fn a_write_without_an_answer_is_in_doubt_and_never_resent() {
@@ -40,10 +40,10 @@
 async fn a_read_that_ran_without_an_answer_is_not_reported_as_not_run() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_one_gateway(&[&primary]);
-    let mut caller = Caller::start(world.gateways[0], HASTY, "a").await;
+    let mut caller = Caller::start(world.gateways[0], SHORT_WAIT, "a").await;
     assert!(caller.query("read x").await.is_success());
     primary.state.borrow_mut().answers_to_lose = 1;
-    primary.state.borrow_mut().goes_with_an_answer = true;
+    primary.state.borrow_mut().stops_after_lost_answer = true;
     let answered = caller.query("read y").await;
     assert_eq!(primary.texts(), ["read x", "read y"]);
     assert_eq!(answered.code(), "timeout");
--- a/crates/gateway/tests/sessions/draining.rs
+++ b/crates/gateway/tests/sessions/draining.rs
@@ -55,7 +55,7 @@
     assert!(caller.query("read x").await.is_success());
     world.drain(&primary);
     assert_eq!(caller.query("write x").await.lines, ["complete|by-m1"]);
-    replica.state.borrow_mut().at = primary.state.borrow().at;
+    replica.state.borrow_mut().position = primary.state.borrow().position;
     for _ in 0..5 {
         assert_eq!(caller.query("read y").await.lines, ["row|of m2", "complete|by-m2"]);
     }
--- a/crates/gateway/tests/sessions/holders.rs
+++ b/crates/gateway/tests/sessions/holders.rs
@@ -3,7 +3,7 @@
 
 use crate::caller::Caller;
 use crate::member::Member;
-use crate::world::{BOUNDED, HASTY, LINEARIZABLE, ONE_SHARE, OWN_WRITES, World};
+use crate::world::{BOUNDED, LINEARIZABLE, ONE_SHARE, OWN_WRITES, SHORT_WAIT, World};
 use futures_util::future::join_all;
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 async fn primary_held_by_another(others: &[SocketAddr]) -> (Member, World) {
     for number in 1..50 {
         let primary = Member::start(&format!("m{number}"), true, "1.5").await;
-        let world = World::among(&[&primary], others, ONE_SHARE);
+        let world = World::with_listed_gateways(&[&primary], others, ONE_SHARE);
         if world.holder_of(&primary) != 0 {
             return (primary, world);
         }
@@ -104,7 +104,7 @@
     let gateway = world.gateways[non_holder.expect("one of three gateways holds the connections")];
     let mut caller = Caller::start(gateway, LINEARIZABLE, "a").await;
     assert!(caller.query("read y").await.is_success());
-    primary.state.borrow_mut().work = LONG_STATEMENT;
+    primary.state.borrow_mut().statement_time = LONG_STATEMENT;
     for text in texts {
         assert!(caller.query(text).await.is_success(), "{text}");
     }
@@ -118,20 +118,20 @@
     let mut caller = Caller::start(world.gateways[1], LINEARIZABLE, "a").await;
     let telling = async {
         tokio::time::sleep(Duration::from_millis(150)).await;
-        world.tell_first();
+        world.send_view_to_first();
     };
     let (answered, ()) = tokio::join!(caller.query("write x"), telling);
     assert!(answered.is_success());
     assert_eq!(primary.texts(), ["write x"]);
     let served = "corktack_gateway_elsewhere_total{outcome=\"served\"} 1";
-    assert!(world.figures(1).contains(served), "{}", world.figures(1));
+    assert!(world.metrics_text(1).contains(served), "{}", world.metrics_text(1));
 }
 
 /// Starts a primary whose connections the first gateway holds, which has no document yet.
 async fn primary_held_by_the_first() -> (Member, World) {
     for number in 1..50 {
         let primary = Member::start(&format!("m{number}"), true, "1.5").await;
-        let world = World::with_first_untold(&[&primary], 3, ONE_SHARE);
+        let world = World::with_first_unconfigured(&[&primary], 3, ONE_SHARE);
         if world.holder_of(&primary) == 0 {
             return (primary, world);
         }
@@ -149,7 +149,7 @@
     for name in ["a", "b", "c", "d", "e", "f", "g", "h"] {
         callers.push(Caller::start(world.gateways[0], LINEARIZABLE, name).await);
     }
-    primary.state.borrow_mut().work = Duration::from_millis(30);
+    primary.state.borrow_mut().statement_time = Duration::from_millis(30);
     let answers = join_all(callers.iter_mut().map(|caller| caller.query("write x"))).await;
     assert!(answers.iter().all(|answered| answered.is_success()), "{answers:?}");
     assert_eq!(primary.state.borrow().most_running, 4);
@@ -203,7 +203,7 @@
     primary.state.borrow_mut().connection_limit = 0;
     let world = World::start(&[&primary], 3, ONE_SHARE);
     let holder = world.holder_of(&primary);
-    let mut caller = Caller::start(world.gateways[(holder + 1) % 3], HASTY, "a").await;
+    let mut caller = Caller::start(world.gateways[(holder + 1) % 3], SHORT_WAIT, "a").await;
     for _ in 0..3 {
         assert_eq!(caller.query("write x").await.code(), "busy");
     }
--- a/crates/gateway/tests/sessions/kept_out.rs
+++ b/crates/gateway/tests/sessions/kept_out.rs
@@ -20,7 +20,7 @@
 async fn all_gateways_write_through_the_one_that_has_a_connection() {
     let primary = nearly_full_primary().await;
     let world = World::start(&[&primary], GATEWAYS, CONNECTIONS);
-    primary.asked().await;
+    primary.position_requested().await;
     for gateway in &world.gateways {
         let mut caller = Caller::start(*gateway, LINEARIZABLE, "a").await;
         assert!(caller.query("write x").await.is_success());
@@ -33,7 +33,7 @@
 async fn all_gateways_begin_transactions_through_the_one_that_has_a_connection() {
     let primary = nearly_full_primary().await;
     let world = World::start(&[&primary], GATEWAYS, CONNECTIONS);
-    primary.asked().await;
+    primary.position_requested().await;
     for gateway in &world.gateways {
         let mut caller = Caller::start(*gateway, LINEARIZABLE, "a").await;
         for text in ["begin", "write x", "commit"] {
--- a/crates/gateway/tests/sessions/limits.rs
+++ b/crates/gateway/tests/sessions/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::Caller;
 use crate::member::Member;
-use crate::world::{BOUNDED, HASTY, LINEARIZABLE, World};
+use crate::world::{BOUNDED, LINEARIZABLE, SHORT_WAIT, World};
 
 const TENANTS: &[(&str, &[&str])] = &[("alfa", &["key-a"]), ("beta", &["key-b"])];
 
@@ -24,7 +24,7 @@
 async fn an_operation_over_the_limit_does_not_run_and_is_refused_with_a_retry_time() {
     let primary = primary().await;
     let mut world = World::with_limits(&[&primary], TENANTS);
-    let mut caller = Caller::start(world.gateways[0], HASTY, "key-a").await;
+    let mut caller = Caller::start(world.gateways[0], SHORT_WAIT, "key-a").await;
     world.controls[0].allow("alfa", 2).await;
     for _ in 0..2 {
         caller.until_served("write x").await;
@@ -39,11 +39,11 @@
 async fn a_tenant_at_its_limit_does_not_affect_another() {
     let primary = primary().await;
     let mut world = World::with_limits(&[&primary], TENANTS);
-    let mut first = Caller::start(world.gateways[0], HASTY, "key-a").await;
+    let mut first = Caller::start(world.gateways[0], SHORT_WAIT, "key-a").await;
     world.controls[0].allow("alfa", 1).await;
     first.until_served("write x").await;
     assert_eq!(first.query("write y").await.code(), "overlimit");
-    let mut second = Caller::start(world.gateways[0], HASTY, "key-b").await;
+    let mut second = Caller::start(world.gateways[0], SHORT_WAIT, "key-b").await;
     world.controls[0].allow("beta", 1).await;
     second.until_served("write z").await;
 }
@@ -52,7 +52,7 @@
 async fn a_transaction_counts_once() {
     let primary = primary().await;
     let mut world = World::with_limits(&[&primary], TENANTS);
-    let mut caller = Caller::start(world.gateways[0], HASTY, "key-a").await;
+    let mut caller = Caller::start(world.gateways[0], SHORT_WAIT, "key-a").await;
     world.controls[0].allow("alfa", 1).await;
     caller.until_served("begin").await;
     for statement in ["write x", "read x", "write y", "commit"] {
@@ -71,12 +71,12 @@
 async fn an_operation_that_did_not_run_is_not_counted() {
     let primary = primary().await;
     let mut world = World::with_limits(&[&primary], TENANTS);
-    let mut caller = Caller::start(world.gateways[0], HASTY, "key-a").await;
+    let mut caller = Caller::start(world.gateways[0], SHORT_WAIT, "key-a").await;
     world.controls[0].allow("alfa", 1).await;
-    primary.asked().await;
-    primary.state.borrow_mut().gone = true;
+    primary.position_requested().await;
+    primary.state.borrow_mut().is_gone = true;
     assert_eq!(caller.query("write x").await.code(), "busy");
-    primary.state.borrow_mut().gone = false;
+    primary.state.borrow_mut().is_gone = false;
     caller.until_served("write x").await;
     assert_eq!(caller.query("write y").await.code(), "overlimit");
 }
@@ -105,9 +105,9 @@
     let primary = primary().await;
     let mut world = World::with_limits_at(&[&primary], 3, TENANTS);
     let (home, other) = world.home_and_other("alfa");
-    let mut home_caller = Caller::start(world.gateways[home], HASTY, "key-a").await;
+    let mut home_caller = Caller::start(world.gateways[home], SHORT_WAIT, "key-a").await;
     world.controls[home].allow("alfa", 3).await;
-    let mut other_caller = Caller::start(world.gateways[other], HASTY, "key-a").await;
+    let mut other_caller = Caller::start(world.gateways[other], SHORT_WAIT, "key-a").await;
     other_caller.until_served("write x").await;
     home_caller.until_served("write y").await;
     other_caller.until_served("write z").await;
@@ -123,13 +123,13 @@
     let primary = primary().await;
     let mut world = World::with_limits_at(&[&primary], 2, TENANTS);
     let (home, other) = world.home_and_other("alfa");
-    let _home_caller = Caller::start(world.gateways[home], HASTY, "key-a").await;
+    let _home_caller = Caller::start(world.gateways[home], SHORT_WAIT, "key-a").await;
     world.controls[home].allow("alfa", 1).await;
-    primary.asked().await;
-    let mut other_caller = Caller::start(world.gateways[other], HASTY, "key-a").await;
-    primary.state.borrow_mut().gone = true;
+    primary.position_requested().await;
+    let mut other_caller = Caller::start(world.gateways[other], SHORT_WAIT, "key-a").await;
+    primary.state.borrow_mut().is_gone = true;
     assert_eq!(other_caller.query("write x").await.code(), "busy");
-    primary.state.borrow_mut().gone = false;
+    primary.state.borrow_mut().is_gone = false;
     // The home learns a moment later that the operation did not run.
     let mut served = other_caller.query("write x").await;
     while matches!(served.code(), "busy" | "overlimit") {
@@ -148,7 +148,7 @@
     let tenants: Vec<(&str, &[&str])> =
         names.iter().zip(&keys).map(|(name, keys)| (name.as_str(), keys.as_slice())).collect();
     let mut world = World::with_limits_at(&[&primary], 2, &tenants);
-    world.lose_peer(1);
+    world.make_peer_unreachable(1);
     let lost = names.iter().find(|name| world.home_and_other(name).0 == 1);
     let tenant = lost.expect("about half of the tenants have their home at the lost gateway");
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, tenant).await;
--- a/crates/gateway/tests/sessions/member.rs
+++ b/crates/gateway/tests/sessions/member.rs
@@ -25,12 +25,12 @@
 pub struct MemberState {
     pub primary: bool,
     /// Last position of the member's log.
-    pub at: Position,
+    pub position: Position,
     /// Number of callers' statements, from now on, after which the connection is closed in place of the
     /// answer.
     pub answers_to_lose: usize,
     /// Whether the member is gone after the first lost answer.
-    pub goes_with_an_answer: bool,
+    pub stops_after_lost_answer: bool,
     /// Number of callers' reads, from now on, that run and fail.
     pub reads_to_fail: usize,
     /// Number of callers' writes, from now on, that run and fail.
@@ -42,9 +42,9 @@
     pub omits_commit_positions: bool,
     /// Whether connections are closed, new ones before they are ready, as if a relay stood in front of a
     /// member that is gone.
-    pub gone: bool,
+    pub is_gone: bool,
     /// Time that a caller's statement takes, and the start of a connection.
-    pub work: Duration,
+    pub statement_time: Duration,
     /// Number of callers' statements in flight.
     pub running: usize,
     /// Most callers' statements that were in flight at once.
@@ -63,7 +63,7 @@
     /// Number of connections accepted at any address.
     pub accepted: usize,
     /// Statements that ran, in order.
-    pub ran: Vec<Ran>,
+    pub statements: Vec<Ran>,
 }
 
 /// A running stand-in member.
@@ -75,20 +75,20 @@
 }
 
 impl Member {
-    /// Starts a member whose log ends at the position `at`.
+    /// Starts a member whose log ends at the position `position`.
     pub async fn start(name: &str, primary: bool, at: &str) -> Self {
         let (listener, address) = bind();
         let state = MemberState {
             primary,
-            at: position(at).expect("a position"),
+            position: position(at).expect("a position"),
             answers_to_lose: 0,
-            goes_with_an_answer: false,
+            stops_after_lost_answer: false,
             reads_to_fail: 0,
             writes_to_fail: 0,
             begins_to_lose: 0,
             omits_commit_positions: false,
-            gone: false,
-            work: Duration::ZERO,
+            is_gone: false,
+            statement_time: Duration::ZERO,
             running: 0,
             most_running: 0,
             connection_limit: 10,
@@ -97,7 +97,7 @@
             refused_for: Vec::new(),
             address,
             accepted: 0,
-            ran: Vec::new(),
+            statements: Vec::new(),
         };
         let member = Self { name: name.to_owned(), address, state: Rc::new(RefCell::new(state)) };
         member.listen(listener);
@@ -124,35 +124,37 @@
 
     /// Waits until a gateway has requested the member's position, which it does before the first statement,
     /// and clears the record of that request.
-    pub async fn asked(&self) {
+    pub async fn position_requested(&self) {
         let has_answered =
-            |state: &MemberState| state.ran.last().is_some_and(|ran| ran.text == "rollback");
+            |state: &MemberState| state.statements.last().is_some_and(|ran| ran.text == "rollback");
         while !has_answered(&self.state.borrow()) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        self.state.borrow_mut().ran.clear();
+        self.state.borrow_mut().statements.clear();
     }
 
     /// Returns the texts of the callers' statements that ran.
     pub fn texts(&self) -> Vec<String> {
         let state = self.state.borrow();
-        let callers = state.ran.iter().filter(|ran| !ran.id.is_empty());
+        let callers = state.statements.iter().filter(|ran| !ran.id.is_empty());
         callers.map(|ran| ran.text.clone()).collect()
     }
 
     /// Returns the texts of all statements on the connection of a caller's statement, up to and including it.
     pub fn on_connection_of(&self, id: &str) -> Vec<String> {
         let state = self.state.borrow();
-        let Some(index) = state.ran.iter().position(|ran| ran.id == id) else { return Vec::new() };
-        let connection = state.ran[index].connection;
-        let up_to_it = state.ran[..=index].iter().filter(|ran| ran.connection == connection);
+        let Some(index) = state.statements.iter().position(|ran| ran.id == id) else {
+            return Vec::new();
+        };
+        let connection = state.statements[index].connection;
+        let up_to_it = state.statements[..=index].iter().filter(|ran| ran.connection == connection);
         up_to_it.map(|ran| ran.text.clone()).collect()
     }
 
     /// Returns the principal or gateway for which the connection of a caller's statement was opened.
-    pub fn ran_for(&self, id: &str) -> String {
+    pub fn principal_of(&self, id: &str) -> String {
         let state = self.state.borrow();
-        let ran = state.ran.iter().find(|ran| ran.id == id).expect("the statement ran here");
+        let ran = state.statements.iter().find(|ran| ran.id == id).expect("the statement ran here");
         state.opened_for[ran.connection].clone()
     }
 
@@ -164,7 +166,7 @@
             while let Some(line) = take_line(&mut buffer) {
                 let answer = self.answer(&line, connection, &mut in_transaction);
                 if line.starts_with("start") {
-                    let work = self.state.borrow().work;
+                    let work = self.state.borrow().statement_time;
                     tokio::time::sleep(work).await;
                 } else if !line.starts_with("query||") {
                     self.work().await;
@@ -189,7 +191,7 @@
             let mut state = self.state.borrow_mut();
             state.running += 1;
             state.most_running = state.most_running.max(state.running);
-            state.work
+            state.statement_time
         };
         tokio::time::sleep(work).await;
         self.state.borrow_mut().running -= 1;
@@ -200,14 +202,17 @@
         let mut state = self.state.borrow_mut();
         let fields: Vec<&str> = line.split('|').collect();
         let (id, after, text) = match fields.as_slice() {
-            _ if state.gone || state.address != self.address => return None,
+            _ if state.is_gone || state.address != self.address => return None,
             ["start", _, who, ..] if state.open > state.connection_limit => {
                 state.refused_for.push((*who).to_owned());
                 return Some("error|toomany|no more\n".to_owned());
             }
             ["start", _, who, name] if *name == self.name => {
                 state.opened_for.push((*who).to_owned());
-                return Some(format!("ready|idle|{}.{}\n", state.at.term, state.at.index));
+                return Some(format!(
+                    "ready|idle|{}.{}\n",
+                    state.position.term, state.position.index
+                ));
             }
             ["query", id, after, text] => (*id, position(after), *text),
             _ => return None,
@@ -217,10 +222,10 @@
             let now = if *in_transaction { "failed" } else { "idle" };
             return Some(format!("error|{code}|{}\nready|{now}|\n", self.name));
         }
-        state.ran.push(ran);
+        state.statements.push(ran);
         if !id.is_empty() && state.answers_to_lose > 0 {
             state.answers_to_lose -= 1;
-            state.gone |= state.goes_with_an_answer;
+            state.is_gone |= state.stops_after_lost_answer;
             return None;
         }
         if id.is_empty() && text == "begin" && state.begins_to_lose > 0 {
@@ -232,7 +237,7 @@
             return Some(format!("error|failed|{}\nready|{now}|\n", self.name));
         }
         if text.starts_with("write") {
-            state.at.index += 1;
+            state.position.index += 1;
         }
         match text {
             "begin" | "begin read" => *in_transaction = true,
@@ -249,7 +254,7 @@
         let position = if state.omits_commit_positions && commits {
             String::new()
         } else {
-            format!("{}.{}", state.at.term, state.at.index)
+            format!("{}.{}", state.position.term, state.position.index)
         };
         Some(format!("{row}complete|by-{}\nready|{now}|{position}\n", self.name))
     }
@@ -289,8 +294,9 @@
         if writes && !self.primary {
             return Some("readonly");
         }
-        let is_behind =
-            after.is_some_and(|after| (after.term, after.index) > (self.at.term, self.at.index));
+        let is_behind = after.is_some_and(|after| {
+            (after.term, after.index) > (self.position.term, self.position.index)
+        });
         is_behind.then_some("lagging")
     }
 }
--- a/crates/gateway/tests/sessions/openings.rs
+++ b/crates/gateway/tests/sessions/openings.rs
@@ -80,7 +80,7 @@
     }
     for number in 1..50 {
         let primary = Member::start(&format!("m{number}"), true, "1.5").await;
-        let world = World::among(&[&primary], &others, ONE_SHARE);
+        let world = World::with_listed_gateways(&[&primary], &others, ONE_SHARE);
         if world.holder_of(&primary) == 0 {
             continue;
         }
@@ -122,7 +122,7 @@
     for (gateway, name) in world.gateways.iter().zip(["a", "b", "c"]) {
         let mut caller = Caller::start(*gateway, LINEARIZABLE, name).await;
         assert!(caller.query("write w").await.is_success());
-        primary.state.borrow_mut().ran.clear();
+        primary.state.borrow_mut().statements.clear();
         for text in ["begin", "write x", "write y", "commit"] {
             assert!(caller.query(text).await.is_success(), "{text}");
         }
@@ -138,7 +138,7 @@
     for (gateway, name) in world.gateways.iter().zip(["a", "b", "c"]) {
         let mut caller = Caller::start(*gateway, LINEARIZABLE, name).await;
         assert!(caller.query("write w").await.is_success());
-        primary.state.borrow_mut().ran.clear();
+        primary.state.borrow_mut().statements.clear();
         primary.state.borrow_mut().begins_to_lose = 1;
         for text in ["begin", "write x", "commit"] {
             assert!(caller.query(text).await.is_success(), "{text}");
--- a/crates/gateway/tests/sessions/questions.rs
+++ b/crates/gateway/tests/sessions/questions.rs
@@ -5,7 +5,7 @@
 use crate::world::{group, settings};
 use corktack_core::identity::MemberName;
 use corktack_core::registry::MemberAnswer;
-use corktack_gateway::{ask_status, release};
+use corktack_gateway::{request_status, resume_replication};
 use rstest::rstest;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -28,7 +28,7 @@
     let (member, name) = full_member().await;
     let settings = settings(0, member.address);
     let group = group();
-    let asking = ask_status(&TestWire, &settings, &group, &name, member.address, hold);
+    let asking = request_status(&TestWire, &settings, &group, &name, member.address, hold);
     let answer = timeout(REQUEST_TIMEOUT, asking).await.expect("the request ends in time");
     assert_eq!(answer, MemberAnswer::Silent);
     assert!(
@@ -42,7 +42,7 @@
     let (member, name) = full_member().await;
     let settings = settings(0, member.address);
     let group = group();
-    let releasing = release(&TestWire, &settings, &group, &name, member.address);
+    let releasing = resume_replication(&TestWire, &settings, &group, &name, member.address);
     timeout(REQUEST_TIMEOUT, releasing).await.expect("the attempts end in time");
     assert!(
         member.state.borrow().refused_for.len() > 1,
--- a/crates/gateway/tests/sessions/restarts.rs
+++ b/crates/gateway/tests/sessions/restarts.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::Caller;
 use crate::member::Member;
-use crate::world::{BOUNDED, BRIEFLY_BOUNDED, ONE_SHARE, SHORT_STALENESS, World};
+use crate::world::{BOUNDED, ONE_SHARE, SHORT_BOUNDED, SHORT_STALENESS, World};
 
 const GATEWAYS: usize = 3;
 /// Metric that a gateway has after another gateway served one of its requests.
@@ -19,15 +19,15 @@
     let mut world = World::start(&[&primary, &replica], GATEWAYS, ONE_SHARE);
     for gateway in world.gateways.clone() {
         // Each gateway knows a position after this read, the holder too.
-        let mut caller = Caller::start(gateway, BRIEFLY_BOUNDED, "a").await;
+        let mut caller = Caller::start(gateway, SHORT_BOUNDED, "a").await;
         assert!(caller.query("read x").await.is_success());
     }
     for (index, name) in ["b", "c", "d"].into_iter().enumerate() {
-        primary.state.borrow_mut().at.index += 10;
+        primary.state.borrow_mut().position.index += 10;
         tokio::time::sleep(SHORT_STALENESS + SHORT_STALENESS / 5).await;
         primary.state.borrow_mut().begins_to_lose = 1;
-        let restarted = world.start_again(index);
-        let mut caller = Caller::start(restarted, BRIEFLY_BOUNDED, name).await;
+        let restarted = world.restart_gateway(index);
+        let mut caller = Caller::start(restarted, SHORT_BOUNDED, name).await;
         let answered = caller.query("read x").await;
         assert_eq!(answered.lines, ["row|of m1", "complete|by-m1"], "gateway {index}");
     }
@@ -45,12 +45,13 @@
         let mut caller = Caller::start(gateway, BOUNDED, "a").await;
         assert!(caller.query("read x").await.is_success());
     }
-    let others: Vec<usize> =
-        (0..GATEWAYS).filter(|index| world.figures(*index).contains(SERVED_BY_ANOTHER)).collect();
+    let others: Vec<usize> = (0..GATEWAYS)
+        .filter(|index| world.metrics_text(*index).contains(SERVED_BY_ANOTHER))
+        .collect();
     assert_eq!(others.len(), GATEWAYS - 1);
     primary.state.borrow_mut().begins_to_lose = usize::MAX;
     for index in others {
-        let restarted = world.start_again(index);
+        let restarted = world.restart_gateway(index);
         let mut caller = Caller::start(restarted, BOUNDED, "b").await;
         assert!(caller.query("read x").await.is_success(), "gateway {index}");
     }
@@ -64,16 +65,16 @@
     let (replica, mut world) = replica_with_another_holder(&primary).await;
     let holder = world.holder_of(&replica);
     for gateway in world.gateways.clone() {
-        let mut caller = Caller::start(gateway, BRIEFLY_BOUNDED, "a").await;
+        let mut caller = Caller::start(gateway, SHORT_BOUNDED, "a").await;
         assert!(caller.query("read x").await.is_success());
     }
-    primary.state.borrow_mut().at.index += 10;
+    primary.state.borrow_mut().position.index += 10;
     tokio::time::sleep(SHORT_STALENESS + SHORT_STALENESS / 5).await;
     primary.state.borrow_mut().begins_to_lose = 1;
     // A draining primary serves reads only if no other member may.
     world.drain(&primary);
-    let restarted = world.start_again_known(holder);
-    let mut caller = Caller::start(restarted, BRIEFLY_BOUNDED, "b").await;
+    let restarted = world.restart_gateway_with_new_address(holder);
+    let mut caller = Caller::start(restarted, SHORT_BOUNDED, "b").await;
     assert_eq!(caller.query("read x").await.lines, ["row|of m1", "complete|by-m1"]);
 }
 
--- a/crates/gateway/tests/sessions/routing.rs
+++ b/crates/gateway/tests/sessions/routing.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::Caller;
 use crate::member::Member;
-use crate::world::{BOUNDED, BRIEFLY_BOUNDED, LINEARIZABLE, OWN_WRITES, SHORT_STALENESS, World};
+use crate::world::{BOUNDED, LINEARIZABLE, OWN_WRITES, SHORT_BOUNDED, SHORT_STALENESS, World};
 use futures_util::future::join_all;
 use rstest::rstest;
 use std::time::Duration;
@@ -53,7 +53,7 @@
     // serve this read.
     assert!(caller.query("read x").await.is_success());
     assert!(caller.query("write x").await.is_success());
-    behind.state.borrow_mut().ran.clear();
+    behind.state.borrow_mut().statements.clear();
     make_primary_slow(&world, &primary).await;
     for _ in 0..5 {
         assert_eq!(caller.query("read x").await.lines, ["row|of m1", "complete|by-m1"]);
@@ -74,12 +74,12 @@
 
 /// Runs reads that take long at the primary, so that a replica is the first choice for later reads.
 async fn make_primary_slow(world: &World, primary: &Member) {
-    primary.state.borrow_mut().work = Duration::from_millis(100);
+    primary.state.borrow_mut().statement_time = Duration::from_millis(100);
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "slow").await;
     for _ in 0..5 {
         assert!(caller.query("read y").await.is_success());
     }
-    primary.state.borrow_mut().work = Duration::ZERO;
+    primary.state.borrow_mut().statement_time = Duration::ZERO;
 }
 
 #[actix_rt::test]
@@ -129,12 +129,12 @@
 async fn a_member_that_closes_connections_before_they_are_ready_counts_as_unreachable() {
     let primary = Member::start("m1", true, "1.5").await;
     let mut world = World::with_one_gateway(&[&primary]);
-    primary.state.borrow_mut().gone = true;
+    primary.state.borrow_mut().is_gone = true;
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
     let reading = actix_rt::spawn(async move { caller.query("read x").await });
     let report = world.reach.recv().await.expect("the gateway runs");
     assert_eq!((report.member.as_str(), report.reached), ("m1", false));
-    primary.state.borrow_mut().gone = false;
+    primary.state.borrow_mut().is_gone = false;
     assert!(reading.await.expect("an answer").is_success());
     let report = world.reach.recv().await.expect("the gateway runs");
     assert_eq!((report.member.as_str(), report.reached), ("m1", true));
@@ -203,11 +203,11 @@
     let primary = Member::start("m1", true, "1.5").await;
     let behind = Member::start("m2", false, "1.5").await;
     let world = World::with_one_gateway(&[&primary, &behind]);
-    let mut caller = Caller::start(world.gateways[0], BRIEFLY_BOUNDED, "a").await;
+    let mut caller = Caller::start(world.gateways[0], SHORT_BOUNDED, "a").await;
     assert!(caller.query("read x").await.is_success());
     assert!(caller.query("begin read").await.is_success());
     make_primary_slow(&world, &primary).await;
-    primary.state.borrow_mut().at.index += 10;
+    primary.state.borrow_mut().position.index += 10;
     tokio::time::sleep(SHORT_STALENESS + SHORT_STALENESS / 5).await;
     assert_eq!(caller.query("read x").await.lines, ["row|of m1", "complete|by-m1"]);
 }
--- a/crates/gateway/tests/sessions/state.rs
+++ b/crates/gateway/tests/sessions/state.rs
@@ -8,7 +8,7 @@
 async fn a_connection_has_exactly_the_values_of_the_session() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_one_gateway(&[&primary]);
-    primary.asked().await;
+    primary.position_requested().await;
     let mut first = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
     let mut second = Caller::start(world.gateways[0], LINEARIZABLE, "b").await;
     first.query("set color red").await;
@@ -58,7 +58,7 @@
 async fn a_transaction_stays_on_its_connection_and_others_stay_off_it() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_one_gateway(&[&primary]);
-    primary.asked().await;
+    primary.position_requested().await;
     let mut first = Caller::start(world.gateways[0], LINEARIZABLE, "a").await;
     let mut second = Caller::start(world.gateways[0], LINEARIZABLE, "b").await;
     first.query("begin").await;
@@ -100,7 +100,7 @@
     caller.query("begin").await;
     assert!(caller.query("write x").await.is_success());
     let mut other = Caller::start(world.gateways[0], LINEARIZABLE, "b").await;
-    let rolled_back = || primary.state.borrow().ran.iter().any(|ran| ran.text == "rollback");
+    let rolled_back = || primary.state.borrow().statements.iter().any(|ran| ran.text == "rollback");
     while !rolled_back() {
         other.query("set color red").await;
     }
@@ -111,7 +111,7 @@
 async fn a_transaction_that_was_idle_for_too_long_is_reported_as_rolled_back() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_short_idle_limit(&[&primary]);
-    primary.asked().await;
+    primary.position_requested().await;
     let mut caller = idle_past_limit(&world, &primary).await;
     let answered = caller.query("write y").await;
     assert_eq!((answered.code(), answered.state.as_str()), ("aborted", "failed"));
@@ -124,7 +124,7 @@
 async fn the_commit_of_a_transaction_that_was_idle_for_too_long_is_refused() {
     let primary = Member::start("m1", true, "1.5").await;
     let world = World::with_short_idle_limit(&[&primary]);
-    primary.asked().await;
+    primary.position_requested().await;
     let mut caller = idle_past_limit(&world, &primary).await;
     let answered = caller.query("commit").await;
     assert_eq!((answered.code(), answered.state.as_str()), ("aborted", "idle"));
--- a/crates/gateway/tests/sessions/tenants.rs
+++ b/crates/gateway/tests/sessions/tenants.rs
@@ -38,7 +38,7 @@
     for (key, tenant) in [("key-a", "alfa"), ("key-b", "alfa"), ("key-c", "beta")] {
         let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, key).await;
         assert!(caller.query("write x").await.is_success());
-        assert_eq!(primary.ran_for(&caller.last_id()), tenant);
+        assert_eq!(primary.principal_of(&caller.last_id()), tenant);
     }
     let state = primary.state.borrow();
     let principals = state.opened_for.iter().map(String::as_str);
@@ -54,10 +54,10 @@
     let other = 1 - world.holder_of(&primary);
     let mut caller = Caller::start(world.gateways[other], LINEARIZABLE, "key-c").await;
     assert!(caller.query("write x").await.is_success());
-    assert_eq!(primary.ran_for(&caller.last_id()), "beta");
+    assert_eq!(primary.principal_of(&caller.last_id()), "beta");
     assert!(caller.query("begin").await.is_success());
     assert!(caller.query("write y").await.is_success());
-    assert_eq!(primary.ran_for(&caller.last_id()), "beta");
+    assert_eq!(primary.principal_of(&caller.last_id()), "beta");
 }
 
 #[actix_rt::test]
@@ -69,9 +69,9 @@
     let mut second = Caller::start(world.gateways[0], LINEARIZABLE, "key-c").await;
     for _ in 0..3 {
         assert!(first.query("write x").await.is_success());
-        assert_eq!(primary.ran_for(&first.last_id()), "alfa");
+        assert_eq!(primary.principal_of(&first.last_id()), "alfa");
         assert!(second.query("write x").await.is_success());
-        assert_eq!(primary.ran_for(&second.last_id()), "beta");
+        assert_eq!(primary.principal_of(&second.last_id()), "beta");
     }
 }
 
@@ -83,7 +83,7 @@
     assert!(caller.query("write x").await.is_success());
     world.change_tenants(&[("alfa", &["key-a"]), ("beta", &["key-c", "key-b"])]);
     assert!(caller.query("write x").await.is_success());
-    assert_eq!(primary.ran_for(&caller.last_id()), "beta");
+    assert_eq!(primary.principal_of(&caller.last_id()), "beta");
 }
 
 #[actix_rt::test]
@@ -96,12 +96,12 @@
     assert!(open_session.query("write x").await.is_success());
     world.change_tenants(&[("alfa", &["key-a"]), ("beta", &["key-c"])]);
     assert_eq!(idle_session.query("write y").await.code(), "unauth");
-    assert!(idle_session.sees_a_close().await);
+    assert!(idle_session.is_closed_silently().await);
     // A transaction in progress ends with the tenant that began it.
     assert!(open_session.query("write z").await.is_success());
     assert!(open_session.query("commit").await.is_success());
     assert_eq!(open_session.query("begin").await.code(), "unauth");
-    assert!(open_session.sees_a_close().await);
+    assert!(open_session.is_closed_silently().await);
     assert_eq!(primary.texts(), ["write x", "write z", "commit"]);
 }
 
@@ -112,10 +112,10 @@
     world.make_public(BOUNDED, true);
     let mut caller = Caller::start(world.gateways[0], BOUNDED, "key-x").await;
     assert!(caller.query("read x").await.is_success());
-    assert_eq!(primary.ran_for(&caller.last_id()), "g0");
+    assert_eq!(primary.principal_of(&caller.last_id()), "g0");
     world.make_public(BOUNDED, false);
     assert_eq!(caller.query("read x").await.code(), "unauth");
-    assert!(caller.sees_a_close().await);
+    assert!(caller.is_closed_silently().await);
 }
 
 #[actix_rt::test]
@@ -141,7 +141,7 @@
     // Nobody listens at these addresses, so that a tenant whose home is there has to be served by this
     // gateway.
     let gone = ["127.0.0.1:1", "127.0.0.1:2"].map(|address| address.parse().expect("an address"));
-    let world = World::with_tenants_among(&[&primary], &gone, TENANTS);
+    let world = World::with_tenants_and_listed_gateways(&[&primary], &gone, TENANTS);
     for key in ["key-a", "key-c"] {
         let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, key).await;
         caller.until_served("write x").await;
@@ -152,10 +152,10 @@
 async fn nothing_begins_without_a_recent_confirmation_where_one_is_required() {
     let primary = primary().await;
     let limit = Duration::from_millis(300);
-    let world = World::with_proofs(&[&primary], TENANTS, limit);
+    let world = World::with_confirmations(&[&primary], TENANTS, limit);
     let refused = Caller::refused(world.gateways[0], LINEARIZABLE, "key-a").await;
     assert!(refused[0].starts_with("error|busy|not run"), "{refused:?}");
-    world.proof.send_replace(Some(Instant::now()));
+    world.confirmation.send_replace(Some(Instant::now()));
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "key-a").await;
     assert!(caller.query("begin").await.is_success());
     assert!(caller.query("write x").await.is_success());
@@ -163,7 +163,7 @@
     // A transaction in progress may still end.
     assert!(caller.query("commit").await.is_success());
     assert_eq!(caller.query("write y").await.code(), "busy");
-    world.proof.send_replace(Some(Instant::now()));
+    world.confirmation.send_replace(Some(Instant::now()));
     assert!(caller.query("write z").await.is_success());
     assert_eq!(primary.texts(), ["write x", "commit", "write z"]);
 }
@@ -172,7 +172,7 @@
 async fn the_last_configuration_stays_in_force_without_contact_to_control() {
     let primary = primary().await;
     let world = World::with_tenants(&[&primary], 1, 36, TENANTS);
-    assert_eq!(*world.proof.borrow(), None);
+    assert_eq!(*world.confirmation.borrow(), None);
     let mut caller = Caller::start(world.gateways[0], LINEARIZABLE, "key-a").await;
     assert!(caller.query("write x").await.is_success());
 }
--- a/crates/gateway/tests/sessions/tunnels.rs
+++ b/crates/gateway/tests/sessions/tunnels.rs
@@ -125,7 +125,7 @@
         let mut caller = Caller::start(*gateway, LINEARIZABLE, "a").await;
         assert!(caller.query("write x").await.is_success());
     }
-    let all: Vec<String> = (0..3).map(|gateway| world.figures(gateway)).collect();
+    let all: Vec<String> = (0..3).map(|gateway| world.metrics_text(gateway)).collect();
     let count = |line: &str| all.iter().filter(|text| text.contains(line)).count();
     assert_eq!(count("corktack_gateway_statements_total{outcome=\"done\"} 1"), 3);
     assert_eq!(count("corktack_gateway_elsewhere_total{outcome=\"served\"} 1"), 2);
--- a/crates/gateway/tests/sessions/witnesses.rs
+++ b/crates/gateway/tests/sessions/witnesses.rs
@@ -4,7 +4,7 @@
 use crate::caller::Caller;
 use crate::holders::unused_address;
 use crate::member::Member;
-use crate::world::{HASTY, LINEARIZABLE, ONE_SHARE, World};
+use crate::world::{LINEARIZABLE, ONE_SHARE, SHORT_WAIT, World};
 use std::time::Duration;
 
 /// Number of other gateways, one of which holds the connections to the member.
@@ -36,16 +36,18 @@
 /// Starts a gateway that reaches neither the holders nor the primary.
 async fn isolated_gateway() -> (Member, World) {
     let others: Vec<_> = (0..OTHERS).map(|_| unused_address()).collect();
-    let (primary, world) =
-        primary_held_by_another(|primary| World::among(&[primary], &others, ONE_SHARE)).await;
-    primary.state.borrow_mut().gone = true;
+    let (primary, world) = primary_held_by_another(|primary| {
+        World::with_listed_gateways(&[primary], &others, ONE_SHARE)
+    })
+    .await;
+    primary.state.borrow_mut().is_gone = true;
     (primary, world)
 }
 
 #[actix_rt::test]
 async fn a_report_is_retracted_after_the_fallback_period() {
     let (_primary, mut world) = isolated_gateway().await;
-    let mut caller = Caller::start(world.gateways[0], HASTY, "a").await;
+    let mut caller = Caller::start(world.gateways[0], SHORT_WAIT, "a").await;
     assert!(!caller.query("write x").await.is_success());
     assert!(!next_report(&mut world).await, "the gateway does not reach the primary");
     // Without statements, the gateway would not notice that the primary is back.
@@ -61,7 +63,7 @@
 #[actix_rt::test]
 async fn a_report_is_kept_while_fallback_periods_follow_each_other() {
     let (_primary, mut world) = isolated_gateway().await;
-    let mut caller = Caller::start(world.gateways[0], HASTY, "a").await;
+    let mut caller = Caller::start(world.gateways[0], SHORT_WAIT, "a").await;
     for _ in 0..3 {
         assert!(!caller.query("write x").await.is_success());
         tokio::time::sleep(FALLBACK_INTERVAL).await;
@@ -78,7 +80,7 @@
     assert!(caller.query("write x").await.is_success(), "through another gateway");
     assert!(!next_report(&mut world).await, "the gateway does not reach the primary");
     world.change_connections(ONE_SHARE);
-    world.tell_first();
+    world.send_view_to_first();
     assert_ne!(world.holder_of(&primary), 0);
     assert!(
         next_report(&mut world).await,
@@ -102,8 +104,8 @@
     let primary = Member::start("m1", true, "1.5").await;
     let replica = Member::start("m2", false, "1.5").await;
     let mut world = World::with_one_gateway(&[&primary, &replica]);
-    primary.state.borrow_mut().gone = true;
-    let mut caller = Caller::start(world.gateways[0], HASTY, "a").await;
+    primary.state.borrow_mut().is_gone = true;
+    let mut caller = Caller::start(world.gateways[0], SHORT_WAIT, "a").await;
     assert!(!caller.query("write x").await.is_success());
     assert!(!next_report(&mut world).await, "the gateway does not reach the primary");
     world.remove(&primary);
--- a/crates/gateway/tests/sessions/world/changes.rs
+++ b/crates/gateway/tests/sessions/world/changes.rs
@@ -13,7 +13,7 @@
 
 impl World {
     /// Changes a gateway's address in the view to one where nothing listens, so that the others lose it.
-    pub fn lose_peer(&mut self, index: usize) {
+    pub fn make_peer_unreachable(&mut self, index: usize) {
         let lost = bind().1;
         self.peers[index] = lost;
         self.change(|view| {
--- a/crates/gateway/tests/sessions/world/document.rs
+++ b/crates/gateway/tests/sessions/world/document.rs
@@ -20,10 +20,10 @@
 /// Route whose sessions read their own writes.
 pub const OWN_WRITES: &str = "own";
 /// Route with reads bounded by [`SHORT_STALENESS`].
-pub const BRIEFLY_BOUNDED: &str = "brief";
+pub const SHORT_BOUNDED: &str = "brief";
 /// Route with linearizable reads and a short wait for a connection.
-pub const HASTY: &str = "hasty";
-/// Latency objective of [`HASTY`], of which a statement may wait a fraction for a connection.
+pub const SHORT_WAIT: &str = "hasty";
+/// Latency objective of [`SHORT_WAIT`], of which a statement may wait a fraction for a connection.
 pub(super) const SHORT_OBJECTIVE: Duration = Duration::from_secs(1);
 /// Staleness bound that is short enough for a test to wait until a position is older.
 pub const SHORT_STALENESS: Duration = Duration::from_millis(500);
@@ -68,10 +68,10 @@
             route(LINEARIZABLE, Consistency::Linearizable),
             route(BOUNDED, Consistency::BoundedStaleness(LONG)),
             route(OWN_WRITES, Consistency::ReadYourWrites(LONG)),
-            route(BRIEFLY_BOUNDED, Consistency::BoundedStaleness(SHORT_STALENESS)),
+            route(SHORT_BOUNDED, Consistency::BoundedStaleness(SHORT_STALENESS)),
             RouteRule {
                 latency_objective: SHORT_OBJECTIVE,
-                ..route(HASTY, Consistency::Linearizable)
+                ..route(SHORT_WAIT, Consistency::Linearizable)
             },
         ],
         services: vec![ServiceRule { name: group(), max_connections, synchronous_replicas: 0 }],
@@ -96,14 +96,14 @@
         name: gateway_name(index),
         incarnation: Incarnation(1),
         limits: LimitBounds::default(),
-        unproved_limit: None,
+        max_confirmation_age: None,
         peers,
         zone: zone(),
         connect_timeout: LONG,
         dial_timeout: LONG,
         begin_timeout: LONG,
         drain_limit: LONG,
-        notice: Duration::ZERO,
+        drain_notice: Duration::ZERO,
         transaction_grace: LONG,
     }
 }
--- a/crates/gateway/tests/sessions/world/limits_control.rs
+++ b/crates/gateway/tests/sessions/world/limits_control.rs
@@ -3,12 +3,12 @@
 use corktack_core::limits::{AllowanceDemand, AllowanceGrant, AllowanceReport, TenantAllowance};
 use corktack_core::position::Term;
 use corktack_core::tenancy::TenantRate;
-use corktack_gateway::{LimitNews, LimitsLink};
+use corktack_gateway::{LimitUpdate, LimitsLink};
 use tokio::sync::mpsc;
 /// Stand-in for the leader of control, which grants allowances to one gateway.
 pub struct LimitsControl {
     reports: mpsc::UnboundedReceiver<AllowanceReport>,
-    updates: mpsc::UnboundedSender<LimitNews>,
+    updates: mpsc::UnboundedSender<LimitUpdate>,
     /// Number of grants sent so far.
     grants: u64,
 }
@@ -16,7 +16,7 @@
 impl LimitsControl {
     /// Announces the leader to the gateway.
     fn announce_leader(&self) {
-        self.updates.send(LimitNews::Led(TERM)).expect("the gateway listens");
+        self.updates.send(LimitUpdate::Led(TERM)).expect("the gateway listens");
     }
 
     /// Announces the leader, waits until the gateway demands an allowance for a tenant, and grants
@@ -52,7 +52,7 @@
             allowances: vec![allowance],
             recalls: Vec::new(),
         };
-        self.updates.send(LimitNews::Granted(grant)).expect("the gateway listens");
+        self.updates.send(LimitUpdate::Granted(grant)).expect("the gateway listens");
     }
 }
 
@@ -64,9 +64,9 @@
 /// Returns both ends of a gateway's channels for limits.
 pub(super) fn limits_link() -> (LimitsLink, LimitsControl) {
     let (reports, received_reports) = mpsc::unbounded_channel();
-    let (news_sender, news) = mpsc::unbounded_channel();
+    let (update_sender, updates) = mpsc::unbounded_channel();
     (
-        LimitsLink { reports, news },
-        LimitsControl { reports: received_reports, updates: news_sender, grants: 0 },
+        LimitsLink { reports, updates },
+        LimitsControl { reports: received_reports, updates: update_sender, grants: 0 },
     )
 }
--- a/crates/gateway/tests/sessions/world/mod.rs
+++ b/crates/gateway/tests/sessions/world/mod.rs
@@ -5,8 +5,8 @@
 mod limits_control;
 
 pub use document::{
-    BOUNDED, BRIEFLY_BOUNDED, HASTY, LINEARIZABLE, ONE_SHARE, OWN_WRITES, SHORT_STALENESS, group,
-    settings,
+    BOUNDED, LINEARIZABLE, ONE_SHARE, OWN_WRITES, SHORT_BOUNDED, SHORT_STALENESS, SHORT_WAIT,
+    group, settings,
 };
 pub use limits_control::LimitsControl;
 
@@ -36,7 +36,7 @@
     /// Addresses of the gateways for each other.
     pub peers: Vec<SocketAddr>,
     /// Time at which control last confirmed the gateways' configuration as current.
-    pub proof: watch::Sender<Option<Instant>>,
+    pub confirmation: watch::Sender<Option<Instant>>,
     /// View of the gateways; dropping it ends their watch.
     views: watch::Sender<Arc<View>>,
     /// View of the first gateway, if it differs from that of the others.
@@ -166,14 +166,18 @@
         Self::launch_cut(bound, view, Some(cut))
     }
 
-    /// Starts gateways of which the first has no document until [`World::tell_first`].
-    pub fn with_first_untold(members: &[&Member], gateways: usize, max_connections: u32) -> Self {
+    /// Starts gateways of which the first has no document until [`World::send_view_to_first`].
+    pub fn with_first_unconfigured(
+        members: &[&Member],
+        gateways: usize,
+        max_connections: u32,
+    ) -> Self {
         let (bound, view) = Self::prepare(members, gateways, max_connections);
         Self::launch_cut(bound, view, Some(View::default()))
     }
 
     /// Sends the view of the other gateways to the first one.
-    pub fn tell_first(&self) {
+    pub fn send_view_to_first(&self) {
         self.first_views.send_replace(Arc::clone(&self.views.borrow()));
     }
 
@@ -183,12 +187,18 @@
 
     /// Starts a gateway that begins no operation if control last confirmed its configuration as current more
     /// than `limit` ago.
-    pub fn with_proofs(members: &[&Member], tenants: &[(&str, &[&str])], limit: Duration) -> Self {
+    pub fn with_confirmations(
+        members: &[&Member],
+        tenants: &[(&str, &[&str])],
+        limit: Duration,
+    ) -> Self {
         let (bound, mut view) = Self::prepare(members, 1, 36);
         let mut document = document(36, LONG);
         document.tenants = Some(tenant_rules(tenants));
         view.document = Some(Arc::new(document));
-        Self::launch_adjusted(bound, view, None, |settings| settings.unproved_limit = Some(limit))
+        Self::launch_adjusted(bound, view, None, |settings| {
+            settings.max_confirmation_age = Some(limit)
+        })
     }
 
     fn launch_adjusted(
@@ -203,14 +213,14 @@
             None => (views.clone(), watched.clone()),
         };
         let (reach_sender, reach) = mpsc::unbounded_channel();
-        let (proof, proved) = watch::channel(None);
+        let (confirmation, confirmed_current) = watch::channel(None);
         let gateways = bound.iter().map(|((_, callers), _)| *callers).collect();
         let peers = bound.iter().map(|(_, (_, peers))| *peers).collect();
         let mut registries = Vec::new();
         let mut controls = Vec::new();
         let handles =
             bound.into_iter().enumerate().map(|(index, ((callers, _), (peers, peer_address)))| {
-                let reach = reach_sender.clone();
+                let reach_reports = reach_sender.clone();
                 let listeners = GatewayListeners { callers, peers };
                 let mut settings = settings(index, peer_address);
                 adjust(&mut settings);
@@ -218,7 +228,12 @@
                 let views = if index == 0 { first_watched.clone() } else { watched.clone() };
                 let (limits, control) = limits_link();
                 controls.push(control);
-                let links = GatewayLinks { views, proved: proved.clone(), reach, limits };
+                let links = GatewayLinks {
+                    views,
+                    confirmed_current: confirmed_current.clone(),
+                    reach_reports,
+                    limits,
+                };
                 let gateway = Gateway::start(settings, TestWire, listeners, links, &mut registry);
                 registries.push(registry);
                 gateway.expect("a gateway starts")
@@ -230,7 +245,7 @@
             _handles: handles,
             registries,
             controls,
-            proof,
+            confirmation,
             views,
             first_views,
             reach,
@@ -241,7 +256,7 @@
     /// Starts another process of a gateway, with the same name, no state, and a clock that starts now.
     /// Returns its address for callers. The former process keeps running for the other gateways, which don't
     /// know of the new one.
-    pub fn start_again(&mut self, index: usize) -> SocketAddr {
+    pub fn restart_gateway(&mut self, index: usize) -> SocketAddr {
         let ((callers, address), peers) = (bind(), bind());
         self.launch_again(index, callers, peers);
         address
@@ -256,24 +271,29 @@
         let listeners = GatewayListeners { callers, peers };
         let settings = settings(index, peer_address);
         let mut registry = Registry::default();
-        let (views, reach) = (self.views.subscribe(), self.reach_sender.clone());
+        let (views, reach_reports) = (self.views.subscribe(), self.reach_sender.clone());
         let (limits, control) = limits_link();
         self.controls.push(control);
-        let proved = self.proof.subscribe();
-        let links = GatewayLinks { views, proved, reach, limits };
+        let confirmed_current = self.confirmation.subscribe();
+        let links = GatewayLinks { views, confirmed_current, reach_reports, limits };
         let gateway = Gateway::start(settings, TestWire, listeners, links, &mut registry);
         self._handles.push(gateway.expect("a gateway starts"));
     }
 
     /// Starts one gateway whose view lists other gateways at these addresses, which the test may or may not
     /// serve.
-    pub fn among(members: &[&Member], others: &[SocketAddr], max_connections: u32) -> Self {
+    pub fn with_listed_gateways(
+        members: &[&Member],
+        others: &[SocketAddr],
+        max_connections: u32,
+    ) -> Self {
         let (bound, view) = Self::prepare(members, 1, max_connections);
         Self::launch_among(bound, view, others)
     }
 
-    /// Starts a gateway as [`World::among`] does, which serves only callers with keys of the given tenants.
-    pub fn with_tenants_among(
+    /// Starts a gateway as [`World::with_listed_gateways`] does, which serves only callers with keys of the
+    /// given tenants.
+    pub fn with_tenants_and_listed_gateways(
         members: &[&Member],
         others: &[SocketAddr],
         tenants: &[(&str, &[&str])],
@@ -321,9 +341,9 @@
         index.expect("the holder is a gateway of the world")
     }
 
-    /// Starts another process of a gateway as [`World::start_again`] does, and changes the gateway's address
-    /// in the view to that of the new process.
-    pub fn start_again_known(&mut self, index: usize) -> SocketAddr {
+    /// Starts another process of a gateway as [`World::restart_gateway`] does, and changes the gateway's
+    /// address in the view to that of the new process.
+    pub fn restart_gateway_with_new_address(&mut self, index: usize) -> SocketAddr {
         let ((callers, address), (peers, peer_address)) = (bind(), bind());
         self.change(|view| {
             let proxy = view.proxies.get_mut(&gateway_name(index)).expect("a gateway of the world");
@@ -334,7 +354,7 @@
     }
 
     /// Returns the metrics of a gateway, in the text format.
-    pub fn figures(&self, gateway: usize) -> String {
+    pub fn metrics_text(&self, gateway: usize) -> String {
         let mut text = String::new();
         prometheus_client::encoding::text::encode(&mut text, &self.registries[gateway])
             .expect("writing to a string can't fail");
--- a/crates/server/src/deployment/bounds.rs
+++ b/crates/server/src/deployment/bounds.rs
@@ -27,7 +27,7 @@
     pub limits: LimitBounds,
     /// How old the last proof that the configuration is current may be for operations to begin; none
     /// where they begin by the last configuration, however old.
-    pub unproved_limit: Option<Duration>,
+    pub max_confirmation_age: Option<Duration>,
 }
 
 impl DeploymentBounds {
--- a/crates/server/src/deployment/member_calls.rs
+++ b/crates/server/src/deployment/member_calls.rs
@@ -5,7 +5,7 @@
 use super::{Deployment, DeploymentError};
 use corktack_control::{MemberCall, MemberCalls, PromotionAuthority, RegistryCalls};
 use corktack_core::registry::MemberAnswer;
-use corktack_gateway::{GatewaySettings, Wire, ask_status, release};
+use corktack_gateway::{GatewaySettings, Wire, request_status, resume_replication};
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use std::sync::Arc;
@@ -34,7 +34,7 @@
         let (wire, settings) = (self.wire.clone(), self.settings.clone());
         async move {
             let MemberCall { group, member, address } = call;
-            ask_status(&wire, &settings, &group, &member, address, hold).await
+            request_status(&wire, &settings, &group, &member, address, hold).await
         }
         .boxed_local()
     }
@@ -43,7 +43,7 @@
         let (wire, settings) = (self.wire.clone(), self.settings.clone());
         async move {
             let MemberCall { group, member, address } = call;
-            release(&wire, &settings, &group, &member, address).await;
+            resume_replication(&wire, &settings, &group, &member, address).await;
         }
         .boxed_local()
     }
--- a/crates/server/src/deployment/settings.rs
+++ b/crates/server/src/deployment/settings.rs
@@ -106,14 +106,14 @@
             // The watch's, where a gateway is started.
             incarnation: Incarnation(0),
             limits: self.bounds.limits,
-            unproved_limit: self.bounds.unproved_limit,
+            max_confirmation_age: self.bounds.max_confirmation_age,
             peers: self.peers(),
             zone: self.zone.clone(),
             connect_timeout: MEMBER_CONNECT_LIMIT,
             dial_timeout: DIAL_LIMIT,
             begin_timeout: BEGIN_LIMIT,
             drain_limit: self.bounds.drain / 2,
-            notice: self.bounds.stop_grace / 3,
+            drain_notice: self.bounds.stop_grace / 3,
             transaction_grace: self.bounds.stop_grace / 6,
         })
     }
--- a/crates/server/src/deployment/start.rs
+++ b/crates/server/src/deployment/start.rs
@@ -76,8 +76,13 @@
         let store = Box::new(NotKept);
         let watch = watch_client::start(settings, CONNECT_LIMIT, store, inputs, &mut registry)?;
         let settings = GatewaySettings { incarnation, ..self.gateway_settings()? };
-        let limits = LimitsLink { reports, news };
-        let links = GatewayLinks { views: watch.views(), proved: watch.proved(), reach, limits };
+        let limits = LimitsLink { reports, updates: news };
+        let links = GatewayLinks {
+            views: watch.views(),
+            confirmed_current: watch.proved(),
+            reach_reports: reach,
+            limits,
+        };
         let gateway = Gateway::start(settings, wire, listeners, links, &mut registry)?;
         log::info!(machine = self.name.as_str(), callers:% = callers; "gateway starts");
         Ok((RunningGateway { watch, gateway }, registry))
--- a/crates/server/src/watch_client/inputs.rs
+++ b/crates/server/src/watch_client/inputs.rs
@@ -1,7 +1,7 @@
 //! What reaches a watch from its proxy.
 
 use corktack_core::limits::AllowanceReport;
-use corktack_gateway::LimitNews;
+use corktack_gateway::LimitUpdate;
 use corktack_protocol::control::Observation;
 use tokio::sync::mpsc;
 
@@ -22,7 +22,7 @@
     /// What the proxy reports of tenants' limits; closed where it has none.
     pub allowances: mpsc::UnboundedReceiver<AllowanceReport>,
     /// Takes what control grants of limits.
-    pub limits: mpsc::UnboundedSender<LimitNews>,
+    pub limits: mpsc::UnboundedSender<LimitUpdate>,
 }
 
 impl WatchInputs {
--- a/crates/server/src/watch_client/task.rs
+++ b/crates/server/src/watch_client/task.rs
@@ -11,7 +11,7 @@
 use corktack_core::limits::AllowanceReport;
 use corktack_core::time::Timestamp;
 use corktack_core::view::View;
-use corktack_gateway::LimitNews;
+use corktack_gateway::LimitUpdate;
 use corktack_protocol::control::Observation;
 use futures_util::FutureExt;
 use std::net::SocketAddr;
@@ -75,7 +75,7 @@
     proved: watch::Sender<Option<Instant>>,
     metrics: WatchMetrics,
     /// Takes what control grants of limits.
-    limits: mpsc::UnboundedSender<LimitNews>,
+    limits: mpsc::UnboundedSender<LimitUpdate>,
     unpublished: bool,
 }
 
@@ -185,8 +185,8 @@
                 }
             }
             Action::Publish => self.unpublished = true,
-            Action::Led(term) => self.pass_on(LimitNews::Led(term)),
-            Action::Granted(grant) => self.pass_on(LimitNews::Granted(grant)),
+            Action::Led(term) => self.pass_on(LimitUpdate::Led(term)),
+            Action::Granted(grant) => self.pass_on(LimitUpdate::Granted(grant)),
             Action::Current => {
                 self.publish();
                 let proved_at = self.state.proved_at().map(|at| self.instant(at));
@@ -197,7 +197,7 @@
         }
     }
 
-    fn pass_on(&self, news: LimitNews) {
+    fn pass_on(&self, news: LimitUpdate) {
         // A proxy without tenants does not listen.
         let _ = self.limits.send(news);
     }
