--- a/crates/control/src/back_end/caller.rs
+++ b/crates/control/src/back_end/caller.rs
@@ -12,13 +12,13 @@
 
 /// Runs calls to back ends concurrently on an arbiter.
 #[derive(Clone)]
-pub(crate) struct BackEnds {
+pub(crate) struct BackEndCaller {
     pub(crate) arbiter: ArbiterHandle,
     pub(crate) consensus: ConsensusHandle,
     pub(crate) stop: StopSignal,
 }
 
-impl BackEnds {
+impl BackEndCaller {
     /// Starts a call; the result is sent to the consensus thread as an input.
     pub(crate) fn start(&self, call: BackEndCall, call_timeout: Duration) {
         let Self { consensus, stop, .. } = self.clone();
@@ -26,7 +26,7 @@
             tokio::select! {
                 answer = call_with_timeout(&call, call_timeout) => {
                     // Sending fails only after the consensus thread ended, when nothing waits for the answer.
-                    let _ = consensus.send(ConsensusInput::BackEnd(BackEndResult { call, answer }));
+                    let _ = consensus.send(ConsensusInput::BackEndResult(BackEndResult { call, answer }));
                 }
                 () = stop.stopped() => (),
             }
--- a/crates/control/src/back_end/mod.rs
+++ b/crates/control/src/back_end/mod.rs
@@ -8,4 +8,4 @@
 mod statement;
 
 pub(crate) use call::{BackEndAnswer, BackEndCall, BackEndError, BackEndResult, Operation};
-pub(crate) use caller::BackEnds;
+pub(crate) use caller::BackEndCaller;
--- a/crates/control/src/consensus/dispatch.rs
+++ b/crates/control/src/consensus/dispatch.rs
@@ -20,14 +20,14 @@
                 self.handle_proposal(proposal, reply, batch)
             }
             ConsensusInput::Read(task) => batch.reads.push(task),
-            ConsensusInput::Peek(task) => self.run_reads(vec![task]),
+            ConsensusInput::ReadLocal(task) => self.run_reads(vec![task]),
             ConsensusInput::ProxyRevisions(reply) => self.query_revisions(reply),
-            ConsensusInput::Reports(reports) => self.handle_local_reports(reports),
-            ConsensusInput::Allowances(report) => self.handle_local_allowances(report),
-            ConsensusInput::BackEnd(result) => {
+            ConsensusInput::ProxyReports(reports) => self.handle_local_reports(reports),
+            ConsensusInput::AllowanceReport(report) => self.handle_local_allowances(report),
+            ConsensusInput::BackEndResult(result) => {
                 self.parts.duties.record_back_end_result(self.parts.clock.now(), result);
             }
-            ConsensusInput::Platform(list) => {
+            ConsensusInput::PlatformList(list) => {
                 self.parts.duties.record_platform_list(self.parts.clock.now(), list)
             }
             ConsensusInput::RegistryAnswer(answer) => {
@@ -47,7 +47,7 @@
             PeerMessage::AllowanceReport(report) => {
                 self.answer_allowances(Some(from), report);
             }
-            PeerMessage::AllowanceGrant(grant) => self.parts.proxies.grant(grant),
+            PeerMessage::AllowanceGrant(grant) => self.parts.proxies.send_grant(grant),
             PeerMessage::Join { member } => self.handle_join(member),
             PeerMessage::Forward { request, command } => {
                 batch.events.extend(self.handle_forward(from, request, &command));
--- a/crates/control/src/consensus/handle.rs
+++ b/crates/control/src/consensus/handle.rs
@@ -103,13 +103,13 @@
     }
 
     /// Runs `read` on the local state, which may be stale.
-    pub(crate) async fn peek<T, F>(&self, read: F) -> Result<T, RequestError>
+    pub(crate) async fn read_local<T, F>(&self, read: F) -> Result<T, RequestError>
     where
         T: Send + 'static,
         F: FnOnce(StateReader<'_>) -> T + Send + 'static,
     {
         let (reply, answer) = oneshot::channel();
-        self.send(ConsensusInput::Peek(read_task(read, reply)))?;
+        self.send(ConsensusInput::ReadLocal(read_task(read, reply)))?;
         answer.await.map_err(|_| RequestError::Stopping)?
     }
 
--- a/crates/control/src/consensus/input.rs
+++ b/crates/control/src/consensus/input.rs
@@ -65,17 +65,17 @@
     /// A read of a state at least as new as any answer given before the request.
     Read(ReadTask),
     /// A read of the local state, which may be stale.
-    Peek(ReadTask),
+    ReadLocal(ReadTask),
     /// A request for the revisions in force on the proxies.
     ProxyRevisions(oneshot::Sender<ProxyRevisions>),
     /// Reports about the proxies that are connected to this replica.
-    Reports(Vec<ProxyReport>),
+    ProxyReports(Vec<ProxyReport>),
     /// The allowances of tenants' limits that a proxy connected to this replica holds.
-    Allowances(AllowanceReport),
+    AllowanceReport(AllowanceReport),
     /// A back end's answer to a call of the leader.
-    BackEnd(BackEndResult),
+    BackEndResult(BackEndResult),
     /// A list that was polled from the platform.
-    Platform(PlatformList),
+    PlatformList(PlatformList),
     /// The result of a call of the leader about registered back ends.
     RegistryAnswer(RegistryAnswer),
     /// A replica without a cell requests to be added.
@@ -100,6 +100,6 @@
         &self,
         revision: Revision,
     ) -> Option<Result<SnapshotFrame, FrameError>> {
-        self.feed.needs_whole(revision).then(|| self.snapshot_frame())
+        self.feed.needs_snapshot(revision).then(|| self.snapshot_frame())
     }
 }
--- a/crates/control/src/consensus/proxies.rs
+++ b/crates/control/src/consensus/proxies.rs
@@ -63,7 +63,7 @@
                 Some(Some(replica)) => {
                     self.parts.links.send(*replica, PeerMessage::AllowanceGrant(grant));
                 }
-                _ => self.parts.proxies.grant(grant),
+                _ => self.parts.proxies.send_grant(grant),
             }
         }
     }
--- a/crates/control/src/consensus/thread.rs
+++ b/crates/control/src/consensus/thread.rs
@@ -251,7 +251,7 @@
     pub(super) fn publish_status(&mut self) {
         let status = ReplicaStatus::of(&self.parts.replica, self.parts.applied);
         let status = status.continued_from(&self.parts.status.borrow());
-        self.parts.metrics.note_status(&status);
+        self.parts.metrics.record_status(&status);
         let cell_changed = self.parts.status.borrow().cell != status.cell;
         if cell_changed {
             self.update_links();
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -136,7 +136,7 @@
 
     /// Reports whether a proxy that has `revision` in force needs a snapshot, because the logs lack its
     /// deltas.
-    pub(crate) fn needs_whole(&self, revision: Revision) -> bool {
+    pub(crate) fn needs_snapshot(&self, revision: Revision) -> bool {
         let mut cursor = WatchCursor::new(revision);
         matches!(cursor.advance(&self.logs().deltas), WatchStep::Snapshot)
     }
--- a/crates/control/src/http/auth.rs
+++ b/crates/control/src/http/auth.rs
@@ -1,7 +1,7 @@
 //! Authentication of operators by a bearer token.
 
 use super::answer::ErrorAnswer;
-use super::operators::Operators;
+use super::operators::OperatorContext;
 use crate::api::ErrorCode;
 use actix_web::body::MessageBody;
 use actix_web::dev::{ServiceRequest, ServiceResponse};
@@ -16,7 +16,7 @@
     request: ServiceRequest,
     next: Next<impl MessageBody + 'static>,
 ) -> Result<ServiceResponse<impl MessageBody>, Error> {
-    let operators = request.app_data::<web::Data<Operators>>();
+    let operators = request.app_data::<web::Data<OperatorContext>>();
     let expected = operators.and_then(|operators| operators.token.clone());
     let authorized = expected.is_none_or(|expected| presents_token(&request, &expected));
     if !authorized {
--- a/crates/control/src/http/cell.rs
+++ b/crates/control/src/http/cell.rs
@@ -2,13 +2,13 @@
 
 use super::answer::ErrorAnswer;
 use super::body::{parse_error_answer, read_body};
-use super::operators::Operators;
+use super::operators::OperatorContext;
 use crate::api::CellChangeBody;
 use actix_web::{HttpResponse, web};
 
 /// Adds a learner, promotes a learner to a voter, or removes a replica.
 pub(super) async fn change(
-    operators: web::Data<Operators>,
+    operators: web::Data<OperatorContext>,
     payload: web::Payload,
 ) -> Result<HttpResponse, ErrorAnswer> {
     let body = read_body(payload).await?;
--- a/crates/control/src/http/health.rs
+++ b/crates/control/src/http/health.rs
@@ -3,7 +3,7 @@
 //! A replica is live while its consensus thread runs, and ready if it can confirm that it is current.
 
 use super::answer::ErrorAnswer;
-use super::operators::Operators;
+use super::operators::OperatorContext;
 use crate::api::ErrorCode;
 use actix_web::{HttpResponse, web};
 use std::time::Duration;
@@ -15,7 +15,9 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Reports whether the process works: its consensus thread runs and its disk did not fail.
-pub(super) async fn live(operators: web::Data<Operators>) -> Result<HttpResponse, ErrorAnswer> {
+pub(super) async fn live(
+    operators: web::Data<OperatorContext>,
+) -> Result<HttpResponse, ErrorAnswer> {
     if operators.status.borrow().running {
         return Ok(HttpResponse::Ok().finish());
     }
@@ -23,8 +25,10 @@
 }
 
 /// Reports whether the replica can confirm that it is current.
-pub(super) async fn ready(operators: web::Data<Operators>) -> Result<HttpResponse, ErrorAnswer> {
-    let confirmed = timeout(READY_TIMEOUT, operators.proofs.request()).await;
+pub(super) async fn ready(
+    operators: web::Data<OperatorContext>,
+) -> Result<HttpResponse, ErrorAnswer> {
+    let confirmed = timeout(READY_TIMEOUT, operators.currency_checks.request()).await;
     if matches!(confirmed, Ok(Ok(true))) {
         return Ok(HttpResponse::Ok().finish());
     }
@@ -32,7 +36,9 @@
 }
 
 /// Returns the metrics in the OpenMetrics text format.
-pub(super) async fn metrics(operators: web::Data<Operators>) -> Result<HttpResponse, ErrorAnswer> {
+pub(super) async fn metrics(
+    operators: web::Data<OperatorContext>,
+) -> Result<HttpResponse, ErrorAnswer> {
     let mut text = String::new();
     match prometheus_client::encoding::text::encode(&mut text, &operators.registry) {
         Ok(()) => Ok(HttpResponse::Ok().content_type(METRICS_CONTENT_TYPE).body(text)),
--- a/crates/control/src/http/mod.rs
+++ b/crates/control/src/http/mod.rs
@@ -14,7 +14,7 @@
 mod status;
 mod watch;
 
-pub(crate) use operators::Operators;
+pub(crate) use operators::OperatorContext;
 
 use actix_web::dev::Server;
 use actix_web::middleware::from_fn;
@@ -27,7 +27,7 @@
 
 /// Starts the server on a bound listener.
 pub(crate) fn serve(
-    operators: Operators,
+    operators: OperatorContext,
     listener: TcpListener,
     workers: usize,
 ) -> std::io::Result<Server> {
--- a/crates/control/src/http/resources.rs
+++ b/crates/control/src/http/resources.rs
@@ -2,7 +2,7 @@
 
 use super::answer::ErrorAnswer;
 use super::body::{parse_put, read_body};
-use super::operators::Operators;
+use super::operators::OperatorContext;
 use super::path::{parse_key, parse_kind};
 use crate::api::{CHANGE_ID_HEADER, ErrorCode, ResourceList, WriteBody};
 use crate::error::RequestError;
@@ -12,7 +12,7 @@
 use corktack_core::state::command::{ChangeId, Command, Outcome, ResourceOperation};
 use serde::Deserialize;
 
-type Data = web::Data<Operators>;
+type Data = web::Data<OperatorContext>;
 type KeyPath = web::Path<(String, String)>;
 
 /// Lists all resources of one kind.
@@ -81,7 +81,7 @@
 }
 
 async fn propose_change(
-    operators: &Operators,
+    operators: &OperatorContext,
     change: ChangeId,
     operation: ResourceOperation,
 ) -> Result<HttpResponse, ErrorAnswer> {
--- a/crates/control/src/http/status.rs
+++ b/crates/control/src/http/status.rs
@@ -4,7 +4,7 @@
 //! on the proxies come from the leader; if the leader does not respond, the page shows none.
 
 use super::answer::ErrorAnswer;
-use super::operators::Operators;
+use super::operators::OperatorContext;
 use crate::api::{CellMemberBody, GroupBody, InForceBody, ProxyBody, StatusBody};
 use crate::consensus::{ProxyRevisions, ReplicaStatus, StateReader};
 use crate::error::RequestError;
@@ -30,11 +30,13 @@
 
 /// Returns the status as this replica knows it; the body says whether the replica confirmed that it is
 /// current.
-pub(super) async fn status(operators: web::Data<Operators>) -> Result<HttpResponse, ErrorAnswer> {
+pub(super) async fn status(
+    operators: web::Data<OperatorContext>,
+) -> Result<HttpResponse, ErrorAnswer> {
     let confirmed_read = timeout(CURRENT_READ_TIMEOUT, operators.consensus.read(read_state)).await;
     let (state, current) = match confirmed_read {
         Ok(Ok(state)) => (state, true),
-        _ => (operators.consensus.peek(read_state).await?, false),
+        _ => (operators.consensus.read_local(read_state).await?, false),
     };
     let revisions = operators.consensus.proxy_revisions().await;
     let status = operators.status.borrow().clone();
@@ -63,7 +65,7 @@
 }
 
 fn status_body(
-    operators: &Operators,
+    operators: &OperatorContext,
     status: &ReplicaStatus,
     state: StateSummary,
     revisions: Result<ProxyRevisions, RequestError>,
--- a/crates/control/src/http/watch.rs
+++ b/crates/control/src/http/watch.rs
@@ -4,11 +4,11 @@
 //! confirms that it is current.
 
 use super::answer::ErrorAnswer;
-use super::operators::Operators;
+use super::operators::OperatorContext;
 use super::path::parse_kind;
 use crate::api::{ErrorCode, WatchLine};
 use crate::feed::Feed;
-use crate::proxies::Proofs;
+use crate::proxies::CurrencyChecks;
 use crate::render::watch_event;
 use crate::stop::StopSignal;
 use actix_web::{HttpRequest, HttpResponse, web};
@@ -39,7 +39,7 @@
 /// when the replica stops, when it cannot confirm that it is current, or when the client falls too far
 /// behind. The client then starts a new watch from its last revision.
 pub(super) async fn watch(
-    operators: web::Data<Operators>,
+    operators: web::Data<OperatorContext>,
     request: HttpRequest,
 ) -> Result<HttpResponse, ErrorAnswer> {
     let query = web::Query::<WatchQuery>::from_query(request.query_string())
@@ -58,7 +58,7 @@
 struct Watcher {
     feed: Feed,
     newest: Receiver<Revision>,
-    proofs: Proofs,
+    currency_checks: CurrencyChecks,
     stop: StopSignal,
     revision: Revision,
     kind: Option<Kind>,
@@ -70,11 +70,11 @@
 struct StreamEnded;
 
 impl Watcher {
-    fn new(operators: &Operators, revision: Revision, kind: Option<Kind>) -> Self {
+    fn new(operators: &OperatorContext, revision: Revision, kind: Option<Kind>) -> Self {
         Self {
             feed: operators.feed.clone(),
             newest: operators.feed.subscribe(),
-            proofs: operators.proofs.clone(),
+            currency_checks: operators.currency_checks.clone(),
             stop: operators.stop.clone(),
             revision,
             kind,
@@ -119,7 +119,7 @@
     /// Returns a bookmark at the current position after the replica confirmed that it is current.
     async fn bookmark(&mut self) -> Result<Bytes, StreamEnded> {
         self.next_bookmark = Instant::now() + self.bookmark_interval;
-        if !self.proofs.request().await.unwrap_or(false) {
+        if !self.currency_checks.request().await.unwrap_or(false) {
             return Err(StreamEnded);
         }
         let mut buffer = BytesMut::new();
--- a/crates/control/src/leader/duties.rs
+++ b/crates/control/src/leader/duties.rs
@@ -1,12 +1,12 @@
 //! The leader's duties, driven by the consensus thread.
 //!
 //! Owns the settings of the duties, and the state of the current leadership if this replica is the leader.
-//! [`BackEnds`] and [`RegistryCaller`] make the calls that the duties request.
+//! [`BackEndCaller`] and [`RegistryCaller`] make the calls that the duties request.
 
 use super::convert::{failover_event, heartbeat};
 use super::leadership::Leadership;
 use super::limits::LeaderLimits;
-use crate::back_end::{BackEndCall, BackEndResult, BackEnds, Operation};
+use crate::back_end::{BackEndCall, BackEndCaller, BackEndResult, Operation};
 use crate::metrics::{Metrics, PhaseLabel};
 use crate::registry_calls::{RegistryAnswer, RegistryCaller};
 use crate::settings::ControlSettings;
@@ -50,7 +50,7 @@
     failover: FailoverSettings,
     call_timeout: Duration,
     probe_timeout: Duration,
-    back_ends: BackEnds,
+    back_ends: BackEndCaller,
     registry: Option<RegistryCaller>,
     limits: LimitBounds,
     metrics: Metrics,
@@ -62,7 +62,7 @@
 impl LeaderDuties {
     pub(crate) fn new(
         settings: &ControlSettings,
-        back_ends: BackEnds,
+        back_ends: BackEndCaller,
         registry: Option<RegistryCaller>,
         metrics: Metrics,
     ) -> Self {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -32,6 +32,6 @@
 pub use error::{ControlError, RequestError};
 pub use identity::{Identity, find_identity};
 pub use registry::{RegistryError, RegistryHandle};
-pub use registry_calls::{MemberCall, MemberCalls, PromotionAuthority, RegistryCalls};
+pub use registry_calls::{MemberCalls, MemberTarget, PromotionAuthority, RegistryCalls};
 pub use replica::{ControlHandle, ControlReplica};
 pub use settings::{CellStart, ControlListeners, ControlSettings, PlatformSource};
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -83,7 +83,7 @@
     }
 
     /// Sets the gauges from the status of the replica.
-    pub(crate) fn note_status(&self, status: &ReplicaStatus) {
+    pub(crate) fn record_status(&self, status: &ReplicaStatus) {
         self.leader.set(i64::from(status.role == Role::Leader));
         self.term.set(gauge_value(status.term.0));
         self.commit_index.set(gauge_value(status.commit_index));
--- a/crates/control/src/platform.rs
+++ b/crates/control/src/platform.rs
@@ -62,7 +62,7 @@
         }
         match poll(&client, &url).await {
             Ok(list) => {
-                if consensus.send(ConsensusInput::Platform(list)).is_err() {
+                if consensus.send(ConsensusInput::PlatformList(list)).is_err() {
                     return;
                 }
             }
--- a/crates/control/src/proxies/connection.rs
+++ b/crates/control/src/proxies/connection.rs
@@ -126,7 +126,7 @@
                     if acknowledgements.len() >= MAX_UNACKNOWLEDGED_HEARTBEATS {
                         return Err(ConnectionError::TooManyHeartbeats);
                     }
-                    let confirmed = self.server.proofs.request();
+                    let confirmed = self.server.currency_checks.request();
                     acknowledgements.push_back(acknowledge_heartbeat(sequence, confirmed));
                 }
                 Some(acknowledgement) = acknowledgements.next() => {
@@ -200,7 +200,7 @@
                 Ok(Some(sequence))
             }
             ProxyMessage::Allowances(report) if report.gateway == self.proxy => {
-                self.server.consensus.send(ConsensusInput::Allowances(report))?;
+                self.server.consensus.send(ConsensusInput::AllowanceReport(report))?;
                 Ok(None)
             }
             _ => Err(ConnectionError::UnexpectedMessage),
--- a/crates/control/src/proxies/mod.rs
+++ b/crates/control/src/proxies/mod.rs
@@ -12,6 +12,6 @@
 mod table;
 
 pub(crate) use accept::accept_proxies;
-pub(crate) use proofs::Proofs;
+pub(crate) use proofs::CurrencyChecks;
 pub(crate) use server::ProxyServer;
 pub(crate) use table::{ProxyTable, send_summaries};
--- a/crates/control/src/proxies/proofs.rs
+++ b/crates/control/src/proxies/proofs.rs
@@ -13,11 +13,11 @@
 
 /// Collects requests for a confirmation and answers them together.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Proofs {
+pub(crate) struct CurrencyChecks {
     waiters: Arc<Mutex<Vec<Waiter>>>,
 }
 
-impl Proofs {
+impl CurrencyChecks {
     /// Requests a confirmation; the receiver gets whether a read that began after this call succeeded.
     pub(crate) fn request(&self) -> oneshot::Receiver<bool> {
         let (waiter, confirmed) = oneshot::channel();
--- a/crates/control/src/proxies/server.rs
+++ b/crates/control/src/proxies/server.rs
@@ -1,6 +1,6 @@
 //! State shared by the connections of proxies.
 
-use super::proofs::Proofs;
+use super::proofs::CurrencyChecks;
 use super::table::{ConnectionId, ProxyTable};
 use crate::consensus::{ConsensusHandle, ReplicaStatus};
 use crate::feed::Feed;
@@ -22,10 +22,10 @@
     pub(crate) consensus: ConsensusHandle,
     pub(crate) feed: Feed,
     pub(crate) table: ProxyTable,
-    pub(crate) proofs: Proofs,
+    pub(crate) currency_checks: CurrencyChecks,
     pub(crate) metrics: Metrics,
     pub(crate) heartbeat_timeout: Duration,
-    pub(crate) connections: Arc<AtomicU64>,
+    pub(crate) next_connection: Arc<AtomicU64>,
     pub(crate) stop: StopSignal,
     pub(crate) status: watch::Receiver<ReplicaStatus>,
 }
@@ -33,6 +33,6 @@
 impl ProxyServer {
     /// Returns a new, unique id for a connection.
     pub(super) fn next_connection_id(&self) -> ConnectionId {
-        ConnectionId(self.connections.fetch_add(1, Ordering::Relaxed))
+        ConnectionId(self.next_connection.fetch_add(1, Ordering::Relaxed))
     }
 }
--- a/crates/control/src/proxies/table.rs
+++ b/crates/control/src/proxies/table.rs
@@ -129,7 +129,7 @@
     }
 
     /// Sends the leader's allowance grant to its proxy, if the proxy is still connected to this replica.
-    pub(crate) fn grant(&self, grant: AllowanceGrant) {
+    pub(crate) fn send_grant(&self, grant: AllowanceGrant) {
         if let Some(entry) = self.shard(&grant.gateway).get(&grant.gateway) {
             // If the connection ends now, the proxy reports its allowances again through another replica.
             let _ = entry.grants.send(grant);
@@ -251,7 +251,7 @@
         };
         sleep(SUMMARY_DELAY).await;
         let reports = table.take_summary(scope);
-        if !reports.is_empty() && consensus.send(ConsensusInput::Reports(reports)).is_err() {
+        if !reports.is_empty() && consensus.send(ConsensusInput::ProxyReports(reports)).is_err() {
             return;
         }
     }
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -5,7 +5,7 @@
 
 use crate::consensus::{ConsensusHandle, ReplicaStatus};
 use crate::error::RequestError;
-use crate::starting::Starting;
+use crate::starting::StartupContext;
 use corktack_core::identity::MemberName;
 use corktack_core::registry::{
     BackEndReport, DocumentError, RegistryCommand, RegistryOutcome, StoredDocument,
@@ -45,7 +45,7 @@
 }
 
 impl RegistryHandle {
-    pub(crate) fn new(starting: &Starting) -> Self {
+    pub(crate) fn new(starting: &StartupContext) -> Self {
         let settings = &starting.settings;
         Self {
             consensus: starting.consensus.clone(),
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// Returns a [`RegistryError`] if the change fails; the back end should report to another replica.
-    pub async fn report(
+    pub async fn apply_report(
         &self,
         member: MemberName,
         report: BackEndReport,
@@ -100,7 +100,9 @@
         let (name, peeked_report) = (member.clone(), report.clone());
         let is_change = self
             .consensus
-            .peek(move |reader| reader.state.registry().changes_registration(&name, &peeked_report))
+            .read_local(move |reader| {
+                reader.state.registry().changes_registration(&name, &peeked_report)
+            })
             .await?;
         if !is_change {
             return Ok(());
@@ -118,7 +120,7 @@
     ///
     /// # Errors
     /// Returns a [`RegistryError`] if the change fails; the back end should report to another replica.
-    pub async fn leave(&self, member: MemberName) -> Result<(), RegistryError> {
+    pub async fn remove_back_end(&self, member: MemberName) -> Result<(), RegistryError> {
         log::info!(member:% = member; "back end leaves");
         self.change(RegistryCommand::Leave { member }).await.map(drop)
     }
@@ -126,7 +128,7 @@
     /// Returns the address of the leader's machine, if known, so that back ends can send later heartbeats
     /// directly to the leader.
     #[must_use]
-    pub fn leader_machine(&self) -> Option<IpAddr> {
+    pub fn leader_ip(&self) -> Option<IpAddr> {
         let status = self.status.borrow();
         let leader = status.leader?;
         let member = status.cell.voters.iter().find(|voter| voter.id == leader)?;
--- a/crates/control/src/registry_calls/call.rs
+++ b/crates/control/src/registry_calls/call.rs
@@ -8,7 +8,7 @@
 
 /// The registered back end that a call goes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemberCall {
+pub struct MemberTarget {
     /// The group that the member belongs to.
     pub group: GroupName,
     /// The member's name, which is unique in the registry.
@@ -30,10 +30,10 @@
 pub trait MemberCalls: Send + Sync + std::fmt::Debug {
     /// Requests a member's status. With `hold`, first stops the member from receiving replication, in a
     /// term above its own.
-    fn status(&self, call: MemberCall, hold: bool) -> LocalBoxFuture<'static, MemberAnswer>;
+    fn status(&self, call: MemberTarget, hold: bool) -> LocalBoxFuture<'static, MemberAnswer>;
 
     /// Lets a held member receive replication again.
-    fn release(&self, call: MemberCall) -> LocalBoxFuture<'static, ()>;
+    fn release(&self, call: MemberTarget) -> LocalBoxFuture<'static, ()>;
 }
 
 /// The external authority that promotes members.
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub(crate) enum RegistryAnswer {
     /// The result of a status call to a member.
-    Status(MemberCall, MemberAnswer),
+    Status(MemberTarget, MemberAnswer),
     /// The authority's answer to the promotion request with a fencing token.
     Promotion(GroupName, u64, PromotionAnswer),
 }
--- a/crates/control/src/registry_calls/caller.rs
+++ b/crates/control/src/registry_calls/caller.rs
@@ -2,7 +2,7 @@
 //!
 //! The results reach the consensus thread as inputs.
 
-use super::call::{MemberCall, RegistryAnswer, RegistryCalls};
+use super::call::{MemberTarget, RegistryAnswer, RegistryCalls};
 use crate::consensus::{ConsensusHandle, ConsensusInput};
 use crate::stop::StopSignal;
 use actix_rt::ArbiterHandle;
@@ -44,13 +44,13 @@
 
     async fn run(self, action: PromotionAction) {
         let answer = match action {
-            PromotionAction::Ask { group, member, address, hold } => {
-                let call = MemberCall { group, member, address };
+            PromotionAction::RequestStatus { group, member, address, hold } => {
+                let call = MemberTarget { group, member, address };
                 let status =
                     timeout(STATUS_TIMEOUT, self.calls.members.status(call.clone(), hold)).await;
                 RegistryAnswer::Status(call, status.unwrap_or(MemberAnswer::Silent))
             }
-            PromotionAction::Call { group, target, fence } => {
+            PromotionAction::RequestPromotion { group, target, fence } => {
                 log::info!(group:% = group, member:% = target, fence; "promotion is called for");
                 let call = self.calls.authority.promote(group.clone(), target, fence);
                 let answer = timeout(PROMOTION_TIMEOUT, call).await;
@@ -59,7 +59,7 @@
                 RegistryAnswer::Promotion(group, fence, answer)
             }
             PromotionAction::Release { group, member, address } => {
-                let call = MemberCall { group, member, address };
+                let call = MemberTarget { group, member, address };
                 // A member that misses this call is released by the next promotion or restart.
                 drop(timeout(STATUS_TIMEOUT, self.calls.members.release(call)).await);
                 return;
--- a/crates/control/src/registry_calls/mod.rs
+++ b/crates/control/src/registry_calls/mod.rs
@@ -7,5 +7,5 @@
 mod caller;
 
 pub(crate) use call::RegistryAnswer;
-pub use call::{MemberCall, MemberCalls, PromotionAuthority, RegistryCalls};
+pub use call::{MemberCalls, MemberTarget, PromotionAuthority, RegistryCalls};
 pub(crate) use caller::RegistryCaller;
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -10,11 +10,11 @@
 use crate::error::ControlError;
 use crate::feed::Feed;
 use crate::metrics::Metrics;
-use crate::proxies::{Proofs, ProxyTable};
+use crate::proxies::{CurrencyChecks, ProxyTable};
 use crate::recovered::Recovered;
 use crate::registry::RegistryHandle;
 use crate::settings::{ControlListeners, ControlSettings};
-use crate::starting::Starting;
+use crate::starting::StartupContext;
 use crate::stop::{StopTrigger, stop_channel};
 use actix_rt::Arbiter;
 use actix_web::dev::ServerHandle;
@@ -171,12 +171,12 @@
     let (cell_trigger, cell_stop) = stop_channel();
     let (publisher, status) =
         watch::channel(ReplicaStatus::of(&recovered.replica, recovered.applied));
-    let starting = Starting {
+    let starting = StartupContext {
         metrics,
         clock,
         consensus: ConsensusHandle::new(input_sender, settings.request_timeout),
         feed: Feed::new(recovered.state.view_revision(), settings.watch_changes.max(1)),
-        proofs: Proofs::default(),
+        currency_checks: CurrencyChecks::default(),
         proxies: ProxyTable::new(),
         disks: recovered.disks.clone(),
         status,
@@ -192,7 +192,7 @@
     let thread = starting.start_consensus(recovered, publisher, input_receiver)?;
     let http = starting.start_operators(listeners.operators)?;
     let registry = RegistryHandle::new(&starting);
-    let Starting { consensus, status, arbiters, .. } = starting;
+    let StartupContext { consensus, status, arbiters, .. } = starting;
     Ok(ControlHandle {
         registry,
         consensus,
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -103,7 +103,7 @@
     pub formation_grace: Duration,
     /// Addresses to which a replica without a cell sends its join request: the proxies' listeners of other
     /// replicas.
-    pub join_through: Vec<SocketAddr>,
+    pub join_addresses: Vec<SocketAddr>,
     /// Address at which other replicas reach this replica; needed to join a cell.
     pub cell_address: Option<SocketAddr>,
     /// Seed for the jitter of elections and reconnections.
@@ -137,7 +137,7 @@
             registry_calls: None,
             limits: LimitBounds::default(),
             formation_grace: Duration::ZERO,
-            join_through: Vec::new(),
+            join_addresses: Vec::new(),
             cell_address: None,
             workers: DEFAULT_WORKERS,
             seed: replica.0,
--- a/crates/control/src/starting.rs
+++ b/crates/control/src/starting.rs
@@ -1,7 +1,7 @@
 //! Starts the parts of a replica and connects them. Decides which arbiter each part runs on, and which
 //! stop signal ends it.
 
-use crate::back_end::BackEnds;
+use crate::back_end::BackEndCaller;
 use crate::cell::{Disks, InboundSettings, LinkSettings, Links, accept_replicas};
 use crate::clock::Clock;
 use crate::consensus::{
@@ -9,12 +9,12 @@
 };
 use crate::error::ControlError;
 use crate::feed::Feed;
-use crate::http::{Operators, serve};
+use crate::http::{OperatorContext, serve};
 use crate::joining::JoinTask;
 use crate::leader::LeaderDuties;
 use crate::metrics::Metrics;
 use crate::platform::poll_platform;
-use crate::proxies::{Proofs, ProxyServer, ProxyTable, accept_proxies, send_summaries};
+use crate::proxies::{CurrencyChecks, ProxyServer, ProxyTable, accept_proxies, send_summaries};
 use crate::recovered::Recovered;
 use crate::registry_calls::RegistryCaller;
 use crate::settings::{CellStart, ControlSettings};
@@ -32,13 +32,13 @@
 const THREAD_NAME: &str = "corktack-consensus";
 
 /// The components that the parts of a replica share, while it starts.
-pub(crate) struct Starting {
+pub(crate) struct StartupContext {
     pub(crate) settings: ControlSettings,
     pub(crate) metrics: Metrics,
     pub(crate) clock: Clock,
     pub(crate) consensus: ConsensusHandle,
     pub(crate) feed: Feed,
-    pub(crate) proofs: Proofs,
+    pub(crate) currency_checks: CurrencyChecks,
     pub(crate) proxies: ProxyTable,
     pub(crate) disks: Disks,
     pub(crate) status: watch::Receiver<ReplicaStatus>,
@@ -47,7 +47,7 @@
     pub(crate) cell_stop: StopSignal,
 }
 
-impl Starting {
+impl StartupContext {
     /// Returns the arbiter of the cell's connections, the calls to back ends and the platform's list.
     fn first_arbiter(&self) -> ArbiterHandle {
         self.arbiters[0].handle()
@@ -101,7 +101,7 @@
     }
 
     fn duties(&self) -> LeaderDuties {
-        let back_ends = BackEnds {
+        let back_ends = BackEndCaller {
             arbiter: self.first_arbiter(),
             consensus: self.consensus.clone(),
             stop: self.stop.clone(),
@@ -146,8 +146,13 @@
         // Half the heartbeat timeout, so that a proxy learns that this replica is cut off before the replica
         // counts as silent.
         let proof_timeout = self.settings.proxy_heartbeat_timeout / 2;
-        let proofs = self.proofs.clone();
-        first.spawn(proofs.run(interval, proof_timeout, self.consensus.clone(), self.stop.clone()));
+        let currency_checks = self.currency_checks.clone();
+        first.spawn(currency_checks.run(
+            interval,
+            proof_timeout,
+            self.consensus.clone(),
+            self.stop.clone(),
+        ));
         let table = server.table.clone();
         first.spawn(send_summaries(table, interval, self.consensus.clone(), self.stop.clone()));
         let arbiters = self.proxy_arbiters();
@@ -165,10 +170,10 @@
             consensus: self.consensus.clone(),
             feed: self.feed.clone(),
             table: self.proxies.clone(),
-            proofs: self.proofs.clone(),
+            currency_checks: self.currency_checks.clone(),
             metrics: self.metrics.clone(),
             heartbeat_timeout: self.settings.proxy_heartbeat_timeout,
-            connections: Arc::default(),
+            next_connection: Arc::default(),
             status: self.status.clone(),
             stop: self.stop.clone(),
         }
@@ -178,12 +183,12 @@
     /// are configured.
     pub(crate) fn start_joining(&self) {
         let Some(address) = self.settings.cell_address else { return };
-        if self.settings.join_through.is_empty() {
+        if self.settings.join_addresses.is_empty() {
             return;
         }
         let join_task = JoinTask {
             member: CellMember { id: self.settings.replica, address },
-            contacts: self.settings.join_through.clone(),
+            contacts: self.settings.join_addresses.clone(),
             status: self.status.clone(),
             consensus: self.consensus.clone(),
         };
@@ -209,12 +214,12 @@
     ) -> Result<ServerHandle, ControlError> {
         let mut registry = Registry::default();
         self.metrics.register(&mut registry);
-        let operators = Operators {
+        let operators = OperatorContext {
             cell: self.settings.cell.clone(),
             replica: self.settings.replica,
             consensus: self.consensus.clone(),
             feed: self.feed.clone(),
-            proofs: self.proofs.clone(),
+            currency_checks: self.currency_checks.clone(),
             status: self.status.clone(),
             registry: Arc::new(registry),
             token: self.settings.operator_token.as_deref().map(Arc::from),
--- a/crates/control/tests/cell.rs
+++ b/crates/control/tests/cell.rs
@@ -8,8 +8,8 @@
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
-use support::operator::class;
-use support::{Cell, until};
+use support::operator::class_body;
+use support::{Cell, wait_until};
 
 #[rstest]
 #[case::from_the_log(4_096)]
@@ -47,7 +47,7 @@
     let mut cell = Cell::start_with(3, adjust);
     let leader = cell.leader().await;
     let operator = cell.replicas[leader].operator();
-    until("a change", async || {
+    wait_until("a change", async || {
         let answer = operator.put_class("gold", 1, None).await;
         (answer.status == StatusCode::OK).then_some(())
     })
@@ -61,7 +61,7 @@
     assert_eq!(operator.get("/ready").await.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(operator.get("/live").await.status, StatusCode::OK);
     assert!(!operator.status().await.current);
-    let body = class(2, None);
+    let body = class_body(2, None);
     let path = "/v1/classes/gold";
     let unanswered = operator.send(Method::PUT, path, Some("change-2"), Some(&body)).await;
     let unanswered = unanswered.refused(StatusCode::SERVICE_UNAVAILABLE);
@@ -70,7 +70,7 @@
     for index in (0..3).filter(|index| *index != leader) {
         cell.replicas[index].restart(&adjust).await;
     }
-    until("the resend is accepted", async || {
+    wait_until("the resend is accepted", async || {
         let answer = operator.send(Method::PUT, path, Some("change-2"), Some(&body)).await;
         (answer.status == StatusCode::OK).then_some(())
     })
@@ -105,7 +105,7 @@
     let lost = (0..3).find(|index| *index != leader).expect("a follower");
     let lost_id = cell.replicas[lost].id;
     cell.replicas[lost].stop().await;
-    cell.join(4, adjust);
+    cell.start_joiner(4, adjust);
     let address = cell.replicas[3].cell;
     let changes = [
         json!({"operation": "addLearner", "id": 4, "address": address}),
@@ -113,7 +113,7 @@
         json!({"operation": "remove", "id": lost_id}),
     ];
     for change in &changes {
-        until("the cell changes", async || {
+        wait_until("the cell changes", async || {
             let answer = operator.send(Method::POST, "/v1/cell", None, Some(change)).await;
             let allowed = [StatusCode::NO_CONTENT, StatusCode::CONFLICT];
             assert!(allowed.contains(&answer.status), "{:?}", answer.body);
@@ -125,11 +125,11 @@
     let third = (0..3).find(|index| *index != leader && *index != lost).expect("a third");
     cell.replicas[third].stop().await;
     let new_replica = &cell.replicas[3];
-    until("the new replica is a follower", async || {
+    wait_until("the new replica is a follower", async || {
         (new_replica.role() == Some(Role::Follower)).then_some(())
     })
     .await;
-    let list: ResourceList = until("the new replica answers", async || {
+    let list: ResourceList = wait_until("the new replica answers", async || {
         let answer = new_replica.operator().get("/v1/classes").await;
         (answer.status == StatusCode::OK).then(|| answer.read())
     })
@@ -150,13 +150,13 @@
     for priority in 1..=150 {
         operator.put_class("gold", priority, None).await.accepted();
     }
-    assert_eq!(links.packed_frames(), 0, "a single change is too small to compress");
+    assert_eq!(links.compressed_frames(), 0, "a single change is too small to compress");
     links.heal();
     let leader_index = cell.replicas[leader].running().status().applied_index;
-    until("the follower has the changes", async || {
+    wait_until("the follower has the changes", async || {
         let status = cell.replicas[follower].running().status();
         (status.applied_index >= leader_index).then_some(())
     })
     .await;
-    assert!(links.packed_frames() > 0, "the append is compressed");
+    assert!(links.compressed_frames() > 0, "the append is compressed");
 }
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -10,8 +10,8 @@
 use rstest::rstest;
 use serde_json::Value;
 use std::net::SocketAddr;
-use support::operator::{Operator, class};
-use support::{Cell, until};
+use support::operator::{Operator, class_body};
+use support::{Cell, wait_until};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -93,11 +93,11 @@
 
 /// Adds a replica, which gets the earlier changes only from a snapshot, and returns its index.
 async fn catch_up_by_snapshot(cell: &mut Cell, adjust: impl Fn(&mut ControlSettings)) -> usize {
-    cell.join(4, adjust);
+    cell.start_joiner(4, adjust);
     cell.add_learner(3).await;
     let operator = cell.replicas[cell.leader().await].operator();
     let newest: AnyManifest = operator.get(PATH).await.read();
-    until("the new replica has the state", async || {
+    wait_until("the new replica has the state", async || {
         let answer = cell.replicas[3].operator().get(PATH).await;
         (answer.status == StatusCode::OK && answer.read::<AnyManifest>() == newest).then_some(())
     })
@@ -116,16 +116,16 @@
     let mut cell = Cell::start_with(3, adjust);
     let leader = cell.leader().await;
     let operator = cell.replicas[cell.follower().await].operator();
-    let first = class(1, Some(0));
+    let first = class_body(1, Some(0));
     let unread = send_unread(cell.replicas[leader].operators, "lost-1", &first).await;
-    let created: AnyManifest = until("the change is committed", async || {
+    let created: AnyManifest = wait_until("the change is committed", async || {
         let answer = operator.get(PATH).await;
         (answer.status == StatusCode::OK).then(|| answer.read())
     })
     .await;
     drop(unread);
     // A refused change, and enough accepted ones for several snapshots of 4 entries.
-    let stale = class(9, Some(0));
+    let stale = class_body(9, Some(0));
     let refused = operator.send(Method::PUT, PATH, Some("lost-2"), Some(&stale)).await;
     let refused = refused.refused(StatusCode::CONFLICT);
     for priority in 2..=20 {
--- a/crates/control/tests/currency.rs
+++ b/crates/control/tests/currency.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use std::time::Duration;
 use support::proxy::Proxy;
-use support::{Cell, until};
+use support::{Cell, wait_until};
 
 /// Changes made while a proxy is disconnected.
 const MISSED_CHANGES: u32 = 500;
@@ -31,11 +31,11 @@
     let operator = partitioned.operator();
     let first = operator.put_class("gold", 1, None).await.accepted().revision;
     let mut proxy = Proxy::connect(partitioned.proxies, "p-1", View::default()).await;
-    proxy.reach(first).await;
+    proxy.apply_until(first).await;
     let mut lines = operator.watch(first.0).await.ok().expect("a watch");
 
     links.cut_off(partitioned.id);
-    let newest = until("the majority accepts a change", async || {
+    let newest = wait_until("the majority accepts a change", async || {
         let answer = other.operator().put_class("gold", 2, None).await;
         (answer.status == StatusCode::OK).then(|| answer.accepted().revision)
     })
@@ -48,29 +48,29 @@
     let watch = operator.watch(first.0).await.err().expect("no watch");
     assert_eq!(watch.refused(StatusCode::SERVICE_UNAVAILABLE).code, ErrorCode::Unavailable);
     assert!(lines.next().await.is_none(), "the open watch ends without an event");
-    let proof = until("a proof fails", async || {
-        let proof = proxy.confirm().await;
+    let proof = wait_until("a proof fails", async || {
+        let proof = proxy.heartbeat_is_current().await;
         (proof != Some(true)).then_some(proof)
     })
     .await;
     assert_eq!((proof, proxy.view.revision), (Some(false), first));
     let mut new_proxy = Proxy::connect(partitioned.proxies, "p-2", View::default()).await;
-    assert_eq!(new_proxy.step().await, None, "no snapshot is sent");
+    assert_eq!(new_proxy.apply_next_message().await, None, "no snapshot is sent");
 
     // The proxy connects to another replica with its view, and gets only the changes that it lacks.
     let mut proxy = Proxy::connect(other.proxies, "p-1", proxy.view).await;
-    proxy.reach(newest).await;
-    assert!(proxy.confirm().await.expect("the connection goes on"));
+    proxy.apply_until(newest).await;
+    assert!(proxy.heartbeat_is_current().await.expect("the connection goes on"));
 
     links.heal();
-    let stored: AnyManifest = until("the replica is current again", async || {
+    let stored: AnyManifest = wait_until("the replica is current again", async || {
         let answer = operator.get(PATH).await;
         (answer.status == StatusCode::OK).then(|| answer.read())
     })
     .await;
     assert_eq!(stored.metadata().generation, Some(2));
     let mut new_proxy = Proxy::connect(partitioned.proxies, "p-3", View::default()).await;
-    new_proxy.reach(newest).await;
+    new_proxy.apply_until(newest).await;
 }
 
 #[actix_rt::test]
@@ -81,10 +81,10 @@
     let operator = replica.operator();
     let first = operator.put_class("gold", 0, None).await.accepted().revision;
     let mut proxy = Proxy::connect(replica.proxies, "p-1", View::default()).await;
-    proxy.reach(first).await;
+    proxy.apply_until(first).await;
     // The proxy's own registration may still arrive as a delta; after it, only the changes below do.
-    until("the proxy is registered", async || {
-        proxy.confirm().await;
+    wait_until("the proxy is registered", async || {
+        proxy.heartbeat_is_current().await;
         (proxy.view.proxies.len() == 1).then_some(())
     })
     .await;
@@ -96,7 +96,7 @@
         assert!(revision > last);
         last = revision;
         // The proxy's view refuses deltas that are not newer than its revision.
-        proxy.reach(revision).await;
+        proxy.apply_until(revision).await;
         assert_eq!((proxy.view.revision, proxy.view.classes[&gold].priority), (revision, priority));
     }
     assert_eq!((proxy.snapshots, proxy.deltas), (snapshots, deltas + 50));
@@ -136,7 +136,7 @@
         assert!(operator.watch(list.revision.0).await.is_ok());
         let old_view = View { revision: first, ..View::default() };
         let mut proxy = Proxy::connect(replica.proxies, "p-1", old_view).await;
-        proxy.reach(newest).await;
+        proxy.apply_until(newest).await;
         assert_eq!((proxy.snapshots, proxy.view.classes[&gold].priority), (1, MISSED_CHANGES));
     }
 }
@@ -157,7 +157,7 @@
     }
     cell.replicas[lagging].restart(&adjust).await;
     let operator = cell.replicas[lagging].operator();
-    let stored: AnyManifest = until("the replica has caught up", async || {
+    let stored: AnyManifest = wait_until("the replica has caught up", async || {
         let answer = operator.get(PATH).await;
         (answer.status == StatusCode::OK).then(|| answer.read())
     })
--- a/crates/control/tests/failover.rs
+++ b/crates/control/tests/failover.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 use support::operator::Operator;
 use support::proxy::Proxy;
-use support::{Cell, until};
+use support::{Cell, wait_until};
 use tempfile::TempDir;
 
 const GROUP: &str = "records";
@@ -68,8 +68,8 @@
     let operator = cell.replicas[follower].operator();
     let mut proxy = Proxy::connect(cell.replicas[follower].proxies, "p-1", View::default()).await;
     declare_group(&operator, &group).await;
-    let (old_primary, term) = until("the group's own primary is adopted", async || {
-        proxy.confirm().await;
+    let (old_primary, term) = wait_until("the group's own primary is adopted", async || {
+        proxy.heartbeat_is_current().await;
         current_primary(&operator).await
     })
     .await;
@@ -80,15 +80,15 @@
         cell.replicas[leader].stop().await;
     }
     proxy.heartbeat(false, vec![unreachable_observation(&old_primary)]).await;
-    let (new_primary, next_term) = until("another primary", async || {
-        proxy.confirm().await;
+    let (new_primary, next_term) = wait_until("another primary", async || {
+        proxy.heartbeat_is_current().await;
         current_primary(&operator).await.filter(|(_, new_term)| *new_term > term)
     })
     .await;
     assert_ne!(new_primary, old_primary);
     check_write(&group, &new_primary).await;
-    let primary_in_view = until("the proxy has the new primary", async || {
-        proxy.confirm().await;
+    let primary_in_view = wait_until("the proxy has the new primary", async || {
+        proxy.heartbeat_is_current().await;
         let view = &proxy.view.groups[&GroupName::new(GROUP).ok()?];
         (view.term == next_term).then(|| view.primary.clone())
     })
--- a/crates/control/tests/formation.rs
+++ b/crates/control/tests/formation.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use support::proxy::Proxy;
-use support::{Cell, TestReplica, until};
+use support::{Cell, TestReplica, wait_until};
 
 /// An address that refuses connections and sorts before all others.
 const UNREACHABLE: &str = "127.0.0.1:1";
@@ -24,7 +24,7 @@
     move |settings| {
         settings.cell_repair =
             Some(CellRepairSettings { voters, replace_after: Duration::from_secs(60) });
-        settings.join_through.clone_from(&contacts);
+        settings.join_addresses.clone_from(&contacts);
     }
 }
 
@@ -52,7 +52,7 @@
 
 async fn until_voters(cell: &Cell, expected: &[u64]) {
     let expected: Vec<ReplicaId> = expected.iter().map(|id| ReplicaId(*id)).collect();
-    until("the voters are those expected", async || {
+    wait_until("the voters are those expected", async || {
         let agreed = cell.replicas.iter().all(|replica| {
             let mut voters = voters(replica);
             voters.sort();
@@ -93,7 +93,7 @@
 async fn a_replica_that_requests_to_join_becomes_a_voter() {
     let mut cell = Cell::start_with(2, repairing(3, Vec::new()));
     let contacts = proxy_addresses(&cell);
-    cell.join_asking(3, |own, settings| joining(3, contacts.clone(), own)(settings));
+    cell.start_join_requester(3, |own, settings| joining(3, contacts.clone(), own)(settings));
     until_voters(&cell, &[1, 2, 3]).await;
 }
 
@@ -182,7 +182,9 @@
 #[actix_rt::test]
 async fn a_replica_outside_the_cell_closes_proxy_connections_at_once() {
     let mut cell = Cell { replicas: Vec::new() };
-    cell.join_asking(7, |_, settings| settings.request_timeout = Duration::from_secs(3_600));
+    cell.start_join_requester(7, |_, settings| {
+        settings.request_timeout = Duration::from_secs(3_600)
+    });
     let mut proxy = Proxy::connect(cell.replicas[0].proxies, "p1", View::default()).await;
-    assert_eq!(tokio::time::timeout(READ_TIMEOUT, proxy.step()).await, Ok(None));
+    assert_eq!(tokio::time::timeout(READ_TIMEOUT, proxy.apply_next_message()).await, Ok(None));
 }
--- a/crates/control/tests/full_state.rs
+++ b/crates/control/tests/full_state.rs
@@ -16,7 +16,7 @@
 use corktack_protocol::frame::encode;
 use corktack_storage::{DataFolder, LogStore, ReplicaLog};
 use std::str::FromStr;
-use support::{Cell, until};
+use support::{Cell, wait_until};
 
 /// Database groups of the largest deployment, each with three members.
 const GROUPS: usize = 733;
@@ -95,7 +95,7 @@
     replica.restart(&|_| ()).await;
     let operator = replica.operator();
     let path = format!("/v1/groups/{}", long_name(GROUPS - 1));
-    let group: AnyManifest = until("the last group is served", async || {
+    let group: AnyManifest = wait_until("the last group is served", async || {
         let answer = operator.get(&path).await;
         (answer.status == StatusCode::OK).then(|| answer.read())
     })
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use support::proxy::Proxy;
-use support::{Cell, until};
+use support::{Cell, wait_until};
 
 /// Allows 100 operations in a window of 5 s.
 const RATE: TenantRate = TenantRate { per_second: 15.0, burst: 25.0 };
@@ -58,12 +58,15 @@
     /// Reports to the leader until it answers, and returns the granted operations.
     async fn request(&mut self, needed: u64) -> u64 {
         loop {
-            assert!(self.proxy.confirm().await.is_some(), "the connection stays open");
-            let Some(term) = self.proxy.led else { continue };
+            assert!(self.proxy.heartbeat_is_current().await.is_some(), "the connection stays open");
+            let Some(term) = self.proxy.leader_term else { continue };
             self.report(term, needed).await;
             // The grant comes before the acknowledgement of one of these heartbeats, or is requested again.
             for _ in 0..5 {
-                assert!(self.proxy.confirm().await.is_some(), "the connection stays open");
+                assert!(
+                    self.proxy.heartbeat_is_current().await.is_some(),
+                    "the connection stays open"
+                );
             }
             if let Some(granted) = self.apply_grant(term) {
                 return granted;
@@ -84,7 +87,7 @@
             is_full: true,
             demands: vec![demand],
         };
-        self.proxy.allowances(report).await;
+        self.proxy.report_allowances(report).await;
     }
 
     fn apply_grant(&mut self, term: Term) -> Option<u64> {
@@ -105,11 +108,11 @@
     let mut first = Gateway::connect(&cell, leader, "g-1").await;
     let mut second = Gateway::connect(&cell, (leader + 1) % 3, "g-2").await;
     // More than the initial ceiling allows, so the grant needs a higher ceiling in the log.
-    until("the first gateway gets its share", async || {
+    wait_until("the first gateway gets its share", async || {
         (first.request(40).await == 40).then_some(())
     })
     .await;
-    let granted = until("the second gateway gets the rest", async || {
+    let granted = wait_until("the second gateway gets the rest", async || {
         let granted = second.request(90).await;
         (granted >= 55).then_some(granted)
     })
@@ -126,8 +129,10 @@
     let follower = (leader + 1) % 3;
     let mut first = Gateway::connect(&cell, follower, "g-1").await;
     let mut second = Gateway::connect(&cell, follower, "g-2").await;
-    until("most of the limit is granted", async || (first.request(90).await >= 85).then_some(()))
-        .await;
+    wait_until("most of the limit is granted", async || {
+        (first.request(90).await >= 85).then_some(())
+    })
+    .await;
     let held = first.held;
     cell.replicas[leader].stop().await;
     let new_leader = cell.leader().await;
--- a/crates/control/tests/lost_disk.rs
+++ b/crates/control/tests/lost_disk.rs
@@ -8,7 +8,7 @@
 use corktack_core::consensus::{CellMember, Role};
 use rstest::rstest;
 use serde_json::json;
-use support::{Cell, until};
+use support::{Cell, wait_until};
 
 const DISKS_KNOWN: &str = "corktack_control_cell_disks_known";
 const DISKS_REFUSED: &str = "corktack_control_cell_disks_refused_total";
@@ -17,7 +17,7 @@
 /// Waits until every replica has stored the disk ids of the other two.
 async fn wait_until_disks_stored(cell: &Cell) {
     for replica in &cell.replicas {
-        until("the disk ids of the others are stored", async || {
+        wait_until("the disk ids of the others are stored", async || {
             (replica.metric(DISKS_KNOWN).await == 2).then_some(())
         })
         .await;
@@ -71,7 +71,7 @@
     #[values(true, false)] bootstraps: bool,
 ) {
     let DamagedCell { mut cell, leader, outdated, lost, newest } = lose_a_disk(bootstraps).await;
-    let elected = until("an election, or a refusal", async || {
+    let elected = wait_until("an election, or a refusal", async || {
         let is_leader = |index: usize| cell.replicas[index].role() == Some(Role::Leader);
         let is_refused = cell.replicas[outdated].metric(DISKS_REFUSED).await > 0;
         (is_refused || is_leader(outdated) || is_leader(lost))
@@ -80,7 +80,7 @@
     .await;
     assert!(!elected, "a replica that lost its disk helped to elect a leader");
     cell.replicas[leader].restart(&|_| ()).await;
-    let stored: AnyManifest = until("the two undamaged replicas serve", async || {
+    let stored: AnyManifest = wait_until("the two undamaged replicas serve", async || {
         let answer = cell.replicas[outdated].operator().get(PATH).await;
         (answer.status == StatusCode::OK).then(|| answer.read())
     })
@@ -90,10 +90,10 @@
 
     let mut removed = cell.replicas.remove(lost);
     removed.stop().await;
-    cell.join(4, |_| ());
+    cell.start_joiner(4, |_| ());
     cell.add_learner(2).await;
-    cell.change(json!({"operation": "promote", "id": 4})).await;
-    cell.change(json!({"operation": "remove", "id": removed.id})).await;
+    cell.change_membership(json!({"operation": "promote", "id": 4})).await;
+    cell.change_membership(json!({"operation": "remove", "id": removed.id})).await;
     // A second machine is lost right after the repair.
     let leader = cell.leader().await;
     drop(cell.replicas[leader].handle.take());
--- a/crates/control/tests/metrics.rs
+++ b/crates/control/tests/metrics.rs
@@ -12,7 +12,7 @@
 use support::group::GatedGroup;
 use support::operator::Operator;
 use support::proxy::Proxy;
-use support::{Cell, until};
+use support::{Cell, wait_until};
 
 /// Waits for a primary with a term above `term`; the proxy reports `observations` meanwhile.
 async fn wait_for_primary_above(
@@ -21,7 +21,7 @@
     observations: &[Observation],
     term: Term,
 ) -> (corktack_core::identity::MemberName, Term) {
-    until("a primary", async || {
+    wait_until("a primary", async || {
         proxy.report(observations.to_vec()).await.expect("the connection stays open");
         let status = operator.status().await;
         let group = status.groups.into_iter().next()?;
--- a/crates/control/tests/planned_stop.rs
+++ b/crates/control/tests/planned_stop.rs
@@ -9,8 +9,8 @@
 use std::cell::Cell as SharedCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use support::operator::{Operator, class};
-use support::{Cell, until};
+use support::operator::{Operator, class_body};
+use support::{Cell, wait_until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -29,7 +29,7 @@
 impl Progress {
     async fn wait_for_more(&self) {
         let target = self.accepted.get() + CHANGES_PER_STEP;
-        until("more changes", async || (self.accepted.get() >= target).then_some(())).await;
+        wait_until("more changes", async || (self.accepted.get() >= target).then_some(())).await;
     }
 }
 
@@ -39,7 +39,7 @@
     let mut cell = Cell::start(3);
     let index = cell.follower().await;
     let mut stream = TcpStream::connect(cell.replicas[index].operators).await.expect("accepted");
-    let body = class(1, Some(0)).to_string();
+    let body = class_body(1, Some(0)).to_string();
     let head = format!(
         "PUT /v1/classes/gold HTTP/1.1\r\nHost: test\r\nExpect: 100-continue\r\n\
          Content-Type: application/json\r\nContent-Length: {}\r\n\r\n",
@@ -66,9 +66,9 @@
 /// Creates a class and retries under the same change id, through one replica after another.
 async fn create(operators: &[Operator], first: usize, name: &str) -> WriteBody {
     let (path, change_id) = (format!("/v1/classes/{name}"), format!("change-{name}"));
-    let body = class(1, Some(0));
+    let body = class_body(1, Some(0));
     let attempts = SharedCell::new(first);
-    until("an answer", async || {
+    wait_until("an answer", async || {
         let operator = &operators[attempts.get() % operators.len()];
         attempts.set(attempts.get() + 1);
         let answer = operator.try_send(Method::PUT, &path, Some(&change_id), Some(&body)).await?;
@@ -120,7 +120,7 @@
     let accepted: BTreeMap<String, ResourceVersion> = accepted.flatten().collect();
     println!("{} changes over {STOPS} planned stops", accepted.len());
     for operator in &operators {
-        let list: ResourceList = until("the replica serves", async || {
+        let list: ResourceList = wait_until("the replica serves", async || {
             let answer = operator.get("/v1/classes").await;
             (answer.status == StatusCode::OK).then(|| answer.read())
         })
--- a/crates/control/tests/primary_faults.rs
+++ b/crates/control/tests/primary_faults.rs
@@ -15,7 +15,7 @@
 use support::group::GatedGroup;
 use support::operator::Operator;
 use support::proxy::Proxy;
-use support::{Cell, until};
+use support::{Cell, wait_until};
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 const CREATE: &str = "CREATE TABLE flags (line TEXT PRIMARY KEY)";
@@ -109,7 +109,7 @@
         health: MemberHealth,
     ) {
         let probes_before = self.probe_count().await;
-        until("probes", async || {
+        wait_until("probes", async || {
             let observations = vec![observation(group, member, health)];
             self.proxy.report(observations).await.expect("the connection stays open");
             let is_done = health != MemberHealth::Unreachable
@@ -125,8 +125,8 @@
         group: &GatedGroup,
         term: Term,
     ) -> (MemberName, Term) {
-        until("a primary", async || {
-            self.proxy.confirm().await;
+        wait_until("a primary", async || {
+            self.proxy.heartbeat_is_current().await;
             current_primary(&self.operator, group).await.filter(|(_, new_term)| *new_term > term)
         })
         .await
@@ -166,7 +166,8 @@
     caller_of_new.simple_query(insert).await.expect("the new primary accepts a write");
 
     group.set_gates(old, GateState::Open);
-    until("the late write has its answer", async || late_write.is_finished().then_some(())).await;
+    wait_until("the late write has its answer", async || late_write.is_finished().then_some(()))
+        .await;
     let answer = late_write.await.expect("the caller's task ends");
     assert!(answer.is_err(), "a replaced primary acknowledged a write");
     assert_eq!(read_lines(&caller_of_new).await, ["after", "before"]);
@@ -267,11 +268,12 @@
     let mut proxy = Proxy::connect(cell.replicas[0].proxies, "p-1", View::default()).await;
     operator.put("/v1/groups/records", group.spec()).await.accepted();
     let (old_primary, term) =
-        until("the primary is adopted", async || current_primary(&operator, &group).await).await;
+        wait_until("the primary is adopted", async || current_primary(&operator, &group).await)
+            .await;
     proxy
         .heartbeat(false, vec![observation(&group, &old_primary, MemberHealth::Primary(term))])
         .await;
-    until("the leader knows the proxy", async || {
+    wait_until("the leader knows the proxy", async || {
         let status = operator.status().await;
         status.proxies.iter().any(|proxy| proxy.state == ProxyState::Live).then_some(())
     })
@@ -280,7 +282,7 @@
     proxy
         .heartbeat(false, vec![observation(&group, &old_primary, MemberHealth::Unreachable)])
         .await;
-    let (new_primary, _) = until("another primary", async || {
+    let (new_primary, _) = wait_until("another primary", async || {
         current_primary(&operator, &group).await.filter(|(_, new_term)| *new_term > term)
     })
     .await;
--- a/crates/control/tests/resources.rs
+++ b/crates/control/tests/resources.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use std::net::TcpListener;
 use support::Cell;
-use support::operator::class;
+use support::operator::class_body;
 
 #[rstest]
 #[case(1)]
@@ -76,7 +76,7 @@
 async fn a_resend_gets_the_first_answer_after_the_leader_stopped() {
     let mut cell = Cell::start(3);
     let leader = cell.leader().await;
-    let body = class(7, Some(0));
+    let body = class_body(7, Some(0));
     let send = async |index: usize, cell: &Cell| {
         let operator = cell.replicas[index].operator();
         operator.send(Method::PUT, "/v1/classes/gold", Some("change-1"), Some(&body)).await
@@ -87,7 +87,7 @@
     let follower = cell.follower().await;
     assert_eq!(send(follower, &cell).await.accepted(), first.accepted());
     let operator = cell.replicas[follower].operator();
-    let other_body = class(8, Some(0));
+    let other_body = class_body(8, Some(0));
     let reused =
         operator.send(Method::PUT, "/v1/classes/gold", Some("change-1"), Some(&other_body));
     assert_eq!(reused.await.refused(StatusCode::UNPROCESSABLE_ENTITY).code, ErrorCode::Invalid);
--- a/crates/control/tests/silence.rs
+++ b/crates/control/tests/silence.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use awc::http::StatusCode;
-use support::{Cell, until};
+use support::{Cell, wait_until};
 
 /// The messages of the leader are lost, although its kernel gets acknowledgements for all of them.
 #[actix_rt::test]
@@ -13,10 +13,10 @@
     let follower = cell.follower().await;
     let (from, to) = (cell.replicas[leader].id, cell.replicas[follower].id);
     let term_before = cell.replicas[follower].running().status().term;
-    links.silence(from, to);
+    links.silence_connection(from, to);
     let change = cell.replicas[leader].operator().put_class("gold", 1, None).await;
     let revision = change.accepted().revision;
-    until("the follower has the change", async || {
+    wait_until("the follower has the change", async || {
         let status = cell.replicas[follower].running().status();
         (status.applied_index >= revision.0).then_some(())
     })
@@ -33,9 +33,9 @@
     let leader = cell.leader().await;
     let follower = cell.follower().await;
     let other = 3 - leader - follower;
-    links.silence(cell.replicas[follower].id, cell.replicas[leader].id);
+    links.silence_connection(cell.replicas[follower].id, cell.replicas[leader].id);
     links.cut_off(cell.replicas[other].id);
-    until("a majority accepts a change", async || {
+    wait_until("a majority accepts a change", async || {
         let indexes = [leader, follower];
         for index in indexes {
             let change = cell.replicas[index].operator().put_class("gold", 1, None).await;
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -12,7 +12,7 @@
 use prometheus_client::registry::Registry;
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
-use support::{Cell, until};
+use support::{Cell, wait_until};
 
 const PATH: &str = "/v1/classes/gold";
 /// The beginning of a record whose write was interrupted by a crash before the sync.
@@ -110,7 +110,7 @@
     std::fs::write(&file, torn).expect("the segment is written");
     cell.replicas[index].restart(&|_| ()).await;
     let operator = cell.replicas[index].operator();
-    let found: AnyManifest = until("the replica serves", async || {
+    let found: AnyManifest = wait_until("the replica serves", async || {
         let answer = operator.get(PATH).await;
         (answer.status == StatusCode::OK).then(|| answer.read())
     })
@@ -121,7 +121,7 @@
     cell.replicas[index].stop().await;
     cell.replicas[index].restart(&|_| ()).await;
     let operator = cell.replicas[index].operator();
-    until("the replica serves the newest", async || {
+    wait_until("the replica serves the newest", async || {
         let answer = operator.get(PATH).await;
         let metadata = (answer.status == StatusCode::OK).then(|| answer.read::<AnyManifest>());
         (metadata?.metadata().resource_version == Some(newest)).then_some(())
--- a/crates/control/tests/support/links.rs
+++ b/crates/control/tests/support/links.rs
@@ -24,7 +24,8 @@
 #[derive(Clone)]
 pub struct Links {
     cut: watch::Sender<BTreeSet<ReplicaId>>,
-    /// The last call of [`Links::silence`]; it applies to the connections that existed before the call.
+    /// The last call of [`Links::silence_connection`]; it applies to the connections that existed before the
+    /// call.
     silenced: watch::Sender<Silence>,
     /// Number of forwarded frames with a compressed payload.
     compressed: Arc<AtomicU64>,
@@ -45,7 +46,7 @@
     }
 
     /// Returns the number of forwarded frames with a compressed payload.
-    pub fn packed_frames(&self) -> u64 {
+    pub fn compressed_frames(&self) -> u64 {
         self.compressed.load(Ordering::SeqCst)
     }
 
@@ -74,7 +75,7 @@
 
     /// Discards everything that one replica sends to another on its current connection, without closing the
     /// connection; new connections work.
-    pub fn silence(&self, from: ReplicaId, to: ReplicaId) {
+    pub fn silence_connection(&self, from: ReplicaId, to: ReplicaId) {
         self.silenced.send_modify(|silence| {
             *silence = Silence { number: silence.number + 1, between: Some((from, to)) };
         });
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -28,7 +28,7 @@
 const LOOPBACK: &str = "127.0.0.1:0";
 
 /// Polls until `condition` returns a value; fails the test after [`WAIT_TIMEOUT`].
-pub async fn until<T>(expected: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> T {
+pub async fn wait_until<T>(expected: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = condition().await {
@@ -110,7 +110,7 @@
 }
 
 async fn bind(address: SocketAddr) -> TcpListener {
-    until("the address is free", async || TcpListener::bind(address).ok()).await
+    wait_until("the address is free", async || TcpListener::bind(address).ok()).await
 }
 
 fn bind_any() -> (TcpListener, SocketAddr) {
@@ -171,7 +171,7 @@
     }
 
     /// Starts a replica that waits to be added to the cell.
-    pub fn join(&mut self, id: u64, adjust: impl Fn(&mut ControlSettings)) {
+    pub fn start_joiner(&mut self, id: u64, adjust: impl Fn(&mut ControlSettings)) {
         let member = |replica: &TestReplica| CellMember { id: replica.id, address: replica.cell };
         let members = self.replicas.iter().map(member).collect();
         let start = CellStart::Join(members);
@@ -179,7 +179,11 @@
     }
 
     /// Starts a replica that requests to be added to the cell; `adjust` receives its cell address.
-    pub fn join_asking(&mut self, id: u64, adjust: impl Fn(SocketAddr, &mut ControlSettings)) {
+    pub fn start_join_requester(
+        &mut self,
+        id: u64,
+        adjust: impl Fn(SocketAddr, &mut ControlSettings),
+    ) {
         let bound = bind_listeners();
         let cell_address = bound.1[0];
         let start = CellStart::Join(Vec::new());
@@ -191,12 +195,12 @@
     /// Adds the replica at `index` to the cell as a learner.
     pub async fn add_learner(&self, index: usize) {
         let TestReplica { id, cell, .. } = &self.replicas[index];
-        self.change(json!({"operation": "addLearner", "id": id, "address": cell})).await;
+        self.change_membership(json!({"operation": "addLearner", "id": id, "address": cell})).await;
     }
 
     /// Changes the cell's membership through the leader; repeats the request while it conflicts.
-    pub async fn change(&self, change: Value) {
-        until("the cell changes", async || {
+    pub async fn change_membership(&self, change: Value) {
+        wait_until("the cell changes", async || {
             let operator = self.replicas[self.leader().await].operator();
             let answer = operator.send(Method::POST, "/v1/cell", None, Some(&change)).await;
             let expected = [StatusCode::NO_CONTENT, StatusCode::CONFLICT];
@@ -208,7 +212,7 @@
 
     /// Waits for a leader on which most replicas agree; returns its index.
     pub async fn leader(&self) -> usize {
-        until("a leader", async || {
+        wait_until("a leader", async || {
             let index =
                 self.replicas.iter().position(|replica| replica.role() == Some(Role::Leader))?;
             let id = Some(self.replicas[index].id);
--- a/crates/control/tests/support/operator.rs
+++ b/crates/control/tests/support/operator.rs
@@ -99,7 +99,7 @@
     }
 
     pub async fn put_class(&self, name: &str, priority: u32, version: Option<u64>) -> Response {
-        self.put(&format!("/v1/classes/{name}"), class(priority, version)).await
+        self.put(&format!("/v1/classes/{name}"), class_body(priority, version)).await
     }
 
     pub async fn status(&self) -> StatusBody {
@@ -122,7 +122,7 @@
 }
 
 /// Returns the PUT body of a priority class.
-pub fn class(priority: u32, version: Option<u64>) -> Value {
+pub fn class_body(priority: u32, version: Option<u64>) -> Value {
     json!({ "spec": { "priority": priority }, "metadata": { "resourceVersion": version } })
 }
 
--- a/crates/control/tests/support/proxy.rs
+++ b/crates/control/tests/support/proxy.rs
@@ -18,7 +18,7 @@
     pub snapshots: usize,
     pub deltas: usize,
     /// Term of the leader, as last received.
-    pub led: Option<Term>,
+    pub leader_term: Option<Term>,
     /// Allowance grants received from the leader.
     pub grants: Vec<AllowanceGrant>,
     sequence: u64,
@@ -43,7 +43,7 @@
             view,
             snapshots: 0,
             deltas: 0,
-            led: None,
+            leader_term: None,
             grants: Vec::new(),
             sequence: 0,
             acknowledged: 0,
@@ -63,14 +63,14 @@
     }
 
     /// Reports the proxy's allowances of tenants' limits.
-    pub async fn allowances(&mut self, report: AllowanceReport) {
+    pub async fn report_allowances(&mut self, report: AllowanceReport) {
         let message = ProxyMessage::Allowances(report);
         self.connection.send(message).await.expect("the replica takes the report");
     }
 
     /// Applies the next message. Returns `None` at the end of the connection, and `Some(Some(current))` for
     /// an acknowledgement, which says whether the replica is current.
-    pub async fn step(&mut self) -> Option<Option<bool>> {
+    pub async fn apply_next_message(&mut self) -> Option<Option<bool>> {
         let message = self.connection.next().await?.ok()?;
         Some(match message {
             ControlMessage::Snapshot(view) => {
@@ -85,7 +85,7 @@
             }
             ControlMessage::Cell(_) => None,
             ControlMessage::Led { term } => {
-                self.led = Some(term);
+                self.leader_term = Some(term);
                 None
             }
             ControlMessage::Allowances(grant) => {
@@ -102,15 +102,15 @@
     }
 
     /// Sends a heartbeat; returns whether its acknowledgement says that the replica is current.
-    pub async fn confirm(&mut self) -> Option<bool> {
+    pub async fn heartbeat_is_current(&mut self) -> Option<bool> {
         self.report(Vec::new()).await
     }
 
-    /// Sends a heartbeat with observations; returns the same as [`Proxy::confirm`].
+    /// Sends a heartbeat with observations; returns the same as [`Proxy::heartbeat_is_current`].
     pub async fn report(&mut self, observations: Vec<Observation>) -> Option<bool> {
         self.heartbeat(false, observations).await;
         loop {
-            let acknowledged = self.step().await?;
+            let acknowledged = self.apply_next_message().await?;
             if let Some(current) = acknowledged.filter(|_| self.acknowledged == self.sequence) {
                 return Some(current);
             }
@@ -118,9 +118,9 @@
     }
 
     /// Applies messages until the view reaches `revision`.
-    pub async fn reach(&mut self, revision: Revision) {
+    pub async fn apply_until(&mut self, revision: Revision) {
         while self.view.revision < revision {
-            self.step().await.expect("the connection goes on");
+            self.apply_next_message().await.expect("the connection goes on");
         }
     }
 }
--- a/crates/control/tests/watch.rs
+++ b/crates/control/tests/watch.rs
@@ -6,7 +6,7 @@
 use corktack_control::api::{ErrorCode, ResourceList, WatchEventType};
 use corktack_core::view::{ProxyState, View};
 use support::proxy::Proxy;
-use support::{Cell, until};
+use support::{Cell, wait_until};
 
 #[actix_rt::test]
 async fn a_watch_from_a_list_misses_nothing() {
@@ -56,17 +56,17 @@
     let follower = cell.follower().await;
     let mut behind =
         Proxy::connect(cell.replicas[follower].proxies, "p-behind", View::default()).await;
-    until("both proxies are registered", async || {
-        ahead.confirm().await;
-        behind.confirm().await;
+    wait_until("both proxies are registered", async || {
+        ahead.heartbeat_is_current().await;
+        behind.heartbeat_is_current().await;
         let status = operator.status().await;
         (status.in_force.on == 2 && status.in_force.of == 2).then_some(())
     })
     .await;
     let stale = behind.view.revision;
     operator.put_class("gold", 1, None).await.accepted();
-    let status = until("one proxy has the newest revision", async || {
-        ahead.confirm().await;
+    let status = wait_until("one proxy has the newest revision", async || {
+        ahead.heartbeat_is_current().await;
         // This proxy reports its old revision, as if it had applied nothing more.
         behind.view.revision = stale;
         behind.heartbeat(false, Vec::new()).await;
--- a/crates/core/src/registry/promotion/messages.rs
+++ b/crates/core/src/registry/promotion/messages.rs
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PromotionAction {
     /// Ask a member for its status.
-    Ask {
+    RequestStatus {
         /// Group of the member.
         group: GroupName,
         /// Member to ask.
@@ -120,7 +120,7 @@
     /// Propose a decision to the log.
     Propose(RegistryCommand),
     /// Call the promotion authority.
-    Call {
+    RequestPromotion {
         /// Group of the member.
         group: GroupName,
         /// Member to promote.
--- a/crates/core/src/registry/promotion/mod.rs
+++ b/crates/core/src/registry/promotion/mod.rs
@@ -121,7 +121,7 @@
         self.unreachable_reports.retain(|_, gateways| !gateways.is_empty());
     }
 
-    /// Records the result of [`PromotionAction::Ask`].
+    /// Records the result of [`PromotionAction::RequestStatus`].
     pub fn record_member_answer(
         &mut self,
         group: &GroupName,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Handles the authority's answer to [`PromotionAction::Call`]. An answer to an older call is
+    /// Handles the authority's answer to [`PromotionAction::RequestPromotion`]. An answer to an older call is
     /// ignored.
     pub fn record_authority_answer(
         &mut self,
--- a/crates/core/src/registry/promotion/steps.rs
+++ b/crates/core/src/registry/promotion/steps.rs
@@ -36,7 +36,7 @@
                 continue;
             }
             answers.insert(member.clone(), None);
-            actions.push(PromotionAction::Ask {
+            actions.push(PromotionAction::RequestStatus {
                 group: group.clone(),
                 member: member.clone(),
                 address: back_end.address,
@@ -133,7 +133,7 @@
         if !*in_flight && !*accepted && now >= *next_call {
             *in_flight = true;
             let (target, fence) = (target.clone(), *fence);
-            actions.push(PromotionAction::Call { group: group.clone(), target, fence });
+            actions.push(PromotionAction::RequestPromotion { group: group.clone(), target, fence });
         }
     }
 }
--- a/crates/core/tests/registry/promotion.rs
+++ b/crates/core/tests/registry/promotion.rs
@@ -115,7 +115,7 @@
 
 fn asked(actions: &[PromotionAction]) -> BTreeSet<MemberName> {
     let asked = actions.iter().filter_map(|action| match action {
-        PromotionAction::Ask { member, .. } => Some(member.clone()),
+        PromotionAction::RequestStatus { member, .. } => Some(member.clone()),
         _ => None,
     });
     asked.collect()
@@ -123,7 +123,7 @@
 
 fn called(actions: &[PromotionAction]) -> Option<(MemberName, u64)> {
     actions.iter().find_map(|action| match action {
-        PromotionAction::Call { target, fence, .. } => Some((target.clone(), *fence)),
+        PromotionAction::RequestPromotion { target, fence, .. } => Some((target.clone(), *fence)),
         _ => None,
     })
 }
@@ -268,8 +268,9 @@
     let mut world = World::new(1);
     world.report_unreachable(REQUIRED_GATEWAYS, 1);
     let actions = world.advance();
-    let is_hold =
-        |action: &PromotionAction| matches!(action, PromotionAction::Ask { hold: true, .. });
+    let is_hold = |action: &PromotionAction| {
+        matches!(action, PromotionAction::RequestStatus { hold: true, .. })
+    };
     assert!(actions.iter().all(is_hold), "{actions:?}");
     world.answer(3, status(false, 1, 10));
     assert_eq!(proposed(&world.after(400)), None);
--- a/crates/server/src/deployment/member_calls.rs
+++ b/crates/server/src/deployment/member_calls.rs
@@ -3,7 +3,7 @@
 //! Owns nothing between calls; the gateway's side of the wire makes them.
 
 use super::{Deployment, DeploymentError};
-use corktack_control::{MemberCall, MemberCalls, PromotionAuthority, RegistryCalls};
+use corktack_control::{MemberCalls, MemberTarget, PromotionAuthority, RegistryCalls};
 use corktack_core::registry::MemberAnswer;
 use corktack_gateway::{GatewaySettings, Wire, request_status, resume_replication};
 use futures_util::FutureExt;
@@ -30,19 +30,19 @@
 }
 
 impl<W: Wire + Send + Sync + std::fmt::Debug> MemberCalls for WireCalls<W> {
-    fn status(&self, call: MemberCall, hold: bool) -> LocalBoxFuture<'static, MemberAnswer> {
+    fn status(&self, call: MemberTarget, hold: bool) -> LocalBoxFuture<'static, MemberAnswer> {
         let (wire, settings) = (self.wire.clone(), self.settings.clone());
         async move {
-            let MemberCall { group, member, address } = call;
+            let MemberTarget { group, member, address } = call;
             request_status(&wire, &settings, &group, &member, address, hold).await
         }
         .boxed_local()
     }
 
-    fn release(&self, call: MemberCall) -> LocalBoxFuture<'static, ()> {
+    fn release(&self, call: MemberTarget) -> LocalBoxFuture<'static, ()> {
         let (wire, settings) = (self.wire.clone(), self.settings.clone());
         async move {
-            let MemberCall { group, member, address } = call;
+            let MemberTarget { group, member, address } = call;
             resume_replication(&wire, &settings, &group, &member, address).await;
         }
         .boxed_local()
--- a/crates/server/src/deployment/settings.rs
+++ b/crates/server/src/deployment/settings.rs
@@ -75,7 +75,7 @@
         settings.workers = 1;
         settings.limits = self.bounds.limits;
         settings.cell_address = Some(own);
-        settings.join_through = self.at_seeds(self.proxies_port());
+        settings.join_addresses = self.at_seeds(self.proxies_port());
         settings.formation_grace = self.bounds.catch_up;
         settings.cell_repair = Some(CellRepairSettings {
             voters: 2 * self.bounds.tolerated_losses + 1,
