--- a/crates/control/src/back_end/caller.rs
+++ b/crates/control/src/back_end/caller.rs
@@ -26,7 +26,8 @@
             tokio::select! {
                 answer = call_with_timeout(&call, call_timeout) => {
                     // Sending fails only after the consensus thread ended, when nothing waits for the answer.
-                    let _ = consensus.send(ConsensusInput::BackEndResult(BackEndResult { call, answer }));
+                    let _ = consensus
+                        .send(ConsensusInput::BackEndResult(BackEndResult { call, answer }));
                 }
                 () = stop.stopped() => (),
             }
--- a/crates/core/src/admission/bounds.rs
+++ b/crates/core/src/admission/bounds.rs
@@ -38,8 +38,8 @@
 
     /// Reports whether a new request has to wait. A request for a replica takes a free slot at
     /// once, because requests that wait while a slot is free wait for a primary.
-    pub(super) fn must_wait(&self, lane: RequiredRole) -> bool {
-        let behind_others = lane == RequiredRole::Primary && self.length > 0;
+    pub(super) fn must_wait(&self, required_role: RequiredRole) -> bool {
+        let behind_others = required_role == RequiredRole::Primary && self.length > 0;
         behind_others || self.in_use >= self.limits.slots
     }
 
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 struct Waiting {
     ticket: Ticket,
-    lane: RequiredRole,
+    required_role: RequiredRole,
     deadline: Timestamp,
 }
 
@@ -110,7 +110,7 @@
     fn first_eligible(&self, primary_available: bool) -> Option<usize> {
         self.waiting
             .iter()
-            .position(|entry| primary_available || entry.lane == RequiredRole::Replica)
+            .position(|entry| primary_available || entry.required_role == RequiredRole::Replica)
     }
 }
 
@@ -182,7 +182,7 @@
     pub fn enqueue(
         &mut self,
         class: &ClassName,
-        lane: RequiredRole,
+        required_role: RequiredRole,
         now: Timestamp,
         deadline: Timestamp,
     ) -> Result<Admitted, AdmissionError> {
@@ -191,7 +191,7 @@
             return Err(AdmissionError::TooLate { retry_after_ms });
         }
         let mut displaced = None;
-        if self.must_wait(lane) && self.length >= self.limits.queue_limit {
+        if self.must_wait(required_role) && self.length >= self.limits.queue_limit {
             displaced = self.displace_for(class);
             if displaced.is_none() {
                 return Err(AdmissionError::QueueFull { retry_after_ms });
@@ -201,7 +201,7 @@
         self.next_ticket += 1;
         self.length += 1;
         let queue = self.classes.entry(class.clone()).or_default();
-        queue.waiting.push_back(Waiting { ticket, lane, deadline });
+        queue.waiting.push_back(Waiting { ticket, required_role, deadline });
         Ok(Admitted { ticket, displaced })
     }
 
--- a/crates/gateway/tests/sessions/caller.rs
+++ b/crates/gateway/tests/sessions/caller.rs
@@ -52,7 +52,7 @@
     }
 
     /// Reports whether the gateway closes the connection without sending a line first.
-    pub async fn is_closed_silently(mut self) -> bool {
+    pub async fn closes_silently(mut self) -> bool {
         self.line().await.is_none()
     }
 
--- a/crates/gateway/tests/sessions/tenants.rs
+++ b/crates/gateway/tests/sessions/tenants.rs
@@ -96,12 +96,12 @@
     assert!(open_session.query("write x").await.is_success());
     world.change_tenants(&[("alfa", &["key-a"]), ("beta", &["key-c"])]);
     assert_eq!(idle_session.query("write y").await.code(), "unauth");
-    assert!(idle_session.is_closed_silently().await);
+    assert!(idle_session.closes_silently().await);
     // A transaction in progress ends with the tenant that began it.
     assert!(open_session.query("write z").await.is_success());
     assert!(open_session.query("commit").await.is_success());
     assert_eq!(open_session.query("begin").await.code(), "unauth");
-    assert!(open_session.is_closed_silently().await);
+    assert!(open_session.closes_silently().await);
     assert_eq!(primary.texts(), ["write x", "write z", "commit"]);
 }
 
@@ -115,7 +115,7 @@
     assert_eq!(primary.principal_of(&caller.last_id()), "g0");
     world.make_public(BOUNDED, false);
     assert_eq!(caller.query("read x").await.code(), "unauth");
-    assert!(caller.is_closed_silently().await);
+    assert!(caller.closes_silently().await);
 }
 
 #[actix_rt::test]
