--- a/crates/control/src/leader/duties.rs
+++ b/crates/control/src/leader/duties.rs
@@ -1,12 +1,12 @@
 //! The leader's duties, driven by the consensus thread.
 //!
 //! Owns the settings of the duties, and the state of the current leadership if this replica is the leader.
-//! [`BackEnds`] and [`RegistryCaller`] make the calls that the duties request.
+//! [`BackEndCaller`] and [`RegistryCaller`] make the calls that the duties request.
 
 use super::convert::{failover_event, heartbeat};
 use super::leadership::Leadership;
 use super::limits::LeaderLimits;
-use crate::back_end::{BackEndCall, BackEndResult, BackEnds, Operation};
+use crate::back_end::{BackEndCall, BackEndCaller, BackEndResult, Operation};
 use crate::metrics::{Metrics, PhaseLabel};
 use crate::registry_calls::{RegistryAnswer, RegistryCaller};
 use crate::settings::ControlSettings;
@@ -50,7 +50,7 @@
     failover: FailoverSettings,
     call_timeout: Duration,
     probe_timeout: Duration,
-    back_ends: BackEnds,
+    back_ends: BackEndCaller,
     registry: Option<RegistryCaller>,
     limits: LimitBounds,
     metrics: Metrics,
@@ -62,7 +62,7 @@
 impl LeaderDuties {
     pub(crate) fn new(
         settings: &ControlSettings,
-        back_ends: BackEnds,
+        back_ends: BackEndCaller,
         registry: Option<RegistryCaller>,
         metrics: Metrics,
     ) -> Self {
@@ -167,7 +167,7 @@
     ) {
         let Some(leadership) = &mut self.current else { return };
         for report in reports {
-            leadership.membership.on_report(now, heartbeat(&report));
+            leadership.membership.on_heartbeat(now, heartbeat(&report));
             leadership.contacts.record_report(now, &report.proxy);
             leadership.record_observations(now, report, state);
         }
@@ -210,10 +210,10 @@
         let Some(leadership) = &mut self.current else { return };
         match answer {
             RegistryAnswer::Status(call, status) => {
-                leadership.promotion.take_status(&call.group, &call.member, status);
+                leadership.promotion.record_member_answer(&call.group, &call.member, status);
             }
             RegistryAnswer::Promotion(group, fence, answer) => {
-                leadership.promotion.take_answer(now, &group, fence, answer);
+                leadership.promotion.record_authority_answer(now, &group, fence, answer);
             }
         }
     }
@@ -221,7 +221,7 @@
     /// Records a list polled from the platform, and makes the membership evaluation due at once.
     pub(crate) fn record_platform_list(&mut self, now: Timestamp, list: PlatformList) {
         if let Some(leadership) = &mut self.current {
-            leadership.membership.on_platform(list);
+            leadership.membership.on_platform_list(list);
             leadership.membership_due = now;
         }
     }
--- a/crates/core/src/gateway/freshness.rs
+++ b/crates/core/src/gateway/freshness.rs
@@ -113,7 +113,7 @@
     /// that the primary changed and may have rolled back entries that it lacked. No member will
     /// ever hold those, so no read may wait for them. A primary holds everything that remains of
     /// earlier terms, so its position replaces the positions of those terms.
-    pub fn note(&mut self, asked_at: Timestamp, position: Position) {
+    pub fn record_position(&mut self, asked_at: Timestamp, position: Position) {
         self.insert_sample(Sample { asked_at, position, source: PositionSource::Primary });
     }
 
@@ -143,14 +143,14 @@
     /// # Errors
     /// [`PositionTooOld`] if this gateway's clock does not reach back to that moment; nothing is
     /// recorded.
-    pub fn note_reported(
+    pub fn record_reported(
         &mut self,
         asked_at: Timestamp,
         age: Duration,
         position: Position,
     ) -> Result<(), PositionTooOld> {
         // The answer was given later than `asked_at`, so the question is no older than this.
-        let asked_at = asked_at.before(age).ok_or(PositionTooOld { age })?;
+        let asked_at = asked_at.checked_sub(age).ok_or(PositionTooOld { age })?;
         self.insert_sample(Sample { asked_at, position, source: PositionSource::Gateway });
         Ok(())
     }
@@ -214,7 +214,7 @@
     pub fn read_position(&self, now: Timestamp, bound: &ReadBound) -> Option<ReadPosition> {
         let own = bound.own.map(|own| KnownPosition {
             position: own.position,
-            known_at: now.before(own.age).unwrap_or(Timestamp::ZERO),
+            known_at: now.checked_sub(own.age).unwrap_or(Timestamp::ZERO),
         });
         Some(ReadPosition {
             needed: self.required_position(now, bound.staleness, own)?,
--- a/crates/core/src/registry/promotion/steps.rs
+++ b/crates/core/src/registry/promotion/steps.rs
@@ -5,7 +5,7 @@
 //! member that the authority refused, or that did not become primary, is excluded for a time.
 
 use super::evidence::{candidates, primary_of, statuses};
-use super::{GroupState, LOG_TARGET, Phase, PromotionAction, PromotionDuty};
+use super::{GroupState, LOG_TARGET, Phase, PromotionAction, PromotionManager};
 use crate::identity::GroupName;
 use crate::position::Position;
 use crate::registry::back_end::{BackEndRole, BackEndState};
@@ -13,7 +13,7 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-impl PromotionDuty {
+impl PromotionManager {
     /// Asks the candidates of the group for their status.
     pub(super) fn ask_members(
         &self,
@@ -36,7 +36,7 @@
                 continue;
             }
             answers.insert(member.clone(), None);
-            actions.push(PromotionAction::Ask {
+            actions.push(PromotionAction::RequestStatus {
                 group: group.clone(),
                 member: member.clone(),
                 address: back_end.address,
@@ -133,7 +133,7 @@
         if !*in_flight && !*accepted && now >= *next_call {
             *in_flight = true;
             let (target, fence) = (target.clone(), *fence);
-            actions.push(PromotionAction::Call { group: group.clone(), target, fence });
+            actions.push(PromotionAction::RequestPromotion { group: group.clone(), target, fence });
         }
     }
 }
--- a/crates/gateway/src/holder/statement.rs
+++ b/crates/gateway/src/holder/statement.rs
@@ -50,7 +50,7 @@
         acquire(shared, remote, !statement.kind.is_read()).await?;
     let group = Rc::clone(lease.group());
     let first = LoneStatement::of_request(statement, remote.priority);
-    let opened = first.open_on(&mut lease, position, deadline).await;
+    let opened = first.begin_and_run_on(&mut lease, position, deadline).await;
     let newest = group.newest_position();
     match opened {
         Ok(result) => {
@@ -109,7 +109,7 @@
 
 fn refusal_of(error: &AcquireError) -> TunnelRefusal {
     match error {
-        // The member is reachable, so that the other gateway needs no detour to it.
+        // The member is reachable, so that the other gateway needs no indirect route to it.
         AcquireError::NoneFree { .. } | AcquireError::Full(_) => {
             TunnelRefusal::NoneFree { retry_after: error.retry_after() }
         }
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -12,7 +12,7 @@
 
 pub(crate) use permit::OperationPermit;
 pub(crate) use report::run_allowance_reports;
-pub use report::{LimitNews, LimitsLink};
+pub use report::{LimitUpdate, LimitsLink};
 
 use crate::clock::SteadyClock;
 use crate::settings::GatewaySettings;
@@ -92,7 +92,7 @@
 
     /// Applies the tenants' rates of a new document.
     pub(crate) fn update_rates(&self, tenants: Option<&TenantDirectory>) {
-        self.accounts.borrow_mut().follow(tenants);
+        self.accounts.borrow_mut().apply_rates(tenants);
         self.settle_waiting();
     }
 
@@ -117,7 +117,7 @@
         if let Some(tenant) = principal.tenant()
             && self.homes(tenant).is_empty()
         {
-            self.accounts.borrow_mut().expect(self.clock.now(), tenant);
+            self.accounts.borrow_mut().expect_operations(self.clock.now(), tenant);
         }
     }
 
@@ -157,7 +157,12 @@
     /// them.
     fn homes(&self, tenant: &TenantName) -> Vec<Holder> {
         let peers = self.peers.borrow();
-        self.tunnels.to_ask_for(&peers.1, tenant, Some(self.own_address), MAX_HOMES_ASKED)
+        self.tunnels.candidates_for_tenant(
+            &peers.1,
+            tenant,
+            Some(self.own_address),
+            MAX_HOMES_ASKED,
+        )
     }
 
     /// Counts operations for another gateway; returns none if this gateway knows no limit of the tenant.
@@ -175,7 +180,8 @@
         tenant: &TenantName,
         RequestedOperations { operations, priority, until }: RequestedOperations,
     ) -> Result<Option<AdmittedOperations>, OverLimit> {
-        let request = OperationRequest { operations, priority, until: self.clock.at(until) };
+        let request =
+            OperationRequest { operations, priority, until: self.clock.timestamp_of(until) };
         let outcome = self.accounts.borrow_mut().request(self.clock.now(), tenant, request);
         let number = match outcome {
             OperationOutcome::Unlimited => return Ok(None),
--- a/crates/gateway/src/tunnel/pool.rs
+++ b/crates/gateway/src/tunnel/pool.rs
@@ -5,7 +5,7 @@
 //! [`client`](super::client) implements a single exchange.
 
 use super::client::{
-    Granted, OpenedAtHolder, OperationsRequest, RanAtHolder, RemoteRequest, TunnelClient,
+    GrantedConnection, OpenedAtHolder, OperationsRequest, RanAtHolder, RemoteRequest, TunnelClient,
     TunnelError,
 };
 use crate::clock::SteadyClock;
@@ -46,20 +46,26 @@
     }
 
     /// Returns the holders to ask now, at most `max_holders`, in the order in which to ask them.
-    pub(crate) fn to_ask(&self, holders: &HolderChoice, max_holders: usize) -> Vec<Holder> {
-        holders.to_ask(self.clock.now(), &self.peers.borrow(), max_holders)
+    pub(crate) fn candidates(&self, holders: &HolderChoice, max_holders: usize) -> Vec<Holder> {
+        holders.candidates(self.clock.now(), &self.peers.borrow(), max_holders)
     }
 
     /// Returns the holders to ask now for a tenant, its home first. If this gateway holds connections itself
     /// (`own_address`), returns only the holders before it in the tenant's order.
-    pub(crate) fn to_ask_for(
+    pub(crate) fn candidates_for_tenant(
         &self,
         holders: &HolderChoice,
         tenant: &TenantName,
         own_address: Option<SocketAddr>,
         max_holders: usize,
     ) -> Vec<Holder> {
-        holders.to_ask_for(tenant, own_address, self.clock.now(), &self.peers.borrow(), max_holders)
+        holders.candidates_for_tenant(
+            tenant,
+            own_address,
+            self.clock.now(),
+            &self.peers.borrow(),
+            max_holders,
+        )
     }
 
     /// Returns the holder that requests the primary's position for all gateways of this region; none if it is
@@ -76,7 +82,7 @@
     /// Returns a tunnel to the first of the holders that can be reached. The attempts are staggered: each
     /// starts a little after the one before, whether that has failed or is still in flight. No request is
     /// sent before a tunnel is open, so attempts at the other holders have no effect there.
-    pub(crate) async fn reach(
+    pub(crate) async fn connect_first(
         self: &Rc<Self>,
         holders: &[Holder],
     ) -> Result<TunnelClient, TunnelError> {
@@ -131,7 +137,7 @@
         let connected = self.connect(holder).await;
         if let Err(error) = &connected {
             log::info!(holder:% = holder.address, error:% = error; "gateway cannot be reached");
-            self.peers.borrow_mut().note_unanswered(holder.address, self.clock.now());
+            self.peers.borrow_mut().record_unanswered(holder.address, self.clock.now());
         }
         connected
     }
@@ -141,7 +147,7 @@
         &self,
         tunnel: TunnelClient,
         request: &RemoteRequest,
-    ) -> Result<Granted, TunnelError> {
+    ) -> Result<GrantedConnection, TunnelError> {
         let holder = tunnel.holder();
         let granted = tunnel.acquire(request).await;
         self.record_result(holder, &granted);
@@ -163,7 +169,7 @@
     }
 
     /// Reports whether a holder has answered recently.
-    pub(crate) fn answers(&self, holder: Holder) -> bool {
+    pub(crate) fn has_answered_recently(&self, holder: Holder) -> bool {
         self.peers.borrow().answers(holder.address, self.clock.now())
     }
 
@@ -219,7 +225,7 @@
     ) {
         let tunnels = Rc::clone(self);
         actix_rt::spawn(async move {
-            let Ok(mut tunnel) = tunnels.reach(&[holder]).await else { return };
+            let Ok(mut tunnel) = tunnels.connect_first(&[holder]).await else { return };
             let returned = tunnel.return_operations(&tenant, begun).await;
             tunnels.finish_request(tunnel, &returned);
         });
@@ -244,7 +250,7 @@
     pub(crate) fn record_silence(&self, holder: Holder) {
         log::info!(holder:% = holder.address; "gateway sends no heartbeat: it is not asked for a while");
         self.idle.borrow_mut().remove(&holder.address);
-        self.peers.borrow_mut().note_unanswered(holder.address, self.clock.now());
+        self.peers.borrow_mut().record_unanswered(holder.address, self.clock.now());
     }
 
     async fn connect(&self, holder: Holder) -> Result<TunnelClient, LinkError> {
@@ -253,7 +259,7 @@
         let stream = timeout(round_trip_limit, TcpStream::connect(holder.address)).await;
         let stream = stream.map_err(|_| LinkError::TimedOut)??;
         let elapsed = started_at.elapsed();
-        self.peers.borrow_mut().note_connected(holder.distance, elapsed);
+        self.peers.borrow_mut().record_connected(holder.distance, elapsed);
         Ok(TunnelClient::new(stream, holder, round_trip_limit)?)
     }
 
@@ -281,7 +287,7 @@
     fn record_result<T>(&self, holder: Holder, result: &Result<T, TunnelError>) {
         match result {
             Ok(_) | Err(TunnelError::Refused(_)) => {
-                self.peers.borrow_mut().note_answered(holder.address, self.clock.now());
+                self.peers.borrow_mut().record_answered(holder.address, self.clock.now());
             }
             Err(TunnelError::Sent(LinkError::HolderSilent | LinkError::TimedOut)) => {
                 self.record_silence(holder);
--- a/crates/owner/src/decisions/waiting.rs
+++ b/crates/owner/src/decisions/waiting.rs
@@ -1,7 +1,7 @@
 //! Limits the wait of a request for a server connection, and gives the reason of its refusal after that.
 
 use super::refusal::RetryCause;
-use corktack_core::admission::Lane;
+use corktack_core::admission::RequiredRole;
 use corktack_protocol::peer::NotRunReason;
 use std::time::Duration;
 
@@ -29,10 +29,10 @@
 #[must_use]
 pub fn slot_timeout_reason(
     earlier_reason: NotRunReason,
-    lane: Lane,
+    lane: RequiredRole,
     primary_is_available: impl FnOnce() -> bool,
 ) -> NotRunReason {
-    let lacks_primary = lane == Lane::Primary && !primary_is_available();
+    let lacks_primary = lane == RequiredRole::Primary && !primary_is_available();
     if lacks_primary && earlier_reason == NotRunReason::QueueTimeout {
         NotRunReason::NoBackEnd
     } else {
--- a/crates/owner/src/group/mod.rs
+++ b/crates/owner/src/group/mod.rs
@@ -175,7 +175,7 @@
 
     /// Records a position that a member reported with an answer, and wakes waiting tasks if it is new.
     pub fn record_position(&self, member: &MemberName, position: Position) {
-        if self.with_state(|state| state.routing.learn_position(member, position)) {
+        if self.with_state(|state| state.routing.merge_position(member, position)) {
             self.notify_member_changed();
         }
     }
--- a/crates/owner/src/groups.rs
+++ b/crates/owner/src/groups.rs
@@ -103,7 +103,7 @@
 
 impl GroupManager {
     fn apply(&mut self, context: &Arc<Context>, view: &View) {
-        self.observers.follow(view);
+        self.observers.update(view);
         self.stop_lost(context, view);
         self.retired.retain(|retired| retired.apply_view(view));
         for (name, group) in &view.groups {
--- a/crates/owner/tests/decisions.rs
+++ b/crates/owner/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! Decisions of the owner about a request or a probe.
 
-use corktack_core::admission::{AdmissionError, Lane};
+use corktack_core::admission::{AdmissionError, RequiredRole};
 use corktack_core::position::{Position, Term};
 use corktack_owner::decisions::{
     AfterLoss, Answer, InFlight, ProbeResult, Refusal, RetryCause, after_loss, failure_of_loss,
@@ -49,16 +49,16 @@
 ) {
     assert_eq!(reason_after_retry(cause), expected);
     // The reason stays the same if the group has no primary any more.
-    assert_eq!(slot_timeout_reason(expected, Lane::Primary, || false), expected);
+    assert_eq!(slot_timeout_reason(expected, RequiredRole::Primary, || false), expected);
 }
 
 #[rstest]
-#[case(Lane::Primary, false, NotRunReason::NoBackEnd)]
-#[case(Lane::Primary, true, NotRunReason::QueueTimeout)]
-#[case(Lane::Replica, false, NotRunReason::QueueTimeout)]
-#[case(Lane::Replica, true, NotRunReason::QueueTimeout)]
+#[case(RequiredRole::Primary, false, NotRunReason::NoBackEnd)]
+#[case(RequiredRole::Primary, true, NotRunReason::QueueTimeout)]
+#[case(RequiredRole::Replica, false, NotRunReason::QueueTimeout)]
+#[case(RequiredRole::Replica, true, NotRunReason::QueueTimeout)]
 fn a_request_late_without_an_available_primary_is_refused_for_no_back_end(
-    #[case] lane: Lane,
+    #[case] lane: RequiredRole,
     #[case] available: bool,
     #[case] expected: NotRunReason,
 ) {
--- a/crates/server/src/deployment/bounds.rs
+++ b/crates/server/src/deployment/bounds.rs
@@ -29,7 +29,7 @@
     pub limits: LimitBounds,
     /// Largest age of the last confirmation that the configuration is current at which operations may
     /// begin; `None` when operations may begin under the last configuration regardless of its age.
-    pub unproved_limit: Option<Duration>,
+    pub max_confirmation_age: Option<Duration>,
 }
 
 impl DeploymentBounds {
--- a/crates/server/src/deployment/settings.rs
+++ b/crates/server/src/deployment/settings.rs
@@ -76,7 +76,7 @@
         settings.workers = 1;
         settings.limits = self.bounds.limits;
         settings.cell_address = Some(cell_address);
-        settings.join_through = self.seed_addresses(self.proxies_port());
+        settings.join_addresses = self.seed_addresses(self.proxies_port());
         settings.formation_grace = self.bounds.catch_up;
         settings.cell_repair = Some(CellRepairSettings {
             voters: 2 * self.bounds.tolerated_losses + 1,
@@ -107,14 +107,14 @@
             // Replaced by the watch's incarnation when a gateway is started.
             incarnation: Incarnation(0),
             limits: self.bounds.limits,
-            unproved_limit: self.bounds.unproved_limit,
+            max_confirmation_age: self.bounds.max_confirmation_age,
             peers: self.peer_address(),
             zone: self.zone.clone(),
             connect_timeout: MEMBER_CONNECT_TIMEOUT,
             dial_timeout: DIAL_TIMEOUT,
             begin_timeout: BEGIN_TIMEOUT,
             drain_limit: self.bounds.drain / 2,
-            notice: self.bounds.stop_grace / 3,
+            drain_notice: self.bounds.stop_grace / 3,
             transaction_grace: self.bounds.stop_grace / 6,
         })
     }
--- a/crates/server/src/watch_client/task.rs
+++ b/crates/server/src/watch_client/task.rs
@@ -11,7 +11,7 @@
 use corktack_core::limits::AllowanceReport;
 use corktack_core::time::Timestamp;
 use corktack_core::view::View;
-use corktack_gateway::LimitNews;
+use corktack_gateway::LimitUpdate;
 use corktack_protocol::control::Observation;
 use futures_util::FutureExt;
 use std::net::SocketAddr;
@@ -75,7 +75,7 @@
     confirmed_current: watch::Sender<Option<Instant>>,
     metrics: WatchMetrics,
     /// Receives control's grants and the terms of newly elected leaders.
-    limit_updates: mpsc::UnboundedSender<LimitNews>,
+    limit_updates: mpsc::UnboundedSender<LimitUpdate>,
     has_unpublished_view: bool,
 }
 
@@ -186,8 +186,8 @@
                 }
             }
             Action::Publish => self.has_unpublished_view = true,
-            Action::LeaderElected(term) => self.forward_limit_update(LimitNews::Led(term)),
-            Action::ForwardGrant(grant) => self.forward_limit_update(LimitNews::Granted(grant)),
+            Action::LeaderElected(term) => self.forward_limit_update(LimitUpdate::Led(term)),
+            Action::ForwardGrant(grant) => self.forward_limit_update(LimitUpdate::Granted(grant)),
             Action::ConfirmedCurrent => {
                 self.publish_view();
                 let confirmed_at = self.state.confirmed_at().map(|time| self.to_instant(time));
@@ -198,7 +198,7 @@
         }
     }
 
-    fn forward_limit_update(&self, update: LimitNews) {
+    fn forward_limit_update(&self, update: LimitUpdate) {
         // A proxy without tenants has dropped the receiver.
         let _ = self.limit_updates.send(update);
     }
--- a/crates/server/tests/settings_in_use.rs
+++ b/crates/server/tests/settings_in_use.rs
@@ -48,11 +48,11 @@
         failover.adoption_wait,
         failover.bootstrap_wait,
         failover.fence_settle,
-        failover.retry_first,
-        failover.retry_last,
+        failover.retry_minimum,
+        failover.retry_maximum,
         failover.answer_timeout,
-        failover.cooldown_first,
-        failover.cooldown_last,
+        failover.cooldown_minimum,
+        failover.cooldown_maximum,
         failover.quiet_time,
     ];
     let expected: Vec<Duration> = (2_001..2_016).map(Duration::from_millis).collect();
