--- a/crates/control/src/proxies/connection.rs
+++ b/crates/control/src/proxies/connection.rs
@@ -229,7 +229,7 @@
             return Ok(SentStatus { leader_term: sent.leader_term, ..current });
         };
         if sent.leader_term != current.leader_term {
-            self.send(&encode_frame(ControlMessage::Led { term })?).await?;
+            self.send(&encode_frame(ControlMessage::LeaderElected { term })?).await?;
         }
         Ok(current)
     }
--- a/crates/control/tests/support/proxy.rs
+++ b/crates/control/tests/support/proxy.rs
@@ -84,7 +84,7 @@
                 None
             }
             ControlMessage::Cell(_) => None,
-            ControlMessage::Led { term } => {
+            ControlMessage::LeaderElected { term } => {
                 self.leader_term = Some(term);
                 None
             }
--- a/crates/core/examples/observers.rs
+++ b/crates/core/examples/observers.rs
@@ -112,7 +112,7 @@
     let weighed = observers.update(view);
     let groups = view.groups.iter();
     let kept: Vec<_> =
-        groups.map(|(name, group)| observers.of(name, group.owner.as_ref())).collect();
+        groups.map(|(name, group)| observers.observer_of(name, group.owner.as_ref())).collect();
     let kept_time = start.elapsed();
     if kept != full {
         return Err(ObserversError::Differ);
--- a/crates/core/src/pool/replies.rs
+++ b/crates/core/src/pool/replies.rs
@@ -106,7 +106,7 @@
     /// The message is forwarded to the caller.
     Forward,
     /// The message answers a message that the owner added, and is not forwarded.
-    Swallow,
+    Discard,
     /// The message is the `ReadyForQuery` that ends the answer to a batch or query.
     Ready,
 }
@@ -280,7 +280,7 @@
 
 fn disposition_of(sent: &Sent) -> Disposition {
     match sent {
-        Sent::InjectedParse(_) | Sent::InjectedClose(_) => Disposition::Swallow,
+        Sent::InjectedParse(_) | Sent::InjectedClose(_) => Disposition::Discard,
         Sent::Sync => Disposition::Ready,
         _ => Disposition::Forward,
     }
--- a/crates/core/src/routing/observers.rs
+++ b/crates/core/src/routing/observers.rs
@@ -17,7 +17,7 @@
 
 /// The second observers of all groups, equal to those of [`super::second_observer`] for each
 /// view. Weights depend on names only, so the kept proxies of a group change only with the
-/// set of live proxies; [`SecondObservers::of`] leaves out the owner.
+/// set of live proxies; [`SecondObservers::observer_of`] leaves out the owner.
 #[derive(Debug, Default)]
 pub struct SecondObservers {
     live: BTreeSet<ProxyName>,
@@ -45,7 +45,7 @@
 
     /// Returns the second observer of a group of the last view.
     #[must_use]
-    pub fn of(&self, group: &GroupName, owner: Option<&ProxyName>) -> Option<&ProxyName> {
+    pub fn observer_of(&self, group: &GroupName, owner: Option<&ProxyName>) -> Option<&ProxyName> {
         let kept = &self.heaviest.get(group)?.kept;
         kept.iter().map(|(_, proxy)| proxy).find(|proxy| Some(*proxy) != owner)
     }
--- a/crates/core/tests/observers.rs
+++ b/crates/core/tests/observers.rs
@@ -58,7 +58,7 @@
 
 fn check_observers(observers: &SecondObservers, view: &View) -> Result<(), TestCaseError> {
     for (name, group) in &view.groups {
-        let kept = observers.of(name, group.owner.as_ref());
+        let kept = observers.observer_of(name, group.owner.as_ref());
         prop_assert_eq!(kept, second_observer(view, name, group), "{:?}", name);
     }
     Ok(())
@@ -135,10 +135,10 @@
     assert_eq!(observers.update(&view), 0);
     // The owner changes to the second observer.
     let name = group_name(0);
-    let second = observers.of(&name, Some(&proxy_name(0))).cloned();
+    let second = observers.observer_of(&name, Some(&proxy_name(0))).cloned();
     view.groups.insert(name.clone(), group(second.clone()));
     assert_eq!(observers.update(&view), 0);
-    assert_ne!(observers.of(&name, second.as_ref()), second.as_ref());
+    assert_ne!(observers.observer_of(&name, second.as_ref()), second.as_ref());
     // A proxy joins, another goes down, and a group is added.
     view.proxies.insert(proxy_name(PROXIES), proxy(ProxyState::Live));
     assert_eq!(observers.update(&view), GROUPS);
@@ -153,8 +153,8 @@
     let mut view = view(PROXIES, GROUPS);
     let mut observers = SecondObservers::default();
     observers.update(&view);
-    assert!(observers.of(&group_name(0), None).is_some());
+    assert!(observers.observer_of(&group_name(0), None).is_some());
     view.groups.remove(&group_name(0));
     assert_eq!(observers.update(&view), 0);
-    assert_eq!(observers.of(&group_name(0), None), None);
+    assert_eq!(observers.observer_of(&group_name(0), None), None);
 }
--- a/crates/core/tests/replies.rs
+++ b/crates/core/tests/replies.rs
@@ -16,7 +16,7 @@
                 trace.push_str(&"+".repeat(reply.synthesized));
                 trace.push(match reply.disposition {
                     Disposition::Forward => char::from(tag),
-                    Disposition::Swallow => '-',
+                    Disposition::Discard => '-',
                     Disposition::Ready => '!',
                 });
             }
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -69,7 +69,7 @@
         }
         match reply.disposition {
             Disposition::Forward => self.buffer(&message),
-            Disposition::Swallow => {}
+            Disposition::Discard => {}
             Disposition::Ready => {
                 let answered = self.lease.connection()?.tracker.is_idle();
                 let status = status_of(wire::ready_status(&message)?);
--- a/crates/owner/src/groups.rs
+++ b/crates/owner/src/groups.rs
@@ -177,7 +177,7 @@
     if owner == Some(proxy) {
         return Some(Role::Owner);
     }
-    (observers.of(name, owner) == Some(proxy)).then_some(Role::Observer)
+    (observers.observer_of(name, owner) == Some(proxy)).then_some(Role::Observer)
 }
 
 impl GroupTasks {
--- a/crates/protocol/src/control.rs
+++ b/crates/protocol/src/control.rs
@@ -97,7 +97,7 @@
         current: bool,
     },
     /// A leader has been elected; sent once per connection and on change.
-    Led {
+    LeaderElected {
         /// Term of the leader.
         term: Term,
     },
--- a/crates/server/src/deployment/gateway.rs
+++ b/crates/server/src/deployment/gateway.rs
@@ -32,8 +32,8 @@
 impl<W: Wire> RunningGateway<W> {
     /// Waits until the configuration in force is confirmed current and holds a document, so that callers
     /// can be served.
-    pub async fn until_ready(&self) {
-        let mut confirmed_current = self.watch.proved();
+    pub async fn wait_until_ready(&self) {
+        let mut confirmed_current = self.watch.confirmed_current();
         let mut views = self.watch.views();
         // Both channels close only at the end of the process.
         drop(confirmed_current.wait_for(Option::is_some).await);
--- a/crates/server/src/deployment/start.rs
+++ b/crates/server/src/deployment/start.rs
@@ -83,7 +83,7 @@
         let limits = LimitsLink { reports, updates: news };
         let links = GatewayLinks {
             views: watch.views(),
-            confirmed_current: watch.proved(),
+            confirmed_current: watch.confirmed_current(),
             reach_reports: reach,
             limits,
         };
--- a/crates/server/src/proxy/mod.rs
+++ b/crates/server/src/proxy/mod.rs
@@ -171,7 +171,7 @@
 /// stored configuration is used instead, so that a proxy can serve callers without control; terms
 /// keep an outdated configuration safe. Without a stored configuration the wait continues.
 async fn wait_until_current(watch: &WatchHandle, startup_timeout: Duration) {
-    let mut confirmations = watch.proved();
+    let mut confirmations = watch.confirmed_current();
     if timeout(startup_timeout, confirmations.wait_for(Option::is_some)).await.is_ok() {
         return;
     }
--- a/crates/server/src/watch_client/mod.rs
+++ b/crates/server/src/watch_client/mod.rs
@@ -64,7 +64,7 @@
     /// Returns a receiver of the time at which the newest heartbeat was sent whose answer confirmed that the
     /// configuration in force is current; `None` until the first confirmation since the start.
     #[must_use]
-    pub fn proved(&self) -> watch::Receiver<Option<Instant>> {
+    pub fn confirmed_current(&self) -> watch::Receiver<Option<Instant>> {
         self.confirmed_current.clone()
     }
 
--- a/crates/server/src/watch_client/state/mod.rs
+++ b/crates/server/src/watch_client/state/mod.rs
@@ -231,7 +231,7 @@
             ControlMessage::HeartbeatAck { sequence, current } => {
                 self.handle_acknowledgement(now, sequence, current)
             }
-            ControlMessage::Led { term } => vec![Action::LeaderElected(term)],
+            ControlMessage::LeaderElected { term } => vec![Action::LeaderElected(term)],
             ControlMessage::Allowances(grant) => vec![Action::ForwardGrant(grant)],
         }
     }
--- a/crates/server/tests/watch_client.rs
+++ b/crates/server/tests/watch_client.rs
@@ -187,7 +187,7 @@
     wait_for_revision(&watch, Revision(500)).await;
     acknowledge_until(&mut proxy, Revision(500)).await;
     let in_force = watch.views().borrow().clone();
-    timeout(TIMEOUT, watch.proved().wait_for(Option::is_some))
+    timeout(TIMEOUT, watch.confirmed_current().wait_for(Option::is_some))
         .await
         .expect("in time")
         .expect("the watch runs");
@@ -205,7 +205,7 @@
     let (listener, address) = listen().await;
     let watch = start(folder.path(), vec![address]);
     assert_eq!(watch.views().borrow().revision, Revision(7));
-    assert_eq!(*watch.proved().borrow(), None);
+    assert_eq!(*watch.confirmed_current().borrow(), None);
     let (_, revision) = accept(&listener).await;
     assert_eq!(revision, Revision(7));
 }
