--- a/crates/core/src/routing/observers.rs
+++ b/crates/core/src/routing/observers.rs
@@ -17,7 +17,7 @@
 
 /// The second observers of all groups, equal to those of [`super::second_observer`] for each
 /// view. Weights depend on names only, so the kept proxies of a group change only with the
-/// set of live proxies; [`SecondObservers::of`] leaves out the owner.
+/// set of live proxies; [`SecondObservers::observer_of`] leaves out the owner.
 #[derive(Debug, Default)]
 pub struct SecondObservers {
     live: BTreeSet<ProxyName>,
@@ -34,7 +34,7 @@
 impl SecondObservers {
     /// Updates the observers to a view, whichever view came before; returns the number of
     /// weights that were computed.
-    pub fn follow(&mut self, view: &View) -> usize {
+    pub fn update(&mut self, view: &View) -> usize {
         let computed = self.update_proxies(view) + self.add_new_groups(view);
         // All groups of the view are stored by now, so others remain only if there are more.
         if self.heaviest.len() > view.groups.len() {
@@ -45,7 +45,7 @@
 
     /// Returns the second observer of a group of the last view.
     #[must_use]
-    pub fn of(&self, group: &GroupName, owner: Option<&ProxyName>) -> Option<&ProxyName> {
+    pub fn observer_of(&self, group: &GroupName, owner: Option<&ProxyName>) -> Option<&ProxyName> {
         let kept = &self.heaviest.get(group)?.kept;
         kept.iter().map(|(_, proxy)| proxy).find(|proxy| Some(*proxy) != owner)
     }
--- a/crates/edge/src/retry/budget.rs
+++ b/crates/edge/src/retry/budget.rs
@@ -58,11 +58,11 @@
     /// the budgets of groups that no longer exist, when a new group is added.
     pub fn record_request(&mut self, group: &GroupName, view: &View) {
         if let Some(budget) = self.budgets.get_mut(group) {
-            budget.request();
+            budget.record_request();
             return;
         }
         self.budgets.retain(|name, _| view.groups.contains_key(name));
-        self.budgets.entry(group.clone()).or_default().request();
+        self.budgets.entry(group.clone()).or_default().record_request();
     }
 
     /// Returns the wait before a lost request is sent again, if the wait fits into `remaining`, the
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -65,7 +65,7 @@
     }
 
     /// Reports whether every request has been answered.
-    pub(crate) const fn is_settled(&self) -> bool {
+    pub(crate) const fn has_no_pending_answer(&self) -> bool {
         !self.awaits_answer
     }
 
@@ -139,7 +139,7 @@
     ) -> Result<Answer, LinkError> {
         let answer = self.exchange(&MemberRequest::Own(statement), deadline).await?;
         if answer.outcome.is_ok() {
-            self.profile.completed(statement);
+            self.profile.apply_completed(statement);
         }
         Ok(answer)
     }
@@ -173,7 +173,7 @@
         let mut refused = None;
         for statement in statements {
             match self.read_answer().await?.outcome {
-                Ok(_) => self.profile.completed(statement),
+                Ok(_) => self.profile.apply_completed(statement),
                 Err(failure) => {
                     self.profile.mark_unknown();
                     refused = refused.or(Some(failure));
--- a/crates/gateway/src/routes/mod.rs
+++ b/crates/gateway/src/routes/mod.rs
@@ -7,12 +7,12 @@
 
 use crate::clock::SteadyClock;
 use crate::group::{Group, MemberReach};
-use crate::metrics::{Holdings, Metrics};
+use crate::metrics::{ConnectionTotals, Metrics};
 use crate::retry_after::{self, not_run};
 use crate::settings::GatewaySettings;
 use crate::tunnel::Tunnels;
 use crate::wire::Wire;
-use corktack_core::gateway::{GatewayPlace, Holder};
+use corktack_core::gateway::{GatewayLocation, Holder};
 use corktack_core::identity::GroupName;
 use corktack_core::registry::{Document, RouteRule};
 use corktack_core::statement::ErrorCode;
@@ -101,7 +101,7 @@
         clock: SteadyClock,
         metrics: Metrics,
     ) -> Self {
-        let place = GatewayPlace { zone: settings.zone.clone(), address: settings.peers };
+        let place = GatewayLocation { zone: settings.zone.clone(), address: settings.peers };
         let membership = Membership::new(settings.name.clone(), place);
         Self {
             wire,
@@ -146,16 +146,16 @@
 
     /// Reports whether control has confirmed the configuration recently enough.
     fn is_recently_confirmed(&self) -> bool {
-        let Some(limit) = self.settings.unproved_limit else { return true };
+        let Some(limit) = self.settings.max_confirmation_age else { return true };
         self.confirmed_at.borrow().is_some_and(|confirmed_at| confirmed_at.elapsed() < limit)
     }
 
     fn principal(&self, rule: &RouteRule, key: &ApiKey) -> Result<Principal, NotAdmitted> {
         let tenants = self.tenants.borrow();
         match tenants.as_ref().filter(|_| !rule.public) {
-            None => Ok(Principal::Unnamed),
+            None => Ok(Principal::Anonymous),
             Some(tenants) => {
-                let tenant = tenants.holder(key).ok_or(NotAdmitted::UnknownKey)?;
+                let tenant = tenants.tenant_of_key(key).ok_or(NotAdmitted::UnknownKey)?;
                 Ok(Principal::Tenant(tenant.clone()))
             }
         }
@@ -211,8 +211,8 @@
     }
 
     /// Returns the connections and waiting statements of all groups.
-    pub(crate) fn holdings(&self) -> Holdings {
-        let mut holdings = Holdings::default();
+    pub(crate) fn holdings(&self) -> ConnectionTotals {
+        let mut holdings = ConnectionTotals::default();
         for group in self.groups.borrow().values() {
             group.add_holdings(&mut holdings);
         }
@@ -235,7 +235,7 @@
         let mut tenants = self.tenants.borrow_mut();
         match &document.tenants {
             None => *tenants = None,
-            Some(declared) => tenants.get_or_insert_default().follow(declared),
+            Some(declared) => tenants.get_or_insert_default().update(declared),
         }
     }
 
--- a/crates/owner/src/exchange/replies.rs
+++ b/crates/owner/src/exchange/replies.rs
@@ -46,7 +46,7 @@
 
     /// Returns an open status when everything up to a Flush is answered: the transaction continues.
     fn read_flush(&mut self) -> Result<Option<TransactionStatus>, ConnectionError> {
-        let Some(skipped) = self.lease.connection()?.tracker.flushed() else {
+        let Some(skipped) = self.lease.connection()?.tracker.pop_answered_flush() else {
             return Ok(None);
         };
         for _ in 0..skipped {
@@ -69,7 +69,7 @@
         }
         match reply.disposition {
             Disposition::Forward => self.buffer(&message),
-            Disposition::Swallow => {}
+            Disposition::Discard => {}
             Disposition::Ready => {
                 let answered = self.lease.connection()?.tracker.is_idle();
                 let status = status_of(wire::ready_status(&message)?);
--- a/crates/owner/src/group/slots.rs
+++ b/crates/owner/src/group/slots.rs
@@ -2,7 +2,7 @@
 //! `corktack_core` decides the order of the grants.
 
 use super::{Group, GroupState};
-use corktack_core::admission::{AdmissionError, Lane, Ticket};
+use corktack_core::admission::{AdmissionError, RequiredRole, Ticket};
 use corktack_core::identity::ClassName;
 use corktack_core::time::Timestamp;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
     pub fn enqueue(
         self: &Arc<Self>,
         class: &ClassName,
-        lane: Lane,
+        lane: RequiredRole,
         deadline: Timestamp,
     ) -> Result<PendingSlot, AdmissionError> {
         let (sender, receiver) = oneshot::channel();
--- a/crates/owner/src/groups.rs
+++ b/crates/owner/src/groups.rs
@@ -103,7 +103,7 @@
 
 impl GroupManager {
     fn apply(&mut self, context: &Arc<Context>, view: &View) {
-        self.observers.follow(view);
+        self.observers.update(view);
         self.stop_lost(context, view);
         self.retired.retain(|retired| retired.apply_view(view));
         for (name, group) in &view.groups {
@@ -177,7 +177,7 @@
     if owner == Some(proxy) {
         return Some(Role::Owner);
     }
-    (observers.of(name, owner) == Some(proxy)).then_some(Role::Observer)
+    (observers.observer_of(name, owner) == Some(proxy)).then_some(Role::Observer)
 }
 
 impl GroupTasks {
--- a/crates/owner/src/router.rs
+++ b/crates/owner/src/router.rs
@@ -8,7 +8,7 @@
 use crate::group::{Group, Slot, SlotWaitError};
 use crate::lease::{Destination, Lease};
 use crate::metrics::ClassLabel;
-use corktack_core::admission::Lane;
+use corktack_core::admission::RequiredRole;
 use corktack_core::identity::ClassName;
 use corktack_core::position::Position;
 use corktack_core::routing::ReadRoute;
@@ -97,21 +97,21 @@
         Ok(())
     }
 
-    async fn choose_lane(&mut self) -> Result<Lane, Refusal> {
+    async fn choose_lane(&mut self) -> Result<RequiredRole, Refusal> {
         if self.access == Access::Write {
-            return Ok(Lane::Primary);
+            return Ok(RequiredRole::Primary);
         }
         let minimum = match self.minimum {
             Some(minimum) => minimum,
             None => self.await_barrier().await?,
         };
         if !self.primary_only && self.wait_for_replica(minimum).await {
-            return Ok(Lane::Replica);
+            return Ok(RequiredRole::Replica);
         }
         if !self.confirmed && !self.primary_covers(minimum) {
             self.await_barrier().await?;
         }
-        Ok(Lane::Primary)
+        Ok(RequiredRole::Primary)
     }
 
     /// Reports whether the primary's last known commit position covers the minimum. If so, even a primary
@@ -166,7 +166,7 @@
         self.group.with_state(|state| state.routing.route_read(&view, zone, minimum))
     }
 
-    async fn wait_for_slot(&mut self, lane: Lane) -> Result<Slot, Refusal> {
+    async fn wait_for_slot(&mut self, lane: RequiredRole) -> Result<Slot, Refusal> {
         let started = Instant::now();
         let enqueued = self.group.enqueue(&self.class, lane, self.deadline);
         let pending = enqueued.map_err(Refusal::from)?;
@@ -181,14 +181,14 @@
         })
     }
 
-    fn timeout_refusal(&self, lane: Lane) -> Refusal {
+    fn timeout_refusal(&self, lane: RequiredRole) -> Refusal {
         let has_primary = || self.group.available_primary().is_some();
         Refusal::from(slot_timeout_reason(self.timeout_reason, lane, has_primary))
     }
 
-    fn choose_destination(&self, lane: Lane) -> Option<Destination> {
+    fn choose_destination(&self, lane: RequiredRole) -> Option<Destination> {
         let term = self.group.view().term;
-        if lane == Lane::Replica {
+        if lane == RequiredRole::Replica {
             let ReadRoute::Replica(member) = self.route_read(self.minimum?) else {
                 return None;
             };
--- a/crates/owner/src/stream.rs
+++ b/crates/owner/src/stream.rs
@@ -71,7 +71,7 @@
     input: &mut Input,
     outbound: &Outbound,
 ) {
-    group.with_state(|state| state.retry.request());
+    group.with_state(|state| state.retry.record_request());
     let mut router = Router::new(Arc::clone(group), &request);
     let mut reported_position = request.minimum;
     // Set when an earlier attempt sent the commit of a keyed write.
--- a/crates/server/src/watch_client/inputs.rs
+++ b/crates/server/src/watch_client/inputs.rs
@@ -1,7 +1,7 @@
 //! Channels and requests between the watch and its proxy.
 
 use corktack_core::limits::AllowanceReport;
-use corktack_gateway::LimitNews;
+use corktack_gateway::LimitUpdate;
 use corktack_protocol::control::Observation;
 use tokio::sync::mpsc;
 
@@ -23,7 +23,7 @@
     /// Reports on tenants' limits to control's leader; closed where the proxy has no tenants.
     pub allowance_reports: mpsc::UnboundedReceiver<AllowanceReport>,
     /// Receives grants of tenants' limits and the terms of newly elected leaders.
-    pub limit_updates: mpsc::UnboundedSender<LimitNews>,
+    pub limit_updates: mpsc::UnboundedSender<LimitUpdate>,
 }
 
 impl WatchInputs {
