--- a/crates/gateway/tests/sessions/member.rs
+++ b/crates/gateway/tests/sessions/member.rs
@@ -75,7 +75,7 @@
 }
 
 impl Member {
-    /// Starts a member whose log ends at the position `position`.
+    /// Starts a member whose log ends at the position `at`.
     pub async fn start(name: &str, primary: bool, at: &str) -> Self {
         let (listener, address) = bind();
         let state = MemberState {
