--- a/crates/core/src/consensus/accessors.rs
+++ b/crates/core/src/consensus/accessors.rs
@@ -1,4 +1,4 @@
-//! Read access for the shell: a replica's role, leader, cell and indexes, and the health of the other
+//! Read access for the driver: a replica's role, leader, cell and indexes, and the health of the other
 //! members.
 
 use super::CellConfig;
--- a/crates/core/src/consensus/mod.rs
+++ b/crates/core/src/consensus/mod.rs
@@ -1,11 +1,11 @@
 //! Raft: the replicated log of the control state, as a state machine without I/O.
 //!
-//! A cell is a group of replicas that share one log. The shell is the code that drives a replica: it feeds
+//! A cell is a group of replicas that share one log. The driver is the code that runs a replica: it feeds
 //! [`Event`]s with the current time into the replica and performs the returned [`Action`]s **in order**. An
 //! [`Action::Persist`] must be synced to disk before any later [`Action::Send`] of the same batch leaves,
 //! because votes and acknowledgements must still hold after a crash.
 //!
-//! A replica owns its term, vote, log and cell configuration. It relies on the shell for the disk, for
+//! A replica owns its term, vote, log and cell configuration. It relies on the driver for the disk, for
 //! sending messages (which may be lost, duplicated and reordered) and for a clock, which need not agree with
 //! the clocks of other replicas.
 
@@ -84,7 +84,7 @@
 pub enum Payload {
     /// No operation. A new leader appends it to commit the entries of earlier terms.
     Empty,
-    /// A command for the control state, encoded by the shell.
+    /// A command for the control state, encoded by the driver.
     Command(Vec<u8>),
     /// The cell configuration after a change of one member.
     Cell(CellConfig),
@@ -110,7 +110,7 @@
     pub term: Term,
     /// Cell configuration at that index.
     pub cell: CellConfig,
-    /// The control state, encoded by the shell.
+    /// The control state, encoded by the driver.
     pub data: Vec<u8>,
 }
 
@@ -147,7 +147,7 @@
     pub seed: u64,
 }
 
-/// Identifies a proposal or read. The shell assigns it to match the answer to the request.
+/// Identifies a proposal or read. The driver assigns it to match the answer to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
@@ -201,37 +201,37 @@
         /// Replica that became reachable.
         replica: ReplicaId,
     },
-    /// The shell proposes a command for the log.
+    /// The driver proposes a command for the log.
     Propose {
         /// Id of the request.
         request: RequestId,
         /// Encoded command.
         command: Vec<u8>,
     },
-    /// The shell proposes a change of the cell.
+    /// The driver proposes a change of the cell.
     ProposeCell {
         /// Id of the request.
         request: RequestId,
         /// The change.
         change: CellChange,
     },
-    /// The shell requests a read index: an index at which the state contains everything that was answered
+    /// The driver requests a read index: an index at which the state contains everything that was answered
     /// before this request. Every replica accepts it; followers forward it to the leader.
     ReadIndex {
         /// Id of the request.
         request: RequestId,
     },
-    /// The shell took a snapshot of the state at `snapshot.index` and synced it;
+    /// The driver took a snapshot of the state at `snapshot.index` and synced it;
     /// the log up to that index may be compacted.
     Compact {
         /// The snapshot.
         snapshot: Snapshot,
     },
-    /// The shell requests a leadership transfer to another voter, before a planned stop.
+    /// The driver requests a leadership transfer to another voter, before a planned stop.
     TransferLeadership,
 }
 
-/// Output of a replica. The shell performs the actions of a batch in order.
+/// Output of a replica. The driver performs the actions of a batch in order.
 #[derive(Clone, Debug)]
 pub enum Action<M> {
     /// Write and sync. If there are `entries`, the stored log is first truncated to end before the first of
@@ -243,7 +243,7 @@
         entries: Vec<Entry>,
     },
     /// Write and sync a snapshot received from the leader, and delete the whole stored log.
-    /// The shell then replaces its state with the snapshot's.
+    /// The driver then replaces its state with the snapshot's.
     InstallSnapshot(Snapshot),
     /// Send a message to another replica.
     Send {
--- a/crates/core/src/consensus/pending_reads.rs
+++ b/crates/core/src/consensus/pending_reads.rs
@@ -21,7 +21,7 @@
 /// Origin of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadOrigin {
-    /// Requested by the shell of this replica.
+    /// Requested by the driver of this replica.
     Local(RequestId),
     /// Forwarded by a follower, which requests one index for a batch of reads.
     Follower { from: ReplicaId, batch: u64 },
--- a/crates/core/src/consensus/replica.rs
+++ b/crates/core/src/consensus/replica.rs
@@ -32,7 +32,7 @@
 
 /// A replica of a cell as a state machine without I/O.
 ///
-/// If the shell fails to perform an [`Action::Persist`] or an
+/// If the driver fails to perform an [`Action::Persist`] or an
 /// [`Action::InstallSnapshot`], it must drop the replica and all later actions:
 /// the replica already counts its own log as synced.
 #[derive(Debug)]
@@ -327,7 +327,7 @@
             return None;
         }
         // The commit hint covers only entries that were synced before, so that it
-        // cannot get ahead of the log in whatever order the shell writes this action.
+        // cannot get ahead of the log in whatever order the driver writes this action.
         let commit = self.hard_state.commit.min(self.synced_index);
         let hard_state = HardState { commit, ..self.hard_state };
         let hard_state = (hard_state != self.persisted_hard_state).then_some(hard_state);
--- a/crates/core/src/failover/decide.rs
+++ b/crates/core/src/failover/decide.rs
@@ -9,7 +9,7 @@
 use super::evaluation::{EvaluationContext, RequestedActions};
 use super::evidence::{MemberHealth, confirmed_primary, highest_promised_term, reachable};
 use super::monitor::Monitor;
-use super::procedure::{Phase, Promoting, begin_step, call_target};
+use super::procedure::{Phase, Promoting, call_target, failover_begin_step};
 use super::settings::FailoverSettings;
 use super::suspicion::{SINGLE_OBSERVER_FACTOR, Suspicion, evaluate_observations, is_observed};
 use crate::position::Term;
@@ -102,7 +102,7 @@
         let since = *self.suspected_since.get_or_insert(context.now);
         let wait_elapsed = context.now.saturating_since(since) >= wait;
         let ready = wait_elapsed && self.has_cooled_down(context) && self.can_fence(context, since);
-        ready.then(|| Phase::Decided(begin_step(&self.evidence, context.view)))
+        ready.then(|| Phase::Decided(failover_begin_step(&self.evidence, context.view)))
     }
 
     /// Replaces a draining primary once a majority of members that are not draining follows it.
@@ -119,7 +119,7 @@
         let ready =
             not_draining.filter(|(_, member)| member.control_since(since) == following).count();
         let has_majority = ready >= view.spec.majority();
-        has_majority.then(|| Phase::Decided(begin_step(&self.evidence, view)))
+        has_majority.then(|| Phase::Decided(failover_begin_step(&self.evidence, view)))
     }
 
     /// Looks for a primary that is not announced yet, and begins a term when none appears in time.
@@ -139,7 +139,7 @@
         let waited = context.now.saturating_since(since) >= min_wait;
         let cooled_down = !announced || self.has_cooled_down(context);
         let ready = waited && cooled_down && self.can_fence(context, since);
-        ready.then(|| Phase::Decided(begin_step(&self.evidence, context.view)))
+        ready.then(|| Phase::Decided(failover_begin_step(&self.evidence, context.view)))
     }
 
     fn advance_fencing(
@@ -203,7 +203,7 @@
         let member = context.view.spec.member(&promoting.member);
         let Some(member) = member.filter(|_| promoting.attempts < PROMOTE_ATTEMPTS) else {
             // The leader may ask another member only in a higher term.
-            return Some(Phase::Decided(begin_step(&self.evidence, context.view)));
+            return Some(Phase::Decided(failover_begin_step(&self.evidence, context.view)));
         };
         promoting.attempts += 1;
         promoting.next_ask_at = context.now + context.settings.answer_timeout;
--- a/crates/core/src/failover/procedure.rs
+++ b/crates/core/src/failover/procedure.rs
@@ -116,7 +116,7 @@
 }
 
 /// Returns the step that begins a term above every known term.
-pub(super) fn begin_step(evidence: &GroupEvidence, view: &GroupView) -> FailoverStep {
+pub(super) fn failover_begin_step(evidence: &GroupEvidence, view: &GroupView) -> FailoverStep {
     let highest = highest_promised_term(evidence).max(view.term);
     FailoverStep::Begin { term: Term(highest.0 + 1) }
 }
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -2,13 +2,13 @@
 //!
 //! The sessions observe the notifications in [`shared`](crate::shared) and end themselves.
 
-use crate::shared::Shared;
+use crate::shared::GatewayContext;
 use crate::wire::Wire;
 use std::rc::Rc;
 use tokio::time::{Instant, timeout_at};
 
 /// Waits until every session has ended; rolls back transactions that are open after their grace period.
-pub(crate) async fn drain<W: Wire>(shared: &Rc<Shared<W>>) {
+pub(crate) async fn drain<W: Wire>(shared: &Rc<GatewayContext<W>>) {
     tokio::time::sleep(shared.settings.drain_notice).await;
     shared.stopping.set(true);
     shared.stop_began.notify_waiters();
@@ -23,7 +23,7 @@
     }
 }
 
-async fn all_ended<W: Wire>(shared: &Rc<Shared<W>>) {
+async fn all_ended<W: Wire>(shared: &Rc<GatewayContext<W>>) {
     while shared.sessions.get() > 0 {
         shared.session_ended.notified().await;
     }
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -13,7 +13,7 @@
 use crate::routes::Routes;
 use crate::session::serve_caller;
 use crate::settings::GatewaySettings;
-use crate::shared::Shared;
+use crate::shared::GatewayContext;
 use crate::tunnel::Tunnels;
 use crate::wire::Wire;
 use corktack_core::view::View;
@@ -93,7 +93,7 @@
             clock,
             metrics.clone(),
         );
-        let shared = Rc::new(Shared::new(wire, settings, routes, metrics, limits, clock));
+        let shared = Rc::new(GatewayContext::new(wire, settings, routes, metrics, limits, clock));
         actix_rt::spawn(run_allowance_reports(Rc::clone(&shared.limits), limits_link));
         actix_rt::spawn(apply_views(Rc::clone(&shared), views));
         actix_rt::spawn(accept_callers(callers, Rc::clone(&shared)));
@@ -105,7 +105,7 @@
 
 /// Handle of a running gateway. Dropping it doesn't stop the gateway.
 pub struct GatewayHandle<W: Wire> {
-    shared: Rc<Shared<W>>,
+    shared: Rc<GatewayContext<W>>,
 }
 
 impl<W: Wire> std::fmt::Debug for GatewayHandle<W> {
@@ -127,7 +127,10 @@
     }
 }
 
-async fn apply_views<W: Wire>(shared: Rc<Shared<W>>, mut views: watch::Receiver<Arc<View>>) {
+async fn apply_views<W: Wire>(
+    shared: Rc<GatewayContext<W>>,
+    mut views: watch::Receiver<Arc<View>>,
+) {
     loop {
         let view = Arc::clone(&views.borrow_and_update());
         if shared.routes.apply_view(&view) {
@@ -143,7 +146,7 @@
     }
 }
 
-async fn accept_callers<W: Wire>(listener: TcpListener, shared: Rc<Shared<W>>) {
+async fn accept_callers<W: Wire>(listener: TcpListener, shared: Rc<GatewayContext<W>>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -157,7 +160,7 @@
     }
 }
 
-async fn sweep<W: Wire>(shared: Rc<Shared<W>>) {
+async fn sweep<W: Wire>(shared: Rc<GatewayContext<W>>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
         shared.routes.close_unused();
--- a/crates/gateway/src/holder/lent.rs
+++ b/crates/gateway/src/holder/lent.rs
@@ -6,7 +6,7 @@
 use super::frames::{HolderFrames, LOG_TARGET, send};
 use crate::error::LinkError;
 use crate::group::Lease;
-use crate::shared::Shared;
+use crate::shared::GatewayContext;
 use crate::tunnel::{FIRST_HEARTBEAT, HEARTBEAT_INTERVAL};
 use crate::wire::Wire;
 use bytes::BytesMut;
@@ -52,7 +52,7 @@
 /// error means that the tunnel has ended; the member's connection is then closed unless it was returned,
 /// which rolls back.
 pub(super) async fn serve_lent<W: Wire>(
-    shared: &Shared<W>,
+    shared: &GatewayContext<W>,
     frames: &mut HolderFrames,
     mut lease: Lease<W>,
     lent: TunnelReply,
@@ -75,7 +75,7 @@
         }
     }
 
-    async fn serve(mut self, shared: &Shared<W>) -> Result<(), LinkError> {
+    async fn serve(mut self, shared: &GatewayContext<W>) -> Result<(), LinkError> {
         let idle_limit = shared.routes.transaction_idle_limit() + IDLE_GRACE;
         loop {
             match self.next_event(idle_limit).await {
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::error::LinkError;
 use crate::group::LocatedConnection;
-use crate::shared::Shared;
+use crate::shared::GatewayContext;
 use crate::tunnel::{OperationsRequest, RemoteRequest};
 use crate::wire::Wire;
 use corktack_core::identity::{GroupName, MemberName};
@@ -33,7 +33,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 /// Serves tunnels of other gateways until the process ends.
-pub(crate) async fn accept_tunnels<W: Wire>(listener: TcpListener, shared: Rc<Shared<W>>) {
+pub(crate) async fn accept_tunnels<W: Wire>(listener: TcpListener, shared: Rc<GatewayContext<W>>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -47,7 +47,7 @@
     }
 }
 
-async fn serve_tunnel<W: Wire>(stream: TcpStream, shared: Rc<Shared<W>>) {
+async fn serve_tunnel<W: Wire>(stream: TcpStream, shared: Rc<GatewayContext<W>>) {
     // Ignore a failure: the socket options only save time (small messages aren't delayed, a lost peer is
     // detected sooner).
     drop(Liveness::WITHIN_DEPLOYMENT.apply(&stream));
@@ -60,7 +60,7 @@
 }
 
 async fn serve_request<W: Wire>(
-    shared: &Shared<W>,
+    shared: &GatewayContext<W>,
     frames: &mut HolderFrames,
     request: TunnelRequest,
 ) -> Result<(), LinkError> {
@@ -99,7 +99,7 @@
 
 /// Lends a connection until the other gateway returns it.
 async fn lend_connection<W: Wire>(
-    shared: &Shared<W>,
+    shared: &GatewayContext<W>,
     frames: &mut HolderFrames,
     remote: &RemoteRequest,
 ) -> Result<(), LinkError> {
@@ -115,7 +115,7 @@
 
 /// Begins a transaction, runs its first statement, and lends the connection while it is open.
 async fn open_transaction<W: Wire>(
-    shared: &Shared<W>,
+    shared: &GatewayContext<W>,
     frames: &mut HolderFrames,
     remote: &RemoteRequest,
     first: &LoneRequest,
@@ -131,7 +131,7 @@
 
 /// Reports the newest position of a group's primary that this gateway knows or can learn in time.
 async fn report_position<W: Wire>(
-    shared: &Shared<W>,
+    shared: &GatewayContext<W>,
     frames: &mut HolderFrames,
     group: &GroupName,
     member: MemberName,
--- a/crates/gateway/src/holder/operations.rs
+++ b/crates/gateway/src/holder/operations.rs
@@ -5,7 +5,7 @@
 use super::frames::{HolderFrames, send, with_heartbeats};
 use crate::error::LinkError;
 use crate::limits::RequestedOperations;
-use crate::shared::Shared;
+use crate::shared::GatewayContext;
 use crate::tunnel::OperationsRequest;
 use crate::wire::Wire;
 use corktack_core::tenancy::TenantName;
@@ -14,7 +14,7 @@
 
 /// Counts operations for another gateway; undoes the count if the reply can't be sent.
 pub(super) async fn count<W: Wire>(
-    shared: &Shared<W>,
+    shared: &GatewayContext<W>,
     frames: &mut HolderFrames,
     tenant: &TenantName,
     OperationsRequest { operations, priority, wait }: OperationsRequest,
--- a/crates/gateway/src/holder/statement.rs
+++ b/crates/gateway/src/holder/statement.rs
@@ -7,7 +7,7 @@
 use crate::error::AcquireError;
 use crate::group::{ConnectionRequest, Group, Lease, LocatedConnection, Target};
 use crate::lone_statement::LoneStatement;
-use crate::shared::Shared;
+use crate::shared::GatewayContext;
 use crate::tunnel::{RemoteRequest, outcome_of};
 use crate::wire::Wire;
 use corktack_core::gateway::{ReadPosition, SessionProfile};
@@ -20,7 +20,7 @@
 
 /// Runs a statement of another gateway, and returns the reply.
 pub(super) async fn run<W: Wire>(
-    shared: &Shared<W>,
+    shared: &GatewayContext<W>,
     remote: &RemoteRequest,
     statement: &LoneRequest,
     limit: Duration,
@@ -40,7 +40,7 @@
 /// Begins a transaction for another gateway and runs its first statement. Returns the reply, and the lease if
 /// the transaction is open.
 pub(super) async fn open_transaction<W: Wire>(
-    shared: &Shared<W>,
+    shared: &GatewayContext<W>,
     remote: &RemoteRequest,
     statement: &LoneRequest,
     limit: Duration,
@@ -77,7 +77,7 @@
 
 /// Acquires a connection of this gateway for a request of another one.
 pub(super) async fn acquire<W: Wire>(
-    shared: &Shared<W>,
+    shared: &GatewayContext<W>,
     remote: &RemoteRequest,
     writes: bool,
 ) -> Result<LocatedConnection<W>, TunnelRefusal> {
@@ -121,7 +121,7 @@
 
 /// Returns the group of a name, or `NotHeld` if this gateway doesn't know it.
 pub(super) fn find_group<W: Wire>(
-    shared: &Shared<W>,
+    shared: &GatewayContext<W>,
     group: &GroupName,
 ) -> Result<Rc<Group<W>>, TunnelRefusal> {
     shared.routes.group(group).ok_or(TunnelRefusal::NotHeld)
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -19,7 +19,7 @@
 pub(crate) use serve::serve_caller;
 
 use crate::routes::{Admission, Route};
-use crate::shared::Shared;
+use crate::shared::GatewayContext;
 use crate::wire::Wire;
 use corktack_core::gateway::{KnownPosition, OwnPosition, ReadBound, SessionProfile};
 use corktack_core::identity::GroupName;
@@ -45,7 +45,7 @@
 
 /// State of one caller's session.
 pub(crate) struct Session<W: Wire> {
-    shared: Rc<Shared<W>>,
+    shared: Rc<GatewayContext<W>>,
     database: String,
     /// Key with which the caller authenticates.
     key: ApiKey,
@@ -58,7 +58,7 @@
 }
 
 impl<W: Wire> Session<W> {
-    fn new(shared: Rc<Shared<W>>, database: String, key: ApiKey) -> Self {
+    fn new(shared: Rc<GatewayContext<W>>, database: String, key: ApiKey) -> Self {
         Self {
             shared,
             database,
--- a/crates/gateway/src/session/serve.rs
+++ b/crates/gateway/src/session/serve.rs
@@ -8,7 +8,7 @@
 use super::response::Response;
 use super::transaction::Transaction;
 use crate::retry_after::{self, not_run};
-use crate::shared::Shared;
+use crate::shared::GatewayContext;
 use crate::wire::Wire;
 use bytes::BytesMut;
 use corktack_core::statement::TransactionState;
@@ -46,7 +46,7 @@
 }
 
 /// Serves a caller until it disconnects or the gateway stops.
-pub(crate) async fn serve_caller<W: Wire>(stream: TcpStream, shared: Rc<Shared<W>>) {
+pub(crate) async fn serve_caller<W: Wire>(stream: TcpStream, shared: Rc<GatewayContext<W>>) {
     // The socket options lower latency and detect a lost caller sooner; the connection works without them.
     drop(Liveness::TO_CALLERS.apply(&stream));
     let mut caller = Caller {
@@ -70,7 +70,7 @@
     stream: TcpStream,
     input: BytesMut,
     output: BytesMut,
-    shared: Rc<Shared<W>>,
+    shared: Rc<GatewayContext<W>>,
 }
 
 impl<W: Wire> Caller<W> {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -25,7 +25,7 @@
 const FIRST_DOCUMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// State shared by all sessions of a gateway.
-pub(crate) struct Shared<W: Wire> {
+pub(crate) struct GatewayContext<W: Wire> {
     pub(crate) wire: W,
     pub(crate) settings: Rc<GatewaySettings>,
     pub(crate) routes: Routes<W>,
@@ -44,7 +44,7 @@
     clock: SteadyClock,
 }
 
-impl<W: Wire> Shared<W> {
+impl<W: Wire> GatewayContext<W> {
     pub(crate) fn new(
         wire: W,
         settings: Rc<GatewaySettings>,
--- a/crates/owner/src/context.rs
+++ b/crates/owner/src/context.rs
@@ -35,7 +35,7 @@
 
 /// State that all tasks of an owner share.
 #[derive(Debug)]
-pub(crate) struct Context {
+pub(crate) struct OwnerContext {
     pub settings: OwnerSettings,
     /// The configuration in force.
     pub view: watch::Receiver<Arc<View>>,
@@ -51,7 +51,7 @@
     origin: Instant,
 }
 
-impl Context {
+impl OwnerContext {
     /// Starts the threads; the new context owns no group.
     pub fn new(
         settings: OwnerSettings,
--- a/crates/owner/src/exchange/claim.rs
+++ b/crates/owner/src/exchange/claim.rs
@@ -22,8 +22,8 @@
 /// Command tag of a claim that inserted the key.
 const CLAIMED_TAG: &str = "INSERT 0 1";
 
-/// Outcome of a claim.
-pub(super) enum Claim {
+/// Outcome of claiming an idempotency key.
+pub(super) enum KeyClaim {
     Won,
     Taken,
     /// The table of outcomes was missing and has been created; the claim must be repeated.
@@ -34,16 +34,19 @@
 
 impl Exchange<'_> {
     /// Claims the key in the open transaction, or in a new one if `opens_transaction` is set.
-    pub(super) async fn claim(&mut self, opens_transaction: bool) -> Result<Claim, BatchOutcome> {
+    pub(super) async fn claim(
+        &mut self,
+        opens_transaction: bool,
+    ) -> Result<KeyClaim, BatchOutcome> {
         let statement = claim_statement(self.key(), unix_time_ms());
         let text = if opens_transaction { format!("{BEGIN}; {statement}") } else { statement };
         let answer = self.run_own_statement(&text).await?;
         let Some(error) = answer.error else {
             if answer.tag == CLAIMED_TAG {
-                return Ok(Claim::Won);
+                return Ok(KeyClaim::Won);
             }
             self.run_own_statement(ROLLBACK).await?;
-            return Ok(Claim::Taken);
+            return Ok(KeyClaim::Taken);
         };
         if error.sqlstate == UNDEFINED_TABLE {
             self.run_own_statement(ROLLBACK).await?;
@@ -52,9 +55,9 @@
                 // whether it exists.
                 self.run_own_statement(statement).await?;
             }
-            return Ok(Claim::Repeat);
+            return Ok(KeyClaim::Repeat);
         }
-        self.outcome_of_failed_claim(error).await.map(Claim::Failed)
+        self.outcome_of_failed_claim(error).await.map(KeyClaim::Failed)
     }
 
     /// Returns the outcome of a batch whose claim failed with an error; no statement of the write has run.
--- a/crates/owner/src/exchange/keyed.rs
+++ b/crates/owner/src/exchange/keyed.rs
@@ -4,7 +4,7 @@
 //! answer. In a transaction of the caller, the owner claims the key after BEGIN and stores the transcript
 //! before COMMIT. In both cases key, write and answer are committed together.
 
-use super::claim::{Claim, ROLLBACK};
+use super::claim::{KeyClaim, ROLLBACK};
 use super::own::OwnStatementAnswer;
 use super::state::{BatchOutcome, Exchange};
 use crate::batch;
@@ -78,16 +78,16 @@
                 }
             }
             match self.claim(is_standalone).await? {
-                Claim::Won if is_standalone => return self.run_standalone(batch).await,
-                Claim::Won => return self.record_batch(batch, TransactionStatus::Open).await,
-                Claim::Taken => {
+                KeyClaim::Won if is_standalone => return self.run_standalone(batch).await,
+                KeyClaim::Won => return self.record_batch(batch, TransactionStatus::Open).await,
+                KeyClaim::Taken => {
                     self.buffered.clear();
                     if self.load_transcript().await? {
                         return self.replay_batch(batch).await;
                     }
                 }
-                Claim::Repeat => self.buffered.clear(),
-                Claim::Failed(outcome) => return Ok(outcome),
+                KeyClaim::Repeat => self.buffered.clear(),
+                KeyClaim::Failed(outcome) => return Ok(outcome),
             }
         }
         Ok(BatchOutcome::Retry(RetryCause::BackEndRefused))
--- a/crates/owner/src/groups.rs
+++ b/crates/owner/src/groups.rs
@@ -6,7 +6,7 @@
 
 use crate::barrier;
 use crate::connection::Login;
-use crate::context::Context;
+use crate::context::OwnerContext;
 use crate::group::{CONTROL_APPLICATION_NAME, Group};
 use crate::probe::{self, ProbeRecipient, ProbeTarget};
 use crate::warm;
@@ -69,7 +69,7 @@
 /// Stops owning a group that another proxy owns now. The group's probes continue detached until no stream
 /// holds the group.
 fn retire(
-    context: &Context,
+    context: &OwnerContext,
     name: &GroupName,
     group_tasks: &mut GroupTasks,
 ) -> Option<RetiredGroup> {
@@ -80,7 +80,7 @@
 }
 
 /// Applies each new view until the owner stops.
-pub(crate) async fn apply_views(context: Arc<Context>) {
+pub(crate) async fn apply_views(context: Arc<OwnerContext>) {
     let mut views = context.view.clone();
     let mut manager = GroupManager::default();
     loop {
@@ -102,7 +102,7 @@
 }
 
 impl GroupManager {
-    fn apply(&mut self, context: &Arc<Context>, view: &View) {
+    fn apply(&mut self, context: &Arc<OwnerContext>, view: &View) {
         self.observers.update(view);
         self.stop_lost(context, view);
         self.retired.retain(|retired| retired.apply_view(view));
@@ -119,7 +119,7 @@
         }
     }
 
-    fn stop_lost(&mut self, context: &Context, view: &View) {
+    fn stop_lost(&mut self, context: &OwnerContext, view: &View) {
         let Self { tasks_by_group, retired, observers } = self;
         tasks_by_group.retain(|name, group_tasks| {
             let keeps_role = view.groups.get(name).is_some_and(|group| {
@@ -134,7 +134,7 @@
 
     fn start_or_update_owned(
         &mut self,
-        context: &Arc<Context>,
+        context: &Arc<OwnerContext>,
         view: &View,
         name: &GroupName,
         group: &Arc<GroupView>,
@@ -187,11 +187,11 @@
         Self { role, members: Vec::new(), database: String::new(), probes, tasks }
     }
 
-    fn spawn(&self, context: &Context, task: impl Future<Output = ()> + Send + 'static) {
+    fn spawn(&self, context: &OwnerContext, task: impl Future<Output = ()> + Send + 'static) {
         spawn_until(context, self.tasks.clone(), task);
     }
 
-    fn update_probes(&mut self, context: &Context, name: &GroupName, group: &GroupView) {
+    fn update_probes(&mut self, context: &OwnerContext, name: &GroupName, group: &GroupView) {
         let spec = &group.spec;
         if self.members == spec.members && self.database == spec.database {
             return;
@@ -209,7 +209,7 @@
 
     fn probe_target(
         &self,
-        context: &Context,
+        context: &OwnerContext,
         name: &GroupName,
         member: &MemberSpec,
     ) -> ProbeTarget {
@@ -235,7 +235,7 @@
 }
 
 fn spawn_until(
-    context: &Context,
+    context: &OwnerContext,
     token: CancellationToken,
     task: impl Future<Output = ()> + Send + 'static,
 ) {
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -49,7 +49,7 @@
 mod warm;
 mod wire;
 
-use crate::context::Context;
+use crate::context::OwnerContext;
 use corktack_core::view::View;
 use corktack_protocol::control::Observation;
 use prometheus_client::registry::Registry;
@@ -91,7 +91,7 @@
     ) -> Result<OwnerHandle, OwnerError> {
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let context = Arc::new(Context::new(settings, view, observations, registry));
+        let context = Arc::new(OwnerContext::new(settings, view, observations, registry));
         context.spawn(groups::apply_views(Arc::clone(&context)));
         context.spawn(link::accept(Arc::clone(&context), listener));
         Ok(OwnerHandle { context, address })
@@ -102,7 +102,7 @@
 /// [`OwnerHandle::drain`] lets them finish.
 #[derive(Debug)]
 pub struct OwnerHandle {
-    context: Arc<Context>,
+    context: Arc<OwnerContext>,
     address: SocketAddr,
 }
 
--- a/crates/owner/src/link.rs
+++ b/crates/owner/src/link.rs
@@ -4,7 +4,7 @@
 //! link whose edge does not receive its answers.
 
 use crate::backlog::{self, LinkQueue, LinkSender};
-use crate::context::{Context, Phase};
+use crate::context::{OwnerContext, Phase};
 use crate::outbound::Outbound;
 use crate::stream;
 use crate::stream_input::{self, StreamInput, StreamSender};
@@ -47,7 +47,7 @@
 }
 
 /// Accepts links until the owner stops.
-pub(crate) async fn accept(context: Arc<Context>, listener: std::net::TcpListener) {
+pub(crate) async fn accept(context: Arc<OwnerContext>, listener: std::net::TcpListener) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(error) => {
@@ -69,7 +69,7 @@
     }
 }
 
-async fn serve(context: Arc<Context>, socket: TcpStream) {
+async fn serve(context: Arc<OwnerContext>, socket: TcpStream) {
     let _open = context.count_link();
     let peer = socket.peer_addr().map(|address| address.to_string()).unwrap_or_default();
     let frames: Frames = Framed::new(socket, FrameCodec::default());
@@ -143,7 +143,7 @@
 }
 
 struct Link {
-    context: Arc<Context>,
+    context: Arc<OwnerContext>,
     outbound: LinkSender,
     ended_sender: mpsc::UnboundedSender<StreamId>,
     /// Open streams. Dropping the map signals to all of them that their caller is gone.
--- a/crates/owner/src/stream.rs
+++ b/crates/owner/src/stream.rs
@@ -4,7 +4,7 @@
 //! attempt follows. Every stream ends with exactly one final answer, unless its caller is gone.
 
 use crate::batch::{self, BatchProperties};
-use crate::context::{Context, OpenCount};
+use crate::context::{OpenCount, OwnerContext};
 use crate::decisions::Refusal;
 use crate::exchange::{Exchange, Exit};
 use crate::group::Group;
@@ -32,7 +32,7 @@
 
 /// Serves one stream from its request to its final answer.
 pub(crate) async fn run(
-    context: Arc<Context>,
+    context: Arc<OwnerContext>,
     request: OpenRequest,
     receiver: StreamReceiver,
     outbound: Outbound,
@@ -53,7 +53,7 @@
     serve(&group, request, properties, &mut input, &outbound).await;
 }
 
-fn find_group(context: &Context, request: &OpenRequest) -> Result<Arc<Group>, NotRunReason> {
+fn find_group(context: &OwnerContext, request: &OpenRequest) -> Result<Arc<Group>, NotRunReason> {
     if context.is_draining() {
         return Err(NotRunReason::Stopping);
     }
--- a/crates/server/src/explain/losses/text.rs
+++ b/crates/server/src/explain/losses/text.rs
@@ -28,46 +28,46 @@
 const WINDOW_COLUMN: Column = Column::text("window");
 const LOSS_COLUMNS: [Column; 8] = [
     WINDOW_COLUMN,
-    Column::number("failed"),
-    Column::number("refused"),
-    Column::number("started"),
-    Column::number("found"),
-    Column::number("promoted"),
-    Column::number("elected"),
+    Column::numeric("failed"),
+    Column::numeric("refused"),
+    Column::numeric("started"),
+    Column::numeric("found"),
+    Column::numeric("promoted"),
+    Column::numeric("elected"),
     Column::text("failed and refused by reason"),
 ];
 const ATTEMPT_COLUMNS: [Column; 6] = [
-    Column::number("lagging"),
-    Column::number("full"),
-    Column::number("not primary"),
-    Column::number("silent"),
-    Column::number("lost"),
-    Column::number("other"),
+    Column::numeric("lagging"),
+    Column::numeric("full"),
+    Column::numeric("not primary"),
+    Column::numeric("silent"),
+    Column::numeric("lost"),
+    Column::numeric("other"),
 ];
 const DURATION_COLUMNS: [Column; 6] = [
-    Column::number("offered"),
-    Column::number("median ms"),
-    Column::number("sum s"),
-    Column::number("not offered"),
-    Column::number("median ms"),
-    Column::number("sum s"),
+    Column::numeric("offered"),
+    Column::numeric("median ms"),
+    Column::numeric("sum s"),
+    Column::numeric("not offered"),
+    Column::numeric("median ms"),
+    Column::numeric("sum s"),
 ];
 const RETRY_AFTER_COLUMNS: [Column; 3] =
-    [Column::number("told"), Column::number("median ms"), Column::number("over 1 s")];
+    [Column::numeric("told"), Column::numeric("median ms"), Column::numeric("over 1 s")];
 const CONNECT_COLUMNS: [Column; 3] = [
-    Column::number("refused as full"),
-    Column::number("unreachable"),
-    Column::number("other errors"),
+    Column::numeric("refused as full"),
+    Column::numeric("unreachable"),
+    Column::numeric("other errors"),
 ];
 const PROCESS_COLUMNS: [Column; 8] = [
     Column::text("gateway"),
-    Column::number("failed"),
-    Column::number("refused"),
-    Column::number("offered in vain"),
+    Column::numeric("failed"),
+    Column::numeric("refused"),
+    Column::numeric("offered in vain"),
     CONNECT_COLUMNS[0],
     CONNECT_COLUMNS[1],
     CONNECT_COLUMNS[2],
-    Column::number("started"),
+    Column::numeric("started"),
 ];
 
 impl fmt::Display for Losses {
--- a/crates/server/src/explain/table.rs
+++ b/crates/server/src/explain/table.rs
@@ -16,7 +16,7 @@
     }
 
     /// Returns a right-aligned column.
-    pub(super) const fn number(heading: &'static str) -> Self {
+    pub(super) const fn numeric(heading: &'static str) -> Self {
         Self { heading, is_number: true }
     }
 }
--- a/crates/sim/src/limits/variant.rs
+++ b/crates/sim/src/limits/variant.rs
@@ -1,6 +1,6 @@
-//! Ways in which a shell round the core could break the limits; the checker must see each of them.
+//! Ways in which a driver of the core could break the limits; the checker must detect each of them.
 
-/// A variant of the shells round the core.
+/// A variant of the drivers of the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitsVariant {
     /// As built.
--- a/crates/sim/src/run/control.rs
+++ b/crates/sim/src/run/control.rs
@@ -2,7 +2,7 @@
 //! state, and the duties of a leader.
 //!
 //! Owns the machine's disk and, while it runs, its process; performs the replica's actions in order as the
-//! product's shell does. A crash drops the process and a drawn part of what was not synced.
+//! product's driver does. A crash drops the process and a drawn part of what was not synced.
 
 mod disk;
 mod duties;
--- a/crates/sim/src/run/variant.rs
+++ b/crates/sim/src/run/variant.rs
@@ -1,4 +1,4 @@
-//! Shells and back ends broken in one place each, to see the checker fail.
+//! Drivers and back ends with one fault each, which the checker must detect.
 
 /// What is broken in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
